--- a/crates/asterport-admin/src/call.rs
+++ b/crates/asterport-admin/src/call.rs
@@ -73,7 +73,9 @@
             CallError::TooLong => format!("a body of over {MOST_BODY} bytes"),
             CallError::Body(problem) => format!(r#"the body is to be {{"host":"ID"}}: {problem}"#),
             CallError::Unknown(id) => format!("nobody has told of a cache server '{id}'"),
-            CallError::NotReady => "this process cannot serve yet, or another has taken over".to_string(),
+            CallError::NotReady => {
+                "this process cannot serve yet, or another has taken over".to_string()
+            }
         };
         format!("{}\n", serde_json::json!({ "error": reason }))
     }
@@ -93,7 +95,11 @@
         "/api/evacuate" | "/api/rejoin" => (Method::POST, false),
         _ => return Err(CallError::Path),
     };
-    if *method == wanted { Ok(body) } else { Err(CallError::Method(wanted)) }
+    if *method == wanted {
+        Ok(body)
+    } else {
+        Err(CallError::Method(wanted))
+    }
 }
 
 /// Reads a call.
@@ -101,7 +107,11 @@
 /// # Errors
 /// When the path, the method or the body is none.
 pub fn read(method: &Method, path: &str, body: &[u8]) -> Result<Call, CallError> {
-    let body = if wants_body(method, path)? { host(body)? } else { String::new() };
+    let body = if wants_body(method, path)? {
+        host(body)?
+    } else {
+        String::new()
+    };
     match path {
         "/api/ready" => Ok(Call::Ready),
         "/api/telemetry" => Ok(Call::Telemetry),
@@ -118,7 +128,9 @@
         serde_json::from_slice(body).map_err(|problem| CallError::Body(problem.to_string()))?;
     match host.len() {
         0 => Err(CallError::Body("an empty id".into())),
-        length if length > MOST_ID => Err(CallError::Body(format!("an id of over {MOST_ID} bytes"))),
+        length if length > MOST_ID => {
+            Err(CallError::Body(format!("an id of over {MOST_ID} bytes")))
+        }
         _ => Ok(host),
     }
 }
@@ -128,7 +140,13 @@
 /// # Errors
 /// When the answer is no; then nothing has changed.
 pub fn carry_out(call: Call, router: &impl Operated) -> Result<String, CallError> {
-    let done = |known: bool, id: String| if known { Ok(String::new()) } else { Err(CallError::Unknown(id)) };
+    let done = |known: bool, id: String| {
+        if known {
+            Ok(String::new())
+        } else {
+            Err(CallError::Unknown(id))
+        }
+    };
     match call {
         Call::Ready if router.is_ready() => Ok("ready\n".into()),
         Call::Ready => Err(CallError::NotReady),
--- a/crates/asterport-admin/src/figures.rs
+++ b/crates/asterport-admin/src/figures.rs
@@ -37,11 +37,28 @@
         }
         let tries = ConstCounter::new(figures.tries);
         let help = "Attempts written whole to cache servers";
-        tries.encode(encoder.encode_descriptor("upstream_tries", help, None, tries.metric_type())?)?;
+        tries.encode(encoder.encode_descriptor(
+            "upstream_tries",
+            help,
+            None,
+            tries.metric_type(),
+        )?)?;
         for (name, help, value) in [
-            ("in_progress", "Requests taken and not ended", figures.in_progress),
-            ("known_cache_servers", "Cache servers in the list", figures.listed),
-            ("skipped_cache_servers", "Listed cache servers that are avoided now", figures.avoided),
+            (
+                "in_progress",
+                "Requests taken and not ended",
+                figures.in_progress,
+            ),
+            (
+                "known_cache_servers",
+                "Cache servers in the list",
+                figures.listed,
+            ),
+            (
+                "skipped_cache_servers",
+                "Listed cache servers that are avoided now",
+                figures.avoided,
+            ),
         ] {
             let gauge = ConstGauge::new(value as i64);
             gauge.encode(encoder.encode_descriptor(name, help, None, gauge.metric_type())?)?;
--- a/crates/asterport-admin/src/server.rs
+++ b/crates/asterport-admin/src/server.rs
@@ -46,9 +46,15 @@
         async move { Ok::<_, Infallible>(one_call(request, &*router).await) }
     });
     let mut http = hyper::server::conn::http1::Builder::new();
-    http.keep_alive(false).half_close(true).max_buf_size(16 * 1024);
+    http.keep_alive(false)
+        .half_close(true)
+        .max_buf_size(16 * 1024);
     // A caller that breaks off or says no HTTP is answered as far as that goes; nobody waits for more.
-    let _ = tokio::time::timeout(CALL_LIMIT, http.serve_connection(TokioIo::new(stream), service)).await;
+    let _ = tokio::time::timeout(
+        CALL_LIMIT,
+        http.serve_connection(TokioIo::new(stream), service),
+    )
+    .await;
 }
 
 async fn one_call(request: Request<Incoming>, router: &impl Operated) -> Response<Full<Bytes>> {
@@ -71,6 +77,8 @@
     };
     let mut answer = Response::new(Full::new(Bytes::from(text)));
     *answer.status_mut() = status;
-    answer.headers_mut().insert(header::CONTENT_TYPE, header::HeaderValue::from_static(kind));
+    answer
+        .headers_mut()
+        .insert(header::CONTENT_TYPE, header::HeaderValue::from_static(kind));
     answer
 }
--- a/crates/asterport-engine/src/clients.rs
+++ b/crates/asterport-engine/src/clients.rs
@@ -125,7 +125,10 @@
             if self.arrived.borrow().is_some() {
                 while self.open.borrow().len() >= self.most {
                     self.make_room();
-                    let _ = self.world.timeout(ACCEPT_PAUSE, self.ended.notified()).await;
+                    let _ = self
+                        .world
+                        .timeout(ACCEPT_PAUSE, self.ended.notified())
+                        .await;
                 }
                 self.start_arrived();
             }
@@ -149,8 +152,16 @@
     /// There may be some more than there are places for, as long as there are descriptors: nobody comes behind them.
     pub async fn accept_rest(self: &Rc<Self>, listener: &W::Listener) {
         self.start_arrived();
-        while let Ok(Ok(stream)) = self.world.timeout(AT_ONCE, self.world.accept(listener)).await {
-            self.start(Resting { stream, unread: BytesMut::new(), has_asked: false });
+        while let Ok(Ok(stream)) = self
+            .world
+            .timeout(AT_ONCE, self.world.accept(listener))
+            .await
+        {
+            self.start(Resting {
+                stream,
+                unread: BytesMut::new(),
+                has_asked: false,
+            });
         }
     }
 
@@ -163,7 +174,11 @@
     /// Begins the one that was taken off the listener, if there is one.
     fn start_arrived(self: &Rc<Self>) {
         if let Some(stream) = self.arrived.take() {
-            self.start(Resting { stream, unread: BytesMut::new(), has_asked: false });
+            self.start(Resting {
+                stream,
+                unread: BytesMut::new(),
+                has_asked: false,
+            });
         }
     }
 
@@ -215,8 +230,12 @@
             (class, since)
         };
         let open = self.open.borrow();
-        let closing = open.values().any(|client| client.closing.get() && client.owed.get() == 0);
-        let idle = open.values().filter(|client| client.owed.get() == 0 && !client.closing.get());
+        let closing = open
+            .values()
+            .any(|client| client.closing.get() && client.owed.get() == 0);
+        let idle = open
+            .values()
+            .filter(|client| client.owed.get() == 0 && !client.closing.get());
         if let Some(client) = idle.min_by_key(|client| rank(client)).filter(|_| !closing) {
             client.evict();
         }
@@ -232,19 +251,28 @@
             self.world.sleep(RESTING_ROUND).await;
             let (open, now) = (self.open.borrow(), self.world.now());
             let rests = |client: &&Rc<Client>| {
-                let idle = client.owed.get() == 0 && client.begun.get().is_none() && !client.closing.get();
-                client.has_asked.get() && idle && now.saturating_duration_since(client.used.get()) > RESTING
+                let idle =
+                    client.owed.get() == 0 && client.begun.get().is_none() && !client.closing.get();
+                client.has_asked.get()
+                    && idle
+                    && now.saturating_duration_since(client.used.get()) > RESTING
             };
             let mut resting: Vec<_> = open.values().filter(rests).collect();
             resting.sort_by_key(|client| client.used.get());
             let excess = resting.len().saturating_sub(self.most / 4);
-            resting.iter().take(excess).for_each(|client| client.close());
+            resting
+                .iter()
+                .take(excess)
+                .for_each(|client| client.close());
         }
     }
 
     /// The life of the process has changed: each connection looks what it gets now.
     pub fn look_up(&self) {
-        self.open.borrow().values().for_each(|client| client.changed.notify_one());
+        self.open
+            .borrow()
+            .values()
+            .for_each(|client| client.changed.notify_one());
     }
 
     /// Who takes what comes to rest, where the life of the process says that it is passed on.
@@ -283,7 +311,11 @@
                 End::Finished => return self.part(stream).await,
                 End::Rests(unread) => unread,
             };
-            match self.pass_on(Resting { stream, unread, has_asked: client.has_asked.get() }) {
+            match self.pass_on(Resting {
+                stream,
+                unread,
+                has_asked: client.has_asked.get(),
+            }) {
                 Ok(()) => return,
                 Err(back) => resting = back,
             }
--- a/crates/asterport-engine/src/clients/conversation.rs
+++ b/crates/asterport-engine/src/clients/conversation.rs
@@ -130,8 +130,12 @@
                 let next = match reader.next(&mut buffer) {
                     Ok(Some(words)) => self.take(words, client, &mut large),
                     Ok(None) => break,
-                    Err(RespError::TooLarge) => Owed::Last(Bytes::from_static(b"-ERR command too large\r\n")),
-                    Err(RespError::Malformed) => Owed::Last(Bytes::from_static(b"-ERR protocol error\r\n")),
+                    Err(RespError::TooLarge) => {
+                        Owed::Last(Bytes::from_static(b"-ERR command too large\r\n"))
+                    }
+                    Err(RespError::Malformed) => {
+                        Owed::Last(Bytes::from_static(b"-ERR protocol error\r\n"))
+                    }
                 };
                 client.has_asked.set(true);
                 client.begun.set(None);
@@ -178,11 +182,14 @@
             }
             let has_room = large.as_ref().is_none_or(Large::may_read);
             let is_new = !client.has_asked.get() && life.at_rest() == AtRest::Closes;
-            let closes = client.closing.get() || !matches!(life.at_rest(), AtRest::Stays | AtRest::PassesOn);
+            let closes =
+                client.closing.get() || !matches!(life.at_rest(), AtRest::Stays | AtRest::PassesOn);
             let may_close = closes && !is_new && !is_owed && buffer.is_empty();
             let limit = match (client.begun.get(), client.has_asked.get()) {
                 _ if !has_room || !reads_on => None,
-                (Some(begun), _) => Some(progress.map_or(begun + HEAD_LIMIT, |at| at + VALUE_PAUSE)),
+                (Some(begun), _) => {
+                    Some(progress.map_or(begun + HEAD_LIMIT, |at| at + VALUE_PAUSE))
+                }
                 (None, false) if is_new => Some(client.used.get() + duration(NEWCOMER)),
                 (None, false) => Some(client.used.get() + COMMAND_LIMIT),
                 (None, true) => (client.owed.get() == 0).then(|| client.used.get() + IDLE_LIMIT),
@@ -191,7 +198,10 @@
             let reads = reads_on && has_room;
             let look = async {
                 if reads {
-                    return (&mut *stream).take(READ_MOST as u64).read_buf(&mut buffer).await;
+                    return (&mut *stream)
+                        .take(READ_MOST as u64)
+                        .read_buf(&mut buffer)
+                        .await;
                 }
                 self.departed(stream).await;
                 Ok(0)
@@ -253,7 +263,12 @@
                 match ask.map(|ask| (ask.class, self.joiner.request(ask))) {
                     Ok((class, Some((id, answer)))) => {
                         self.tally.began();
-                        let asked = Asked { id, class, tally: self.tally.clone(), fate: None };
+                        let asked = Asked {
+                            id,
+                            class,
+                            tally: self.tally.clone(),
+                            fate: None,
+                        };
                         client.waiting.borrow_mut().insert(id);
                         Owed::Later(asked, answer, large)
                     }
@@ -278,7 +293,9 @@
 
     fn ask(&self, command: Command) -> Result<Ask, &'static str> {
         let among = |names: &[String], name: &str| names.iter().position(|n| n == name);
-        let class = command.field("c").and_then(|name| among(&self.names.classes, name));
+        let class = command
+            .field("c")
+            .and_then(|name| among(&self.names.classes, name));
         let class = class.ok_or("ERR unknown class")?;
         // A client that says nothing, or more than its class allows, has the time of its class.
         let wait = match command.number("d").transpose()? {
@@ -286,13 +303,18 @@
             Some(millis) => Micros::from_millis(millis).min(self.classes[class].deadline),
             None => self.classes[class].deadline,
         };
-        if matches!(self.classes[class].effect, Effect::Keyed { .. }) && command.field("k").is_none() {
+        if matches!(self.classes[class].effect, Effect::Keyed { .. })
+            && command.field("k").is_none()
+        {
             return Err("ERR a keyed class wants k");
         }
         let cost_hint = command.number("h").transpose()?.map(Micros);
         Ok(Ask {
             class: ClassId(class),
-            tenant: command.field("t").and_then(|name| among(&self.names.tenants, name)).map(TenantId),
+            tenant: command
+                .field("t")
+                .and_then(|name| among(&self.names.tenants, name))
+                .map(TenantId),
             key: key_number(command.key()),
             wait,
             cost_hint,
@@ -317,16 +339,21 @@
                     client.waiting.borrow_mut().remove(&asked.id);
                     let (fate, bytes) = match answer {
                         Answer::Served(bytes) => (Fate::Passed, bytes),
-                        Answer::Refused(Some(after)) => {
-                            (Fate::Dropped, Bytes::from(format!("-BUSY {}\r\n", after.0.div_ceil(1_000))))
-                        }
+                        Answer::Refused(Some(after)) => (
+                            Fate::Dropped,
+                            Bytes::from(format!("-BUSY {}\r\n", after.0.div_ceil(1_000))),
+                        ),
                         Answer::Refused(None) => (Fate::Dropped, Bytes::from_static(b"-BUSY\r\n")),
-                        Answer::Failed => (Fate::BadGateway, Bytes::from_static(b"-ERR failed\r\n")),
-                        Answer::Long(mut pieces) => match self.write_long(&mut writer, &mut pieces).await {
-                            Some(last) => (Fate::Passed, last),
-                            // Its client tells by the connection's end that it is not whole.
-                            None => return asked.fate = Some(Fate::BadGateway),
-                        },
+                        Answer::Failed => {
+                            (Fate::BadGateway, Bytes::from_static(b"-ERR failed\r\n"))
+                        }
+                        Answer::Long(mut pieces) => {
+                            match self.write_long(&mut writer, &mut pieces).await {
+                                Some(last) => (Fate::Passed, last),
+                                // Its client tells by the connection's end that it is not whole.
+                                None => return asked.fate = Some(Fate::BadGateway),
+                            }
+                        }
                     };
                     asked.fate = Some(fate);
                     bytes
@@ -350,7 +377,11 @@
     async fn write(&self, writer: &mut <W::Stream as Stream>::Writer<'_>, bytes: &[u8]) -> bool {
         let mut written = 0;
         while written < bytes.len() {
-            match self.world.timeout(WRITE_LIMIT, writer.write(&bytes[written..])).await {
+            match self
+                .world
+                .timeout(WRITE_LIMIT, writer.write(&bytes[written..]))
+                .await
+            {
                 Ok(Ok(count)) if count > 0 => written += count,
                 _ => return false,
             }
@@ -377,7 +408,10 @@
     /// elsewhere.
     pub(super) async fn part(&self, mut stream: W::Stream) {
         if stream.shutdown().await.is_ok() {
-            let _ = self.world.timeout(DRAIN_LIMIT, self.departed(&stream.split().0)).await;
+            let _ = self
+                .world
+                .timeout(DRAIN_LIMIT, self.departed(&stream.split().0))
+                .await;
         }
     }
 
@@ -402,7 +436,9 @@
 
 /// A key as a number: its hex digits, or what its digest begins with; the same at every router.
 fn key_number(key: &[u8]) -> u64 {
-    let digits = std::str::from_utf8(key).ok().filter(|text| text.len() == 16);
+    let digits = std::str::from_utf8(key)
+        .ok()
+        .filter(|text| text.len() == 16);
     let number = digits.and_then(|text| u64::from_str_radix(text, 16).ok());
     number.unwrap_or_else(|| u128::from_be_bytes(Md5::digest(key).into()) as u64)
 }
--- a/crates/asterport-engine/src/discovery.rs
+++ b/crates/asterport-engine/src/discovery.rs
@@ -96,7 +96,10 @@
 
 impl Urgent {
     fn from(now: Instant) -> Option<Urgent> {
-        Some(Urgent { until: now + RELOAD_WINDOW, pause: RELOAD_PAUSE })
+        Some(Urgent {
+            until: now + RELOAD_WINDOW,
+            pause: RELOAD_PAUSE,
+        })
     }
 
     /// When to call again after a failed call, if that is still urgent.
@@ -138,7 +141,14 @@
     /// Where the list comes from, and how it stands there.
     pub fn list(&self) -> (SocketAddr, List) {
         let hosts = self.hosts.borrow().values().cloned().collect();
-        (self.addr.get(), List { seq: self.seq.get(), whole: true, hosts })
+        (
+            self.addr.get(),
+            List {
+                seq: self.seq.get(),
+                whole: true,
+                hosts,
+            },
+        )
     }
 
     /// Leaves the watch for a new one at this address, at once. What the old one counted means nothing there.
@@ -190,7 +200,10 @@
                         next = Some(self.world.now());
                         continue;
                     }
-                    urgent.as_mut().filter(|_| !told.get()).and_then(|urgent| urgent.next(self.world.now()))
+                    urgent
+                        .as_mut()
+                        .filter(|_| !told.get())
+                        .and_then(|urgent| urgent.next(self.world.now()))
                 }
             };
             if next.is_none() {
@@ -225,7 +238,8 @@
         let answered_by = self.world.now() + CALL_LIMIT;
         let dial = self.world.timeout(CONNECT_LIMIT, self.world.connect(addr));
         let stream = dial.await.map_err(late)?.map_err(WatchError::Io)?;
-        let (sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
+        let (sender, connection) =
+            hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
         // The connection ends with this watch, however it ends.
         let lines = self.lines(sender, addr, answered_by, told);
         tokio::pin!(lines);
@@ -251,8 +265,11 @@
             .header(header::HOST, addr.to_string())
             .body(Empty::<Bytes>::new())
             .map_err(WatchError::Request)?;
-        let answer =
-            self.world.timeout_at(answered_by, sender.send_request(request)).await.map_err(late)??;
+        let answer = self
+            .world
+            .timeout_at(answered_by, sender.send_request(request))
+            .await
+            .map_err(late)??;
         if answer.status() != StatusCode::OK {
             return Err(WatchError::Status(answer.status()));
         }
@@ -267,9 +284,15 @@
                 true if self.pushed => heard + SILENCE_PUSHED,
                 true => heard + SILENCE_ASKED,
             };
-            let frame = self.world.timeout_at(limit, body.frame()).await.map_err(late)?;
+            let frame = self
+                .world
+                .timeout_at(limit, body.frame())
+                .await
+                .map_err(late)?;
             let frame = frame.ok_or(WatchError::Ended)??;
-            let Ok(data) = frame.into_data() else { continue };
+            let Ok(data) = frame.into_data() else {
+                continue;
+            };
             lists.feed(&data);
             let mut came = false;
             while let Some(list) = lists.next().map_err(WatchError::List)? {
@@ -316,17 +339,29 @@
         if hosts.is_empty() {
             return;
         }
-        let (driver, servers, world) = (self.driver.clone(), self.servers.clone(), self.world.clone());
+        let (driver, servers, world) = (
+            self.driver.clone(),
+            self.servers.clone(),
+            self.world.clone(),
+        );
         self.world.spawn(async move {
             world.sleep(Duration::from_millis(251)).await;
             let mut members = Vec::new();
             for host in hosts {
-                let state =
-                    if host.health == Health::Draining { ServerState::Draining } else { ServerState::Gone };
+                let state = if host.health == Health::Draining {
+                    ServerState::Draining
+                } else {
+                    ServerState::Gone
+                };
                 let server = ServerId::from(host.host.as_str());
                 servers.list(&server, host.dial, state, host.born_ms);
                 let started = Micros::from_millis(host.born_ms);
-                members.push(Member { state, started, cell: CellId(host.block), ..Member::ready(server) });
+                members.push(Member {
+                    state,
+                    started,
+                    cell: CellId(host.block),
+                    ..Member::ready(server)
+                });
             }
             driver.membership(MembershipKind::Changes, members);
         });
@@ -347,8 +382,14 @@
             if planted::has(Bug::KeepsRemoved) && host.health == Health::Removed {
                 continue;
             }
-            if planted::has(Bug::ForgetsColdness) || planted::has(Bug::MissesRestart) && host.born_ms != 0 {
-                host.born_ms = if planted::has(Bug::ForgetsColdness) { 0 } else { 1 };
+            if planted::has(Bug::ForgetsColdness)
+                || planted::has(Bug::MissesRestart) && host.born_ms != 0
+            {
+                host.born_ms = if planted::has(Bug::ForgetsColdness) {
+                    0
+                } else {
+                    1
+                };
             }
             let state = match host.health {
                 Health::Up => ServerState::Ready,
@@ -358,10 +399,12 @@
             let server = ServerId::from(host.host.as_str());
             self.servers.list(&server, host.dial, state, host.born_ms);
             if planted::has(Bug::ListLiftsBans) && state == ServerState::Ready {
-                self.driver.told(server.clone(), Word::Back(self.driver.now()));
+                self.driver
+                    .told(server.clone(), Word::Back(self.driver.now()));
             }
-            let among =
-                |names: &[String], name: Option<String>| names.iter().position(|n| Some(n) == name.as_ref());
+            let among = |names: &[String], name: Option<String>| {
+                names.iter().position(|n| Some(n) == name.as_ref())
+            };
             members.push(Member {
                 server,
                 state,
@@ -369,7 +412,11 @@
                 cell: CellId(host.block),
                 kind: among(&self.names.kinds, host.class).map(KindId),
                 started: Micros::from_millis(host.born_ms),
-                weight: if host.share.is_finite() && host.share >= 0.0 { host.share } else { 1.0 },
+                weight: if host.share.is_finite() && host.share >= 0.0 {
+                    host.share
+                } else {
+                    1.0
+                },
             });
         }
         if whole {
@@ -377,7 +424,11 @@
             self.servers.keep_only(|server| listed.contains(server));
         }
         self.seq.set(list.seq);
-        let told = if whole { MembershipKind::Full } else { MembershipKind::Changes };
+        let told = if whole {
+            MembershipKind::Full
+        } else {
+            MembershipKind::Changes
+        };
         self.driver.membership(kind.unwrap_or(told), members);
         self.take_late(late);
     }
--- a/crates/asterport-engine/src/driver.rs
+++ b/crates/asterport-engine/src/driver.rs
@@ -29,7 +29,11 @@
 impl<W: World> Clock<W> {
     fn new(world: W) -> Self {
         let unix = Micros(world.unix_now().as_micros() as u64);
-        Clock { start: world.now(), unix, world }
+        Clock {
+            start: world.now(),
+            unix,
+            world,
+        }
     }
 
     fn now(&self) -> Micros {
@@ -37,7 +41,9 @@
     }
 
     fn at(&self, instant: Instant) -> Micros {
-        self.unix.plus(Micros(instant.saturating_duration_since(self.start).as_micros() as u64))
+        self.unix.plus(Micros(
+            instant.saturating_duration_since(self.start).as_micros() as u64,
+        ))
     }
 
     /// The instant of a point in time.
@@ -233,7 +239,11 @@
                 until.set(until.get().max(self.clock.instant(open.expires)));
             }
         }
-        self.handle(Event::Joined { id, tenant, expires });
+        self.handle(Event::Joined {
+            id,
+            tenant,
+            expires,
+        });
     }
 
     /// The one with the most time waits for a flight no more.
@@ -241,14 +251,21 @@
         if let Some(open) = self.state.borrow_mut().open.get_mut(&flight.0) {
             open.expires = expires;
         }
-        self.handle(Event::Shortened { id: flight.0, expires });
+        self.handle(Event::Shortened {
+            id: flight.0,
+            expires,
+        });
     }
 
     /// Nobody waits for a flight. Its attempts end too, where attempts may be cancelled.
     pub fn withdraw(self: &Rc<Self>, flight: FlightId, may_cancel: bool) {
         self.gone(flight.0);
         let mut state = self.state.borrow_mut();
-        let attempts = state.open.get_mut(&flight.0).filter(|_| may_cancel).map(|open| &mut open.attempts);
+        let attempts = state
+            .open
+            .get_mut(&flight.0)
+            .filter(|_| may_cancel)
+            .map(|open| &mut open.attempts);
         for cancel in attempts.into_iter().flatten().filter_map(Option::take) {
             let _ = cancel.send(());
         }
@@ -265,12 +282,23 @@
     }
 
     fn open(self: &Rc<Self>, id: RequestId, ask: Ask, reply: Reply) {
-        let late = Micros::from_millis(if planted::has(Bug::DeadlinesLate) { 100 } else { 0 });
+        let late = Micros::from_millis(if planted::has(Bug::DeadlinesLate) {
+            100
+        } else {
+            0
+        });
         let expires = self.clock.now().plus(ask.wait).plus(late);
         let write = ask.command.is_write();
-        let until = matches!(reply, Reply::Flight).then(|| Rc::new(Cell::new(self.clock.instant(expires))));
+        let until =
+            matches!(reply, Reply::Flight).then(|| Rc::new(Cell::new(self.clock.instant(expires))));
         let (command, attempts) = (Rc::new(ask.command), Vec::new());
-        let open = Open { command, expires, until, reply: Some(reply), attempts };
+        let open = Open {
+            command,
+            expires,
+            until,
+            reply: Some(reply),
+            attempts,
+        };
         self.state.borrow_mut().open.insert(id, open);
         self.handle(Event::Request(Request {
             id,
@@ -297,7 +325,12 @@
     pub fn fail_all(self: &Rc<Self>) {
         let mut waiting: Vec<RequestId> = {
             let state = self.state.borrow();
-            state.open.iter().filter(|(_, open)| open.reply.is_some()).map(|(&id, _)| id).collect()
+            state
+                .open
+                .iter()
+                .filter(|(_, open)| open.reply.is_some())
+                .map(|(&id, _)| id)
+                .collect()
         };
         waiting.sort_unstable();
         for id in waiting {
@@ -322,7 +355,12 @@
 
     /// All that operators said.
     pub fn words(&self) -> Vec<(ServerId, Word)> {
-        self.state.borrow().router.words().map(|(server, word)| (server.clone(), word)).collect()
+        self.state
+            .borrow()
+            .router
+            .words()
+            .map(|(server, word)| (server.clone(), word))
+            .collect()
     }
 
     /// What the module learnt so far.
@@ -332,7 +370,10 @@
 
     /// What another process of this router learnt.
     pub fn recall(&self, learnt: Learnt) {
-        self.state.borrow_mut().router.recall(self.clock.now(), learnt);
+        self.state
+            .borrow_mut()
+            .router
+            .recall(self.clock.now(), learnt);
     }
 
     /// How long a connection to a server may rest.
@@ -370,9 +411,13 @@
                     Some(Reverse((at, _))) if *at <= world.now() => {}
                     _ => break,
                 }
-                let Some(Reverse((_, token))) = state.timers.pop() else { break };
+                let Some(Reverse((_, token))) = state.timers.pop() else {
+                    break;
+                };
                 if planted::has(Bug::LeaksTimers) {
-                    state.timers.push(Reverse((world.now() + Duration::from_secs(3_600), token)));
+                    state
+                        .timers
+                        .push(Reverse((world.now() + Duration::from_secs(3_600), token)));
                 }
                 drop(state);
                 self.handle(Event::Timer { token });
@@ -405,12 +450,19 @@
 
     fn carry_out(self: &Rc<Self>, state: &mut State, action: Action) {
         match action {
-            Action::Send { id, server, timeout, start_within } => {
+            Action::Send {
+                id,
+                server,
+                timeout,
+                start_within,
+            } => {
                 self.send(state, id, server, (timeout, start_within));
             }
             Action::Cancel { id, attempt } => {
                 let open = state.open.get_mut(&id);
-                if let Some(cancel) = open.and_then(|o| o.attempts.get_mut(attempt.0 as usize)?.take()) {
+                if let Some(cancel) =
+                    open.and_then(|o| o.attempts.get_mut(attempt.0 as usize)?.take())
+                {
                     let _ = cancel.send(());
                 }
             }
@@ -437,7 +489,9 @@
         server: ServerId,
         (timeout, start_within): (Option<Micros>, Option<Micros>),
     ) {
-        let Some(open) = state.open.get_mut(&id) else { return };
+        let Some(open) = state.open.get_mut(&id) else {
+            return;
+        };
         let attempt = AttemptNo(open.attempts.len() as u32);
         let now = self.clock.now();
         let until = timeout.map_or(open.expires, |timeout| now.plus(timeout).min(open.expires));
@@ -445,7 +499,10 @@
             // Guards the rule that nothing goes out for a request that has its answer or no time left.
             open.attempts.push(None);
             let complete = open.reply.is_none();
-            let end = AttemptEnd { complete, ..AttemptEnd::new(id, attempt, Outcome::Void, Micros(0)) };
+            let end = AttemptEnd {
+                complete,
+                ..AttemptEnd::new(id, attempt, Outcome::Void, Micros(0))
+            };
             state.events.push_back(Event::Ended(end));
             return;
         }
@@ -460,7 +517,13 @@
             state.news.push_back(News::Again(FlightId(id)));
         }
         let is_out = Rc::new(Cell::new(false));
-        let errand = Errand { owner: self.clone(), id, attempt, limit, is_out: is_out.clone() };
+        let errand = Errand {
+            owner: self.clone(),
+            id,
+            attempt,
+            limit,
+            is_out: is_out.clone(),
+        };
         if planted::has(Bug::SendsAfterAnswer) {
             let world = self.clock.world.clone();
             let (server, command, errand) = (server.clone(), open.command.clone(), errand.clone());
@@ -470,7 +533,10 @@
                 copy.await;
             });
         }
-        let work = self.servers.clone().attempt(server, open.command.clone(), errand);
+        let work = self
+            .servers
+            .clone()
+            .attempt(server, open.command.clone(), errand);
         let driver = self.clone();
         self.clock.world.spawn(async move {
             let ended = tokio::select! {
@@ -482,7 +548,9 @@
                     false => Outcome::Void.into(),
                 },
             };
-            let end = ended.began.map_or_else(|| driver.clock.now(), |began| driver.clock.at(began));
+            let end = ended
+                .began
+                .map_or_else(|| driver.clock.now(), |began| driver.clock.at(began));
             driver.ended(id, attempt, ended, end.since(now));
         });
     }
@@ -502,7 +570,14 @@
                 None => true,
             }
         };
-        let Ended { mut outcome, note, begun, link, load, .. } = ended;
+        let Ended {
+            mut outcome,
+            note,
+            begun,
+            link,
+            load,
+            ..
+        } = ended;
         if planted::has(Bug::RepeatsUnsafe) && outcome == Outcome::Broken {
             outcome = Outcome::Unreachable;
         }
@@ -533,7 +608,14 @@
         let state = self.state.borrow();
         let (held, servers) = state.router.remembered();
         let (open, timers) = (state.open.len(), state.timers.len());
-        Holdings { owed: state.named.len(), open, timers, held, servers, ..Holdings::default() }
+        Holdings {
+            owed: state.named.len(),
+            open,
+            timers,
+            held,
+            servers,
+            ..Holdings::default()
+        }
     }
 }
 
@@ -544,10 +626,17 @@
 
     fn wants(&self, id: RequestId, attempt: AttemptNo) -> bool {
         let state = self.state.borrow();
-        let is_out = |open: &Open| open.attempts.get(attempt.0 as usize).is_some_and(Option::is_some);
+        let is_out = |open: &Open| {
+            open.attempts
+                .get(attempt.0 as usize)
+                .is_some_and(Option::is_some)
+        };
         planted::has(Bug::SendsAfterAnswer)
             || planted::has(Bug::SendsAfterDeparture)
-            || state.open.get(&id).is_some_and(|open| open.reply.is_some() && is_out(open))
+            || state
+                .open
+                .get(&id)
+                .is_some_and(|open| open.reply.is_some() && is_out(open))
     }
 
     fn begins(self: Rc<Self>, id: RequestId, attempt: AttemptNo) -> Takes {
@@ -568,7 +657,10 @@
     }
 
     fn held_up(self: Rc<Self>, id: RequestId, attempt: AttemptNo, took: Duration) {
-        let ended = Ended { begun: true, ..Outcome::Success.into() };
+        let ended = Ended {
+            begun: true,
+            ..Outcome::Success.into()
+        };
         self.ended(id, attempt, ended, Micros(took.as_micros() as u64));
     }
 }
@@ -581,7 +673,9 @@
         state.named.remove(&open.command.id()[..]);
     }
     if matches!(reply, Reply::Write(_)) {
-        state.news.push_back(News::Wrote(open.command.key().clone()));
+        state
+            .news
+            .push_back(News::Wrote(open.command.key().clone()));
     }
     Some(reply)
 }
--- a/crates/asterport-engine/src/engine.rs
+++ b/crates/asterport-engine/src/engine.rs
@@ -13,7 +13,9 @@
 use asterport_joining::{Counters, Rules};
 use asterport_life::{Event as LifeEvent, Life};
 use onyxpick::params::Deployment;
-use onyxpick::{Discovery as Listing, Effect, Group, Learnt, Micros, Router, ServerId, Standing, View, Word};
+use onyxpick::{
+    Discovery as Listing, Effect, Group, Learnt, Micros, Router, ServerId, Standing, View, Word,
+};
 use std::cell::Cell;
 use std::future::Future;
 use std::net::SocketAddr;
@@ -123,7 +125,12 @@
     /// # Errors
     /// One plain sentence on the setting that cannot be used.
     pub fn new(world: W, start: Start) -> Result<Engine<W>, String> {
-        let Deployment { mut settings, names, dial_timeout, reports } = start.deployment;
+        let Deployment {
+            mut settings,
+            names,
+            dial_timeout,
+            reports,
+        } = start.deployment;
         for class in &mut settings.classes {
             if let Effect::Keyed { group, memory } = &mut class.effect {
                 if planted::has(Bug::RepeatsPastMemory) {
@@ -145,7 +152,13 @@
             connections: most,
         };
         let classes = settings.classes.clone();
-        let longest = duration(classes.iter().map(|class| class.deadline).max().unwrap_or_default());
+        let longest = duration(
+            classes
+                .iter()
+                .map(|class| class.deadline)
+                .max()
+                .unwrap_or_default(),
+        );
         let may_cancel = settings.limits.cancel;
         let pushed = settings.discovery == Listing::Push;
         let router = Router::new(settings, start.seed).map_err(|e| e.to_string())?;
@@ -166,7 +179,15 @@
         let joiner = Joiner::new(driver.clone(), start.joining, may_cancel, world.clone());
         let large = LargeCommands::of_memory(start.memory);
         let shared = (life.clone(), tally);
-        let clients = Clients::new(joiner.clone(), names, classes, most, shared, large, world.clone());
+        let clients = Clients::new(
+            joiner.clone(),
+            names,
+            classes,
+            most,
+            shared,
+            large,
+            world.clone(),
+        );
         // Before the first client is answered, so that no request finds an empty ring.
         discovery.known(start.known);
         let life_changed = Notify::new();
@@ -187,7 +208,11 @@
 
     /// How this process stands.
     pub fn life(&self) -> Life {
-        if self.life.get().after(self.driver.now(), LifeEvent::Equipped) != self.life.get()
+        if self
+            .life
+            .get()
+            .after(self.driver.now(), LifeEvent::Equipped)
+            != self.life.get()
             && self.servers.listed() > 0
         {
             self.live(LifeEvent::Equipped);
@@ -197,7 +222,8 @@
 
     /// Something happens to the process.
     fn live(&self, event: LifeEvent) {
-        self.life.set(self.life.get().after(self.driver.now(), event));
+        self.life
+            .set(self.life.get().after(self.driver.now(), event));
         self.life_changed.notify_one();
         self.clients.look_up();
     }
@@ -225,8 +251,16 @@
     /// Takes a word on a server that is listed, or that operators spoke of while it was; false of another.
     fn call(&self, server: &str, word: Word) -> bool {
         let server = ServerId::from(server);
-        let is_listed = self.driver.standing(&server).is_some_and(|standing| standing != Standing::Gone);
-        let is_known = is_listed || self.driver.words().iter().any(|(named, _)| *named == server);
+        let is_listed = self
+            .driver
+            .standing(&server)
+            .is_some_and(|standing| standing != Standing::Gone);
+        let is_known = is_listed
+            || self
+                .driver
+                .words()
+                .iter()
+                .any(|(named, _)| *named == server);
         if is_known {
             self.driver.told(server, word);
         }
@@ -236,7 +270,9 @@
     /// What operators told another process of this router.
     pub fn told(&self, words: impl IntoIterator<Item = (ServerId, Word)>) {
         if !planted::has(Bug::ForgetsBans) {
-            words.into_iter().for_each(|(server, word)| self.driver.told(server, word));
+            words
+                .into_iter()
+                .for_each(|(server, word)| self.driver.told(server, word));
         }
     }
 
@@ -265,7 +301,13 @@
         let (ends, tries, in_progress) = self.clients.tally().read();
         let ends = self.classes.iter().cloned().zip(ends).collect();
         let (listed, avoided) = (self.servers.listed(), self.driver.avoided());
-        Figures { ends, tries, in_progress, listed, avoided }
+        Figures {
+            ends,
+            tries,
+            in_progress,
+            listed,
+            avoided,
+        }
     }
 
     /// What attempts came to since the start, and what the decision module believes now.
@@ -276,7 +318,11 @@
     /// Leaves half of the places for connections to cache servers to another process of this router, or takes them
     /// back.
     pub fn share_places(&self, shared: bool) {
-        if shared { self.servers.cede_half() } else { self.servers.take_back() }
+        if shared {
+            self.servers.cede_half()
+        } else {
+            self.servers.take_back()
+        }
     }
 
     /// Another process has taken over the listener: connections are given to it as they come to rest.
@@ -305,12 +351,20 @@
     pub fn holdings(&self) -> Holdings {
         let (clients, idle) = (self.clients.count(), self.servers.idle());
         let (_, waiters, flights) = self.joiner.counters().unwrap_or_default();
-        Holdings { clients, idle, waiters, flights, ..self.driver.holdings() }
+        Holdings {
+            clients,
+            idle,
+            waiters,
+            flights,
+            ..self.driver.holdings()
+        }
     }
 
     /// What joining came to so far, and the age of the oldest flight that is out; `None` where joining is off.
     pub fn joined(&self) -> Option<(Counters, Option<Micros>)> {
-        self.joiner.counters().map(|(counters, ..)| (counters, self.joiner.oldest()))
+        self.joiner
+            .counters()
+            .map(|(counters, ..)| (counters, self.joiner.oldest()))
     }
 
     /// Accepts clients whenever this process is to.
@@ -353,14 +407,24 @@
         drop(listener);
         self.live(LifeEvent::Terminate);
         let killed = start + self.longest.min(LONGEST_COUNTED) + KILL_MARGIN;
-        let mut stopped = Stopped { failed: 0, unanswered: 0, until: killed - EXIT_EARLY };
-        if world.timeout_at(killed - LAST_CALL, self.clients.all_ended()).await.is_err() {
+        let mut stopped = Stopped {
+            failed: 0,
+            unanswered: 0,
+            until: killed - EXIT_EARLY,
+        };
+        if world
+            .timeout_at(killed - LAST_CALL, self.clients.all_ended())
+            .await
+            .is_err()
+        {
             stopped.failed = self.driver.holdings().owed;
             if !planted::has(Bug::DropsOwedAtTheEnd) {
                 self.driver.fail_all();
             }
             self.clients.finish();
-            let _ = world.timeout_at(stopped.until, self.clients.all_ended()).await;
+            let _ = world
+                .timeout_at(stopped.until, self.clients.all_ended())
+                .await;
             stopped.unanswered = self.driver.holdings().owed;
         }
         // Nothing more is passed on.
--- a/crates/asterport-engine/src/joiner.rs
+++ b/crates/asterport-engine/src/joiner.rs
@@ -51,19 +51,34 @@
 
 impl<W: World> Joiner<W> {
     /// With rules, joining is on.
-    pub fn new(driver: Rc<Driver<W>>, rules: Option<Rules>, may_cancel: bool, world: W) -> Rc<Self> {
+    pub fn new(
+        driver: Rc<Driver<W>>,
+        rules: Option<Rules>,
+        may_cancel: bool,
+        world: W,
+    ) -> Rc<Self> {
         let on = rules.map(|rules| {
             let joining = Joining::new(rules.bounds, &rules.classes).advising(rules.advice);
-            let state = State { joining, waiting: FxHashMap::default(), actions: Vec::new() };
-            On { rules, may_cancel, state: RefCell::new(state), due: Notify::new() }
+            let state = State {
+                joining,
+                waiting: FxHashMap::default(),
+                actions: Vec::new(),
+            };
+            On {
+                rules,
+                may_cancel,
+                state: RefCell::new(state),
+                due: Notify::new(),
+            }
         });
         let joiner = Rc::new(Joiner { world, driver, on });
         if joiner.on.is_some() {
             let listener = Rc::downgrade(&joiner);
             joiner.driver.listen(move || {
                 let joiner = listener.upgrade();
-                if let Some((joiner, on)) =
-                    joiner.as_ref().and_then(|joiner| Some((joiner, joiner.on.as_ref()?)))
+                if let Some((joiner, on)) = joiner
+                    .as_ref()
+                    .and_then(|joiner| Some((joiner, joiner.on.as_ref()?)))
                 {
                     joiner.settle(on);
                 }
@@ -74,15 +89,32 @@
 
     /// Takes a request; its one final answer comes on the receiver. None if a request of that id waits already.
     pub fn request(&self, ask: Ask) -> Option<(RequestId, oneshot::Receiver<Answer>)> {
-        let Some(on) = &self.on else { return self.driver.request(ask) };
-        let joins = on.rules.joined.get(ask.class.0).is_some_and(|&joined| joined);
+        let Some(on) = &self.on else {
+            return self.driver.request(ask);
+        };
+        let joins = on
+            .rules
+            .joined
+            .get(ask.class.0)
+            .is_some_and(|&joined| joined);
         if ask.command.is_write() && !planted::has(Bug::JoinsWrites) {
             if !planted::has(Bug::JoinsAcrossWrites) {
-                self.handle(on, Event::Write { key: ask.command.key() }, None, None);
+                self.handle(
+                    on,
+                    Event::Write {
+                        key: ask.command.key(),
+                    },
+                    None,
+                    None,
+                );
             }
             return self.driver.write(ask);
         }
-        if joins || planted::has(Bug::JoinsWrites) { self.join(on, ask) } else { self.driver.request(ask) }
+        if joins || planted::has(Bug::JoinsWrites) {
+            self.join(on, ask)
+        } else {
+            self.driver.request(ask)
+        }
     }
 
     fn join(&self, on: &On, ask: Ask) -> Option<(RequestId, oneshot::Receiver<Answer>)> {
@@ -96,11 +128,22 @@
         });
         let expires = self.driver.now().plus(ask.wait);
         #[cfg(feature = "planted")]
-        let waiting = Waiting { reply, name, ask: (ask.clone(), expires) };
+        let waiting = Waiting {
+            reply,
+            name,
+            ask: (ask.clone(), expires),
+        };
         #[cfg(not(feature = "planted"))]
         let waiting = Waiting { reply, name };
         on.state.borrow_mut().waiting.insert(id, waiting);
-        let read = Read { id, class, tenant, key: &key, what: &what, expires };
+        let read = Read {
+            id,
+            class,
+            tenant,
+            key: &key,
+            what: &what,
+            expires,
+        };
         self.handle(on, Event::Read(read), Some(ask), None);
         Some((id, answer))
     }
@@ -112,7 +155,9 @@
 
     /// The client has left: nothing more is owed.
     pub fn gone(&self, id: RequestId) {
-        let Some(on) = &self.on else { return self.driver.gone(id) };
+        let Some(on) = &self.on else {
+            return self.driver.gone(id);
+        };
         let waiting = on.state.borrow_mut().waiting.remove(&id);
         match waiting {
             Some(waiting) => {
@@ -140,7 +185,12 @@
     }
 
     fn next_due(&self, on: &On) -> Option<Instant> {
-        let due = on.state.borrow().joining.next_due().filter(|_| !planted::has(Bug::HoldsWaiters))?;
+        let due = on
+            .state
+            .borrow()
+            .joining
+            .next_due()
+            .filter(|_| !planted::has(Bug::HoldsWaiters))?;
         Some(self.driver.instant(due))
     }
 
@@ -180,7 +230,11 @@
                         self.driver.flight(flight, ask);
                     }
                 }
-                Action::Join { flight, tenant, expires } => self.driver.join(flight, tenant, expires),
+                Action::Join {
+                    flight,
+                    tenant,
+                    expires,
+                } => self.driver.join(flight, tenant, expires),
                 Action::Alone { id } => {
                     let waiting = on.state.borrow_mut().waiting.remove(&id);
                     if let (Some(waiting), Some(ask)) = (waiting, ask.take()) {
@@ -194,14 +248,20 @@
         }
         let mut state = on.state.borrow_mut();
         state.actions = actions;
-        if state.joining.next_due().is_some_and(|due| first.is_none_or(|first| due < first)) {
+        if state
+            .joining
+            .next_due()
+            .is_some_and(|due| first.is_none_or(|first| due < first))
+        {
             on.due.notify_one();
         }
     }
 
     /// The one place where a waiter gets its final answer.
     fn answer(&self, on: &On, id: RequestId, how: How, answer: Option<&Answer>) {
-        let Some(waiting) = on.state.borrow_mut().waiting.remove(&id) else { return };
+        let Some(waiting) = on.state.borrow_mut().waiting.remove(&id) else {
+            return;
+        };
         #[cfg(feature = "planted")]
         if planted::has(Bug::Stampedes) && answer.is_some() && how != How::Served {
             let (ask, expires) = waiting.ask;
@@ -229,6 +289,11 @@
 
     /// The age of the oldest flight.
     pub fn oldest(&self) -> Option<Micros> {
-        self.on.as_ref()?.state.borrow().joining.oldest(self.driver.now())
+        self.on
+            .as_ref()?
+            .state
+            .borrow()
+            .joining
+            .oldest(self.driver.now())
     }
 }
--- a/crates/asterport-engine/src/large.rs
+++ b/crates/asterport-engine/src/large.rs
@@ -57,7 +57,11 @@
         let number = self.last.get() + 1;
         self.last.set(number);
         self.reading.borrow_mut().insert(number);
-        let mut large = Large { of: self.clone(), number, bytes: 0 };
+        let mut large = Large {
+            of: self.clone(),
+            number,
+            bytes: 0,
+        };
         large.arrived(bytes);
         large
     }
@@ -73,7 +77,8 @@
     pub fn may_read(&self) -> bool {
         let (used, most) = (self.of.used.get(), self.of.most);
         // What is whole is answered in time and gives its room back: the first need not go past it.
-        used < most || used < most + MAX_VALUE && self.of.reading.borrow().first() == Some(&self.number)
+        used < most
+            || used < most + MAX_VALUE && self.of.reading.borrow().first() == Some(&self.number)
     }
 
     /// More of it has arrived.
@@ -111,7 +116,10 @@
         assert!(first.may_read());
         first.arrived(100);
         first.whole();
-        assert!(!second.may_read(), "it is the first now, and one more value is held already");
+        assert!(
+            !second.may_read(),
+            "it is the first now, and one more value is held already"
+        );
         drop(first);
         assert!(second.may_read());
         assert_eq!(budget.used.get(), 70);
--- a/crates/asterport-engine/src/listing.rs
+++ b/crates/asterport-engine/src/listing.rs
@@ -73,7 +73,9 @@
         match self {
             ListError::TooLong => write!(f, "a list of more than {LONGEST} bytes"),
             ListError::Malformed(error) => write!(f, "malformed list: {error}"),
-            ListError::NoObject(byte) => write!(f, "malformed list: begins with '{}'", byte.escape_ascii()),
+            ListError::NoObject(byte) => {
+                write!(f, "malformed list: begins with '{}'", byte.escape_ascii())
+            }
         }
     }
 }
@@ -98,7 +100,11 @@
     /// # Errors
     /// When what came is no list. Nothing more can be told apart then.
     pub fn next(&mut self) -> Result<Option<List>, ListError> {
-        let space = self.bytes.iter().take_while(|byte| byte.is_ascii_whitespace()).count();
+        let space = self
+            .bytes
+            .iter()
+            .take_while(|byte| byte.is_ascii_whitespace())
+            .count();
         self.bytes.advance(space);
         match self.bytes.first() {
             Some(b'{') => {}
@@ -117,7 +123,11 @@
                 _ => self.may_be_whole = false,
             }
         }
-        if self.bytes.len() > LONGEST { Err(ListError::TooLong) } else { Ok(None) }
+        if self.bytes.len() > LONGEST {
+            Err(ListError::TooLong)
+        } else {
+            Ok(None)
+        }
     }
 
     /// Whether a list has begun and is not whole. Empty lines are no word from discovery then: one that writes half a list
@@ -144,7 +154,11 @@
             share: 1.0,
             born_ms: 0,
         };
-        List { seq, whole: true, hosts: (0..hosts).map(host).collect() }
+        List {
+            seq,
+            whole: true,
+            hosts: (0..hosts).map(host).collect(),
+        }
     }
 
     /// The lists of a text that comes in pieces, each as long as the next of `cuts` says.
@@ -186,9 +200,19 @@
 
     #[test]
     fn what_is_no_list_is_told_with_its_place() {
-        for text in ["what?\n", "[]\n", "7\n", "{\"seq\":true}\n", "{\"seq\":1,\n{\"seq\":2}\n", "{}\n"] {
+        for text in [
+            "what?\n",
+            "[]\n",
+            "7\n",
+            "{\"seq\":true}\n",
+            "{\"seq\":1,\n{\"seq\":2}\n",
+            "{}\n",
+        ] {
             let problem = read(text, &[3]).expect_err(text).to_string();
-            assert!(problem.starts_with("malformed list: ") && !problem.contains('\n'), "{problem}");
+            assert!(
+                problem.starts_with("malformed list: ") && !problem.contains('\n'),
+                "{problem}"
+            );
         }
     }
 
--- a/crates/asterport-engine/src/planted.rs
+++ b/crates/asterport-engine/src/planted.rs
@@ -94,7 +94,10 @@
     /// Whether it shows only where reads are joined.
     pub fn is_of_joining(self) -> bool {
         use Bug::{HoldsWaiters, JoinsAcrossWrites, JoinsWrites, Stampedes};
-        matches!(self, JoinsWrites | JoinsAcrossWrites | HoldsWaiters | Stampedes)
+        matches!(
+            self,
+            JoinsWrites | JoinsAcrossWrites | HoldsWaiters | Stampedes
+        )
     }
 }
 
--- a/crates/asterport-engine/src/resp.rs
+++ b/crates/asterport-engine/src/resp.rs
@@ -53,7 +53,9 @@
             if buffer.is_empty() {
                 return Ok(None);
             }
-            let Some((count, end)) = header(buffer, b'*')? else { return Ok(None) };
+            let Some((count, end)) = header(buffer, b'*')? else {
+                return Ok(None);
+            };
             match count {
                 None | Some(0) => return Err(RespError::Malformed),
                 Some(count) if count > MAX_WORDS => return Err(RespError::TooLarge),
@@ -62,13 +64,19 @@
         }
         while self.found.len() < self.words {
             let most = self.most(buffer);
-            let Some((word, end)) = bulk(buffer, self.at, most)? else { return Ok(None) };
+            let Some((word, end)) = bulk(buffer, self.at, most)? else {
+                return Ok(None);
+            };
             let word = word.ok_or(RespError::Malformed)?;
             self.found.push(end - 2 - word.len()..end - 2);
             self.at = end;
         }
         let bytes = buffer.split_to(self.at).freeze();
-        let words = self.found.drain(..).map(|range| bytes.slice(range)).collect();
+        let words = self
+            .found
+            .drain(..)
+            .map(|range| bytes.slice(range))
+            .collect();
         (self.words, self.at) = (0, 0);
         Ok(Some(words))
     }
@@ -110,7 +118,11 @@
 #[derive(Debug, PartialEq, Eq)]
 pub enum Reply {
     /// The value or receipt as bytes for the client, and how the read went.
-    Served { bytes: Bytes, note: Option<CacheNote>, report: Report },
+    Served {
+        bytes: Bytes,
+        note: Option<CacheNote>,
+        report: Report,
+    },
     /// `-ERR`.
     Failed(Report),
     /// `-BUSY`.
@@ -145,14 +157,23 @@
     /// cannot be asked for anew. Hurts a server that gives a long value by less than [`READ_SIZE`] in a while: its first
     /// bytes go out later.
     pub fn long(&self, buffer: &mut BytesMut) -> Option<(Bytes, LongReader)> {
-        let (Some(3), at) = header(buffer, b'*').ok()?? else { return None };
+        let (Some(3), at) = header(buffer, b'*').ok()?? else {
+            return None;
+        };
         let (size, length) = header(&buffer[at..], b'$').ok()??;
         let left = size.filter(|&size| size > LONG && size <= MAX_VALUE)?;
         if buffer.len() < at + length + READ_SIZE {
             return None;
         }
-        let tail = ReplyReader { at: 2, items: 2, note: None };
-        Some((buffer.split_to(at + length).freeze(), LongReader { left, tail }))
+        let tail = ReplyReader {
+            at: 2,
+            items: 2,
+            note: None,
+        };
+        Some((
+            buffer.split_to(at + length).freeze(),
+            LongReader { left, tail },
+        ))
     }
 
     /// The answer if it is whole, taken off the buffer. An error means that it can't be read and nor can what follows.
@@ -163,24 +184,32 @@
                 Some(b'-') => return error_reply(buffer),
                 Some(_) => {}
             }
-            let Some((count, end)) = header(buffer, b'*')? else { return Ok(None) };
+            let Some((count, end)) = header(buffer, b'*')? else {
+                return Ok(None);
+            };
             if count != Some(3) {
                 return Err(RespError::Malformed);
             }
             (self.at, self.items) = (end, 1);
         }
         if self.items == 1 {
-            let Some((value, end)) = bulk(buffer, self.at, MAX_VALUE)? else { return Ok(None) };
+            let Some((value, end)) = bulk(buffer, self.at, MAX_VALUE)? else {
+                return Ok(None);
+            };
             value.ok_or(RespError::Malformed)?;
             (self.at, self.items) = (end, 2);
         }
         if self.items == 2 {
-            let Some((word, end)) = bulk(buffer, self.at, MAX_NOTE)? else { return Ok(None) };
+            let Some((word, end)) = bulk(buffer, self.at, MAX_NOTE)? else {
+                return Ok(None);
+            };
             self.note = match word {
                 Some(b"hit") => Some(CacheNote::Hit),
                 Some(b"miss") => Some(CacheNote::Miss),
                 Some(b"pending") => Some(CacheNote::MissPending),
-                Some(word) if !word.iter().all(u8::is_ascii_alphabetic) => return Err(RespError::Malformed),
+                Some(word) if !word.iter().all(u8::is_ascii_alphabetic) => {
+                    return Err(RespError::Malformed);
+                }
                 _ => None,
             };
             (self.at, self.items) = (end, 3);
@@ -191,7 +220,11 @@
                 let text = report.map(|text| end - 2 - text.len()..end - 2);
                 let bytes = buffer.split_to(end).freeze();
                 let report = text.map(|text| bytes.slice(text));
-                Ok(Some(Reply::Served { bytes, note: self.note, report }))
+                Ok(Some(Reply::Served {
+                    bytes,
+                    note: self.note,
+                    report,
+                }))
             }
             // What is left in the buffer tells that the connection is of no further use.
             Ok(Some(_)) | Err(_) => Ok(Some(self.served_without_report(buffer))),
@@ -201,7 +234,11 @@
     /// The answer with a null for the load report that could not be read or never came.
     pub fn served_without_report(&self, buffer: &BytesMut) -> Reply {
         let bytes = Bytes::from([&buffer[..self.at], b"$-1\r\n"].concat());
-        Reply::Served { bytes, note: self.note, report: None }
+        Reply::Served {
+            bytes,
+            note: self.note,
+            report: None,
+        }
     }
 }
 
@@ -256,13 +293,18 @@
 }
 
 fn error_reply(buffer: &mut BytesMut) -> Result<Option<Reply>, RespError> {
-    let Some(length) = line(buffer, MAX_ERROR)? else { return Ok(None) };
+    let Some(length) = line(buffer, MAX_ERROR)? else {
+        return Ok(None);
+    };
     let text = buffer.split_to(length + 2).freeze().slice(1..length);
     if !text.iter().all(is_printable) {
         return Err(RespError::Malformed);
     }
     // The report may stand last, after a space; a word of the error's own reads as none.
-    let last = text.iter().rposition(|&byte| byte == b' ').map(|space| text.slice(space + 1..));
+    let last = text
+        .iter()
+        .rposition(|&byte| byte == b' ')
+        .map(|space| text.slice(space + 1..));
     match text.split(|&byte| byte == b' ').next() {
         Some(b"ERR") => Ok(Some(Reply::Failed(last))),
         Some(b"BUSY") => Ok(Some(Reply::Busy(last))),
@@ -285,18 +327,27 @@
     if bytes.first().is_some_and(|&first| first != kind) {
         return Err(RespError::Malformed);
     }
-    let Some(length) = line(bytes, MAX_HEADER)? else { return Ok(None) };
+    let Some(length) = line(bytes, MAX_HEADER)? else {
+        return Ok(None);
+    };
     let number = match bytes.get(1..length) {
         Some(b"-1") => None,
         Some(digits) => Some(digits_of(digits).ok_or(RespError::Malformed)?),
         None => return Err(RespError::Malformed),
     };
-    Ok(Some((number.map(|n| usize::try_from(n).unwrap_or(usize::MAX)), length + 2)))
+    Ok(Some((
+        number.map(|n| usize::try_from(n).unwrap_or(usize::MAX)),
+        length + 2,
+    )))
 }
 
 /// A number of digits alone: no sign, no space. More than fits is the largest number.
 fn digits_of(digits: &[u8]) -> Option<u64> {
-    let fits = |number: u64, digit: u8| number.saturating_mul(10).saturating_add(u64::from(digit - b'0'));
+    let fits = |number: u64, digit: u8| {
+        number
+            .saturating_mul(10)
+            .saturating_add(u64::from(digit - b'0'))
+    };
     let all = !digits.is_empty() && digits.iter().all(u8::is_ascii_digit);
     all.then(|| digits.iter().fold(0, |number, &digit| fits(number, digit)))
 }
@@ -306,9 +357,13 @@
 
 /// The bulk string at this place, of at most so many bytes.
 fn bulk(bytes: &[u8], at: usize, most: usize) -> Result<Bulk<'_>, RespError> {
-    let Some((size, length)) = header(&bytes[at..], b'$')? else { return Ok(None) };
+    let Some((size, length)) = header(&bytes[at..], b'$')? else {
+        return Ok(None);
+    };
     let start = at + length;
-    let Some(size) = size else { return Ok(Some((None, start))) };
+    let Some(size) = size else {
+        return Ok(Some((None, start)));
+    };
     if size > most {
         return Err(RespError::TooLarge);
     }
@@ -341,7 +396,9 @@
         let mut names: Vec<&str> = Vec::new();
         for pair in command.fields().split(',') {
             match pair.split_once('=') {
-                Some((name, value)) if !name.is_empty() && !value.is_empty() && !names.contains(&name) => {
+                Some((name, value))
+                    if !name.is_empty() && !value.is_empty() && !names.contains(&name) =>
+                {
                     names.push(name);
                 }
                 _ => return Err("ERR malformed fields"),
@@ -370,7 +427,10 @@
     /// What tells this read from others of its class and key: its names and values but for those that these tell of,
     /// in one order. Empty for most.
     pub fn variant(&self, is_left_out: impl Fn(&str) -> bool) -> Vec<u8> {
-        let kept = |pair: &&str| pair.split_once('=').is_some_and(|(name, _)| !is_left_out(name));
+        let kept = |pair: &&str| {
+            pair.split_once('=')
+                .is_some_and(|(name, _)| !is_left_out(name))
+        };
         let mut pairs: Vec<&str> = self.fields().split(',').filter(kept).collect();
         pairs.sort_unstable();
         pairs.join(",").into_bytes()
@@ -387,7 +447,8 @@
 
     /// The same as a number, of digits alone; what is more than fits is the largest.
     pub fn number(&self, name: &str) -> Option<Result<u64, &'static str>> {
-        self.field(name).map(|text| digits_of(text.as_bytes()).ok_or("ERR malformed number"))
+        self.field(name)
+            .map(|text| digits_of(text.as_bytes()).ok_or("ERR malformed number"))
     }
 
     /// The command for a cache server: unchanged but for `d`, how long the router will wait, in milliseconds. A long
@@ -396,12 +457,22 @@
         let fields: Vec<String> = self
             .fields()
             .split(',')
-            .map(|pair| if pair.starts_with("d=") { format!("d={wait_ms}") } else { pair.to_string() })
+            .map(|pair| {
+                if pair.starts_with("d=") {
+                    format!("d={wait_ms}")
+                } else {
+                    pair.to_string()
+                }
+            })
             .collect();
         let fields = fields.join(",");
         let long = self.words.get(4).filter(|value| value.len() > READ_SIZE);
         let inline = if long.is_some() { 4 } else { self.words.len() };
-        let size = self.words[..inline].iter().map(|word| word.len() + 16).sum::<usize>() + 64;
+        let size = self.words[..inline]
+            .iter()
+            .map(|word| word.len() + 16)
+            .sum::<usize>()
+            + 64;
         let mut out = Vec::with_capacity(size);
         // Writing to a vector does not fail.
         let _ = write!(out, "*{}\r\n", self.words.len());
@@ -519,7 +590,9 @@
     #[test]
     fn a_report_is_told_apart_wherever_it_stands() {
         let report = |text: &[u8]| match reply_of(text) {
-            Ok(Some(Reply::Served { report, .. } | Reply::Failed(report) | Reply::Busy(report))) => report,
+            Ok(Some(
+                Reply::Served { report, .. } | Reply::Failed(report) | Reply::Busy(report),
+            )) => report,
             other => panic!("{other:?}"),
         };
         let util = Some(Bytes::from_static(b"util=0.5,queue=2"));
@@ -533,7 +606,13 @@
 
     #[test]
     fn too_much_is_turned_away_by_its_header() {
-        let large = |text: &str| assert_eq!(command_of(text.as_bytes()), Err(RespError::TooLarge), "{text}");
+        let large = |text: &str| {
+            assert_eq!(
+                command_of(text.as_bytes()),
+                Err(RespError::TooLarge),
+                "{text}"
+            )
+        };
         large("*9\r\n");
         large("*99999999999999999999999\r\n");
         large("*1\r\n$33\r\n");
@@ -541,8 +620,13 @@
         large("*5\r\n$5\r\nC.GET\r\n$1\r\nk\r\n$1\r\ni\r\n$1\r\nf\r\n$65\r\n");
         large("*5\r\n$5\r\nC.SET\r\n$1\r\nk\r\n$1\r\ni\r\n$1\r\nf\r\n$4194305\r\n");
         large(&format!("*{}", "1".repeat(MAX_HEADER)));
-        let malformed =
-            |text: &str| assert_eq!(command_of(text.as_bytes()), Err(RespError::Malformed), "{text}");
+        let malformed = |text: &str| {
+            assert_eq!(
+                command_of(text.as_bytes()),
+                Err(RespError::Malformed),
+                "{text}"
+            )
+        };
         malformed("GET x\r\n");
         malformed("*0\r\n");
         malformed("*-1\r\n");
@@ -555,11 +639,21 @@
 
     #[test]
     fn only_what_a_cache_server_can_use_is_a_command() {
-        let new = |words: [&str; 4]| Command::new(words.map(|word| Bytes::from(word.to_string())).to_vec());
+        let new = |words: [&str; 4]| {
+            Command::new(words.map(|word| Bytes::from(word.to_string())).to_vec())
+        };
         assert!(new(["C.GET", "k", "id", "c=read,d=5"]).is_ok());
-        for fields in
-            ["", "c", "c=", "=read", "c=read,", ",c=read", "c=read,c=read", "c=re ad", "c=r\u{e9}ad"]
-        {
+        for fields in [
+            "",
+            "c",
+            "c=",
+            "=read",
+            "c=read,",
+            ",c=read",
+            "c=read,c=read",
+            "c=re ad",
+            "c=r\u{e9}ad",
+        ] {
             assert!(new(["C.GET", "k", "id", fields]).is_err(), "{fields}");
         }
         for id in ["", "a b", "a\r\n", "\u{7f}", "\u{e9}"] {
@@ -577,7 +671,9 @@
 
     #[test]
     fn only_the_wait_changes_on_the_way_to_a_cache_server() {
-        let words = ["C.SET", "k1", "id1", "c=put,t=acme,d=480,k=5c0f", "v"].map(Bytes::from).to_vec();
+        let words = ["C.SET", "k1", "id1", "c=put,t=acme,d=480,k=5c0f", "v"]
+            .map(Bytes::from)
+            .to_vec();
         let command = Command::new(words).unwrap();
         let sent = String::from_utf8(command.encode(31).0).unwrap();
         assert_eq!(
--- a/crates/asterport-engine/src/servers.rs
+++ b/crates/asterport-engine/src/servers.rs
@@ -61,7 +61,9 @@
 
 impl Limit {
     fn until(&self) -> Instant {
-        self.lengthened.as_ref().map_or(self.until, |later| later.get().max(self.until))
+        self.lengthened
+            .as_ref()
+            .map_or(self.until, |later| later.get().max(self.until))
     }
 
     fn start_by(&self) -> Instant {
@@ -221,7 +223,11 @@
 
     /// Idle connections.
     pub fn idle(&self) -> usize {
-        self.pools.borrow().values().map(|pool| pool.idle.len()).sum()
+        self.pools
+            .borrow()
+            .values()
+            .map(|pool| pool.idle.len())
+            .sum()
     }
 
     /// Takes one entry of the list. A new address or a new process leaves the old connections behind.
@@ -231,7 +237,11 @@
             pools.remove(server);
             return;
         }
-        let fresh = || Pool { addr, born_ms, idle: Vec::new() };
+        let fresh = || Pool {
+            addr,
+            born_ms,
+            idle: Vec::new(),
+        };
         let pool = pools.entry(server.clone()).or_insert_with(fresh);
         if pool.addr != addr || pool.born_ms != born_ms {
             *pool = fresh();
@@ -295,14 +305,24 @@
     }
 
     /// One attempt, from its connection to its outcome. Never longer than its limit.
-    pub async fn attempt(self: Rc<Self>, server: ServerId, command: Rc<Command>, errand: Errand) -> Ended {
+    pub async fn attempt(
+        self: Rc<Self>,
+        server: ServerId,
+        command: Rc<Command>,
+        errand: Errand,
+    ) -> Ended {
         let (connection, link) = match self.idle_connection(&server) {
             Some((connection, idle)) => (connection, Link::Kept(Micros(idle.as_micros() as u64))),
             None => match self.connect(&server, &errand).await {
                 Ok(connection) => (connection, Link::New),
                 // Nothing was dialled: that tells nothing of new connections.
                 Err(Outcome::Void) => return Outcome::Void.into(),
-                Err(outcome) => return Ended { link: Link::New, ..outcome.into() },
+                Err(outcome) => {
+                    return Ended {
+                        link: Link::New,
+                        ..outcome.into()
+                    };
+                }
             },
         };
         // Much may have happened while the connection came up.
@@ -310,14 +330,21 @@
             self.put_back(&server, connection);
             return Outcome::Void.into();
         }
-        Ended { link, ..self.exchange(&server, connection, &command, &errand).await }
+        Ended {
+            link,
+            ..self.exchange(&server, connection, &command, &errand).await
+        }
     }
 
     /// The one question before an attempt's first byte: whether its request still wants it, its server still takes it
     /// where this connection leads, and there is time left. Guards clients that left or were answered meanwhile, the
     /// drain grace, and the memory of a keyed request. A connection that came up for nobody is kept for others.
     fn may_begin(&self, server: &ServerId, connection: &Connection<W>, errand: &Errand) -> bool {
-        let leads_there = self.pools.borrow().get(server).is_some_and(|pool| pool.is_of(connection));
+        let leads_there = self
+            .pools
+            .borrow()
+            .get(server)
+            .is_some_and(|pool| pool.is_of(connection));
         leads_there
             && errand.owner.may_send(server)
             && errand.is_wanted()
@@ -334,15 +361,23 @@
     ) -> Ended {
         let limit = &errand.limit;
         connection.is_used = true;
-        let wait = limit.until().saturating_duration_since(self.world.now()).as_millis().max(1);
+        let wait = limit
+            .until()
+            .saturating_duration_since(self.world.now())
+            .as_millis()
+            .max(1);
         let (bytes, value) = command.encode(wait as u64);
-        let value = value.as_deref().map_or([&[][..], &[]], |value| [value, b"\r\n"]);
+        let value = value
+            .as_deref()
+            .map_or([&[][..], &[]], |value| [value, b"\r\n"]);
         for bytes in [&bytes[..], value[0], value[1]] {
             let mut written = 0;
             while written < bytes.len() {
                 // Asked each time that the connection takes more: a long value may wait for that.
                 let write = poll_fn(|cx| match errand.is_wanted() {
-                    true => Pin::new(&mut connection.stream).poll_write(cx, &bytes[written..]).map(Some),
+                    true => Pin::new(&mut connection.stream)
+                        .poll_write(cx, &bytes[written..])
+                        .map(Some),
                     false => Poll::Ready(None),
                 });
                 // Broken or given up before the last byte: a cache server begins nothing that is not whole.
@@ -360,11 +395,19 @@
 
     /// The answer to the one command that is out on the connection. What is no answer may have run, and ends the
     /// connection: nothing on it can be told apart any more. So does anything behind a good answer.
-    async fn read_answer(&self, server: &ServerId, mut connection: Connection<W>, errand: &Errand) -> Ended {
+    async fn read_answer(
+        &self,
+        server: &ServerId,
+        mut connection: Connection<W>,
+        errand: &Errand,
+    ) -> Ended {
         let (whole, start) = (&errand.limit, self.world.now());
         let mut reader = ReplyReader::default();
         let (mut begun, mut may_pass) = (false, true);
-        let broken = |begun| Ended { begun, ..Outcome::Broken.into() };
+        let broken = |begun| Ended {
+            begun,
+            ..Outcome::Broken.into()
+        };
         loop {
             if may_pass && let Some((head, long)) = reader.long(&mut connection.received) {
                 match errand.owner.clone().begins(errand.id, errand.attempt) {
@@ -372,16 +415,25 @@
                         let began = self.world.now();
                         let held_up = || {
                             let took = began.saturating_duration_since(start);
-                            errand.owner.clone().held_up(errand.id, errand.attempt, took);
+                            errand
+                                .owner
+                                .clone()
+                                .held_up(errand.id, errand.attempt, took);
                         };
                         let passing = Passing { pieces, held_up };
-                        let ended = self.pass_on(server, connection, (head, long), passing).await;
-                        return Ended { began: Some(began), ..ended };
+                        let ended = self
+                            .pass_on(server, connection, (head, long), passing)
+                            .await;
+                        return Ended {
+                            began: Some(began),
+                            ..ended
+                        };
                     }
                     Takes::Nobody => return Outcome::Cancelled.into(),
                     Takes::Whole => {
                         may_pass = false;
-                        let rest = std::mem::replace(&mut connection.received, BytesMut::from(&head[..]));
+                        let rest =
+                            std::mem::replace(&mut connection.received, BytesMut::from(&head[..]));
                         connection.received.unsplit(rest);
                     }
                 }
@@ -397,12 +449,26 @@
                 Err(_) => return broken(true),
             }
             // Guards against short answers that never end: cache servers write one in a few pieces, one soon after the other.
-            let pause = if reader.has_value() { REPORT_WAIT } else { self.limits.dial_timeout };
+            let pause = if reader.has_value() {
+                REPORT_WAIT
+            } else {
+                self.limits.dial_timeout
+            };
             let until = whole.until();
-            let limit = if begun { until.min(self.world.now() + pause) } else { until };
-            let Connection { stream, received, .. } = &mut connection;
+            let limit = if begun {
+                until.min(self.world.now() + pause)
+            } else {
+                until
+            };
+            let Connection {
+                stream, received, ..
+            } = &mut connection;
             received.reserve(READ_SIZE);
-            match self.world.timeout_at(limit, stream.read_buf(received)).await {
+            match self
+                .world
+                .timeout_at(limit, stream.read_buf(received))
+                .await
+            {
                 Ok(Ok(count)) if count > 0 => {
                     begun = true;
                     // A peer that writes in pieces may hold the next one back until then: the rest of an answer, or
@@ -410,12 +476,17 @@
                     connection.stream.acknowledge();
                 }
                 Err(_) if limit == until && whole.until() > until => {}
-                _ if reader.has_value() => return self.ended(reader.served_without_report(received)),
+                _ if reader.has_value() => {
+                    return self.ended(reader.served_without_report(received));
+                }
                 Err(_) if limit == until => {
                     if planted::has(Bug::ReusesTimedOut) {
                         self.put_back(server, connection);
                     }
-                    return Ended { begun, ..Outcome::TimedOut.into() };
+                    return Ended {
+                        begun,
+                        ..Outcome::TimedOut.into()
+                    };
                 }
                 _ => {
                     if planted::has(Bug::LeaksConnections) {
@@ -437,7 +508,10 @@
         Passing { pieces, held_up }: Passing<impl Fn()>,
     ) -> Ended {
         let mut is_held_up = false;
-        let broken = || Ended { begun: true, ..Outcome::Broken.into() };
+        let broken = || Ended {
+            begun: true,
+            ..Outcome::Broken.into()
+        };
         let mut next = head;
         let reply = loop {
             if !next.is_empty() {
@@ -461,8 +535,14 @@
                 Ok(Some(Part::Last(reply))) => break reply,
                 Err(_) => return broken(),
                 Ok(None) => {
-                    let pause = if long.has_value() { REPORT_WAIT } else { STALL_LIMIT };
-                    let Connection { stream, received, .. } = &mut connection;
+                    let pause = if long.has_value() {
+                        REPORT_WAIT
+                    } else {
+                        STALL_LIMIT
+                    };
+                    let Connection {
+                        stream, received, ..
+                    } = &mut connection;
                     received.reserve(PIECE_SIZE);
                     match self.world.timeout(pause, stream.read_buf(received)).await {
                         Ok(Ok(count)) if count > 0 => connection.stream.acknowledge(),
@@ -481,20 +561,37 @@
         if connection.received.is_empty() {
             self.put_back(server, connection);
         }
-        Ended { answer: None, ..ended }
+        Ended {
+            answer: None,
+            ..ended
+        }
     }
 
     fn ended(&self, reply: Reply) -> Ended {
         let read = |report: Report| {
             let report = report.filter(|_| !self.reports.is_empty())?;
-            std::str::from_utf8(&report).ok().and_then(|text| self.reports.read_pairs(text))
+            std::str::from_utf8(&report)
+                .ok()
+                .and_then(|text| self.reports.read_pairs(text))
         };
         let (outcome, note, answer, report) = match reply {
-            Reply::Served { bytes, note, report } => (Outcome::Success, note, Some(bytes), report),
+            Reply::Served {
+                bytes,
+                note,
+                report,
+            } => (Outcome::Success, note, Some(bytes), report),
             Reply::Failed(report) => (Outcome::Failure, None, None, report),
             Reply::Busy(report) => (Outcome::Overloaded, None, None, report),
         };
-        Ended { outcome, note, answer, begun: true, link: Link::Unknown, load: read(report), began: None }
+        Ended {
+            outcome,
+            note,
+            answer,
+            begun: true,
+            link: Link::Unknown,
+            load: read(report),
+            began: None,
+        }
     }
 
     /// The idle connection used last but not just now, so that the others grow old and are retired; and how long it
@@ -525,7 +622,11 @@
 
     async fn connect(&self, server: &ServerId, errand: &Errand) -> Result<Connection<W>, Outcome> {
         let whole = &errand.limit;
-        let place = self.pools.borrow().get(server).map(|pool| (pool.addr, pool.born_ms));
+        let place = self
+            .pools
+            .borrow()
+            .get(server)
+            .map(|pool| (pool.addr, pool.born_ms));
         let (addr, born_ms) = place.ok_or(Outcome::Void)?;
         let limit = self.world.now() + self.limits.dial_timeout;
         let dial = async {
@@ -533,7 +634,11 @@
                 Ok(room) => room,
                 Err(_) => {
                     self.close_oldest();
-                    self.room.clone().acquire_owned().await.map_err(io::Error::other)?
+                    self.room
+                        .clone()
+                        .acquire_owned()
+                        .await
+                        .map_err(io::Error::other)?
                 }
             };
             if !errand.is_wanted() {
@@ -545,7 +650,15 @@
             let round_trip = self.age(start);
             let received = BytesMut::new();
             let (is_used, _room) = (false, room);
-            io::Result::Ok(Some(Connection { stream, received, addr, born_ms, round_trip, is_used, _room }))
+            io::Result::Ok(Some(Connection {
+                stream,
+                received,
+                addr,
+                born_ms,
+                round_trip,
+                is_used,
+                _room,
+            }))
         };
         tokio::pin!(dial);
         loop {
@@ -573,7 +686,10 @@
     /// Makes room for a connection to another server when the descriptors are used up; false if none is idle.
     fn close_oldest(&self) -> bool {
         let mut pools = self.pools.borrow_mut();
-        let oldest = pools.values_mut().filter(|p| !p.idle.is_empty()).min_by_key(|p| p.idle[0].1);
+        let oldest = pools
+            .values_mut()
+            .filter(|p| !p.idle.is_empty())
+            .min_by_key(|p| p.idle[0].1);
         oldest.map(|pool| pool.idle.remove(0)).is_some()
     }
 }
--- a/crates/asterport-engine/src/service.rs
+++ b/crates/asterport-engine/src/service.rs
@@ -29,7 +29,9 @@
     }
 
     fn unix_now(&self) -> Duration {
-        SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
+        SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default()
     }
 
     fn sleep_until(&self, at: Instant) -> impl Future<Output = ()> {
@@ -70,7 +72,8 @@
 impl Reads for ReadHalf<'_> {
     fn has_left(&self) -> bool {
         // What has been seen of it so far; it waits for nothing.
-        let ready = pin!(self.ready(Interest::READABLE)).poll(&mut Context::from_waker(Waker::noop()));
+        let ready =
+            pin!(self.ready(Interest::READABLE)).poll(&mut Context::from_waker(Waker::noop()));
         matches!(ready, Poll::Ready(Ok(ready)) if ready.is_read_closed())
     }
 }
@@ -104,7 +107,11 @@
 /// # Errors
 /// When the address cannot be had.
 pub fn listen(addr: SocketAddr) -> io::Result<TcpListener> {
-    let socket = if addr.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
+    let socket = if addr.is_ipv4() {
+        TcpSocket::new_v4()?
+    } else {
+        TcpSocket::new_v6()?
+    };
     socket.set_reuseaddr(true)?;
     socket.bind(addr)?;
     socket.listen(BACKLOG)
--- a/crates/asterport-engine/src/tally.rs
+++ b/crates/asterport-engine/src/tally.rs
@@ -68,7 +68,10 @@
 impl Tally {
     /// With this many classes.
     pub fn new(classes: usize) -> Tally {
-        Tally { ends: RefCell::new(vec![Ends::default(); classes]), ..Tally::default() }
+        Tally {
+            ends: RefCell::new(vec![Ends::default(); classes]),
+            ..Tally::default()
+        }
     }
 
     /// A request was taken.
@@ -80,7 +83,9 @@
     pub fn ended(&self, class: usize, end: Option<End>) {
         self.in_progress.set(self.in_progress.get() - 1);
         let mut ends = self.ends.borrow_mut();
-        let Some(ends) = ends.get_mut(class) else { return };
+        let Some(ends) = ends.get_mut(class) else {
+            return;
+        };
         match end {
             Some(End::Passed) => ends.passed += 1,
             Some(End::Dropped) => ends.dropped += 1,
@@ -102,7 +107,13 @@
 
     /// A connection to a cache server was opened, or could not be.
     pub fn opened(&self, is_open: bool) {
-        self.count(|attempts| if is_open { attempts.opened += 1 } else { attempts.unopened += 1 });
+        self.count(|attempts| {
+            if is_open {
+                attempts.opened += 1
+            } else {
+                attempts.unopened += 1
+            }
+        });
     }
 
     /// Discovery was called.
@@ -117,7 +128,10 @@
             if let Some(place) = OUTCOMES.iter().position(|(known, _)| *known == outcome) {
                 attempts.outcomes[place] += 1;
             }
-            attempts.misses += u64::from(matches!(note, Some(CacheNote::Miss | CacheNote::MissPending)));
+            attempts.misses += u64::from(matches!(
+                note,
+                Some(CacheNote::Miss | CacheNote::MissPending)
+            ));
         });
     }
 
@@ -128,6 +142,10 @@
 
     /// By class, attempts, and requests taken and not ended.
     pub fn read(&self) -> (Vec<Ends>, u64, usize) {
-        (self.ends.borrow().clone(), self.tries.get(), self.in_progress.get())
+        (
+            self.ends.borrow().clone(),
+            self.tries.get(),
+            self.in_progress.get(),
+        )
     }
 }
--- a/crates/asterport-handover/src/form.rs
+++ b/crates/asterport-handover/src/form.rs
@@ -164,7 +164,9 @@
     /// When it is another's, or another message.
     pub fn state(self, router: &str) -> Result<State, FormError> {
         match self {
-            Message::State { version, .. } if version != VERSION => Err(FormError::Version(version)),
+            Message::State { version, .. } if version != VERSION => {
+                Err(FormError::Version(version))
+            }
             Message::State { name, .. } if name != router => Err(FormError::Name(name)),
             Message::State { state, .. } => Ok(state),
             _ => Err(FormError::Unexpected),
@@ -177,7 +179,9 @@
     /// When it is of another version, another router's, or another message.
     pub fn greets(&self, router: &str) -> Result<(), FormError> {
         match self {
-            Message::Hello { version, .. } if *version != VERSION => Err(FormError::Version(*version)),
+            Message::Hello { version, .. } if *version != VERSION => {
+                Err(FormError::Version(*version))
+            }
             Message::Hello { name, .. } if name != router => Err(FormError::Name(name.clone())),
             Message::Hello { .. } => Ok(()),
             _ => Err(FormError::Unexpected),
--- a/crates/asterport-handover/src/inherit.rs
+++ b/crates/asterport-handover/src/inherit.rs
@@ -45,9 +45,13 @@
     if !is_tcp || !socket.is_listener().unwrap_or(false) {
         return Err(InheritError::NotListening);
     }
-    socket.set_nonblocking(true).map_err(InheritError::Descriptor)?;
+    socket
+        .set_nonblocking(true)
+        .map_err(InheritError::Descriptor)?;
     let listener = TcpListener::from(socket);
-    let found = listener.local_addr().map_err(|_| InheritError::NotListening)?;
+    let found = listener
+        .local_addr()
+        .map_err(|_| InheritError::NotListening)?;
     if addr.port() != 0 && found != addr {
         return Err(InheritError::Elsewhere(found));
     }
--- a/crates/asterport-handover/src/link.rs
+++ b/crates/asterport-handover/src/link.rs
@@ -2,8 +2,8 @@
 
 use crate::form::{FormError, HEAD, Message};
 use rustix::net::{
-    RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
-    SendFlags, recvmsg, sendmsg,
+    RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
+    SendAncillaryMessage, SendFlags, recvmsg, sendmsg,
 };
 use std::fmt;
 use std::io::{self, IoSlice, IoSliceMut};
@@ -58,7 +58,11 @@
     ///
     /// # Errors
     /// When the other process has ended, or the message is too long.
-    pub async fn send(&self, message: &Message, descriptor: Option<BorrowedFd<'_>>) -> Result<(), LinkError> {
+    pub async fn send(
+        &self,
+        message: &Message,
+        descriptor: Option<BorrowedFd<'_>>,
+    ) -> Result<(), LinkError> {
         let bytes = message.encode()?;
         let mut written = 0;
         while written < bytes.len() {
@@ -93,7 +97,11 @@
         Ok((Message::body(&body, checksum)?, descriptor))
     }
 
-    async fn fill(&self, buffer: &mut [u8], descriptor: &mut Option<OwnedFd>) -> Result<(), LinkError> {
+    async fn fill(
+        &self,
+        buffer: &mut [u8],
+        descriptor: &mut Option<OwnedFd>,
+    ) -> Result<(), LinkError> {
         let mut filled = 0;
         while filled < buffer.len() {
             let rest = &mut buffer[filled..];
@@ -128,7 +136,10 @@
 impl Meeting {
     /// Under this folder, for a router of this name.
     pub fn new(folder: &Path, router: &str) -> Meeting {
-        Meeting { folder: folder.to_path_buf(), name: crate::store::file_name(router, "sock") }
+        Meeting {
+            folder: folder.to_path_buf(),
+            name: crate::store::file_name(router, "sock"),
+        }
     }
 
     /// A path to the folder that is short enough for a socket's, however long the folder's own is.
@@ -141,7 +152,10 @@
     /// The process that serves now; `None` if there is none.
     pub async fn join(&self) -> Option<Link> {
         let (_folder, path) = self.short().ok()?;
-        UnixStream::connect(path.join(&self.name)).await.ok().map(Link)
+        UnixStream::connect(path.join(&self.name))
+            .await
+            .ok()
+            .map(Link)
     }
 
     /// From here on the next process meets this one.
@@ -150,7 +164,10 @@
     /// When the folder takes no socket.
     pub fn take(&self) -> io::Result<UnixListener> {
         let (_folder, path) = self.short()?;
-        let (new, place) = (path.join(format!("{}.new", self.name)), path.join(&self.name));
+        let (new, place) = (
+            path.join(format!("{}.new", self.name)),
+            path.join(&self.name),
+        );
         let _ = std::fs::remove_file(&new);
         let listener = UnixListener::bind(&new)?;
         std::fs::rename(&new, &place)?;
--- a/crates/asterport-handover/src/store.rs
+++ b/crates/asterport-handover/src/store.rs
@@ -51,7 +51,10 @@
 impl Store {
     /// Under this folder, for a router of this name.
     pub fn new(folder: &Path, router: &str) -> Store {
-        Store { path: folder.join(file_name(router, "state")), router: router.to_string() }
+        Store {
+            path: folder.join(file_name(router, "state")),
+            router: router.to_string(),
+        }
     }
 
     /// Where the file lies.
@@ -70,7 +73,9 @@
             Err(error) => return Err(StoreError::Io(error)),
         };
         let mut bytes = Vec::new();
-        file.take(MOST).read_to_end(&mut bytes).map_err(StoreError::Io)?;
+        file.take(MOST)
+            .read_to_end(&mut bytes)
+            .map_err(StoreError::Io)?;
         let state = Message::decode(&bytes).and_then(|message| message.state(&self.router));
         state.map(Some).map_err(StoreError::Form)
     }
@@ -80,7 +85,11 @@
     /// # Errors
     /// When the file cannot be written; the old one stands.
     pub fn save(&self, state: State) -> Result<(), StoreError> {
-        let message = Message::State { version: VERSION, name: self.router.clone(), state };
+        let message = Message::State {
+            version: VERSION,
+            name: self.router.clone(),
+            state,
+        };
         let bytes = message.encode().map_err(StoreError::Form)?;
         let new = self.path.with_extension("state.new");
         std::fs::write(&new, bytes).map_err(StoreError::Io)?;
--- a/crates/asterport-handover/tests/form.rs
+++ b/crates/asterport-handover/tests/form.rs
@@ -9,7 +9,10 @@
 
 fn state() -> State {
     State {
-        words: vec![("s-a".into(), Said::Out), ("s-b".into(), Said::Back(1_700_000_000_000_000))],
+        words: vec![
+            ("s-a".into(), Said::Out),
+            ("s-b".into(), Said::Back(1_700_000_000_000_000)),
+        ],
         drained: true,
         list: Some((([127, 0, 0, 1], 8500).into(), br#"{"seq":41}"#.to_vec())),
         learnt: vec![7; 100],
@@ -17,7 +20,11 @@
 }
 
 fn message() -> Message {
-    Message::State { version: VERSION, name: "n1".into(), state: state() }
+    Message::State {
+        version: VERSION,
+        name: "n1".into(),
+        state: state(),
+    }
 }
 
 #[test]
@@ -25,18 +32,38 @@
     let bytes = message().encode().expect("short enough");
     assert_eq!(Message::decode(&bytes), Ok(message()));
     for length in 0..bytes.len() {
-        assert_eq!(Message::decode(&bytes[..length]), Err(FormError::CutOff), "{length}");
+        assert_eq!(
+            Message::decode(&bytes[..length]),
+            Err(FormError::CutOff),
+            "{length}"
+        );
     }
 }
 
 #[test]
 fn another_version_or_router_is_said_to_be_that() {
-    let other = |version, name: &str| Message::State { version, name: name.into(), state: state() };
+    let other = |version, name: &str| Message::State {
+        version,
+        name: name.into(),
+        state: state(),
+    };
     assert_eq!(other(VERSION, "n1").state("n1"), Ok(state()));
-    assert_eq!(other(VERSION + 1, "n1").state("n1"), Err(FormError::Version(VERSION + 1)));
-    assert_eq!(other(VERSION, "n2").state("n1"), Err(FormError::Name("n2".into())));
+    assert_eq!(
+        other(VERSION + 1, "n1").state("n1"),
+        Err(FormError::Version(VERSION + 1))
+    );
+    assert_eq!(
+        other(VERSION, "n2").state("n1"),
+        Err(FormError::Name("n2".into()))
+    );
     assert_eq!(Message::Serves.state("n1"), Err(FormError::Unexpected));
-    let hello = |version, name: &str| Message::Hello { version, name: name.into() }.greets("n1");
+    let hello = |version, name: &str| {
+        Message::Hello {
+            version,
+            name: name.into(),
+        }
+        .greets("n1")
+    };
     assert_eq!(hello(VERSION, "n1"), Ok(()));
     assert_eq!(hello(0, "n1"), Err(FormError::Version(0)));
     assert_eq!(hello(VERSION, "n\n"), Err(FormError::Name("n\n".into())));
@@ -45,7 +72,10 @@
 
 #[test]
 fn a_message_past_the_bound_is_neither_sent_nor_waited_for() {
-    let long = Message::Connection { unread: vec![0; MOST], has_asked: true };
+    let long = Message::Connection {
+        unread: vec![0; MOST],
+        has_asked: true,
+    };
     assert!(matches!(long.encode(), Err(FormError::TooLong(_))));
     let mut head = [0; HEAD];
     head[..4].copy_from_slice(&(MOST as u32 + 1).to_le_bytes());
@@ -72,10 +102,17 @@
     assert!(matches!(store.load(), Ok(None)));
     store.save(state()).expect("saved");
     assert!(matches!(store.load(), Ok(Some(found)) if found == state()));
-    assert_eq!(store.path().parent(), Some(&*folder), "no name leads elsewhere");
+    assert_eq!(
+        store.path().parent(),
+        Some(&*folder),
+        "no name leads elsewhere"
+    );
     let other = Store::new(&folder, "n2");
     std::fs::copy(store.path(), other.path()).expect("copied");
-    assert!(matches!(other.load(), Err(StoreError::Form(FormError::Name(_)))));
+    assert!(matches!(
+        other.load(),
+        Err(StoreError::Form(FormError::Name(_)))
+    ));
     std::fs::remove_dir_all(&folder).expect("removed");
 }
 
@@ -84,7 +121,10 @@
     let (one, other) = tokio::net::UnixStream::pair().expect("a pair");
     let (one, other) = (Link::new(one), Link::new(other));
     let messages: Vec<Message> = [0, 1, 70_000, 4 << 20]
-        .map(|length| Message::Connection { unread: vec![7; length], has_asked: length > 1 })
+        .map(|length| Message::Connection {
+            unread: vec![7; length],
+            has_asked: length > 1,
+        })
         .into();
     let file = std::fs::File::open("/dev/null").expect("opened");
     let sending = async {
--- a/crates/asterport-joining/benches/waiters.rs
+++ b/crates/asterport-joining/benches/waiters.rs
@@ -11,11 +11,25 @@
     for id in first..first + waiters {
         let expires = now.plus(Micros::from_millis(1_000 + u64::from(id % 7)));
         let (id, class) = (RequestId(id), ClassId(0));
-        let read = Read { id, class, tenant: None, key: b"7f3a9c21e0b4d655", what: b"", expires };
+        let read = Read {
+            id,
+            class,
+            tenant: None,
+            key: b"7f3a9c21e0b4d655",
+            what: b"",
+            expires,
+        };
         joining.handle(now, Event::Read(read), actions);
     }
     let flight = FlightId(RequestId(first));
-    joining.handle(now.plus(Micros::from_millis(5)), Event::Ended { flight, how: How::Served }, actions);
+    joining.handle(
+        now.plus(Micros::from_millis(5)),
+        Event::Ended {
+            flight,
+            how: How::Served,
+        },
+        actions,
+    );
     black_box(&actions);
     actions.clear();
 }
@@ -24,16 +38,25 @@
     let mut group = criterion.benchmark_group("waiters of one flight");
     for waiters in [1, 500, 5_000] {
         group.throughput(Throughput::Elements(u64::from(waiters)));
-        group.bench_with_input(BenchmarkId::from_parameter(waiters), &waiters, |bencher, &waiters| {
-            let aim = Micros::from_millis(100);
-            let mut joining =
-                Joining::new(Bounds::default(), &[ClassSettings { aim, needs: aim.scaled(0.2) }]);
-            let (mut first, mut actions) = (0, Vec::new());
-            bencher.iter(|| {
-                first = (first + waiters) % 1_000_000_000;
-                round(&mut joining, first, waiters, &mut actions);
-            });
-        });
+        group.bench_with_input(
+            BenchmarkId::from_parameter(waiters),
+            &waiters,
+            |bencher, &waiters| {
+                let aim = Micros::from_millis(100);
+                let mut joining = Joining::new(
+                    Bounds::default(),
+                    &[ClassSettings {
+                        aim,
+                        needs: aim.scaled(0.2),
+                    }],
+                );
+                let (mut first, mut actions) = (0, Vec::new());
+                bencher.iter(|| {
+                    first = (first + waiters) % 1_000_000_000;
+                    round(&mut joining, first, waiters, &mut actions);
+                });
+            },
+        );
     }
     group.finish();
 }
--- a/crates/asterport-joining/src/joining.rs
+++ b/crates/asterport-joining/src/joining.rs
@@ -140,7 +140,16 @@
 
 impl fmt::Display for Counters {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Counters { flights, joined, alone, second, closed, withdrawn, expired, outrun } = self;
+        let Counters {
+            flights,
+            joined,
+            alone,
+            second,
+            closed,
+            withdrawn,
+            expired,
+            outrun,
+        } = self;
         write!(
             f,
             "{flights} flights, {joined} joined, {alone} alone, {second} second, {closed} closed, {withdrawn} withdrawn, {expired} expired, {outrun} outrun"
@@ -207,7 +216,10 @@
 
     /// Refusals may say when to come back, at the latest after so long.
     pub fn advising(self, most: Option<Micros>) -> Joining {
-        Joining { advice: most, ..self }
+        Joining {
+            advice: most,
+            ..self
+        }
     }
 
     /// Takes one event that happened at `now` and appends what is to be done.
@@ -239,12 +251,18 @@
 
     /// The age of the oldest flight, for operators who look for one that hangs.
     pub fn oldest(&self, now: Micros) -> Option<Micros> {
-        self.flights.values().map(|flight| now.since(flight.began)).max()
+        self.flights
+            .values()
+            .map(|flight| now.since(flight.began))
+            .max()
     }
 
     fn on_read(&mut self, now: Micros, read: &Read<'_>, out: &mut Vec<Action>) {
         let class = read.class.0;
-        if self.waiters.len() >= self.bounds.waiters || class >= self.paces.len() || read.expires <= now {
+        if self.waiters.len() >= self.bounds.waiters
+            || class >= self.paces.len()
+            || read.expires <= now
+        {
             return self.alone(read, out);
         }
         let of_key: &[FlightId] = self.keys.get(read.key).map_or(&[], Vec::as_slice);
@@ -258,7 +276,8 @@
             open += 1;
         }
         let pace = &self.paces[class];
-        let hangs = |id: FlightId| !pace.is_slow() && now.since(self.flights[&id].began) > pace.hangs_at();
+        let hangs =
+            |id: FlightId| !pace.is_slow() && now.since(self.flights[&id].began) > pace.hangs_at();
         match youngest {
             Some(flight) if open > self.bounds.second_flights || !hangs(flight) => {
                 self.join(flight, read, out)
@@ -277,7 +296,9 @@
     }
 
     fn join(&mut self, id: FlightId, read: &Read<'_>, out: &mut Vec<Action>) {
-        let Some(flight) = self.flights.get_mut(&id) else { return };
+        let Some(flight) = self.flights.get_mut(&id) else {
+            return;
+        };
         if flight.waiters.len() >= self.bounds.waiters_per_flight {
             return self.alone(read, out);
         }
@@ -285,7 +306,11 @@
         flight.expires = flight.expires.max(read.expires);
         let expires = flight.expires;
         self.wait(id, read);
-        out.push(Action::Join { flight: id, tenant: read.tenant, expires });
+        out.push(Action::Join {
+            flight: id,
+            tenant: read.tenant,
+            expires,
+        });
     }
 
     fn open(&mut self, now: Micros, read: &Read<'_>, out: &mut Vec<Action>) {
@@ -311,10 +336,19 @@
     }
 
     fn wait(&mut self, id: FlightId, read: &Read<'_>) {
-        let Some(flight) = self.flights.get_mut(&id) else { return };
+        let Some(flight) = self.flights.get_mut(&id) else {
+            return;
+        };
         let place = flight.waiters.len() as u32;
         flight.waiters.push(read.id);
-        self.waiters.insert(read.id, Waiter { flight: id, place, expires: read.expires });
+        self.waiters.insert(
+            read.id,
+            Waiter {
+                flight: id,
+                place,
+                expires: read.expires,
+            },
+        );
         self.due.insert((read.expires, read.id));
     }
 
@@ -331,12 +365,20 @@
 
     /// A waiter waits no more; its flight ends with the last one.
     fn leave(&mut self, now: Micros, id: RequestId, out: &mut Vec<Action>) {
-        let Some(waiter) = self.waiters.remove(&id) else { return };
+        let Some(waiter) = self.waiters.remove(&id) else {
+            return;
+        };
         self.due.remove(&(waiter.expires, id));
-        let Some(flight) = self.flights.get_mut(&waiter.flight) else { return };
+        let Some(flight) = self.flights.get_mut(&waiter.flight) else {
+            return;
+        };
         let place = waiter.place as usize;
         flight.waiters.swap_remove(place);
-        if let Some(moved) = flight.waiters.get(place).and_then(|moved| self.waiters.get_mut(moved)) {
+        if let Some(moved) = flight
+            .waiters
+            .get(place)
+            .and_then(|moved| self.waiters.get_mut(moved))
+        {
             moved.place = waiter.place;
         }
         if flight.waiters.is_empty() {
@@ -344,12 +386,22 @@
             if let Some(flight) = self.forget(waiter.flight) {
                 self.learn(now, &flight, false);
             }
-            out.push(Action::Withdraw { flight: waiter.flight });
+            out.push(Action::Withdraw {
+                flight: waiter.flight,
+            });
         } else if waiter.expires == flight.expires {
             // Seldom so unless it is meant: of those who leave one has the most time, and of those whose time is up none.
-            let longest = flight.waiters.iter().map(|id| self.waiters[id].expires).max().unwrap_or_default();
+            let longest = flight
+                .waiters
+                .iter()
+                .map(|id| self.waiters[id].expires)
+                .max()
+                .unwrap_or_default();
             if longest < std::mem::replace(&mut flight.expires, longest) {
-                out.push(Action::Shorten { flight: waiter.flight, expires: longest });
+                out.push(Action::Shorten {
+                    flight: waiter.flight,
+                    expires: longest,
+                });
             }
         }
     }
@@ -370,14 +422,19 @@
         while let Some(&(_, id)) = self.due.first().filter(|due| due.0 <= now) {
             self.counters.expired += 1;
             let usual = self.usual_of(id);
-            out.push(Action::Answer { id, how: How::Refused(self.advice_for(id, usual)) });
+            out.push(Action::Answer {
+                id,
+                how: How::Refused(self.advice_for(id, usual)),
+            });
             self.leave(now, id, out);
         }
     }
 
     /// One further attempt is out for all. Those whom it cannot help in time are told so now.
     fn on_again(&mut self, now: Micros, flight: FlightId, out: &mut Vec<Action>) {
-        let Some(of) = self.flights.get(&flight) else { return };
+        let Some(of) = self.flights.get(&flight) else {
+            return;
+        };
         let needs = self.needs[of.class.0];
         // The one with the most time has been found to have enough of it.
         let in_vain = |id: &RequestId| {
@@ -387,7 +444,10 @@
         let outrun: Vec<RequestId> = of.waiters.iter().copied().filter(in_vain).collect();
         for id in outrun {
             self.counters.outrun += 1;
-            out.push(Action::Answer { id, how: How::Refused(self.advice_for(id, Some(needs))) });
+            out.push(Action::Answer {
+                id,
+                how: How::Refused(self.advice_for(id, Some(needs))),
+            });
             self.leave(now, id, out);
         }
     }
@@ -395,7 +455,9 @@
     /// The answer goes to all who wait for it. Served, it is as good for those of earlier flights for the same, which
     /// are still out: it was made after they asked.
     fn on_ended(&mut self, now: Micros, id: FlightId, how: How, out: &mut Vec<Action>) {
-        let Some(flight) = self.forget(id) else { return };
+        let Some(flight) = self.forget(id) else {
+            return;
+        };
         let served = how == How::Served;
         self.learn(now, &flight, served);
         self.tell(&flight, how, out);
@@ -419,7 +481,11 @@
 
     fn learn(&mut self, now: Micros, flight: &Flight, served: bool) {
         let (pace, age) = (&mut self.paces[flight.class.0], now.since(flight.began));
-        if served { pace.answered(age) } else { pace.unanswered(age) }
+        if served {
+            pace.answered(age)
+        } else {
+            pace.unanswered(age)
+        }
     }
 
     fn tell(&mut self, flight: &Flight, how: How, out: &mut Vec<Action>) {
@@ -444,7 +510,10 @@
     /// time, evenly spread over as long again as the advice for one.
     fn advice_for(&self, id: RequestId, after: Option<Micros>) -> Option<Micros> {
         let most = self.advice?;
-        let after = after.unwrap_or(most).min(most.scaled(0.5)).max(Micros::from_millis(1));
+        let after = after
+            .unwrap_or(most)
+            .min(most.scaled(0.5))
+            .max(Micros::from_millis(1));
         // The golden ratio's multiples spread evenly however many there are.
         let place = f64::from(id.0.wrapping_mul(0x9E37_79B9)) / f64::from(u32::MAX);
         Some(after.scaled(1.0 + place))
--- a/crates/asterport-joining/src/pace.rs
+++ b/crates/asterport-joining/src/pace.rs
@@ -30,7 +30,13 @@
 
 impl Pace {
     pub fn new(aim: Micros) -> Pace {
-        Pace { answers: Vec::new(), next: 0, learnt: None, lost: 0.0, aim }
+        Pace {
+            answers: Vec::new(),
+            next: 0,
+            learnt: None,
+            lost: 0.0,
+            aim,
+        }
     }
 
     /// A flight was answered after so long.
@@ -59,7 +65,9 @@
 
     /// From this age on a flight counts as hanging.
     pub fn hangs_at(&self) -> Micros {
-        self.learnt.map_or(self.aim, |(_, long)| long.scaled(HANGS)).max(LEAST)
+        self.learnt
+            .map_or(self.aim, |(_, long)| long.scaled(HANGS))
+            .max(LEAST)
     }
 
     /// Whether so many hang that it is not about a flight.
@@ -105,7 +113,11 @@
         let mut pace = Pace::new(ms(100));
         let mut play = |every: usize| {
             for i in 0..200 {
-                if i % every == 0 { pace.unanswered(ms(2_000)) } else { pace.answered(ms(20)) }
+                if i % every == 0 {
+                    pace.unanswered(ms(2_000))
+                } else {
+                    pace.answered(ms(20))
+                }
             }
             pace.is_slow()
         };
--- a/crates/asterport-joining/src/settings.rs
+++ b/crates/asterport-joining/src/settings.rs
@@ -20,7 +20,12 @@
 
 impl Default for Bounds {
     fn default() -> Self {
-        Bounds { waiters: 20_000, waiters_per_flight: 5_000, flights_per_key: 32, second_flights: 1 }
+        Bounds {
+            waiters: 20_000,
+            waiters_per_flight: 5_000,
+            flights_per_key: 32,
+            second_flights: 1,
+        }
     }
 }
 
@@ -49,7 +54,10 @@
 
 impl ClassSettings {
     fn of(class: &Class) -> ClassSettings {
-        ClassSettings { aim: class.aim, needs: class.further_attempt_needs() }
+        ClassSettings {
+            aim: class.aim,
+            needs: class.further_attempt_needs(),
+        }
     }
 }
 
@@ -95,7 +103,12 @@
         let classes = &deployment.settings.classes;
         let mut joined = vec![false; classes.len()];
         for name in &self.classes {
-            let Some(class) = deployment.names.classes.iter().position(|known| known == name) else {
+            let Some(class) = deployment
+                .names
+                .classes
+                .iter()
+                .position(|known| known == name)
+            else {
                 return fail(format!("joining.classes: there is no class '{name}'"));
             };
             let what = match classes[class].effect {
@@ -106,9 +119,16 @@
                 Effect::Keyed { .. } => "its effect is keyed",
                 Effect::Unsafe => "its effect is unsafe",
             };
-            return fail(format!("joining.classes: '{name}' can never be joined: {what}"));
+            return fail(format!(
+                "joining.classes: '{name}' can never be joined: {what}"
+            ));
         }
-        let Bounds { waiters, waiters_per_flight, flights_per_key, second_flights } = self.bounds;
+        let Bounds {
+            waiters,
+            waiters_per_flight,
+            flights_per_key,
+            second_flights,
+        } = self.bounds;
         for (name, value, least) in [
             ("waiters", waiters, 1),
             ("waiters_per_flight", waiters_per_flight, 1),
@@ -122,9 +142,14 @@
             }
         }
         let names = ["c", "t", "k"];
-        if let Some(name) = self.ignore.iter().find(|name| names.contains(&name.as_str()) || name.is_empty())
+        if let Some(name) = self
+            .ignore
+            .iter()
+            .find(|name| names.contains(&name.as_str()) || name.is_empty())
         {
-            return fail(format!("joining.ignore: '{name}' cannot be left out of account"));
+            return fail(format!(
+                "joining.ignore: '{name}' cannot be left out of account"
+            ));
         }
         let limits = &deployment.settings.limits;
         Ok(joined.contains(&true).then(|| Rules {
--- a/crates/asterport-joining/tests/joining.rs
+++ b/crates/asterport-joining/tests/joining.rs
@@ -22,9 +22,18 @@
     }
 
     fn with(bounds: Bounds) -> Rig {
-        let joining =
-            Joining::new(bounds, &[ClassSettings { aim: ms(100), needs: ms(20) }]).advising(Some(ms(1_000)));
-        Rig { joining, now: ms(10_000) }
+        let joining = Joining::new(
+            bounds,
+            &[ClassSettings {
+                aim: ms(100),
+                needs: ms(20),
+            }],
+        )
+        .advising(Some(ms(1_000)));
+        Rig {
+            joining,
+            now: ms(10_000),
+        }
     }
 
     fn event(&mut self, event: Event<'_>) -> Vec<Action> {
@@ -35,8 +44,14 @@
 
     fn read_of(&mut self, id: u32, key: &[u8], what: &[u8], wait: u64) -> Action {
         let expires = self.now.plus(ms(wait));
-        let read =
-            Read { id: RequestId(id), class: ClassId(0), tenant: Some(TenantId(1)), key, what, expires };
+        let read = Read {
+            id: RequestId(id),
+            class: ClassId(0),
+            tenant: Some(TenantId(1)),
+            key,
+            what,
+            expires,
+        };
         let actions = self.event(Event::Read(read));
         assert_eq!(actions.len(), 1, "{actions:?}");
         actions[0]
@@ -52,7 +67,10 @@
     }
 
     fn ended(&mut self, id: u32, how: How) -> Vec<Action> {
-        self.event(Event::Ended { flight: flight(id), how })
+        self.event(Event::Ended {
+            flight: flight(id),
+            how,
+        })
     }
 
     fn pass(&mut self, millis: u64) {
@@ -62,7 +80,10 @@
     /// Flights of other keys that take so long, until their class is known.
     fn learn(&mut self, millis: u64) {
         for id in 900_000..900_064 {
-            assert_eq!(self.read_of(id, &id.to_le_bytes(), b"", 10_000), Action::Open { flight: flight(id) });
+            assert_eq!(
+                self.read_of(id, &id.to_le_bytes(), b"", 10_000),
+                Action::Open { flight: flight(id) }
+            );
             self.pass(millis);
             assert_eq!(self.ended(id, How::Served).len(), 1);
         }
@@ -104,18 +125,33 @@
         assert_eq!(joins(rig.read(id)), Some(1));
     }
     let actions = rig.ended(1, How::Served);
-    assert_eq!(told(&actions), (1..=500).map(|id| (id, How::Served)).collect::<Vec<_>>());
+    assert_eq!(
+        told(&actions),
+        (1..=500).map(|id| (id, How::Served)).collect::<Vec<_>>()
+    );
     assert_eq!(rig.joining.held(), (0, 0));
     assert_eq!(rig.joining.next_due(), None);
-    assert_eq!(rig.read(501), Action::Open { flight: flight(501) }, "no value is kept");
+    assert_eq!(
+        rig.read(501),
+        Action::Open {
+            flight: flight(501)
+        },
+        "no value is kept"
+    );
 }
 
 #[test]
 fn reads_that_differ_in_what_changes_the_answer_do_not_meet() {
     let mut rig = Rig::new();
     rig.read(1);
-    assert_eq!(rig.read_of(2, b"key", b"size=2", 1_000), Action::Open { flight: flight(2) });
-    assert_eq!(rig.read_of(3, b"other", b"", 1_000), Action::Open { flight: flight(3) });
+    assert_eq!(
+        rig.read_of(2, b"key", b"size=2", 1_000),
+        Action::Open { flight: flight(2) }
+    );
+    assert_eq!(
+        rig.read_of(3, b"other", b"", 1_000),
+        Action::Open { flight: flight(3) }
+    );
     assert_eq!(joins(rig.read_of(4, b"key", b"size=2", 1_000)), Some(2));
 }
 
@@ -124,10 +160,18 @@
     let mut rig = Rig::new();
     rig.read(1);
     rig.write();
-    assert_eq!(rig.read(2), Action::Open { flight: flight(2) }, "after its begin");
+    assert_eq!(
+        rig.read(2),
+        Action::Open { flight: flight(2) },
+        "after its begin"
+    );
     assert_eq!(joins(rig.read(3)), Some(2), "those after it share");
     rig.write();
-    assert_eq!(rig.read(4), Action::Open { flight: flight(4) }, "after its end");
+    assert_eq!(
+        rig.read(4),
+        Action::Open { flight: flight(4) },
+        "after its end"
+    );
     assert_eq!(
         told(&rig.ended(1, How::Served)),
         [(1, How::Served)],
@@ -155,14 +199,19 @@
 fn a_waiter_is_told_at_its_own_deadline_and_neither_ends_nor_shortens_the_flight() {
     let mut rig = Rig::new();
     rig.read(1);
-    let Action::Join { expires, .. } = rig.read_of(2, b"key", b"", 50) else { panic!("joined") };
+    let Action::Join { expires, .. } = rig.read_of(2, b"key", b"", 50) else {
+        panic!("joined")
+    };
     assert_eq!(expires, rig.now.plus(ms(1_000)), "not shortened");
     assert_eq!(rig.joining.next_due(), Some(rig.now.plus(ms(50))));
     rig.pass(49);
     assert_eq!(rig.event(Event::Due), []);
     rig.pass(1);
     let actions = rig.event(Event::Due);
-    assert!(matches!(told(&actions)[..], [(2, How::Refused(Some(_)))]), "{actions:?}");
+    assert!(
+        matches!(told(&actions)[..], [(2, How::Refused(Some(_)))]),
+        "{actions:?}"
+    );
     assert_eq!(withdrawn(&actions), []);
     assert_eq!(told(&rig.ended(1, How::Served)), [(1, How::Served)]);
 }
@@ -171,7 +220,9 @@
 fn a_waiter_with_more_time_lengthens_the_flight() {
     let mut rig = Rig::new();
     rig.read(1);
-    let Action::Join { expires, .. } = rig.read_of(2, b"key", b"", 4_000) else { panic!("joined") };
+    let Action::Join { expires, .. } = rig.read_of(2, b"key", b"", 4_000) else {
+        panic!("joined")
+    };
     assert_eq!(expires, rig.now.plus(ms(4_000)));
 }
 
@@ -187,7 +238,11 @@
     assert_eq!(rig.event(Event::Gone { id: RequestId(2) }), []);
     assert_eq!(withdrawn(&rig.event(Event::Gone { id: RequestId(4) })), [1]);
     assert_eq!(rig.joining.held(), (0, 0));
-    assert_eq!(rig.event(Event::Gone { id: RequestId(4) }), [], "said twice");
+    assert_eq!(
+        rig.event(Event::Gone { id: RequestId(4) }),
+        [],
+        "said twice"
+    );
 }
 
 #[test]
@@ -205,14 +260,22 @@
     rig.learn(10);
     rig.read(1);
     rig.pass(20);
-    assert_eq!(joins(rig.read(2)), Some(1), "twice what is long, and no more");
+    assert_eq!(
+        joins(rig.read(2)),
+        Some(1),
+        "twice what is long, and no more"
+    );
     rig.pass(1);
     assert_eq!(rig.read(3), Action::Open { flight: flight(3) });
     assert_eq!(joins(rig.read(4)), Some(3));
     rig.pass(21);
     assert_eq!(joins(rig.read(5)), Some(3), "a third one would be too many");
     let actions = rig.ended(3, How::Served);
-    assert_eq!(told(&actions).len(), 5, "those of the hanging one have the answer too");
+    assert_eq!(
+        told(&actions).len(),
+        5,
+        "those of the hanging one have the answer too"
+    );
     assert_eq!(withdrawn(&actions), [1]);
     assert_eq!(rig.joining.counters().second, 1);
 }
@@ -232,7 +295,11 @@
         .collect();
     back.sort_unstable();
     assert!(back[0] >= 100_000 && back[499] <= 200_000, "{back:?}");
-    let widest = back.windows(2).map(|pair| pair[1] - pair[0]).max().expect("pairs");
+    let widest = back
+        .windows(2)
+        .map(|pair| pair[1] - pair[0])
+        .max()
+        .expect("pairs");
     assert!(
         widest < 2_000,
         "500 over 100 ms: no more than ten times their mean distance of 200 us, not {widest}"
@@ -244,7 +311,10 @@
     let mut rig = Rig::new();
     rig.read(1);
     rig.read(2);
-    assert_eq!(told(&rig.ended(1, How::Failed)), [(1, How::Failed), (2, How::Failed)]);
+    assert_eq!(
+        told(&rig.ended(1, How::Failed)),
+        [(1, How::Failed), (2, How::Failed)]
+    );
 }
 
 #[test]
@@ -255,9 +325,15 @@
     rig.read_of(3, b"key", b"", 101);
     rig.pass(81);
     let actions = rig.event(Event::Again { flight: flight(1) });
-    assert!(matches!(told(&actions)[..], [(2, How::Refused(Some(_)))]), "{actions:?}");
+    assert!(
+        matches!(told(&actions)[..], [(2, How::Refused(Some(_)))]),
+        "{actions:?}"
+    );
     assert_eq!(withdrawn(&actions), []);
-    assert_eq!(told(&rig.ended(1, How::Served)), [(1, How::Served), (3, How::Served)]);
+    assert_eq!(
+        told(&rig.ended(1, How::Served)),
+        [(1, How::Served), (3, How::Served)]
+    );
 }
 
 /// What the decision library allowed for the one with the most time is not taken from it a moment later.
@@ -276,25 +352,51 @@
     rig.read_of(1, b"key", b"", 300);
     rig.read_of(2, b"key", b"", 900);
     rig.read_of(3, b"key", b"", 500);
-    let shorten = |millis| [Action::Shorten { flight: flight(1), expires: start.plus(ms(millis)) }];
+    let shorten = |millis| {
+        [Action::Shorten {
+            flight: flight(1),
+            expires: start.plus(ms(millis)),
+        }]
+    };
     assert_eq!(rig.event(Event::Gone { id: RequestId(2) }), shorten(500));
     assert_eq!(rig.event(Event::Gone { id: RequestId(1) }), []);
-    let Action::Join { expires, .. } = rig.read_of(4, b"key", b"", 400) else { panic!("joined") };
+    let Action::Join { expires, .. } = rig.read_of(4, b"key", b"", 400) else {
+        panic!("joined")
+    };
     assert_eq!(expires, start.plus(ms(500)));
     assert_eq!(rig.event(Event::Gone { id: RequestId(3) }), shorten(400));
 }
 
 #[test]
 fn past_each_bound_reads_travel_alone() {
-    let bounds = Bounds { waiters: 5, waiters_per_flight: 3, flights_per_key: 2, second_flights: 1 };
+    let bounds = Bounds {
+        waiters: 5,
+        waiters_per_flight: 3,
+        flights_per_key: 2,
+        second_flights: 1,
+    };
     let mut rig = Rig::with(bounds);
     let alone = |id| Action::Alone { id: RequestId(id) };
     (1..=3).for_each(|id| _ = rig.read(id));
     assert_eq!(rig.read(4), alone(4), "the flight is full");
-    assert_eq!(rig.read_of(5, b"key", b"x", 1_000), Action::Open { flight: flight(5) });
-    assert_eq!(rig.read_of(6, b"key", b"y", 1_000), alone(6), "the key has its flights");
-    assert_eq!(rig.read_of(7, b"other", b"", 1_000), Action::Open { flight: flight(7) });
-    assert_eq!(rig.read_of(8, b"third", b"", 1_000), alone(8), "enough wait in all");
+    assert_eq!(
+        rig.read_of(5, b"key", b"x", 1_000),
+        Action::Open { flight: flight(5) }
+    );
+    assert_eq!(
+        rig.read_of(6, b"key", b"y", 1_000),
+        alone(6),
+        "the key has its flights"
+    );
+    assert_eq!(
+        rig.read_of(7, b"other", b"", 1_000),
+        Action::Open { flight: flight(7) }
+    );
+    assert_eq!(
+        rig.read_of(8, b"third", b"", 1_000),
+        alone(8),
+        "enough wait in all"
+    );
     assert_eq!(rig.joining.counters().alone, 3);
     rig.ended(7, How::Served);
     assert_eq!(
--- a/crates/asterport-life/src/lib.rs
+++ b/crates/asterport-life/src/lib.rs
@@ -72,7 +72,10 @@
 
 impl Default for Life {
     fn default() -> Self {
-        Life { phase: Phase::Starting, drained: None }
+        Life {
+            phase: Phase::Starting,
+            drained: None,
+        }
     }
 }
 
@@ -88,7 +91,9 @@
             (HandingOver, Event::SuccessorLost) => Serving,
             (Ending { .. }, Event::SuccessorLost) => Ending { succeeded: false },
             (phase @ Ending { .. }, Event::Terminate) => phase,
-            (phase, Event::Terminate) => Ending { succeeded: phase == HandingOver },
+            (phase, Event::Terminate) => Ending {
+                succeeded: phase == HandingOver,
+            },
             (phase, _) => phase,
         };
         let drained = match event {
@@ -121,7 +126,10 @@
 
     /// Whether a successor takes what comes to rest.
     pub fn is_succeeded(&self) -> bool {
-        matches!(self.phase, Phase::HandingOver | Phase::Ending { succeeded: true })
+        matches!(
+            self.phase,
+            Phase::HandingOver | Phase::Ending { succeeded: true }
+        )
     }
 
     /// What a connection at rest gets.
--- a/crates/asterport-life/tests/life.rs
+++ b/crates/asterport-life/tests/life.rs
@@ -7,7 +7,9 @@
 
 /// A process after these events, all at one time.
 fn after(events: &[Event]) -> Life {
-    events.iter().fold(Life::default(), |life, &event| life.after(START, event))
+    events
+        .iter()
+        .fold(Life::default(), |life, &event| life.after(START, event))
 }
 
 #[test]
@@ -25,36 +27,55 @@
 
 #[test]
 fn a_second_evacuation_does_not_begin_the_drain_anew() {
-    let life = after(&[Event::Equipped, Event::Evacuate]).after(START.plus(READ_ON), Event::Evacuate);
+    let life =
+        after(&[Event::Equipped, Event::Evacuate]).after(START.plus(READ_ON), Event::Evacuate);
     assert!(life.reads_on(START) && !life.reads_on(START.plus(READ_ON)));
 }
 
 #[test]
 fn a_rejoin_ends_the_drain_and_unasked_changes_nothing() {
     let serving = after(&[Event::Equipped]);
-    assert_eq!(after(&[Event::Equipped, Event::Evacuate, Event::Rejoin]), serving);
+    assert_eq!(
+        after(&[Event::Equipped, Event::Evacuate, Event::Rejoin]),
+        serving
+    );
     assert_eq!(serving.after(START, Event::Rejoin), serving);
 }
 
 #[test]
 fn with_a_successor_connections_at_rest_are_passed_on_and_none_is_accepted() {
     let life = after(&[Event::Equipped, Event::SuccessorServes]);
-    assert_eq!((life.at_rest(), life.accepts(), life.is_ready()), (AtRest::PassesOn, false, false));
+    assert_eq!(
+        (life.at_rest(), life.accepts(), life.is_ready()),
+        (AtRest::PassesOn, false, false)
+    );
     assert!(!life.reads_on(START));
 }
 
 #[test]
 fn a_successor_that_dies_gives_the_service_back() {
-    let life = after(&[Event::Equipped, Event::SuccessorServes, Event::SuccessorLost]);
+    let life = after(&[
+        Event::Equipped,
+        Event::SuccessorServes,
+        Event::SuccessorLost,
+    ]);
     assert_eq!(life, after(&[Event::Equipped]));
-    let ending = after(&[Event::Equipped, Event::SuccessorServes, Event::Terminate, Event::SuccessorLost]);
+    let ending = after(&[
+        Event::Equipped,
+        Event::SuccessorServes,
+        Event::Terminate,
+        Event::SuccessorLost,
+    ]);
     assert_eq!(ending.at_rest(), AtRest::ClosesNow);
 }
 
 #[test]
 fn sigterm_while_drained_ends_the_process_and_leaves_the_drain() {
     let life = after(&[Event::Equipped, Event::Evacuate, Event::Terminate]);
-    assert_eq!((life.at_rest(), life.pongs(), life.accepts()), (AtRest::ClosesNow, false, false));
+    assert_eq!(
+        (life.at_rest(), life.pongs(), life.accepts()),
+        (AtRest::ClosesNow, false, false)
+    );
 }
 
 #[test]
--- a/crates/asterport-load/src/item.rs
+++ b/crates/asterport-load/src/item.rs
@@ -59,9 +59,14 @@
 impl Header {
     pub(crate) fn check(&self) -> Result<(), CaptureError> {
         if self.sources.len() > NAMES_MOST {
-            return Err(CaptureError::TooMany { what: "sources", most: NAMES_MOST });
+            return Err(CaptureError::TooMany {
+                what: "sources",
+                most: NAMES_MOST,
+            });
         }
-        self.sources.iter().try_for_each(|source| check_text("source", source))
+        self.sources
+            .iter()
+            .try_for_each(|source| check_text("source", source))
     }
 }
 
@@ -70,12 +75,20 @@
         check_text("class", &self.class)?;
         check_text("key", &self.key)?;
         check_text("tenant", self.tenant.as_deref().unwrap_or_default())?;
-        check_text("idempotency_key", self.idempotency_key.as_deref().unwrap_or_default())?;
+        check_text(
+            "idempotency_key",
+            self.idempotency_key.as_deref().unwrap_or_default(),
+        )?;
         if usize::from(self.source) >= header.sources.len() {
-            return Err(CaptureError::UnknownSource { source: self.source });
+            return Err(CaptureError::UnknownSource {
+                source: self.source,
+            });
         }
         if self.at_us < last_at_us {
-            return Err(CaptureError::OutOfOrder { at_us: self.at_us, after_us: last_at_us });
+            return Err(CaptureError::OutOfOrder {
+                at_us: self.at_us,
+                after_us: last_at_us,
+            });
         }
         Ok(())
     }
@@ -85,22 +98,35 @@
     /// Counts one malformed item; past 256 kinds all others count as `other`.
     pub fn count_malformed(&mut self, kind: &str) {
         let known = self.malformed.contains_key(kind) || self.malformed.len() < NAMES_MOST - 1;
-        let kind = if known && kind.len() <= TEXT_LONGEST { kind } else { "other" };
+        let kind = if known && kind.len() <= TEXT_LONGEST {
+            kind
+        } else {
+            "other"
+        };
         let count = self.malformed.entry(kind.to_string()).or_default();
         *count = count.saturating_add(1);
     }
 
     pub(crate) fn check(&self) -> Result<(), CaptureError> {
         if self.malformed.len() > NAMES_MOST {
-            return Err(CaptureError::TooMany { what: "kinds of malformed items", most: NAMES_MOST });
+            return Err(CaptureError::TooMany {
+                what: "kinds of malformed items",
+                most: NAMES_MOST,
+            });
         }
-        self.malformed.keys().try_for_each(|kind| check_text("kind", kind))
+        self.malformed
+            .keys()
+            .try_for_each(|kind| check_text("kind", kind))
     }
 }
 
 fn check_text(what: &'static str, text: &str) -> Result<(), CaptureError> {
     if text.len() > TEXT_LONGEST {
-        return Err(CaptureError::TooLong { what, bytes: text.len(), most: TEXT_LONGEST });
+        return Err(CaptureError::TooLong {
+            what,
+            bytes: text.len(),
+            most: TEXT_LONGEST,
+        });
     }
     Ok(())
 }
--- a/crates/asterport-load/src/lib.rs
+++ b/crates/asterport-load/src/lib.rs
@@ -55,7 +55,9 @@
 
 impl Kind {
     fn of(byte: u8) -> Option<Kind> {
-        [Kind::Header, Kind::Items, Kind::End].into_iter().find(|kind| *kind as u8 == byte)
+        [Kind::Header, Kind::Items, Kind::End]
+            .into_iter()
+            .find(|kind| *kind as u8 == byte)
     }
 }
 
--- a/crates/asterport-load/src/log_format.rs
+++ b/crates/asterport-load/src/log_format.rs
@@ -98,9 +98,18 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.wants {
             Wanted::Byte(byte) => {
-                write!(f, "column {}: {:?} is missing", self.column, char::from(byte))
+                write!(
+                    f,
+                    "column {}: {:?} is missing",
+                    self.column,
+                    char::from(byte)
+                )
             }
-            Wanted::End => write!(f, "column {}: the line goes on where it should end", self.column),
+            Wanted::End => write!(
+                f,
+                "column {}: the line goes on where it should end",
+                self.column
+            ),
         }
     }
 }
@@ -151,7 +160,11 @@
 impl Fields<'_> {
     /// The first field of this name; `None` if the format has none.
     pub fn get(&self, name: FieldName<'_>) -> Option<&[u8]> {
-        let place = self.format.fields.iter().position(|field| field.name.is(name))?;
+        let place = self
+            .format
+            .fields
+            .iter()
+            .position(|field| field.name.is(name))?;
         self.values.get(place).copied()
     }
 }
@@ -179,7 +192,9 @@
             let named = |c: char| c.is_ascii_alphanumeric() || c == '_';
             let (name, length) = match after.strip_prefix('{') {
                 Some(inner) => {
-                    let end = inner.find('}').ok_or_else(|| parts.error("'${' is never closed"))?;
+                    let end = inner
+                        .find('}')
+                        .ok_or_else(|| parts.error("'${' is never closed"))?;
                     (&inner[..end], end + 3)
                 }
                 None => {
@@ -209,11 +224,14 @@
                 continue;
             }
             // Conditions on the status and the choice of original or final request change no field's form.
-            let directive =
-                after.trim_start_matches(|c: char| c.is_ascii_digit() || matches!(c, ',' | '!' | '<' | '>'));
+            let directive = after.trim_start_matches(|c: char| {
+                c.is_ascii_digit() || matches!(c, ',' | '!' | '<' | '>')
+            });
             let (argument, letter) = match directive.strip_prefix('{') {
                 Some(inner) => {
-                    let end = inner.find('}').ok_or_else(|| parts.error("'%{' is never closed"))?;
+                    let end = inner
+                        .find('}')
+                        .ok_or_else(|| parts.error("'%{' is never closed"))?;
                     (Some(&inner[..end]), &inner[end + 1..])
                 }
                 None => (None, directive),
@@ -222,7 +240,9 @@
                 return Err(parts.error("a '%' that nothing follows"));
             };
             let name = apache_name(letter, argument).ok_or_else(|| {
-                parts.error(&format!("the directive that ends with '{letter}' is not known"))
+                parts.error(&format!(
+                    "the directive that ends with '{letter}' is not known"
+                ))
             })?;
             let skipped = after.len() - directive.len();
             let length = 1 + skipped + argument.map_or(0, |a| a.len() + 2) + letter.len_utf8();
@@ -249,14 +269,23 @@
                 Some(_) => memchr::memmem::find(rest, &field.then),
             };
             let Some(length) = length else {
-                return Err(LineError { column: line.len() + 1, wants: Wanted::Byte(field.then[0]) });
+                return Err(LineError {
+                    column: line.len() + 1,
+                    wants: Wanted::Byte(field.then[0]),
+                });
             };
             values.push(&rest[..length]);
             at += length + field.then.len();
         }
         match at == line.len() {
-            true => Ok(Fields { format: self, values }),
-            false => Err(LineError { column: at + 1, wants: Wanted::End }),
+            true => Ok(Fields {
+                format: self,
+                values,
+            }),
+            false => Err(LineError {
+                column: at + 1,
+                wants: Wanted::End,
+            }),
         }
     }
 }
@@ -278,10 +307,17 @@
 }
 
 fn expect(line: &[u8], at: usize, text: &[u8]) -> Result<usize, LineError> {
-    let same = line[at..].iter().zip(text).take_while(|(a, b)| a == b).count();
+    let same = line[at..]
+        .iter()
+        .zip(text)
+        .take_while(|(a, b)| a == b)
+        .count();
     match text.get(same) {
         None => Ok(at + same),
-        Some(&byte) => Err(LineError { column: at + same + 1, wants: Wanted::Byte(byte) }),
+        Some(&byte) => Err(LineError {
+            column: at + same + 1,
+            wants: Wanted::Byte(byte),
+        }),
     }
 }
 
@@ -295,7 +331,12 @@
 
 impl<'a> Parts<'a> {
     fn new(format: &'a str) -> Result<Parts<'a>, FormatError> {
-        let parts = Parts { format, at: 0, before: Vec::new(), fields: Vec::new() };
+        let parts = Parts {
+            format,
+            at: 0,
+            before: Vec::new(),
+            fields: Vec::new(),
+        };
         if format.len() > FORMAT_LONGEST {
             return Err(parts.error("longer than 4,096 bytes"));
         }
@@ -303,7 +344,10 @@
     }
 
     fn error(&self, problem: &str) -> FormatError {
-        FormatError { column: self.at + 1, problem: problem.to_string() }
+        FormatError {
+            column: self.at + 1,
+            problem: problem.to_string(),
+        }
     }
 
     fn rest(&self) -> Option<&'a str> {
@@ -318,21 +362,34 @@
 
     /// Text of the line, and how many bytes of the format it stands for.
     fn text(&mut self, text: &str, length: usize) {
-        let then = self.fields.last_mut().map_or(&mut self.before, |field| &mut field.then);
+        let then = self
+            .fields
+            .last_mut()
+            .map_or(&mut self.before, |field| &mut field.then);
         then.extend(text.as_bytes());
         self.at += length;
     }
 
     fn field(&mut self, name: Name, length: usize) -> Result<(), FormatError> {
         let before = self.fields.last().map_or(&self.before, |field| &field.then);
-        if self.fields.last().is_some_and(|field| field.then.is_empty()) {
-            return Err(self.error("two fields with nothing between them: where one ends can't be told"));
+        if self
+            .fields
+            .last()
+            .is_some_and(|field| field.then.is_empty())
+        {
+            return Err(
+                self.error("two fields with nothing between them: where one ends can't be told")
+            );
         }
         if self.fields.len() == FIELDS_MOST {
             return Err(self.error("more than 64 fields"));
         }
         let quoted = before.ends_with(b"\"");
-        self.fields.push(Field { name, then: Vec::new(), quoted });
+        self.fields.push(Field {
+            name,
+            then: Vec::new(),
+            quoted,
+        });
         self.at += length;
         Ok(())
     }
@@ -341,8 +398,13 @@
         if self.fields.is_empty() {
             return Err(self.error("no field"));
         }
-        self.fields.iter_mut().for_each(|field| field.quoted &= field.then.starts_with(b"\""));
-        Ok(LogFormat { before: self.before, fields: self.fields })
+        self.fields
+            .iter_mut()
+            .for_each(|field| field.quoted &= field.then.starts_with(b"\""));
+        Ok(LogFormat {
+            before: self.before,
+            fields: self.fields,
+        })
     }
 }
 
--- a/crates/asterport-load/src/reader.rs
+++ b/crates/asterport-load/src/reader.rs
@@ -1,7 +1,8 @@
 //! Bytes into items, whatever the bytes are.
 
 use crate::{
-    BLOCK_HEAD, BLOCK_LONGEST, Header, Item, Kind, MAGIC, MAGIC_LONGEST, MAGIC_NAME, Summary, checksum,
+    BLOCK_HEAD, BLOCK_LONGEST, Header, Item, Kind, MAGIC, MAGIC_LONGEST, MAGIC_NAME, Summary,
+    checksum,
 };
 use std::collections::VecDeque;
 use std::fmt;
@@ -81,16 +82,25 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             CaptureError::NotACapture => write!(f, "this is no capture: its first line is another"),
-            CaptureError::Version(line) => write!(f, "'{line}' is not a version that this program reads"),
+            CaptureError::Version(line) => {
+                write!(f, "'{line}' is not a version that this program reads")
+            }
             CaptureError::BlockTooLong { offset, bytes } => {
-                write!(f, "the block at byte {offset} claims {bytes} bytes; none has over {BLOCK_LONGEST}")
+                write!(
+                    f,
+                    "the block at byte {offset} claims {bytes} bytes; none has over {BLOCK_LONGEST}"
+                )
             }
             CaptureError::Checksum { offset } => {
                 write!(f, "the block at byte {offset} does not match its checksum")
             }
-            CaptureError::Unreadable { offset } => write!(f, "the block at byte {offset} cannot be read"),
+            CaptureError::Unreadable { offset } => {
+                write!(f, "the block at byte {offset} cannot be read")
+            }
             CaptureError::Cut { items } => write!(f, "the capture was cut off after {items} items"),
-            CaptureError::Trailing { offset } => write!(f, "from byte {offset} on something follows the end"),
+            CaptureError::Trailing { offset } => {
+                write!(f, "from byte {offset} on something follows the end")
+            }
             CaptureError::Count { items, counted } => {
                 write!(f, "the capture holds {items} items and counts {counted}")
             }
@@ -98,9 +108,14 @@
                 write!(f, "a {what} of {bytes} bytes is longer than {most}")
             }
             CaptureError::TooMany { what, most } => write!(f, "there are more than {most} {what}"),
-            CaptureError::UnknownSource { source } => write!(f, "source {source} is not in the header"),
+            CaptureError::UnknownSource { source } => {
+                write!(f, "source {source} is not in the header")
+            }
             CaptureError::OutOfOrder { at_us, after_us } => {
-                write!(f, "an item at {at_us} us stands behind one at {after_us} us")
+                write!(
+                    f,
+                    "an item at {at_us} us stands behind one at {after_us} us"
+                )
             }
         }
     }
@@ -171,9 +186,9 @@
     /// To be called when there are no more bytes and all pieces were taken: tells whether the capture was whole.
     pub fn finish(self) -> Result<(), CaptureError> {
         match self.stage {
-            Stage::Ended if self.fed.len() > self.used => {
-                Err(CaptureError::Trailing { offset: self.offset + self.used as u64 })
-            }
+            Stage::Ended if self.fed.len() > self.used => Err(CaptureError::Trailing {
+                offset: self.offset + self.used as u64,
+            }),
             Stage::Ended => Ok(()),
             Stage::Failed(error) => Err(error),
             Stage::Magic if !MAGIC.starts_with(&self.fed) || self.fed.is_empty() => {
@@ -190,23 +205,32 @@
         let at = self.offset + self.used as u64;
         if matches!(self.stage, Stage::Ended) {
             let more = self.fed.len() > self.used;
-            return if more { Err(CaptureError::Trailing { offset: at }) } else { Ok(None) };
+            return if more {
+                Err(CaptureError::Trailing { offset: at })
+            } else {
+                Ok(None)
+            };
         }
-        let Some((kind, payload)) = self.block(at)? else { return Ok(None) };
+        let Some((kind, payload)) = self.block(at)? else {
+            return Ok(None);
+        };
         let length = payload.len();
         let unreadable = |_| CaptureError::Unreadable { offset: at };
         let piece = match (&self.stage, kind) {
             (Stage::Header, Kind::Header) => {
-                let (header, rest) = postcard::take_from_bytes::<Header>(payload).map_err(unreadable)?;
+                let (header, rest) =
+                    postcard::take_from_bytes::<Header>(payload).map_err(unreadable)?;
                 require(rest.is_empty(), at)?;
                 header.check()?;
                 self.stage = Stage::Items(header.clone());
                 Piece::Header(header)
             }
             (Stage::Items(header), Kind::Items) => {
-                let (mut rest, mut items, mut last_at_us) = (payload, VecDeque::new(), self.last_at_us);
+                let (mut rest, mut items, mut last_at_us) =
+                    (payload, VecDeque::new(), self.last_at_us);
                 while !rest.is_empty() {
-                    let (item, left) = postcard::take_from_bytes::<Item>(rest).map_err(unreadable)?;
+                    let (item, left) =
+                        postcard::take_from_bytes::<Item>(rest).map_err(unreadable)?;
                     item.check(header, last_at_us)?;
                     last_at_us = item.at_us;
                     items.push_back(item);
@@ -214,15 +238,22 @@
                 }
                 (self.items, self.last_at_us) = (items, last_at_us);
                 self.read += self.items.len() as u64;
-                let first = self.items.pop_front().ok_or(CaptureError::Unreadable { offset: at })?;
+                let first = self
+                    .items
+                    .pop_front()
+                    .ok_or(CaptureError::Unreadable { offset: at })?;
                 Piece::Item(first)
             }
             (Stage::Items(_), Kind::End) => {
-                let (summary, rest) = postcard::take_from_bytes::<Summary>(payload).map_err(unreadable)?;
+                let (summary, rest) =
+                    postcard::take_from_bytes::<Summary>(payload).map_err(unreadable)?;
                 require(rest.is_empty(), at)?;
                 summary.check()?;
                 if summary.items != self.read {
-                    return Err(CaptureError::Count { items: self.read, counted: summary.items });
+                    return Err(CaptureError::Count {
+                        items: self.read,
+                        counted: summary.items,
+                    });
                 }
                 self.stage = Stage::Ended;
                 Piece::End(summary)
@@ -245,9 +276,11 @@
                 (self.used, self.stage) = (MAGIC.len(), Stage::Header);
                 Ok(true)
             }
-            Some(end) => {
-                Err(CaptureError::Version(String::from_utf8_lossy(&line[..end]).escape_debug().to_string()))
-            }
+            Some(end) => Err(CaptureError::Version(
+                String::from_utf8_lossy(&line[..end])
+                    .escape_debug()
+                    .to_string(),
+            )),
             None if line.len() == MAGIC_LONGEST => Err(CaptureError::NotACapture),
             None => Ok(false),
         }
@@ -263,7 +296,9 @@
         if bytes as usize > BLOCK_LONGEST {
             return Err(CaptureError::BlockTooLong { offset: at, bytes });
         }
-        let Some(payload) = rest.get(..bytes as usize) else { return Ok(None) };
+        let Some(payload) = rest.get(..bytes as usize) else {
+            return Ok(None);
+        };
         if checksum(kind, payload) != u32::from_le_bytes(sum) {
             return Err(CaptureError::Checksum { offset: at });
         }
@@ -273,5 +308,9 @@
 }
 
 fn require(holds: bool, offset: u64) -> Result<(), CaptureError> {
-    if holds { Ok(()) } else { Err(CaptureError::Unreadable { offset }) }
+    if holds {
+        Ok(())
+    } else {
+        Err(CaptureError::Unreadable { offset })
+    }
 }
--- a/crates/asterport-load/src/writer.rs
+++ b/crates/asterport-load/src/writer.rs
@@ -22,14 +22,21 @@
         header.check()?;
         let mut out = MAGIC.to_vec();
         close_block(Kind::Header, &encode(&header), &mut out);
-        Ok(CaptureWriter { header, summary: Summary::default(), last_at_us: 0, block: Vec::new(), out })
+        Ok(CaptureWriter {
+            header,
+            summary: Summary::default(),
+            last_at_us: 0,
+            block: Vec::new(),
+            out,
+        })
     }
 
     /// Adds an item. One that is earlier than the last, names no source or has a text of over 1,024 bytes is an error
     /// and leaves the capture as it was.
     pub fn push(&mut self, item: &Item) -> Result<(), CaptureError> {
         item.check(&self.header, self.last_at_us)?;
-        self.block = postcard::to_extend(item, std::mem::take(&mut self.block)).expect(ALWAYS_A_FORM);
+        self.block =
+            postcard::to_extend(item, std::mem::take(&mut self.block)).expect(ALWAYS_A_FORM);
         self.summary.items += 1;
         self.last_at_us = item.at_us;
         if self.block.len() >= BLOCK_AIM {
--- a/crates/asterport-load/tests/capture.rs
+++ b/crates/asterport-load/tests/capture.rs
@@ -4,16 +4,26 @@
 use proptest::prelude::*;
 
 fn header() -> Header {
-    Header { begins_us: 1_750_000_000_000_000, sources: vec!["a.log".into(), "b.log.gz".into()] }
+    Header {
+        begins_us: 1_750_000_000_000_000,
+        sources: vec!["a.log".into(), "b.log.gz".into()],
+    }
 }
 
 fn item(at_us: u64) -> Item {
-    Item { at_us, class: "ambil-soal".into(), key: format!("{:x}", at_us * 31), ..Item::default() }
+    Item {
+        at_us,
+        class: "ambil-soal".into(),
+        key: format!("{:x}", at_us * 31),
+        ..Item::default()
+    }
 }
 
 fn capture(items: &[Item]) -> Vec<u8> {
     let mut writer = CaptureWriter::new(header()).expect("a header");
-    items.iter().for_each(|item| writer.push(item).expect("a usable item"));
+    items
+        .iter()
+        .for_each(|item| writer.push(item).expect("a usable item"));
     writer.count_malformed("no time");
     writer.finish()
 }
@@ -38,11 +48,22 @@
 }
 
 fn any_item() -> impl Strategy<Value = Item> {
-    let texts =
-        ("[a-z-]{0,20}", "\\PC{0,40}", any::<Option<bool>>(), any::<Option<u64>>(), any::<Option<u16>>());
-    let rest = (0..1_000_000u64, 0..2u16, any::<bool>(), any::<bool>(), any::<Option<u64>>());
-    (texts, rest).prop_map(|((class, key, tenant, size, status), (at_us, source, write, retry, took_us))| {
-        Item {
+    let texts = (
+        "[a-z-]{0,20}",
+        "\\PC{0,40}",
+        any::<Option<bool>>(),
+        any::<Option<u64>>(),
+        any::<Option<u16>>(),
+    );
+    let rest = (
+        0..1_000_000u64,
+        0..2u16,
+        any::<bool>(),
+        any::<bool>(),
+        any::<Option<u64>>(),
+    );
+    (texts, rest).prop_map(
+        |((class, key, tenant, size, status), (at_us, source, write, retry, took_us))| Item {
             at_us,
             source,
             write,
@@ -55,8 +76,8 @@
             took_us,
             class,
             key,
-        }
-    })
+        },
+    )
 }
 
 proptest! {
@@ -94,9 +115,17 @@
     let whole = capture(&items);
     for end in 0..whole.len() {
         let (read, result) = read(&whole[..end], 1_000);
-        assert!(read.len() == items.len() || read.is_empty(), "whole blocks only, at {end}");
-        let expected =
-            if end == 0 { CaptureError::NotACapture } else { CaptureError::Cut { items: read.len() as u64 } };
+        assert!(
+            read.len() == items.len() || read.is_empty(),
+            "whole blocks only, at {end}"
+        );
+        let expected = if end == 0 {
+            CaptureError::NotACapture
+        } else {
+            CaptureError::Cut {
+                items: read.len() as u64,
+            }
+        };
         assert_eq!(result, Err(expected), "cut at {end}");
     }
 }
@@ -109,7 +138,12 @@
     let (some, result) = read(&whole[..whole.len() * 2 / 3], 4_096);
     assert!(some.len() > 3_000 && some.len() < 7_000, "{}", some.len());
     assert_eq!(some, items[..some.len()]);
-    assert_eq!(result, Err(CaptureError::Cut { items: some.len() as u64 }));
+    assert_eq!(
+        result,
+        Err(CaptureError::Cut {
+            items: some.len() as u64
+        })
+    );
 }
 
 /// Guards against damage that goes unseen: one flipped bit anywhere is an error, and no item is read from its block.
@@ -128,9 +162,16 @@
 
 #[test]
 fn a_newer_form_is_refused_by_its_line() {
-    let error = read(b"asterport-capture 2\nwhat it holds", 7).1.expect_err("a newer form");
-    assert_eq!(error.to_string(), "'asterport-capture 2' is not a version that this program reads");
-    let error = read(b"asterport-capture 1, with\x1b[31m more\n", 7).1.expect_err("another line");
+    let error = read(b"asterport-capture 2\nwhat it holds", 7)
+        .1
+        .expect_err("a newer form");
+    assert_eq!(
+        error.to_string(),
+        "'asterport-capture 2' is not a version that this program reads"
+    );
+    let error = read(b"asterport-capture 1, with\x1b[31m more\n", 7)
+        .1
+        .expect_err("another line");
     assert!(!error.to_string().contains('\x1b'), "{error}");
 }
 
@@ -140,7 +181,13 @@
     let mut bytes = b"asterport-capture 1\n".to_vec();
     bytes.extend(u32::MAX.to_le_bytes());
     bytes.extend([0; 5]);
-    assert_eq!(read(&bytes, 1_000).1, Err(CaptureError::BlockTooLong { offset: 20, bytes: u32::MAX }));
+    assert_eq!(
+        read(&bytes, 1_000).1,
+        Err(CaptureError::BlockTooLong {
+            offset: 20,
+            bytes: u32::MAX
+        })
+    );
 }
 
 #[test]
@@ -149,7 +196,10 @@
     let offset = bytes.len() as u64;
     bytes.push(b'x');
     let (items, result) = read(&bytes, 1_000);
-    assert_eq!((items.len(), result), (1, Err(CaptureError::Trailing { offset })));
+    assert_eq!(
+        (items.len(), result),
+        (1, Err(CaptureError::Trailing { offset }))
+    );
 }
 
 #[test]
@@ -169,12 +219,36 @@
 fn an_item_that_cannot_be_kept_is_refused_and_leaves_the_capture_whole() {
     let mut writer = CaptureWriter::new(header()).expect("a header");
     writer.push(&item(10)).expect("a usable item");
-    let long = Item { key: "k".repeat(1_025), ..item(11) };
-    assert_eq!(writer.push(&long), Err(CaptureError::TooLong { what: "key", bytes: 1_025, most: 1_024 }));
-    assert_eq!(writer.push(&item(9)), Err(CaptureError::OutOfOrder { at_us: 9, after_us: 10 }));
-    let strange = Item { source: 2, ..item(12) };
-    assert_eq!(writer.push(&strange), Err(CaptureError::UnknownSource { source: 2 }));
-    writer.push(&item(10)).expect("an equal time is no step back");
+    let long = Item {
+        key: "k".repeat(1_025),
+        ..item(11)
+    };
+    assert_eq!(
+        writer.push(&long),
+        Err(CaptureError::TooLong {
+            what: "key",
+            bytes: 1_025,
+            most: 1_024
+        })
+    );
+    assert_eq!(
+        writer.push(&item(9)),
+        Err(CaptureError::OutOfOrder {
+            at_us: 9,
+            after_us: 10
+        })
+    );
+    let strange = Item {
+        source: 2,
+        ..item(12)
+    };
+    assert_eq!(
+        writer.push(&strange),
+        Err(CaptureError::UnknownSource { source: 2 })
+    );
+    writer
+        .push(&item(10))
+        .expect("an equal time is no step back");
     let (items, end) = read(&writer.finish(), 1_000);
     assert_eq!(items, [item(10), item(10)]);
     assert_eq!(end.expect("a whole capture").expect("an end").items, 2);
--- a/crates/asterport-load/tests/log_format.rs
+++ b/crates/asterport-load/tests/log_format.rs
@@ -14,11 +14,20 @@
     let format = LogFormat::combined();
     let fields = format.cut(COMBINED).expect("a combined line");
     assert_eq!(text(&fields, FieldName::Client), "192.0.2.7");
-    assert_eq!(text(&fields, FieldName::TimeLocal), "10/Oct/2025:13:55:36 +0700");
-    assert_eq!(text(&fields, FieldName::Request), "GET /soal/7f3a?r=2 HTTP/1.1");
+    assert_eq!(
+        text(&fields, FieldName::TimeLocal),
+        "10/Oct/2025:13:55:36 +0700"
+    );
+    assert_eq!(
+        text(&fields, FieldName::Request),
+        "GET /soal/7f3a?r=2 HTTP/1.1"
+    );
     assert_eq!(text(&fields, FieldName::Status), "200");
     assert_eq!(text(&fields, FieldName::Bytes), "2326");
-    assert_eq!(text(&fields, FieldName::Header("user-agent")), r#"Mozilla/5.0 (\"tablet\")"#);
+    assert_eq!(
+        text(&fields, FieldName::Header("user-agent")),
+        r#"Mozilla/5.0 (\"tablet\")"#
+    );
     assert_eq!(fields.get(FieldName::TookMicros), None);
 }
 
@@ -30,17 +39,23 @@
     .expect("nginx's combined");
     let (ours, theirs) = (nginx.cut(COMBINED).expect("cut"), LogFormat::combined());
     let theirs = theirs.cut(COMBINED).expect("cut");
-    for name in [FieldName::Client, FieldName::TimeLocal, FieldName::Request, FieldName::Header("user-agent")]
-    {
+    for name in [
+        FieldName::Client,
+        FieldName::TimeLocal,
+        FieldName::Request,
+        FieldName::Header("user-agent"),
+    ] {
         assert_eq!(text(&ours, name), text(&theirs, name));
     }
 }
 
 #[test]
 fn durations_and_times_say_their_units() {
-    let format =
-        LogFormat::apache(r#"%{usec}t %{ms}T %D %T %m %U%% "%{X-Tenant}i" %{cookie}C"#).expect("a format");
-    let fields = format.cut(br#"1760079336000000 12 12345 0 GET /soal% "smp-3" c"#).expect("cut");
+    let format = LogFormat::apache(r#"%{usec}t %{ms}T %D %T %m %U%% "%{X-Tenant}i" %{cookie}C"#)
+        .expect("a format");
+    let fields = format
+        .cut(br#"1760079336000000 12 12345 0 GET /soal% "smp-3" c"#)
+        .expect("cut");
     assert_eq!(text(&fields, FieldName::TimeMicros), "1760079336000000");
     assert_eq!(text(&fields, FieldName::TookMillis), "12");
     assert_eq!(text(&fields, FieldName::TookMicros), "12345");
@@ -53,20 +68,36 @@
 /// Guards against a file's own escapes: a configuration's `\"` is a quote of the line.
 #[test]
 fn an_apache_format_may_keep_the_files_escapes() {
-    assert_eq!(LogFormat::apache(r#"%h \"%r\" %>s"#), LogFormat::apache(r#"%h "%r" %>s"#));
+    assert_eq!(
+        LogFormat::apache(r#"%h \"%r\" %>s"#),
+        LogFormat::apache(r#"%h "%r" %>s"#)
+    );
 }
 
 #[test]
 fn a_line_that_departs_from_the_format_says_where() {
     let format = LogFormat::common();
-    let error = |line: &[u8]| format.cut(line).map(|_| ()).expect_err("not of this form").to_string();
+    let error = |line: &[u8]| {
+        format
+            .cut(line)
+            .map(|_| ())
+            .expect_err("not of this form")
+            .to_string()
+    };
     assert_eq!(error(b""), "column 1: ' ' is missing");
     assert_eq!(error(b"192.0.2.7 - - 10/Oct"), "column 21: ' ' is missing");
     let line = br#"h - - [10/Oct/2025:13:55:36 +0700] "GET / HTTP/1.1 200 7"#;
-    assert_eq!(error(line), format!("column {}: '\"' is missing", line.len() + 1));
+    assert_eq!(
+        error(line),
+        format!("column {}: '\"' is missing", line.len() + 1)
+    );
     let format = LogFormat::nginx("$status|").expect("a format");
     assert_eq!(
-        format.cut(b"200|x").map(|_| ()).expect_err("too long").to_string(),
+        format
+            .cut(b"200|x")
+            .map(|_| ())
+            .expect_err("too long")
+            .to_string(),
         "column 5: the line goes on where it should end"
     );
 }
@@ -75,18 +106,37 @@
 fn a_format_that_cannot_be_used_names_column_and_reason() {
     let rows = [
         ("nginx", "plain text", "column 11: no field"),
-        ("nginx", "$status$request", "column 8: two fields with nothing between them"),
+        (
+            "nginx",
+            "$status$request",
+            "column 8: two fields with nothing between them",
+        ),
         ("nginx", "a ${status", "column 3: '${' is never closed"),
         ("nginx", "$ x", "column 1: a '$' that no name follows"),
         ("apache", "%h %", "column 4: a '%' that nothing follows"),
         ("apache", "%{X-A", "column 1: '%{' is never closed"),
-        ("apache", "%h %{%Y}t", "column 4: the directive that ends with 't' is not known"),
-        ("apache", "%h %i", "column 4: the directive that ends with 'i' is not known"),
+        (
+            "apache",
+            "%h %{%Y}t",
+            "column 4: the directive that ends with 't' is not known",
+        ),
+        (
+            "apache",
+            "%h %i",
+            "column 4: the directive that ends with 'i' is not known",
+        ),
     ];
     for (server, format, expected) in rows {
-        let compiled = if server == "nginx" { LogFormat::nginx(format) } else { LogFormat::apache(format) };
+        let compiled = if server == "nginx" {
+            LogFormat::nginx(format)
+        } else {
+            LogFormat::apache(format)
+        };
         let error = compiled.expect_err(format).to_string();
-        assert!(error.starts_with(&format!("log format, {expected}")), "{format}: {error}");
+        assert!(
+            error.starts_with(&format!("log format, {expected}")),
+            "{format}: {error}"
+        );
     }
 }
 
--- a/crates/asterport-sim/src/clients.rs
+++ b/crates/asterport-sim/src/clients.rs
@@ -50,8 +50,21 @@
 
 impl Clients {
     /// On this machine, for the router at this address.
-    pub fn new(exec: Exec, net: Net, node: Node, router: SocketAddr, plan: Rc<Plan>) -> Rc<Clients> {
-        Rc::new(Clients { exec, net, node, router, plan, idle: RefCell::default() })
+    pub fn new(
+        exec: Exec,
+        net: Net,
+        node: Node,
+        router: SocketAddr,
+        plan: Rc<Plan>,
+    ) -> Rc<Clients> {
+        Rc::new(Clients {
+            exec,
+            net,
+            node,
+            router,
+            plan,
+            idle: RefCell::default(),
+        })
     }
 
     /// Asks all of these at once, on one connection, and tries again what may be tried again.
@@ -61,7 +74,10 @@
             let came = clients.try_all(&asks, 0, manner).await;
             for (ask, came) in asks.into_iter().zip(came) {
                 let again = clients.clone();
-                clients.exec.spawn(clients.node, async move { again.try_again(ask, came).await });
+                clients.exec.spawn(
+                    clients.node,
+                    async move { again.try_again(ask, came).await },
+                );
             }
         });
     }
@@ -107,7 +123,9 @@
                 Came::Unreachable => BACK_OFF,
                 Came::Failed if ask.class == 0 => BACK_OFF,
                 // Within the time for which its key is remembered, and a margin for the way.
-                Came::Failed if ask.class == 1 && self.exec.now() + ask.wait < ask.at + self.plan.memory => {
+                Came::Failed
+                    if ask.class == 1 && self.exec.now() + ask.wait < ask.at + self.plan.memory =>
+                {
                     BACK_OFF
                 }
                 Came::Failed => return,
@@ -117,7 +135,10 @@
             if left < 50 * MILLI {
                 return;
             }
-            let try_again = Ask { wait: ask.wait.min(left), ..ask.clone() };
+            let try_again = Ask {
+                wait: ask.wait.min(left),
+                ..ask.clone()
+            };
             let tried = self.try_all(&[try_again], number, Manner::default()).await;
             came = tried.first().copied().unwrap_or(Came::Failed);
         }
@@ -202,12 +223,28 @@
     let key = format!("{:016x}", ask.key);
     let hint = ask.work as u64;
     let again = if number > 0 { ",r=1" } else { "" };
-    let fields =
-        format!("c={},t=t{},d={},h={hint}{again}", CLASSES[ask.class], ask.number % 2, ask.wait / MILLI);
+    let fields = format!(
+        "c={},t=t{},d={},h={hint}{again}",
+        CLASSES[ask.class],
+        ask.number % 2,
+        ask.wait / MILLI
+    );
     let keyed = format!("{fields},k={:016x}", ask.number);
     match ask.class {
         0 => command(&[b"C.GET", key.as_bytes(), id.as_bytes(), fields.as_bytes()]),
-        3 => command(&[b"C.SET", key.as_bytes(), id.as_bytes(), fields.as_bytes(), b"sheet"]),
-        _ => command(&[b"C.SET", key.as_bytes(), id.as_bytes(), keyed.as_bytes(), b"sheet"]),
+        3 => command(&[
+            b"C.SET",
+            key.as_bytes(),
+            id.as_bytes(),
+            fields.as_bytes(),
+            b"sheet",
+        ]),
+        _ => command(&[
+            b"C.SET",
+            key.as_bytes(),
+            id.as_bytes(),
+            keyed.as_bytes(),
+            b"sheet",
+        ]),
     }
 }
--- a/crates/asterport-sim/src/dice.rs
+++ b/crates/asterport-sim/src/dice.rs
@@ -10,7 +10,10 @@
 impl Dice {
     /// The stream of this number under a seed.
     pub fn new(seed: u64, stream: u64) -> Dice {
-        Dice(Pcg64Mcg::seed_from_u64(seed.wrapping_mul(0x9E37_79B9_7F4A_7C15).wrapping_add(stream)))
+        Dice(Pcg64Mcg::seed_from_u64(
+            seed.wrapping_mul(0x9E37_79B9_7F4A_7C15)
+                .wrapping_add(stream),
+        ))
     }
 
     /// Any number.
@@ -25,7 +28,11 @@
 
     /// A whole number in [low, high]; `low` where the range is empty.
     pub fn range(&mut self, low: u64, high: u64) -> u64 {
-        if high <= low { low } else { low + self.0.next_u64() % (high - low + 1) }
+        if high <= low {
+            low
+        } else {
+            low + self.0.next_u64() % (high - low + 1)
+        }
     }
 
     /// A number in [low, high).
--- a/crates/asterport-sim/src/discovery.rs
+++ b/crates/asterport-sim/src/discovery.rs
@@ -52,7 +52,13 @@
 }
 
 /// One server as the list has it.
-pub(crate) fn entry(name: &str, addr: SocketAddr, zone: usize, health: &str, born_ms: u64) -> String {
+pub(crate) fn entry(
+    name: &str,
+    addr: SocketAddr,
+    zone: usize,
+    health: &str,
+    born_ms: u64,
+) -> String {
     format!(
         r#"{{"host":"{name}","dial":"{addr}","site":"z{zone}","class":"m","block":1,"health":"{health}","share":1.0,"born_ms":{born_ms}}}"#
     )
@@ -60,7 +66,10 @@
 
 /// A list, or the changes to one, without its line's end.
 pub(crate) fn list(seq: u64, whole: bool, entries: &[String]) -> String {
-    format!(r#"{{"seq":{seq},"whole":{whole},"hosts":[{}]}}"#, entries.join(","))
+    format!(
+        r#"{{"seq":{seq},"whole":{whole},"hosts":[{}]}}"#,
+        entries.join(",")
+    )
 }
 
 /// While nothing changes, an empty line comes as often.
@@ -79,7 +88,14 @@
         servers: &[Rc<Server>],
         zones: Vec<usize>,
     ) -> Rc<Discovery> {
-        let entries = servers.iter().map(|_| Entry { health: Health::Up, born_ms: 0, changed: 1 }).collect();
+        let entries = servers
+            .iter()
+            .map(|_| Entry {
+                health: Health::Up,
+                born_ms: 0,
+                changed: 1,
+            })
+            .collect();
         let discovery = Rc::new(Discovery {
             exec,
             net,
@@ -115,10 +131,16 @@
         if (entry.health, entry.born_ms) == (health, born_ms) {
             return;
         }
-        *entry = Entry { health, born_ms, changed: seq };
+        *entry = Entry {
+            health,
+            born_ms,
+            changed: seq,
+        };
         self.seq.set(seq);
         drop(entries);
-        self.judge.borrow_mut().listed(self.exec.now(), server, health == Health::Up, born_ms);
+        self.judge
+            .borrow_mut()
+            .listed(self.exec.now(), server, health == Health::Up, born_ms);
         self.changed.notify_waiters();
     }
 
@@ -134,7 +156,11 @@
 
     /// The list as a router's machine last had it, else as it is now.
     pub fn known_to(&self, router: Node) -> String {
-        self.last.borrow().get(&router).cloned().unwrap_or_else(|| self.line(0))
+        self.last
+            .borrow()
+            .get(&router)
+            .cloned()
+            .unwrap_or_else(|| self.line(0))
     }
 
     /// What changed after a version, or the whole list for version 0.
@@ -145,11 +171,13 @@
             .iter()
             .zip(&self.servers)
             .zip(&self.zones)
-            .filter(
-                |((entry, _), _)| {
-                    if after == 0 { entry.health != Health::Removed } else { entry.changed > after }
-                },
-            )
+            .filter(|((entry, _), _)| {
+                if after == 0 {
+                    entry.health != Health::Removed
+                } else {
+                    entry.changed > after
+                }
+            })
             .map(|((entry_of, server), zone)| {
                 let health = match entry_of.health {
                     Health::Up => "up",
@@ -177,8 +205,10 @@
             return;
         }
         let text = String::from_utf8_lossy(&head).into_owned();
-        let after =
-            text.split("after=").nth(1).map_or("", |rest| rest.split([' ', '&']).next().unwrap_or(""));
+        let after = text
+            .split("after=")
+            .nth(1)
+            .map_or("", |rest| rest.split([' ', '&']).next().unwrap_or(""));
         let after: u64 = after.parse().unwrap_or(0);
         let after = if after > self.seq.get() { 0 } else { after };
         let router = stream.peer();
--- a/crates/asterport-sim/src/exec.rs
+++ b/crates/asterport-sim/src/exec.rs
@@ -151,9 +151,18 @@
             tasks.len() - 1
         });
         let ready = self.0.ready.clone();
-        let alarm = Arc::new(Alarm { slot, generation, is_set: AtomicBool::new(false), ready });
+        let alarm = Arc::new(Alarm {
+            slot,
+            generation,
+            is_set: AtomicBool::new(false),
+            ready,
+        });
         alarm.wake_by_ref();
-        tasks[slot] = Some(Task { node, work: Some(Box::pin(work)), alarm });
+        tasks[slot] = Some(Task {
+            node,
+            work: Some(Box::pin(work)),
+            alarm,
+        });
     }
 
     /// Ends all tasks of a process, wherever they are. Not to be called from one of them.
@@ -191,12 +200,20 @@
         }
         let number = self.0.numbers.get() + 1;
         self.0.numbers.set(number);
-        self.0.timers.borrow_mut().push(Reverse(Timer { at: at.max(self.now()), number, due }));
+        self.0.timers.borrow_mut().push(Reverse(Timer {
+            at: at.max(self.now()),
+            number,
+            due,
+        }));
     }
 
     /// Returns at this time.
     pub fn sleep_until(&self, at: Time) -> Sleep {
-        Sleep { exec: self.clone(), at, sleeper: None }
+        Sleep {
+            exec: self.clone(),
+            at,
+            sleeper: None,
+        }
     }
 
     /// Returns after so long.
@@ -214,7 +231,13 @@
                     return false;
                 }
             }
-            let next = self.0.timers.borrow().peek().map(|timer| timer.0.at).filter(|&at| at <= end);
+            let next = self
+                .0
+                .timers
+                .borrow()
+                .peek()
+                .map(|timer| timer.0.at)
+                .filter(|&at| at <= end);
             let Some(at) = next else {
                 self.0.now.set(end.max(self.now()));
                 return true;
@@ -259,7 +282,9 @@
     fn poll(&self, slot: usize, generation: u64) {
         let (mut work, alarm) = {
             let mut tasks = self.0.tasks.borrow_mut();
-            let Some(Some(task)) = tasks.get_mut(slot) else { return };
+            let Some(Some(task)) = tasks.get_mut(slot) else {
+                return;
+            };
             if task.alarm.generation != generation {
                 return;
             }
@@ -269,11 +294,16 @@
         alarm.is_set.store(false, Ordering::Relaxed);
         self.0.polls.set(self.0.polls.get() + 1);
         let waker = Waker::from(alarm);
-        let done = work.as_mut().poll(&mut Context::from_waker(&waker)).is_ready();
+        let done = work
+            .as_mut()
+            .poll(&mut Context::from_waker(&waker))
+            .is_ready();
         let mut tasks = self.0.tasks.borrow_mut();
         let place = tasks.get_mut(slot);
         let same = |place: &&mut Option<Task>| {
-            place.as_ref().is_some_and(|task| task.alarm.generation == generation)
+            place
+                .as_ref()
+                .is_some_and(|task| task.alarm.generation == generation)
         };
         match place.filter(same) {
             Some(place) if done => {
@@ -311,7 +341,9 @@
             self.exec.timer(self.at, Due::Wake(sleeper.clone()));
             self.sleeper = Some(sleeper);
         }
-        let Some(sleeper) = &self.sleeper else { return Poll::Ready(()) };
+        let Some(sleeper) = &self.sleeper else {
+            return Poll::Ready(());
+        };
         if sleeper.is_due.get() {
             return Poll::Ready(());
         }
--- a/crates/asterport-sim/src/fleet.rs
+++ b/crates/asterport-sim/src/fleet.rs
@@ -78,9 +78,16 @@
 impl Shared {
     /// For the servers of a plan.
     pub fn new(exec: Exec, net: Net, judge: Rc<RefCell<Judge>>, plan: Rc<Plan>) -> Rc<Shared> {
-        let crowds = plan.bursts.iter().flat_map(|burst| burst.asks.iter().chain(&burst.writes));
-        let works =
-            plan.asks.iter().chain(crowds).map(|ask| (u64::from(ask.number), (ask.work, ask.size))).collect();
+        let crowds = plan
+            .bursts
+            .iter()
+            .flat_map(|burst| burst.asks.iter().chain(&burst.writes));
+        let works = plan
+            .asks
+            .iter()
+            .chain(crowds)
+            .map(|ask| (u64::from(ask.number), (ask.work, ask.size)))
+            .collect();
         Rc::new(Shared {
             exec,
             net,
@@ -104,7 +111,11 @@
     /// From now on the origin takes so many times as long as usual, less one; also for what it has taken already.
     pub fn slow_origin(&self, slow: f64) {
         let now = self.exec.now();
-        self.origin_pace.set(Pace { since: now, shown: self.origin_pace.get().shows(now), slow });
+        self.origin_pace.set(Pace {
+            since: now,
+            shown: self.origin_pace.get().shows(now),
+            slow,
+        });
         self.origin_turns.notify_waiters();
     }
 
@@ -221,12 +232,21 @@
 
     /// Resets the connections that carry nothing now.
     pub fn reset_idle(&self) {
-        self.idle.borrow_mut().drain(..).for_each(|(_, reset)| reset.notify_one());
+        self.idle
+            .borrow_mut()
+            .drain(..)
+            .for_each(|(_, reset)| reset.notify_one());
     }
 
     async fn serve(self: Rc<Self>, mut stream: SimStream) {
         let (exec, plan) = (&self.fleet.exec, &self.fleet.plan);
-        let router = self.fleet.routers.borrow().get(&stream.peer()).copied().unwrap_or(0);
+        let router = self
+            .fleet
+            .routers
+            .borrow()
+            .get(&stream.peer())
+            .copied()
+            .unwrap_or(0);
         let (mut frames, mut buffer, mut is_new) = (Frames::default(), vec![0; 4096], true);
         loop {
             let reset = Rc::new(tokio::sync::Notify::new());
@@ -278,7 +298,11 @@
     fn answer(&self, call: &Call, done: &Done) -> Vec<u8> {
         match done {
             Done::Served { miss } => {
-                let size = self.fleet.works.get(&number_of(call.id)).map_or(0, |ask| ask.1);
+                let size = self
+                    .fleet
+                    .works
+                    .get(&number_of(call.id))
+                    .map_or(0, |ask| ask.1);
                 let value = value_for(call.id, &self.name, size);
                 let mut out = format!("*3\r\n${}\r\n", value.len()).into_bytes();
                 out.extend_from_slice(&value);
@@ -312,8 +336,16 @@
         let (fleet, trouble) = (&self.fleet, self.trouble.get());
         let (exec, now) = (&fleet.exec, fleet.exec.now());
         let mean = fleet.plan.mean_work;
-        let (work, _) = fleet.works.get(&number_of(call.id)).copied().unwrap_or((mean, 0));
-        if fleet.judge.borrow_mut().work_arrived(now, self.index, router, work / self.plan.speed) {
+        let (work, _) = fleet
+            .works
+            .get(&number_of(call.id))
+            .copied()
+            .unwrap_or((mean, 0));
+        if fleet
+            .judge
+            .borrow_mut()
+            .work_arrived(now, self.index, router, work / self.plan.speed)
+        {
             let (net, node) = (fleet.net.clone(), self.node);
             // A process does not end within itself.
             exec.call_at(now, move || net.kill(node, false));
@@ -331,7 +363,11 @@
             return Done::Failed;
         }
         if let Some(once) = &call.once {
-            let scope = if call.class == "zona" { self.plan.zone } else { usize::MAX };
+            let scope = if call.class == "zona" {
+                self.plan.zone
+            } else {
+                usize::MAX
+            };
             let name = format!("{scope}/{once}");
             let ran = fleet.ran.borrow().get(&name).copied();
             if ran.is_some_and(|at| at + fleet.plan.memory > now) {
@@ -340,7 +376,12 @@
             }
             fleet.ran.borrow_mut().insert(name, now);
         }
-        let miss = call.write || self.kept.borrow().get(&call.key).is_none_or(|&until| until < now);
+        let miss = call.write
+            || self
+                .kept
+                .borrow()
+                .get(&call.key)
+                .is_none_or(|&until| until < now);
         if miss {
             let Some(there) = fleet.fetch() else {
                 exec.sleep(MILLI).await;
@@ -354,7 +395,9 @@
                 self.kept.borrow_mut().insert(call.key.clone(), until);
             }
         }
-        let Some(end) = self.slot(work, trouble.slow) else { return Done::Busy };
+        let Some(end) = self.slot(work, trouble.slow) else {
+            return Done::Busy;
+        };
         self.waiting.set(self.waiting.get() + 1);
         exec.sleep_until(end).await;
         self.waiting.set(self.waiting.get().saturating_sub(1));
@@ -373,7 +416,11 @@
         let slot = slots.iter_mut().min()?;
         let start = (*slot).max(now);
         let age = start - self.started.get();
-        let part = if self.born_ms.get() == 0 { 1.0 } else { capacity(plan.cold_from, plan.cold_time, age) };
+        let part = if self.born_ms.get() == 0 {
+            1.0
+        } else {
+            capacity(plan.cold_from, plan.cold_time, age)
+        };
         *slot = start + (work * count / (self.plan.speed * part) * (1.0 + slow)) as Time;
         Some(*slot)
     }
