--- a/crates/asterport-sim/src/judge.rs
+++ b/crates/asterport-sim/src/judge.rs
@@ -273,13 +273,21 @@
 impl Process {
     /// The part of its capacity that it has at this time.
     fn capacity(&self, at: Time) -> f64 {
-        capacity(self.cold_from, self.cold_time, at.saturating_sub(self.started))
+        capacity(
+            self.cold_from,
+            self.cold_time,
+            at.saturating_sub(self.started),
+        )
     }
 }
 
 /// The part of its capacity that a server has so long after its start: it rises evenly.
 pub fn capacity(cold_from: f64, cold_time: Time, age: Time) -> f64 {
-    if age >= cold_time { 1.0 } else { cold_from + (1.0 - cold_from) * age as f64 / cold_time as f64 }
+    if age >= cold_time {
+        1.0
+    } else {
+        cold_from + (1.0 - cold_from) * age as f64 / cold_time as f64
+    }
 }
 
 struct Step {
@@ -352,7 +360,11 @@
         Judge {
             figures,
             roles: Vec::new(),
-            server_names: servers.iter().enumerate().map(|(i, server)| (server.0.clone(), i)).collect(),
+            server_names: servers
+                .iter()
+                .enumerate()
+                .map(|(i, server)| (server.0.clone(), i))
+                .collect(),
             server_zones: servers.iter().map(|server| server.1).collect(),
             lines: BTreeMap::new(),
             requests: HashMap::new(),
@@ -391,7 +403,10 @@
 
     /// The whole trace, if it was kept.
     pub fn trace(&self) -> impl Iterator<Item = String> + '_ {
-        self.trace.iter().enumerate().map(|(step, seen)| shown(step as u64 + 1, seen))
+        self.trace
+            .iter()
+            .enumerate()
+            .map(|(step, seen)| shown(step as u64 + 1, seen))
     }
 
     fn take_step(&mut self, time: Time, conn: u32, kind: u8, bytes: &[u8]) {
@@ -404,7 +419,12 @@
 
     fn note(&mut self, time: Time, conn: u32, request: Option<u64>, text: impl FnOnce() -> String) {
         if self.keeps_trace {
-            self.trace.push(Step { time, conn, request, text: text() });
+            self.trace.push(Step {
+                time,
+                conn,
+                request,
+                text: text(),
+            });
         }
     }
 
@@ -414,7 +434,12 @@
             return;
         }
         let conns: BTreeSet<u32> = match request.and_then(|id| self.requests.get(&id)) {
-            Some(asked) => asked.attempts.iter().map(|attempt| attempt.conn).chain([asked.conn]).collect(),
+            Some(asked) => asked
+                .attempts
+                .iter()
+                .map(|attempt| attempt.conn)
+                .chain([asked.conn])
+                .collect(),
             None => BTreeSet::new(),
         };
         let touched = |step: &&(usize, &Step)| {
@@ -431,7 +456,14 @@
             .map(|(i, seen)| shown(*i as u64 + 1, seen))
             .collect();
         steps.reverse();
-        self.breaches.push(Breach { rule, time, step: self.step, request, text, steps });
+        self.breaches.push(Breach {
+            rule,
+            time,
+            step: self.step,
+            request,
+            text,
+            steps,
+        });
     }
 
     /// Operators call a server out at a router, or back.
@@ -473,24 +505,47 @@
     }
 
     /// A cache server's process starts, with this part of its capacity, and is warm after so long.
-    pub fn server_started(&mut self, now: Time, server: usize, born: u64, cold_from: f64, cold_time: Time) {
+    pub fn server_started(
+        &mut self,
+        now: Time,
+        server: usize,
+        born: u64,
+        cold_from: f64,
+        cold_time: Time,
+    ) {
         let (arrived, has_fallen) = (VecDeque::new(), false);
-        self.processes[server] = Process { born, started: now, cold_from, cold_time, arrived, has_fallen };
+        self.processes[server] = Process {
+            born,
+            started: now,
+            cold_from,
+            cold_time,
+            arrived,
+            has_fallen,
+        };
         self.take_step(now, 0, 3, &[server as u8]);
         self.note(now, 0, None, || format!("server {server} starts"));
     }
 
     /// Work arrived at a cache server, in microseconds of a warm server's whole capacity; whether that pushes it over.
     pub fn work_arrived(&mut self, now: Time, server: usize, router: usize, work: f64) -> bool {
-        let (fall_time, multiple, slack) =
-            (self.figures.fall_time, self.figures.fall_multiple, self.figures.fall_slack);
+        let (fall_time, multiple, slack) = (
+            self.figures.fall_time,
+            self.figures.fall_multiple,
+            self.figures.fall_slack,
+        );
         let process = &mut self.processes[server];
-        if process.has_fallen || process.born == 0 || now.saturating_sub(process.started) >= process.cold_time
+        if process.has_fallen
+            || process.born == 0
+            || now.saturating_sub(process.started) >= process.cold_time
         {
             return false;
         }
         process.arrived.push_back((now, work, router));
-        while process.arrived.front().is_some_and(|&(at, ..)| at + fall_time < now) {
+        while process
+            .arrived
+            .front()
+            .is_some_and(|&(at, ..)| at + fall_time < now)
+        {
             process.arrived.pop_front();
         }
         let since = process.started.max(now.saturating_sub(fall_time));
@@ -503,8 +558,16 @@
         process.has_fallen = true;
         let born = process.born;
         let arrived = std::mem::take(&mut process.arrived);
-        let knew = |router: usize| self.told.get(&(router, server)).is_some_and(|told| told.born == born);
-        let known: f64 = arrived.iter().filter(|arrived| knew(arrived.2)).map(|arrived| arrived.1).sum();
+        let knew = |router: usize| {
+            self.told
+                .get(&(router, server))
+                .is_some_and(|told| told.born == born)
+        };
+        let known: f64 = arrived
+            .iter()
+            .filter(|arrived| knew(arrived.2))
+            .map(|arrived| arrived.1)
+            .sum();
         if known >= sum * 2.0 / 3.0 {
             let text = format!(
                 "server {server}, {} ms after its start: {:.0} ms of work within {} ms where {:.0} ms push it over, {:.0} ms of it from routers that knew",
@@ -528,11 +591,16 @@
 
     /// What counts as told by now, whether or not it arrived.
     fn deem_told(&mut self, now: Time) {
-        while let Some(&(at, server, up, born)) = self.listed.front().filter(|listed| listed.0 <= now) {
+        while let Some(&(at, server, up, born)) =
+            self.listed.front().filter(|listed| listed.0 <= now)
+        {
             self.listed.pop_front();
             let routers: BTreeSet<usize> = self.told.keys().map(|told| told.0).collect();
             for router in routers {
-                let told = self.told.entry((router, server)).or_insert(Told { out_since: None, born });
+                let told = self.told.entry((router, server)).or_insert(Told {
+                    out_since: None,
+                    born,
+                });
                 // News from a later list stands.
                 if told.born <= born && !up && self.latest.get(&server) == Some(&(up, born)) {
                     told.out_since = told.out_since.or(Some(at));
@@ -546,7 +614,8 @@
     fn over(&mut self, id: u64) {
         if let Some(asked) = self.requests.get_mut(&id) {
             asked.is_over = true;
-            self.due.remove(&(asked.deadline + self.figures.answer_grace, id));
+            self.due
+                .remove(&(asked.deadline + self.figures.answer_grace, id));
         }
     }
 
@@ -554,7 +623,9 @@
     fn overdue(&mut self, now: Time) {
         while let Some(&(due, id)) = self.due.first().filter(|&&(due, _)| due < now) {
             self.due.remove(&(due, id));
-            let Some(asked) = self.requests.get(&id) else { continue };
+            let Some(asked) = self.requests.get(&id) else {
+                continue;
+            };
             if asked.answered.is_some() || asked.is_over {
                 continue;
             }
@@ -564,13 +635,21 @@
                     // One that has begun and cannot go on, since its client reads slowly, is not the router's fault.
                     line.answers.rest() > 0
                         || line.untaken >= self.figures.window / 2
-                        || line.owed.front().is_some_and(|&first| first != Owed::Request(id))
+                        || line
+                            .owed
+                            .front()
+                            .is_some_and(|&first| first != Owed::Request(id))
                 }
                 _ => false,
             };
             if !waits {
                 self.over(id);
-                self.breach(Rule::Answered, now, Some(id), "no answer when its time was up".into());
+                self.breach(
+                    Rule::Answered,
+                    now,
+                    Some(id),
+                    "no answer when its time was up".into(),
+                );
             }
         }
     }
@@ -603,7 +682,11 @@
         };
         if self.figures.joining.is_some() {
             let of_key = self.of_keys.entry((router, call.key.clone())).or_default();
-            if call.write { of_key.writes.push(call.id) } else { of_key.reads.push(call.id) }
+            if call.write {
+                of_key.writes.push(call.id)
+            } else {
+                of_key.reads.push(call.id)
+            }
         }
         self.requests.insert(call.id, asked);
         Some(call.id)
@@ -632,11 +715,16 @@
             Some(Owed::Request(id)) => id,
         };
         let grace = self.figures.answer_grace;
-        let Some(asked) = self.requests.get_mut(&id) else { return };
+        let Some(asked) = self.requests.get_mut(&id) else {
+            return;
+        };
         asked.answered = Some(now);
         self.due.remove(&(asked.deadline + grace, id));
         let late = begun.saturating_sub(asked.deadline.max(free_at));
-        let may_have_run = asked.attempts.iter().any(|attempt| attempt.fate != Fate::NeverRan);
+        let may_have_run = asked
+            .attempts
+            .iter()
+            .any(|attempt| attempt.fate != Fate::NeverRan);
         let (effect, came) = (asked.effect, asked.deadline);
         if let Some((since, taken, served)) = &mut self.calm
             && came >= *since
@@ -646,7 +734,12 @@
             *served += u64::from(matches!(answer, Answer::Served(_)));
         }
         if late > grace {
-            self.breach(Rule::Answered, now, Some(id), format!("answered {late} us after its time was up"));
+            self.breach(
+                Rule::Answered,
+                now,
+                Some(id),
+                format!("answered {late} us after its time was up"),
+            );
         }
         match answer {
             Answer::Served(value) => {
@@ -681,7 +774,8 @@
     /// A request was served with the value that a server made for another.
     fn shared(&mut self, now: Time, id: u64, other: u64) {
         self.counts.joined += 1;
-        let (Some(reader), Some(first)) = (self.requests.get(&id), self.requests.get(&other)) else {
+        let (Some(reader), Some(first)) = (self.requests.get(&id), self.requests.get(&other))
+        else {
             return self.breach(
                 Rule::Joining,
                 now,
@@ -695,24 +789,35 @@
             found.push("served with another's value, and it is no read that may be".to_string());
         }
         if reader.what != first.what || reader.router != first.router {
-            found.push(format!("served with the value for {:?} of router {}", first.what, first.router));
+            found.push(format!(
+                "served with the value for {:?} of router {}",
+                first.what, first.router
+            ));
         }
-        let (came, began) = (reader.arrived.unwrap_or(0), first.first_sent.unwrap_or(Time::MAX));
+        let (came, began) = (
+            reader.arrived.unwrap_or(0),
+            first.first_sent.unwrap_or(Time::MAX),
+        );
         // A value whose load report never came whole has no time.
         if first.first_sent.is_none() || first.served_at.is_some_and(|at| came > at) {
             found.push("served with a value that was there before it asked".to_string());
         }
-        let writes =
-            self.of_keys.get(&(reader.router, reader.what.1.clone())).map_or(&[][..], |of| &of.writes);
+        let writes = self
+            .of_keys
+            .get(&(reader.router, reader.what.1.clone()))
+            .map_or(&[][..], |of| &of.writes);
         for write in writes.iter().filter_map(|id| self.requests.get(id)) {
             // It begins at the router between its arrival and its first attempt, and ends between the reply to that and
             // its answer.
             let begins = write.arrived.zip(write.first_sent);
             let after_begin = begins.is_some_and(|(arrived, sent)| began < arrived && came > sent);
             let ended = write.answered.zip(write.served_at);
-            let after_end = ended.is_some_and(|(answered, served)| began < served && came > answered);
+            let after_end =
+                ended.is_some_and(|(answered, served)| began < served && came > answered);
             if after_begin || after_end {
-                found.push("served from a flight that is older than a write it came after".to_string());
+                found.push(
+                    "served from a flight that is older than a write it came after".to_string(),
+                );
                 break;
             }
         }
@@ -729,16 +834,25 @@
         }
         let OfKey { writes, reads } = self.of_keys.get(&(asked.router, asked.what.1.clone()))?;
         let reads = || reads.iter().filter_map(|id| self.requests.get(id));
-        if asked.answered.is_some() && !reads().any(|r| r.arrived.is_some() && r.answered.is_none()) {
+        if asked.answered.is_some() && !reads().any(|r| r.arrived.is_some() && r.answered.is_none())
+        {
             return Some("sent on when nobody waits for it any more".to_string());
         }
         let is_out = |r: &&Asked| r.attempts.iter().any(|a| a.fate == Fate::Out && a.is_open);
         let out = reads().filter(is_out).count() + usize::from(!is_out(&asked));
-        let since =
-            reads().filter(is_out).filter_map(|r| r.arrived).chain(asked.arrived).min().unwrap_or(now);
+        let since = reads()
+            .filter(is_out)
+            .filter_map(|r| r.arrived)
+            .chain(asked.arrived)
+            .min()
+            .unwrap_or(now);
         // Each begin and each end of a write closes what had begun, and no flight is older than its first reader.
         let is_near = |w: &&Asked| w.arrived.is_some() && w.answered.is_none_or(|at| at >= since);
-        let near = writes.iter().filter_map(|id| self.requests.get(id)).filter(is_near).count();
+        let near = writes
+            .iter()
+            .filter_map(|id| self.requests.get(id))
+            .filter(is_near)
+            .count();
         let most = shares.flights * (1 + 2 * near);
         (out > most).then(|| format!("{out} attempts for its key are out where {most} would do"))
     }
@@ -748,8 +862,14 @@
     /// A router's first byte of a command for a server.
     fn send_begun(&mut self, now: Time, router: usize, server: usize) {
         let grace = self.figures.drain_grace;
-        let told = self.told.get(&(router, server)).and_then(|told| told.out_since);
-        let out_since = told.into_iter().chain(self.called_out.get(&(router, server)).copied()).min();
+        let told = self
+            .told
+            .get(&(router, server))
+            .and_then(|told| told.out_since);
+        let out_since = told
+            .into_iter()
+            .chain(self.called_out.get(&(router, server)).copied())
+            .min();
         if let Some(since) = out_since.filter(|&since| now > since + grace) {
             let text = format!(
                 "router {router} sends to server {server} {} us after it was told that it drains or is gone",
@@ -768,39 +888,66 @@
             *self.crowds.entry(call.key.clone()).or_default() += 1;
         }
         let Some(asked) = self.requests.get(&id) else {
-            self.breach(Rule::Answered, now, Some(id), "sent on, but nobody asked for it".into());
+            self.breach(
+                Rule::Answered,
+                now,
+                Some(id),
+                "sent on, but nobody asked for it".into(),
+            );
             return;
         };
         let mut found = Vec::new();
         if asked.router != router {
-            found.push((Rule::Answered, "sent on by another router than was asked".to_string()));
+            found.push((
+                Rule::Answered,
+                "sent on by another router than was asked".to_string(),
+            ));
         }
         if let Some(text) = self.stampede(now, id) {
             found.push((Rule::Joining, text));
         }
         // A flight goes on for the others when its first waiter has its answer.
-        let is_shared = self.figures.joining.as_ref().is_some_and(|shares| shares.class == asked.what.0);
+        let is_shared = self
+            .figures
+            .joining
+            .as_ref()
+            .is_some_and(|shares| shares.class == asked.what.0);
         if let Some(at) = asked.answered.filter(|_| !is_shared) {
             found.push((
                 Rule::Answered,
-                format!("sent to server {server} {} us after its final answer", now - at),
+                format!(
+                    "sent to server {server} {} us after its final answer",
+                    now - at
+                ),
             ));
         }
-        let ran = asked.attempts.iter().find(|attempt| attempt.fate != Fate::NeverRan);
+        let ran = asked
+            .attempts
+            .iter()
+            .find(|attempt| attempt.fate != Fate::NeverRan);
         let zone = |server: usize| self.server_zones[server];
         match (asked.effect, ran) {
             (Effect::Unsafe, Some(_)) => {
-                found.push((Rule::Effects, "an unsafe request sent again that may have run".to_string()));
+                found.push((
+                    Rule::Effects,
+                    "an unsafe request sent again that may have run".to_string(),
+                ));
             }
             (Effect::Keyed(group, memory), Some(first)) => {
                 if group == Group::Zone && zone(first.server) != zone(server) {
-                    found.push((Rule::Effects, "a keyed request sent outside its group".to_string()));
+                    found.push((
+                        Rule::Effects,
+                        "a keyed request sent outside its group".to_string(),
+                    ));
                 }
                 let age = now - first.whole_at;
                 if age > memory {
                     found.push((
                         Rule::Effects,
-                        format!("a keyed request sent again {} us after its memory ended", age - memory),
+                        format!(
+                            "a keyed request sent again {} us after its memory ended",
+                            age - memory
+                        ),
                     ));
                 }
             }
@@ -808,21 +955,40 @@
         }
         // A flight goes out under the name of the read that came first, and others may wait for it.
         let is_shared = self.figures.joining.is_some() && !asked.is_write;
-        if let Some(left) = asked.left_at.filter(|left| !is_shared && now > left + LEFT_GRACE) {
-            self.counts.sent_for_nobody += u64::from(asked.attempts.is_empty() && now > left + 300_000);
-            found.push((Rule::Departed, format!("sent {} us after its client had left", now - left)));
+        if let Some(left) = asked
+            .left_at
+            .filter(|left| !is_shared && now > left + LEFT_GRACE)
+        {
+            self.counts.sent_for_nobody +=
+                u64::from(asked.attempts.is_empty() && now > left + 300_000);
+            found.push((
+                Rule::Departed,
+                format!("sent {} us after its client had left", now - left),
+            ));
         }
         if asked.attempts.len() >= self.figures.max_attempts {
             found.push((Rule::Effects, "more attempts than are allowed".to_string()));
         }
-        let out = asked.attempts.iter().any(|attempt| attempt.fate == Fate::Out && attempt.is_open);
+        let out = asked
+            .attempts
+            .iter()
+            .any(|attempt| attempt.fate == Fate::Out && attempt.is_open);
         if out && !self.figures.second_copies {
-            found.push((Rule::Effects, "two attempts out together where that is not allowed".to_string()));
+            found.push((
+                Rule::Effects,
+                "two attempts out together where that is not allowed".to_string(),
+            ));
         }
         for (rule, text) in found {
             self.breach(rule, now, Some(id), text);
         }
-        let attempt = Attempt { conn, server, whole_at: now, fate: Fate::Out, is_open: true };
+        let attempt = Attempt {
+            conn,
+            server,
+            whole_at: now,
+            fate: Fate::Out,
+            is_open: true,
+        };
         if let Some(asked) = self.requests.get_mut(&id) {
             asked.first_sent = asked.first_sent.or(Some(now));
             asked.attempts.push(attempt);
@@ -830,29 +996,52 @@
     }
 
     fn attempt_on(&mut self, conn: u32, id: u64) -> Option<&mut Attempt> {
-        self.requests.get_mut(&id)?.attempts.iter_mut().rev().find(|attempt| attempt.conn == conn)
+        self.requests
+            .get_mut(&id)?
+            .attempts
+            .iter_mut()
+            .rev()
+            .find(|attempt| attempt.conn == conn)
     }
 
     // ---- lists
 
     /// A list, or changes to one, that counts as told to a router now.
     fn hear(&mut self, now: Time, router: usize, line: &str, is_whole: bool) {
-        let Ok(list) = serde_json::from_str::<serde_json::Value>(line) else { return };
+        let Ok(list) = serde_json::from_str::<serde_json::Value>(line) else {
+            return;
+        };
         let whole = is_whole || list["whole"].as_bool().unwrap_or(false);
         let mut listed = BTreeSet::new();
         for host in list["hosts"].as_array().into_iter().flatten() {
-            let Some(&server) = host["host"].as_str().and_then(|name| self.server_names.get(name)) else {
+            let Some(&server) = host["host"]
+                .as_str()
+                .and_then(|name| self.server_names.get(name))
+            else {
                 continue;
             };
             listed.insert(server);
-            let (up, born) = (host["health"] == "up", host["born_ms"].as_u64().unwrap_or(0));
-            let told = self.told.entry((router, server)).or_insert(Told { out_since: None, born });
+            let (up, born) = (
+                host["health"] == "up",
+                host["born_ms"].as_u64().unwrap_or(0),
+            );
+            let told = self.told.entry((router, server)).or_insert(Told {
+                out_since: None,
+                born,
+            });
             told.born = born;
-            told.out_since = if up { None } else { told.out_since.or(Some(now)) };
+            told.out_since = if up {
+                None
+            } else {
+                told.out_since.or(Some(now))
+            };
         }
         if whole {
             for server in 0..self.processes.len() {
-                if let Some(told) = self.told.get_mut(&(router, server)).filter(|_| !listed.contains(&server))
+                if let Some(told) = self
+                    .told
+                    .get_mut(&(router, server))
+                    .filter(|_| !listed.contains(&server))
                 {
                     told.out_since = told.out_since.or(Some(now));
                 }
@@ -881,7 +1070,8 @@
             let owed = match Spoken::of(&frame) {
                 Spoken::Call(call) => match self.asked(conn, line.router, &call) {
                     Some(id) => {
-                        line.on_the_way.push_back((line.written - line.asked.rest(), id));
+                        line.on_the_way
+                            .push_back((line.written - line.asked.rest(), id));
                         self.note(now, conn, Some(id), || format!("client asks: {call:?}"));
                         Owed::Request(id)
                     }
@@ -906,7 +1096,9 @@
                         _ => None,
                     };
                     self.note(now, conn, id, || match &answer {
-                        Answer::Served(value) => format!("router answers: served, {} bytes", value.len()),
+                        Answer::Served(value) => {
+                            format!("router answers: served, {} bytes", value.len())
+                        }
                         answer => format!("router answers: {answer:?}"),
                     });
                     self.answer((begun, now), conn, owed, &answer, line.free_at);
@@ -914,7 +1106,10 @@
                     // The next one's time may have passed while it waited for this one.
                     let grace = self.figures.answer_grace;
                     if let Some(&Owed::Request(next)) = line.owed.front()
-                        && self.requests.get(&next).is_some_and(|asked| asked.deadline + grace < now)
+                        && self
+                            .requests
+                            .get(&next)
+                            .is_some_and(|asked| asked.deadline + grace < now)
                     {
                         self.due.insert((now + grace, next));
                     }
@@ -922,7 +1117,12 @@
                 Ok(None) => return,
                 Err(_) => {
                     if !line.is_rude {
-                        self.breach(Rule::Answered, now, None, "an answer that is no RESP2".into());
+                        self.breach(
+                            Rule::Answered,
+                            now,
+                            None,
+                            "an answer that is no RESP2".into(),
+                        );
                     }
                     line.is_rude = true;
                     return;
@@ -942,7 +1142,9 @@
             .collect();
         let had_left = std::mem::replace(&mut line.is_left, true);
         for id in owed {
-            let Some(asked) = self.requests.get(&id) else { continue };
+            let Some(asked) = self.requests.get(&id) else {
+                continue;
+            };
             let (arrived, sent_on) = (asked.arrived, !asked.attempts.is_empty());
             let is_lost = by_router && !had_left && !asked.is_over && !line.is_rude
                 // What crosses the router's closing on the way is sent once more by its client.
@@ -963,7 +1165,11 @@
     fn client_has_left(&mut self, now: Time, line: &ToClient) {
         for owed in &line.owed {
             let Owed::Request(id) = owed else { continue };
-            if let Some(asked) = self.requests.get_mut(id).filter(|asked| asked.answered.is_none()) {
+            if let Some(asked) = self
+                .requests
+                .get_mut(id)
+                .filter(|asked| asked.answered.is_none())
+            {
                 asked.left_at = asked.left_at.or(Some(now));
                 self.counts.left_waiting += u64::from(asked.attempts.is_empty());
             }
@@ -978,7 +1184,10 @@
         while let Ok(Some((frame, _))) = line.calls.next(now) {
             if let Spoken::Call(call) = Spoken::of(&frame) {
                 self.note(now, conn, Some(call.id), || {
-                    format!("router {} sends to server {}: d={}", line.router, line.server, call.wait_ms)
+                    format!(
+                        "router {} sends to server {}: d={}",
+                        line.router, line.server, call.wait_ms
+                    )
                 });
                 self.sent(now, conn, line.router, line.server, &call);
                 line.current = Some(call.id);
@@ -1001,13 +1210,19 @@
                     return;
                 }
             };
-            let Some(id) = line.current.take() else { return };
+            let Some(id) = line.current.take() else {
+                return;
+            };
             let answer = Answer::of(&frame);
             self.note(now, conn, Some(id), || match &answer {
                 Answer::Served(_) => format!("server {} has served it", line.server),
                 answer => format!("server {} has answered: {answer:?}", line.server),
             });
-            let fate = if matches!(answer, Answer::Refused(_)) { Fate::NeverRan } else { Fate::MayHaveRan };
+            let fate = if matches!(answer, Answer::Refused(_)) {
+                Fate::NeverRan
+            } else {
+                Fate::MayHaveRan
+            };
             if let Some(attempt) = self.attempt_on(conn, id) {
                 attempt.fate = fate;
             }
@@ -1027,7 +1242,8 @@
     }
 
     fn router_told(&mut self, now: Time, line: &mut ToDiscovery, count: usize) {
-        line.text.extend(line.coming.drain(..count.min(line.coming.len())));
+        line.text
+            .extend(line.coming.drain(..count.min(line.coming.len())));
         while let Some(end) = line.text.iter().position(|&byte| byte == b'\n') {
             let text: Vec<u8> = line.text.drain(..=end).collect();
             if text.first() == Some(&b'{')
@@ -1048,25 +1264,43 @@
 }
 
 fn shown(step: u64, seen: &Step) -> String {
-    let request = seen.request.map_or(String::new(), |id| format!(" {id:016x}"));
-    format!("{step:>6} {:>10} us conn {:<4}{request} {}", seen.time, seen.conn, seen.text)
+    let request = seen
+        .request
+        .map_or(String::new(), |id| format!(" {id:016x}"));
+    format!(
+        "{step:>6} {:>10} us conn {:<4}{request} {}",
+        seen.time, seen.conn, seen.text
+    )
 }
 
 impl Observer for Judge {
     fn opened(&mut self, now: Time, conn: u32, dialer: Node, listener: Node) {
         self.take_step(now, conn, 10, &[dialer.0 as u8, listener.0 as u8]);
-        let line = match (self.roles[dialer.0 as usize], self.roles[listener.0 as usize]) {
-            (Role::Client, Role::Router(router)) => Line::Client(ToClient { router, ..ToClient::default() }),
+        let line = match (
+            self.roles[dialer.0 as usize],
+            self.roles[listener.0 as usize],
+        ) {
+            (Role::Client, Role::Router(router)) => Line::Client(ToClient {
+                router,
+                ..ToClient::default()
+            }),
             (Role::Router(router), Role::Server(server)) => {
                 self.counts.connections += 1;
-                Line::Server(ToServer { router, server, ..ToServer::default() })
-            }
-            (Role::Router(router), Role::Discovery) => {
-                Line::Discovery(ToDiscovery { router, ..ToDiscovery::default() })
+                Line::Server(ToServer {
+                    router,
+                    server,
+                    ..ToServer::default()
+                })
             }
+            (Role::Router(router), Role::Discovery) => Line::Discovery(ToDiscovery {
+                router,
+                ..ToDiscovery::default()
+            }),
             _ => Line::Other,
         };
-        self.note(now, conn, None, || format!("opened, {:?} to {:?}", dialer, listener));
+        self.note(now, conn, None, || {
+            format!("opened, {:?} to {:?}", dialer, listener)
+        });
         self.lines.insert(conn, line);
     }
 
@@ -1087,16 +1321,24 @@
         self.with_line(conn, |judge, line| match (line, side) {
             (Line::Client(line), Side::Dialer) => {
                 line.arrived += count;
-                while let Some(&(_, id)) = line.on_the_way.front().filter(|ask| ask.0 <= line.arrived) {
+                while let Some(&(_, id)) =
+                    line.on_the_way.front().filter(|ask| ask.0 <= line.arrived)
+                {
                     line.on_the_way.pop_front();
-                    if let Some(asked) =
-                        judge.requests.get_mut(&id).filter(|asked| !line.is_left && !asked.is_over)
+                    if let Some(asked) = judge
+                        .requests
+                        .get_mut(&id)
+                        .filter(|asked| !line.is_left && !asked.is_over)
                     {
                         asked.arrived = Some(now);
                         asked.deadline = now + asked.wait;
-                        judge.due.insert((asked.deadline + judge.figures.answer_grace, id));
+                        judge
+                            .due
+                            .insert((asked.deadline + judge.figures.answer_grace, id));
                         judge.counts.taken += 1;
-                        judge.note(now, conn, Some(id), || "its last byte is at the router's machine".into());
+                        judge.note(now, conn, Some(id), || {
+                            "its last byte is at the router's machine".into()
+                        });
                     }
                 }
             }
@@ -1116,7 +1358,9 @@
         self.take_step(now, conn, 15 + side as u8, &[how as u8]);
         self.note(now, conn, None, || format!("{side:?} leaves: {how:?}"));
         self.with_line(conn, |judge, line| match (line, side) {
-            (Line::Client(line), side) => judge.client_line_ended(now, conn, line, side == Side::Listener),
+            (Line::Client(line), side) => {
+                judge.client_line_ended(now, conn, line, side == Side::Listener)
+            }
             (Line::Server(line), Side::Dialer) => judge.server_line_ended(conn, line),
             _ => {}
         });
@@ -1134,7 +1378,12 @@
     fn out_of_descriptors(&mut self, now: Time, node: Node) {
         self.take_step(now, 0, 19, &[node.0 as u8]);
         if let Role::Router(router) = self.roles[node.0 as usize] {
-            self.breach(Rule::Bounds, now, None, format!("router {router} runs out of descriptors"));
+            self.breach(
+                Rule::Bounds,
+                now,
+                None,
+                format!("router {router} runs out of descriptors"),
+            );
         }
     }
 }
--- a/crates/asterport-sim/src/main.rs
+++ b/crates/asterport-sim/src/main.rs
@@ -93,10 +93,14 @@
 const MOST_SEEDS: u64 = 100_000_000;
 
 fn range(text: &str) -> Result<Range<u64>, String> {
-    let ends = text.split_once("..").and_then(|(first, end)| Some((first.parse().ok()?, end.parse().ok()?)));
+    let ends = text
+        .split_once("..")
+        .and_then(|(first, end)| Some((first.parse().ok()?, end.parse().ok()?)));
     match ends {
         Some((first, end)) if first < end && end - first <= MOST_SEEDS => Ok(first..end),
-        _ => Err(format!("seeds are FIRST..END with FIRST below END, at most {MOST_SEEDS} of them")),
+        _ => Err(format!(
+            "seeds are FIRST..END with FIRST below END, at most {MOST_SEEDS} of them"
+        )),
     }
 }
 
@@ -105,8 +109,11 @@
 struct Numbers(Vec<usize>);
 
 fn numbers(text: &str) -> Result<Numbers, String> {
-    let numbers: Result<Vec<usize>, _> =
-        text.split(',').filter(|part| !part.is_empty()).map(str::parse).collect();
+    let numbers: Result<Vec<usize>, _> = text
+        .split(',')
+        .filter(|part| !part.is_empty())
+        .map(str::parse)
+        .collect();
     numbers.map(Numbers).map_err(|problem| problem.to_string())
 }
 
@@ -121,8 +128,12 @@
         Err(error) if error.use_stderr() => {
             // The first line says what is wrong.
             let text = error.to_string();
-            let text =
-                text.lines().map(str::trim).take_while(|line| !line.is_empty()).collect::<Vec<_>>().join(" ");
+            let text = text
+                .lines()
+                .map(str::trim)
+                .take_while(|line| !line.is_empty())
+                .collect::<Vec<_>>()
+                .join(" ");
             eprintln!("asterport-sim: {}", text.trim_start_matches("error: "));
             return ExitCode::from(2);
         }
@@ -132,17 +143,36 @@
         }
     };
     match cli.command {
-        Command::Run { seeds, joining, jobs, faults } => run(draw(joining), seeds, jobs, &faults),
-        Command::Replay { seed, joining, until, trace, faults, keep_faults, keep_asks, keep_crowds } => {
+        Command::Run {
+            seeds,
+            joining,
+            jobs,
+            faults,
+        } => run(draw(joining), seeds, jobs, &faults),
+        Command::Replay {
+            seed,
+            joining,
+            until,
+            trace,
+            faults,
+            keep_faults,
+            keep_asks,
+            keep_crowds,
+        } => {
             let mut plan = draw(joining)(seed, &faults);
             keep_at(&mut plan.faults, keep_faults);
             keep_at(&mut plan.bursts, keep_crowds);
             if let Some(numbers) = keep_asks {
-                plan.asks.retain(|ask| numbers.0.contains(&(ask.number as usize)));
+                plan.asks
+                    .retain(|ask| numbers.0.contains(&(ask.number as usize)));
             }
             replay(&plan, until, trace)
         }
-        Command::Shrink { seed, joining, faults } => shrink(&draw(joining)(seed, &faults)),
+        Command::Shrink {
+            seed,
+            joining,
+            faults,
+        } => shrink(&draw(joining)(seed, &faults)),
         Command::Mutants { seeds, jobs } => mutants(seeds, jobs),
     }
 }
@@ -157,7 +187,9 @@
 }
 
 fn show(breach: &Breach, seed: u64) {
-    let request = breach.request.map_or(String::new(), |id| format!(", request {id:016x}"));
+    let request = breach
+        .request
+        .map_or(String::new(), |id| format!(", request {id:016x}"));
     println!(
         "seed {seed}, {} us, step {}{request}: {}: {}",
         breach.time, breach.step, breach.rule, breach.text
@@ -166,7 +198,11 @@
 }
 
 fn draw(joining: bool) -> Draw {
-    if joining { Plan::draw_joining } else { Plan::draw }
+    if joining {
+        Plan::draw_joining
+    } else {
+        Plan::draw
+    }
 }
 
 fn run(draw: Draw, seeds: Range<u64>, jobs: Option<usize>, faults: &[Kind]) -> ExitCode {
@@ -174,16 +210,30 @@
     let summary = rounds::run(draw, seeds, faults, threads(jobs), || bar.inc(1));
     bar.finish_and_clear();
     println!("{summary}");
-    println!("time      {:.1} s on {} threads", start.elapsed().as_secs_f64(), threads(jobs));
+    println!(
+        "time      {:.1} s on {} threads",
+        start.elapsed().as_secs_f64(),
+        threads(jobs)
+    );
     for report in summary.broken.iter().take(20) {
-        report.breaches.iter().take(1).for_each(|breach| show(breach, report.seed));
+        report
+            .breaches
+            .iter()
+            .take(1)
+            .for_each(|breach| show(breach, report.seed));
+    }
+    if summary.broken.is_empty() {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
     }
-    if summary.broken.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
 /// Keeps what is at these places, or all.
 fn keep_at<T>(all: &mut Vec<T>, places: Option<Numbers>) {
-    let Some(Numbers(places)) = places else { return };
+    let Some(Numbers(places)) = places else {
+        return;
+    };
     let mut place = 0;
     all.retain(|_| {
         place += 1;
@@ -202,11 +252,21 @@
         report.steps,
         report.digest
     );
-    plan.faults.iter().enumerate().for_each(|(place, fault)| println!("fault {place}: {fault}"));
+    plan.faults
+        .iter()
+        .enumerate()
+        .for_each(|(place, fault)| println!("fault {place}: {fault}"));
     if trace || until.is_some() {
-        report.trace.iter().take(until.unwrap_or(usize::MAX)).for_each(|step| println!("{step}"));
+        report
+            .trace
+            .iter()
+            .take(until.unwrap_or(usize::MAX))
+            .for_each(|step| println!("{step}"));
     }
-    report.breaches.iter().for_each(|breach| show(breach, plan.seed));
+    report
+        .breaches
+        .iter()
+        .for_each(|breach| show(breach, plan.seed));
     if report.breaches.is_empty() {
         println!("no breach");
         ExitCode::SUCCESS
@@ -220,7 +280,9 @@
         println!("seed {}: no breach", plan.seed);
         return ExitCode::SUCCESS;
     };
-    let Some(least) = rounds::shrink(plan, first.rule) else { return ExitCode::SUCCESS };
+    let Some(least) = rounds::shrink(plan, first.rule) else {
+        return ExitCode::SUCCESS;
+    };
     println!("seed {}: {}", plan.seed, first.rule);
     println!(
         "from {} faults and {} requests to {} and {}:",
@@ -253,9 +315,16 @@
         .filter(|&place| kept(&plan.bursts[place]))
         .map(|place| place.to_string())
         .collect();
-    let joining =
-        if plan.joining { format!(" --joining --keep-crowds={}", crowds.join(",")) } else { String::new() };
-    let asks: Vec<String> = least.asks.iter().map(|ask| ask.number.to_string()).collect();
+    let joining = if plan.joining {
+        format!(" --joining --keep-crowds={}", crowds.join(","))
+    } else {
+        String::new()
+    };
+    let asks: Vec<String> = least
+        .asks
+        .iter()
+        .map(|ask| ask.number.to_string())
+        .collect();
     println!(
         "asterport-sim replay {}{joining} --keep-faults={} --keep-asks={}",
         plan.seed,
@@ -268,19 +337,31 @@
 fn mutants(seeds: Range<u64>, jobs: Option<usize>) -> ExitCode {
     let start = Instant::now();
     let Some(all) = rounds::mutants(seeds, threads(jobs), || ()) else {
-        eprintln!("asterport-sim: this build leaves the planted bugs out; build it with --features planted");
+        eprintln!(
+            "asterport-sim: this build leaves the planted bugs out; build it with --features planted"
+        );
         return ExitCode::from(2);
     };
     let mut missed = 0;
     for caught in &all {
         match &caught.by {
-            Some((seed, rule, text)) => println!("{:<20} seed {seed:<4} {rule}: {text}", caught.bug),
+            Some((seed, rule, text)) => {
+                println!("{:<20} seed {seed:<4} {rule}: {text}", caught.bug)
+            }
             None => {
                 missed += 1;
                 println!("{:<20} NOT CAUGHT", caught.bug);
             }
         }
     }
-    println!("{} planted, {missed} not caught, {:.1} s", all.len(), start.elapsed().as_secs_f64());
-    if missed == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    println!(
+        "{} planted, {missed} not caught, {:.1} s",
+        all.len(),
+        start.elapsed().as_secs_f64()
+    );
+    if missed == 0 {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
+    }
 }
--- a/crates/asterport-sim/src/net.rs
+++ b/crates/asterport-sim/src/net.rs
@@ -215,7 +215,12 @@
 
 impl Net {
     /// A network without machines.
-    pub fn new(exec: Exec, observer: Rc<RefCell<dyn Observer>>, weather: Weather, dice: Dice) -> Net {
+    pub fn new(
+        exec: Exec,
+        observer: Rc<RefCell<dyn Observer>>,
+        weather: Weather,
+        dice: Dice,
+    ) -> Net {
         let state = State {
             machines: Vec::new(),
             listeners: BTreeMap::new(),
@@ -226,7 +231,12 @@
             last: 0,
             dice,
         };
-        Net { exec, state: Rc::new(RefCell::new(state)), observer, epoch: Instant::now() }
+        Net {
+            exec,
+            state: Rc::new(RefCell::new(state)),
+            observer,
+            epoch: Instant::now(),
+        }
     }
 
     /// Adds a machine whose process may hold so many connections.
@@ -249,7 +259,10 @@
 
     /// The machine's view of the world.
     pub fn world(&self, node: Node) -> SimWorld {
-        SimWorld { net: self.clone(), node }
+        SimWorld {
+            net: self.clone(),
+            node,
+        }
     }
 
     /// Connections that the process of a machine holds.
@@ -300,11 +313,19 @@
 
     /// Listens at an address of a machine.
     pub fn listen(&self, node: Node, addr: SocketAddr) -> SimListener {
-        let waiting = Rc::new(Waiting { node, queue: RefCell::default(), waker: RefCell::default() });
+        let waiting = Rc::new(Waiting {
+            node,
+            queue: RefCell::default(),
+            waker: RefCell::default(),
+        });
         let mut state = self.state.borrow_mut();
         state.listeners.insert(addr, waiting.clone());
         state.places.insert(addr, node);
-        SimListener { net: self.clone(), addr, waiting }
+        SimListener {
+            net: self.clone(),
+            addr,
+            waiting,
+        }
     }
 
     /// Steps the wall clock of a machine: so far from the true time, in microseconds.
@@ -314,7 +335,9 @@
 
     /// Hands a datagram to the network: it arrives, late, twice or not at all.
     fn send_datagram(&self, from: (Node, SocketAddr), bytes: &[u8], to: SocketAddr) {
-        let Some(mailbox) = self.state.borrow().datagrams.get(&to).cloned() else { return };
+        let Some(mailbox) = self.state.borrow().datagrams.get(&to).cloned() else {
+            return;
+        };
         let weather = self.state.borrow().weather.datagrams;
         let (copies, is_cut) = {
             let state = &mut *self.state.borrow_mut();
@@ -322,19 +345,30 @@
             let (a, b, now) = (zone(from.0), zone(mailbox.node), self.exec.now());
             let cut = |zone: usize| state.cuts.get(&zone).is_some_and(|&until| until > now);
             let lost = state.dice.chance(weather.lost);
-            let copies = if lost { 0 } else { 1 + usize::from(state.dice.chance(weather.doubled)) };
+            let copies = if lost {
+                0
+            } else {
+                1 + usize::from(state.dice.chance(weather.doubled))
+            };
             (copies, a != b && (cut(a) || cut(b)))
         };
         // Nobody sends a datagram again.
         for _ in 0..if is_cut { 0 } else { copies } {
-            let Some(mut at) = self.arrival(from.0, mailbox.node, 0) else { continue };
+            let Some(mut at) = self.arrival(from.0, mailbox.node, 0) else {
+                continue;
+            };
             let mut state = self.state.borrow_mut();
             if state.dice.chance(weather.late.0) {
                 at += state.dice.range(1, weather.late.1);
             }
             drop(state);
-            let (net, to, sent) = (self.clone(), mailbox.clone(), (Bytes::copy_from_slice(bytes), from.1));
-            self.exec.call_at(at, move || net.deliver_datagram(&to, sent));
+            let (net, to, sent) = (
+                self.clone(),
+                mailbox.clone(),
+                (Bytes::copy_from_slice(bytes), from.1),
+            );
+            self.exec
+                .call_at(at, move || net.deliver_datagram(&to, sent));
         }
     }
 
@@ -355,7 +389,10 @@
     fn arrival(&self, from: Node, to: Node, again: Time) -> Option<Time> {
         let now = self.exec.now();
         let state = &mut *self.state.borrow_mut();
-        let (a, b) = (&state.machines[from.0 as usize], &state.machines[to.0 as usize]);
+        let (a, b) = (
+            &state.machines[from.0 as usize],
+            &state.machines[to.0 as usize],
+        );
         if a.power == Power::Off || b.power == Power::Off {
             return None;
         }
@@ -366,13 +403,23 @@
             time += again;
         }
         let cut = |zone: usize| state.cuts.get(&zone).copied().unwrap_or(0);
-        let healed = if near { 0 } else { cut(a.zone).max(cut(b.zone)) };
-        Some(if healed > now { healed + again + time } else { now + time })
+        let healed = if near {
+            0
+        } else {
+            cut(a.zone).max(cut(b.zone))
+        };
+        Some(if healed > now {
+            healed + again + time
+        } else {
+            now + time
+        })
     }
 
     fn send(&self, conn: &Rc<Conn>, side: Side, packet: Packet) {
         let (from, to) = (conn.nodes[index(side)], conn.nodes[index(side.other())]);
-        let Some(at) = self.arrival(from, to, RETRANSMIT) else { return };
+        let Some(at) = self.arrival(from, to, RETRANSMIT) else {
+            return;
+        };
         let mut pipe = conn.pipes[index(side)].borrow_mut();
         let at = at.max(pipe.last_at);
         pipe.last_at = at;
@@ -396,7 +443,9 @@
         {
             let mut pipe = conn.pipes[index(side)].borrow_mut();
             while pipe.on_the_way.front().is_some_and(|&(at, _)| at <= now) {
-                let Some((_, packet)) = pipe.on_the_way.pop_front() else { break };
+                let Some((_, packet)) = pipe.on_the_way.pop_front() else {
+                    break;
+                };
                 if !is_there {
                     continue;
                 }
@@ -434,7 +483,9 @@
         let held = self.take_descriptor(from)?;
         loop {
             let place = self.state.borrow().places.get(&to).copied();
-            let Some(place) = place else { return Err(io::ErrorKind::ConnectionRefused.into()) };
+            let Some(place) = place else {
+                return Err(io::ErrorKind::ConnectionRefused.into());
+            };
             let Some(at) = self.arrival(from, place, RETRANSMIT_SYN) else {
                 // It is sent again as long as anybody waits for it.
                 self.exec.sleep(RETRANSMIT_SYN).await;
@@ -458,7 +509,9 @@
             let opened = waiting.map(|waiting| self.open_conn(from, waiting));
             let back = self.arrival(place, from, RETRANSMIT).unwrap_or(Time::MAX);
             self.exec.sleep_until(back).await;
-            let Some(stream) = opened else { return Err(io::ErrorKind::ConnectionRefused.into()) };
+            let Some(stream) = opened else {
+                return Err(io::ErrorKind::ConnectionRefused.into());
+            };
             held.hand_over(&stream);
             return Ok(stream);
         }
@@ -470,10 +523,22 @@
             state.last += 1;
             let life = |node: Node| state.machines[node.0 as usize].life;
             let (nodes, lives) = ([from, waiting.node], [life(from), life(waiting.node)]);
-            Rc::new(Conn { id: state.last, nodes, lives, pipes: Default::default() })
+            Rc::new(Conn {
+                id: state.last,
+                nodes,
+                lives,
+                pipes: Default::default(),
+            })
+        };
+        self.observer
+            .borrow_mut()
+            .opened(self.exec.now(), conn.id, from, waiting.node);
+        let end = |side| SimStream {
+            net: self.clone(),
+            conn: conn.clone(),
+            side,
+            is_held: Cell::new(false),
         };
-        self.observer.borrow_mut().opened(self.exec.now(), conn.id, from, waiting.node);
-        let end = |side| SimStream { net: self.clone(), conn: conn.clone(), side, is_held: Cell::new(false) };
         waiting.queue.borrow_mut().push_back(end(Side::Listener));
         let waker = waiting.waker.borrow_mut().take();
         waker.into_iter().for_each(Waker::wake);
@@ -485,11 +550,16 @@
         let machine = &mut state.machines[node.0 as usize];
         if machine.open >= machine.limit {
             drop(state);
-            self.observer.borrow_mut().out_of_descriptors(self.exec.now(), node);
+            self.observer
+                .borrow_mut()
+                .out_of_descriptors(self.exec.now(), node);
             return Err(io::Error::other("too many open files"));
         }
         machine.open += 1;
-        Ok(Descriptor { net: Some(self.clone()), node })
+        Ok(Descriptor {
+            net: Some(self.clone()),
+            node,
+        })
     }
 }
 
@@ -526,13 +596,15 @@
 impl SimListener {
     /// The next connection.
     pub async fn accept(&self) -> io::Result<SimStream> {
-        let stream = poll_fn(|context| match self.waiting.queue.borrow_mut().pop_front() {
-            Some(stream) => Poll::Ready(stream),
-            None => {
-                *self.waiting.waker.borrow_mut() = Some(context.waker().clone());
-                Poll::Pending
-            }
-        })
+        let stream = poll_fn(
+            |context| match self.waiting.queue.borrow_mut().pop_front() {
+                Some(stream) => Poll::Ready(stream),
+                None => {
+                    *self.waiting.waker.borrow_mut() = Some(context.waker().clone());
+                    Poll::Pending
+                }
+            },
+        )
         .await;
         match self.net.take_descriptor(self.waiting.node) {
             Ok(held) => {
@@ -551,7 +623,11 @@
     fn drop(&mut self) {
         let mut state = self.net.state.borrow_mut();
         // A later process may listen there already.
-        if state.listeners.get(&self.addr).is_some_and(|waiting| Rc::ptr_eq(waiting, &self.waiting)) {
+        if state
+            .listeners
+            .get(&self.addr)
+            .is_some_and(|waiting| Rc::ptr_eq(waiting, &self.waiting))
+        {
             state.listeners.remove(&self.addr);
         }
         drop(state);
@@ -587,11 +663,18 @@
             return;
         }
         if self.is_held.replace(false) {
-            drop(Descriptor { net: Some(self.net.clone()), node: self.conn.nodes[mine] });
+            drop(Descriptor {
+                net: Some(self.net.clone()),
+                node: self.conn.nodes[mine],
+            });
         }
         let now = self.net.exec.now();
-        self.net.observer.borrow_mut().left(now, self.conn.id, self.side, how);
-        let had_ended = std::mem::replace(&mut self.conn.pipes[mine].borrow_mut().writer_left, true);
+        self.net
+            .observer
+            .borrow_mut()
+            .left(now, self.conn.id, self.side, how);
+        let had_ended =
+            std::mem::replace(&mut self.conn.pipes[mine].borrow_mut().writer_left, true);
         match how {
             Leaving::Fin if !had_ended => self.net.send(&self.conn, self.side, Packet::Fin),
             Leaving::Reset => self.net.send(&self.conn, self.side, Packet::Reset),
@@ -599,7 +682,11 @@
         }
     }
 
-    fn poll_read_into(&self, context: &mut Context<'_>, to: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+    fn poll_read_into(
+        &self,
+        context: &mut Context<'_>,
+        to: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
         let mut pipe = self.conn.pipes[index(self.side.other())].borrow_mut();
         if !pipe.buffer.is_empty() {
             let count = to.remaining().min(pipe.buffer.len());
@@ -628,7 +715,9 @@
         let window = {
             let state = self.net.state.borrow();
             let receiver = self.conn.nodes[index(self.side.other())];
-            state.machines[receiver.0 as usize].window.unwrap_or(state.weather.window)
+            state.machines[receiver.0 as usize]
+                .window
+                .unwrap_or(state.weather.window)
         };
         let count = {
             let mut pipe = self.conn.pipes[index(self.side)].borrow_mut();
@@ -645,7 +734,10 @@
             count
         };
         let now = self.net.exec.now();
-        self.net.observer.borrow_mut().written(now, self.conn.id, self.side, &from[..count]);
+        self.net
+            .observer
+            .borrow_mut()
+            .written(now, self.conn.id, self.side, &from[..count]);
         let cut = {
             let mut state = self.net.state.borrow_mut();
             let split = state.weather.split;
@@ -657,15 +749,19 @@
         };
         let bytes = Bytes::copy_from_slice(&from[..count]);
         if cut > 0 {
-            self.net.send(&self.conn, self.side, Packet::Data(bytes.slice(..cut)));
+            self.net
+                .send(&self.conn, self.side, Packet::Data(bytes.slice(..cut)));
         }
-        self.net.send(&self.conn, self.side, Packet::Data(bytes.slice(cut..)));
+        self.net
+            .send(&self.conn, self.side, Packet::Data(bytes.slice(cut..)));
         Poll::Ready(Ok(count))
     }
 
     fn poll_end(&self) -> Poll<io::Result<()>> {
-        let had_ended =
-            std::mem::replace(&mut self.conn.pipes[index(self.side)].borrow_mut().writer_left, true);
+        let had_ended = std::mem::replace(
+            &mut self.conn.pipes[index(self.side)].borrow_mut().writer_left,
+            true,
+        );
         if !had_ended {
             self.net.send(&self.conn, self.side, Packet::Fin);
         }
@@ -679,9 +775,16 @@
         let power = {
             let state = self.net.state.borrow();
             let machine = &state.machines[self.conn.nodes[mine].0 as usize];
-            if machine.life == self.conn.lives[mine] { machine.power } else { Power::Off }
+            if machine.life == self.conn.lives[mine] {
+                machine.power
+            } else {
+                Power::Off
+            }
         };
-        let unread = !self.conn.pipes[index(self.side.other())].borrow().buffer.is_empty();
+        let unread = !self.conn.pipes[index(self.side.other())]
+            .borrow()
+            .buffer
+            .is_empty();
         self.leave(match power {
             Power::Off => Leaving::Silent,
             Power::Dying => Leaving::Reset,
@@ -772,18 +875,21 @@
         if bytes.len() > LONGEST_DATAGRAM {
             return Err(io::Error::other("message too long"));
         }
-        self.net.send_datagram((self.mailbox.node, self.addr), bytes, to);
+        self.net
+            .send_datagram((self.mailbox.node, self.addr), bytes, to);
         Ok(bytes.len())
     }
 
     async fn receive(&self, buffer: &mut [u8]) -> io::Result<(usize, SocketAddr)> {
-        let (bytes, from) = poll_fn(|context| match self.mailbox.queue.borrow_mut().pop_front() {
-            Some(datagram) => Poll::Ready(datagram),
-            None => {
-                *self.mailbox.waker.borrow_mut() = Some(context.waker().clone());
-                Poll::Pending
-            }
-        })
+        let (bytes, from) = poll_fn(
+            |context| match self.mailbox.queue.borrow_mut().pop_front() {
+                Some(datagram) => Poll::Ready(datagram),
+                None => {
+                    *self.mailbox.waker.borrow_mut() = Some(context.waker().clone());
+                    Poll::Pending
+                }
+            },
+        )
         .await;
         let count = bytes.len().min(buffer.len());
         buffer[..count].copy_from_slice(&bytes[..count]);
@@ -822,7 +928,9 @@
     fn sleep_until(&self, at: Instant) -> impl Future<Output = ()> {
         let time = at.saturating_duration_since(self.net.epoch);
         // The clock counts whole microseconds; a timer is never early.
-        self.net.exec.sleep_until(time.as_nanos().div_ceil(1_000) as Time)
+        self.net
+            .exec
+            .sleep_until(time.as_nanos().div_ceil(1_000) as Time)
     }
 
     fn spawn(&self, task: impl Future<Output = ()> + 'static) {
@@ -842,10 +950,17 @@
         if state.datagrams.contains_key(&at) {
             return Err(io::ErrorKind::AddrInUse.into());
         }
-        let mailbox =
-            Rc::new(Mailbox { node: self.node, queue: RefCell::default(), waker: RefCell::default() });
+        let mailbox = Rc::new(Mailbox {
+            node: self.node,
+            queue: RefCell::default(),
+            waker: RefCell::default(),
+        });
         state.datagrams.insert(at, mailbox.clone());
-        Ok(SimDatagrams { net: self.net.clone(), addr: at, mailbox })
+        Ok(SimDatagrams {
+            net: self.net.clone(),
+            addr: at,
+            mailbox,
+        })
     }
 
     fn log(&self, _line: fmt::Arguments<'_>) {}
--- a/crates/asterport-sim/src/plan.rs
+++ b/crates/asterport-sim/src/plan.rs
@@ -129,7 +129,10 @@
 
     /// The fault of this name.
     pub fn named(name: &str) -> Option<Kind> {
-        Kind::ALL.into_iter().chain(Kind::RARE).find(|kind| kind.name() == name)
+        Kind::ALL
+            .into_iter()
+            .chain(Kind::RARE)
+            .find(|kind| kind.name() == name)
     }
 }
 
@@ -171,7 +174,11 @@
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (name, at, length) = (self.kind.name(), self.at / MILLI, self.length / MILLI);
-        write!(f, "{name} at {at} ms for {length} ms, size {:.2}, targets {:?}", self.size, self.targets)
+        write!(
+            f,
+            "{name} at {at} ms for {length} ms, size {:.2}, targets {:?}",
+            self.size, self.targets
+        )
     }
 }
 
@@ -327,10 +334,18 @@
                 near: dice.range(80, 340),
                 far: dice.range(2 * MILLI, 12 * MILLI),
                 jitter: dice.between(0.1, 0.4),
-                loss: if dice.chance(0.3) { dice.between(0.0, 0.004) } else { 0.0 },
+                loss: if dice.chance(0.3) {
+                    dice.between(0.0, 0.004)
+                } else {
+                    0.0
+                },
                 split: dice.between(0.0, 0.3),
                 datagrams: DatagramWeather::default(),
-                window: if dice.chance(0.2) { dice.range(200, 8_000) as usize } else { 256 * 1024 },
+                window: if dice.chance(0.2) {
+                    dice.range(200, 8_000) as usize
+                } else {
+                    256 * 1024
+                },
             },
             mean_work,
             aim,
@@ -372,18 +387,41 @@
         let mut plan = Plan::draw(seed, only);
         let mut dice = Dice::new(seed, 7);
         plan.joining = true;
-        let meet = plan.faults.iter().map(|fault| fault.at).max().unwrap_or(2 * SECOND);
-        let moments = [OPENS + 200 * MILLI, meet + dice.range(0, 300 * MILLI), plan.calm_from + 100 * MILLI];
+        let meet = plan
+            .faults
+            .iter()
+            .map(|fault| fault.at)
+            .max()
+            .unwrap_or(2 * SECOND);
+        let moments = [
+            OPENS + 200 * MILLI,
+            meet + dice.range(0, 300 * MILLI),
+            plan.calm_from + 100 * MILLI,
+        ];
         let mut number = plan.asks.len() as u32;
         for (place, at) in moments.into_iter().enumerate() {
             let (router, key) = (dice.place(plan.routers.len()), dice.number());
             let spread = if place == 1 { plan.aim } else { 0 };
-            let size = if dice.chance(0.1) { 60_000 } else { dice.range(40, 900) as usize };
+            let size = if dice.chance(0.1) {
+                60_000
+            } else {
+                dice.range(40, 900) as usize
+            };
             let mut ask = |plan: &Plan, dice: &mut Dice, class: usize, at: Time| {
                 number += 1;
                 let deadline = plan.deadline(class) as f64;
                 let wait = (deadline * dice.between(0.2, 0.95)) as Time;
-                Ask { number, at, router, class, key, wait, work: plan.mean_work, size, lot: dice.unit() }
+                Ask {
+                    number,
+                    at,
+                    router,
+                    class,
+                    key,
+                    wait,
+                    work: plan.mean_work,
+                    size,
+                    lot: dice.unit(),
+                }
             };
             let chunk = CROWD / CROWD_CONNECTIONS;
             let mut asks: Vec<Ask> = Vec::new();
@@ -406,7 +444,9 @@
     fn draw_asks(&mut self, dice: &mut Dice, rate: f64) {
         let keys = dice.range(60, 300);
         let skew = dice.between(0.8, 1.2);
-        let weights: Vec<f64> = (1..=keys).map(|rank| 1.0 / (rank as f64 + 2.0).powf(skew)).collect();
+        let weights: Vec<f64> = (1..=keys)
+            .map(|rank| 1.0 / (rank as f64 + 2.0).powf(skew))
+            .collect();
         let sum: f64 = weights.iter().sum();
         let salt = dice.number();
         let mut at = OPENS as f64;
@@ -429,21 +469,33 @@
                 at: at as Time,
                 router: dice.place(self.routers.len()),
                 class,
-                key: salt.wrapping_add(rank.unwrap_or(0) as u64).wrapping_mul(0x9E37_79B9_7F4A_7C15),
+                key: salt
+                    .wrapping_add(rank.unwrap_or(0) as u64)
+                    .wrapping_mul(0x9E37_79B9_7F4A_7C15),
                 wait: (deadline * dice.between(0.5, 0.95)) as Time,
                 work: self.mean_work * if class == 0 { 1.0 } else { 1.6 } * dice.between(0.5, 1.5),
-                size: if dice.chance(0.03) { dice.range(4_096, 60_000) } else { dice.range(40, 900) }
-                    as usize,
+                size: if dice.chance(0.03) {
+                    dice.range(4_096, 60_000)
+                } else {
+                    dice.range(40, 900)
+                } as usize,
                 lot: dice.unit(),
             });
         }
     }
 
     fn draw_faults(&mut self, dice: &mut Dice, only: &[Kind]) {
-        let pool = if only.is_empty() { &Kind::ALL[..] } else { only };
+        let pool = if only.is_empty() {
+            &Kind::ALL[..]
+        } else {
+            only
+        };
         let (first, second) = pair(self.seed);
-        let mut kinds =
-            if only.is_empty() { vec![first, second] } else { vec![pool[dice.place(pool.len())]; 1] };
+        let mut kinds = if only.is_empty() {
+            vec![first, second]
+        } else {
+            vec![pool[dice.place(pool.len())]; 1]
+        };
         while kinds.len() < 3 || (kinds.len() < 4 && dice.chance(0.25)) {
             kinds.push(pool[dice.place(pool.len())]);
         }
@@ -459,7 +511,13 @@
                 _ => some(dice, self.servers.len(), 0.3),
             };
             let (at, length) = (meet - before, before + after);
-            self.faults.push(Fault { kind, at, length, targets, size: dice.unit() });
+            self.faults.push(Fault {
+                kind,
+                at,
+                length,
+                targets,
+                size: dice.unit(),
+            });
         }
         self.faults.sort_by_key(|fault| fault.at);
         self.calm_from = FAULTS_END + SETTLES;
@@ -468,14 +526,27 @@
     /// On two days of five connections come up late, on one of five watches fall silent, beside the faults and at their
     /// height. Drawn apart, so that the faults of a seed stay what they are.
     fn draw_rare(&mut self, dice: &mut Dice) {
-        let begun = self.faults.iter().map(|fault| fault.at).max().unwrap_or(2 * SECOND);
+        let begun = self
+            .faults
+            .iter()
+            .map(|fault| fault.at)
+            .max()
+            .unwrap_or(2 * SECOND);
         for (chance, kind) in [(0.4, Kind::LateDials), (0.2, Kind::SilentWatches)] {
             let targets = some(dice, self.servers.len(), 0.6);
-            let (before, after) =
-                (dice.range(50 * MILLI, 900 * MILLI), dice.range(100 * MILLI, 1_500 * MILLI));
+            let (before, after) = (
+                dice.range(50 * MILLI, 900 * MILLI),
+                dice.range(100 * MILLI, 1_500 * MILLI),
+            );
             let (at, length, size) = (begun - before, before + after, dice.unit());
             if dice.chance(chance) {
-                self.faults.push(Fault { kind, at, length, targets, size });
+                self.faults.push(Fault {
+                    kind,
+                    at,
+                    length,
+                    targets,
+                    size,
+                });
             }
         }
         self.faults.sort_by_key(|fault| fault.at);
@@ -485,11 +556,15 @@
     /// that the faults of a seed stay what they are.
     fn draw_acts(&mut self, dice: &mut Dice) {
         let (servers, routers) = (self.servers.len(), self.routers.len());
-        for (chance, act) in
-            [(0.5, Act::ServerOut(dice.place(servers))), (0.33, Act::RouterDrain(dice.place(routers)))]
-        {
+        for (chance, act) in [
+            (0.5, Act::ServerOut(dice.place(servers))),
+            (0.33, Act::RouterDrain(dice.place(routers))),
+        ] {
             // A drain is over before clients that are never at rest are stopped: they would send anew what was not read.
-            let (at, length) = (dice.range(SECOND, 4 * SECOND), dice.range(600 * MILLI, 2_000 * MILLI));
+            let (at, length) = (
+                dice.range(SECOND, 4 * SECOND),
+                dice.range(600 * MILLI, 2_000 * MILLI),
+            );
             if dice.chance(chance) {
                 self.acts.push(Acted { act, at, length });
             }
--- a/crates/asterport-sim/src/play.rs
+++ b/crates/asterport-sim/src/play.rs
@@ -17,8 +17,8 @@
 use asterport_joining::{JoiningFile, Rules};
 use onyxpick::params::{Deployment, Names};
 use onyxpick::{
-    Class, Columns, Discovery as Listing, Effect, Group, Limits, Micros, ServerId, Settings, Tenant, Weights,
-    Word, ZoneId,
+    Class, Columns, Discovery as Listing, Effect, Group, Limits, Micros, ServerId, Settings,
+    Tenant, Weights, Word, ZoneId,
 };
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -69,11 +69,24 @@
 pub fn play(plan: &Plan, keep: Keep) -> Report {
     let plan = Rc::new(plan.clone());
     let exec = Exec::new(Dice::new(plan.seed, 5));
-    let names: Vec<(String, usize)> =
-        plan.servers.iter().enumerate().map(|(i, server)| (format!("s-{i:02}"), server.zone)).collect();
-    let judge = Rc::new(RefCell::new(Judge::new(figures(&plan), &names, keep == Keep::Trace)));
+    let names: Vec<(String, usize)> = plan
+        .servers
+        .iter()
+        .enumerate()
+        .map(|(i, server)| (format!("s-{i:02}"), server.zone))
+        .collect();
+    let judge = Rc::new(RefCell::new(Judge::new(
+        figures(&plan),
+        &names,
+        keep == Keep::Trace,
+    )));
     let observer: Rc<RefCell<dyn Observer>> = judge.clone();
-    let net = Net::new(exec.clone(), observer, plan.weather, Dice::new(plan.seed, 6));
+    let net = Net::new(
+        exec.clone(),
+        observer,
+        plan.weather,
+        Dice::new(plan.seed, 6),
+    );
     let day = Day::set_up(&plan, &exec, &net, &judge);
     day.schedule_faults();
     day.schedule_acts();
@@ -84,7 +97,9 @@
         day.check_end();
     } else {
         let text = "tasks wake one another without end".into();
-        judge.borrow_mut().breach(Rule::Liveness, exec.now(), None, text);
+        judge
+            .borrow_mut()
+            .breach(Rule::Liveness, exec.now(), None, text);
     }
     let report = report(&plan, &mut judge.borrow_mut());
     exec.end();
@@ -99,14 +114,22 @@
         steps: judge.steps(),
         counts: judge.counts,
         calm: (taken, served),
-        crowds: plan.bursts.iter().map(|burst| attempts(judge, burst)).collect(),
+        crowds: plan
+            .bursts
+            .iter()
+            .map(|burst| attempts(judge, burst))
+            .collect(),
         breaches: std::mem::take(&mut judge.breaches),
         trace: judge.trace().collect(),
     }
 }
 
 fn attempts(judge: &Judge, burst: &Burst) -> u64 {
-    let key = burst.asks.first().map(|ask| format!("{:016x}", ask.key).into_bytes()).unwrap_or_default();
+    let key = burst
+        .asks
+        .first()
+        .map(|ask| format!("{:016x}", ask.key).into_bytes())
+        .unwrap_or_default();
     judge.crowds.get(&key).copied().unwrap_or(0)
 }
 
@@ -118,7 +141,11 @@
         Judged::Unsafe,
     ];
     Figures {
-        classes: CLASSES.iter().map(|name| (*name).to_string()).zip(effects).collect(),
+        classes: CLASSES
+            .iter()
+            .map(|name| (*name).to_string())
+            .zip(effects)
+            .collect(),
         answer_grace: 20 * MILLI,
         drain_grace: 250 * MILLI,
         max_attempts: 5,
@@ -127,7 +154,10 @@
         fall_time: plan.fall_time,
         window: plan.weather.window,
         fall_slack: 6.0 * plan.mean_work,
-        joining: plan.joining.then(|| Shares { class: CLASSES[0].to_string(), flights: 2 }),
+        joining: plan.joining.then(|| Shares {
+            class: CLASSES[0].to_string(),
+            flights: 2,
+        }),
         crowds_from: plan
             .bursts
             .iter()
@@ -152,13 +182,33 @@
         zone: Some(ZoneId(zone)),
         classes: vec![
             class(0, Effect::Safe),
-            class(1, Effect::Keyed { group: Group::All, memory }),
-            class(2, Effect::Keyed { group: Group::Zone, memory }),
+            class(
+                1,
+                Effect::Keyed {
+                    group: Group::All,
+                    memory,
+                },
+            ),
+            class(
+                2,
+                Effect::Keyed {
+                    group: Group::Zone,
+                    memory,
+                },
+            ),
             class(3, Effect::Unsafe),
         ],
-        tenants: vec![Tenant { quota_per_s: 30.0, share: 0.5 }; 2],
+        tenants: vec![
+            Tenant {
+                quota_per_s: 30.0,
+                share: 0.5
+            };
+            2
+        ],
         over_quota_worth: 0.2,
-        discovery: Listing::Subscribe { ask_within: Micros(10 * SECOND) },
+        discovery: Listing::Subscribe {
+            ask_within: Micros(10 * SECOND),
+        },
         weights: Weights::Rough,
         rules: onyxpick::Rules {
             answer_grace: Micros(20 * MILLI),
@@ -188,12 +238,20 @@
         zones: text(&["z0", "z1", "z2"]),
         kinds: text(&["m"]),
     };
-    Deployment { settings, names, dial_timeout: Micros(plan.dial_timeout), reports: Columns::default() }
+    Deployment {
+        settings,
+        names,
+        dial_timeout: Micros(plan.dial_timeout),
+        reports: Columns::default(),
+    }
 }
 
 /// The rules of joining for all reads of a deployment like these.
 pub(crate) fn joins(deployment: &Deployment) -> Option<Rules> {
-    let file = JoiningFile { classes: vec![CLASSES[0].to_string()], ..JoiningFile::default() };
+    let file = JoiningFile {
+        classes: vec![CLASSES[0].to_string()],
+        ..JoiningFile::default()
+    };
     match file.rules(deployment) {
         Ok(rules) => rules,
         Err(problem) => panic!("the rig's settings are usable: {problem}"),
@@ -273,7 +331,13 @@
                 words: RefCell::default(),
             }));
             let node = machine(Role::Client, zone, usize::MAX);
-            clients.push(Clients::new(exec.clone(), net.clone(), node, addr, plan.clone()));
+            clients.push(Clients::new(
+                exec.clone(),
+                net.clone(),
+                node,
+                addr,
+                plan.clone(),
+            ));
         }
         let day = Rc::new(Day {
             plan: plan.clone(),
@@ -286,7 +350,9 @@
             routers,
             clients,
         });
-        day.routers.iter().for_each(|router| day.start_router(router));
+        day.routers
+            .iter()
+            .for_each(|router| day.start_router(router));
         day
     }
 
@@ -303,7 +369,9 @@
 
     fn start_router(self: &Rc<Self>, router: &Rc<RouterProcess>) {
         let known = self.discovery.known_to(router.node);
-        self.judge.borrow_mut().router_started(self.exec.now(), router.index, &known);
+        self.judge
+            .borrow_mut()
+            .router_started(self.exec.now(), router.index, &known);
         let known: List = serde_json::from_str(&known).unwrap_or_default();
         let life = router.life.get() + 1;
         router.life.set(life);
@@ -338,7 +406,9 @@
         let listener = self.net.listen(router.node, router.addr);
         let (day, router) = (self.clone(), router.clone());
         self.exec.spawn(router.node, async move {
-            engine.run(listener, async move { stop.notified().await }).await;
+            engine
+                .run(listener, async move { stop.notified().await })
+                .await;
             let (now, ended) = (day.exec.now(), router.clone());
             // A process does not end within itself.
             day.at(now, move |day| day.router_ended(&ended, life));
@@ -352,7 +422,9 @@
         }
         router.engine.borrow_mut().take();
         self.exec.kill(router.node);
-        self.judge.borrow_mut().router_died(self.exec.now(), router.index);
+        self.judge
+            .borrow_mut()
+            .router_died(self.exec.now(), router.index);
         let router = router.clone();
         let pause = 30 * MILLI + 7 * MILLI * router.index as Time;
         self.after(pause, move |day| day.start_router(&router));
@@ -363,7 +435,9 @@
             return;
         }
         // Told first: what its end tears down is nobody's fault.
-        self.judge.borrow_mut().router_died(self.exec.now(), router.index);
+        self.judge
+            .borrow_mut()
+            .router_died(self.exec.now(), router.index);
         self.net.kill(router.node, false);
         let router = router.clone();
         self.after(back_after, move |day| day.start_router(&router));
@@ -377,7 +451,10 @@
         let (router, life) = (router.clone(), router.life.get());
         self.after(self.plan.longest_deadline() + KILL_MARGIN, move |day| {
             if router.life.get() == life && router.engine.borrow().is_some() {
-                let (mut judge, text) = (day.judge.borrow_mut(), "a router is still there when it is killed");
+                let (mut judge, text) = (
+                    day.judge.borrow_mut(),
+                    "a router is still there when it is killed",
+                );
                 judge.breach(Rule::Liveness, day.exec.now(), None, text.into());
                 drop(judge);
                 day.kill_router(&router, 50 * MILLI);
@@ -389,7 +466,9 @@
 
     /// The list hears of it some time later.
     fn list(self: &Rc<Self>, server: usize, health: Health, born_ms: u64, late: Time) {
-        self.after(self.plan.notice + late, move |day| day.discovery.set(server, health, born_ms));
+        self.after(self.plan.notice + late, move |day| {
+            day.discovery.set(server, health, born_ms)
+        });
     }
 
     fn born_now(&self) -> u64 {
@@ -426,21 +505,36 @@
     fn call_out(self: &Rc<Self>, server: usize, length: Time) {
         self.tell(server, true);
         self.after(length / 3, move |day| day.servers[server].kill(false));
-        self.after(length * 2 / 3, move |day| day.start_server(server, 20 * MILLI));
+        self.after(length * 2 / 3, move |day| {
+            day.start_server(server, 20 * MILLI)
+        });
         self.after(length, move |day| day.tell(server, false));
     }
 
     fn tell(self: &Rc<Self>, server: usize, is_out: bool) {
-        let (now, name) = (self.exec.now(), ServerId::from(&format!("s-{server:02}")[..]));
+        let (now, name) = (
+            self.exec.now(),
+            ServerId::from(&format!("s-{server:02}")[..]),
+        );
         for router in &self.routers {
-            let said = if is_out { Word::Out } else { Word::Back(Micros(UNIX_START + now)) };
+            let said = if is_out {
+                Word::Out
+            } else {
+                Word::Back(Micros(UNIX_START + now))
+            };
             router.words.borrow_mut().insert(name.clone(), said);
             if let Some(engine) = &*router.engine.borrow() {
                 // One that was just called out and has never heard of it is told all the same when it does.
-                let _ = if is_out { engine.exclude(&name.0) } else { engine.include(&name.0) };
+                let _ = if is_out {
+                    engine.exclude(&name.0)
+                } else {
+                    engine.include(&name.0)
+                };
                 engine.told(router.words.borrow().clone());
             }
-            self.judge.borrow_mut().called(now, router.index, server, is_out);
+            self.judge
+                .borrow_mut()
+                .called(now, router.index, server, is_out);
         }
     }
 
@@ -490,7 +584,9 @@
                     self.after(self.plan.notice + length, move |day| {
                         day.list(server, Health::Removed, born, 0);
                         day.servers[server].kill(false);
-                        day.after(400 * MILLI, move |day| day.start_server(server, 300 * MILLI));
+                        day.after(400 * MILLI, move |day| {
+                            day.start_server(server, 300 * MILLI)
+                        });
                     });
                 }
             }
@@ -509,7 +605,10 @@
             }
             // Late news: connections to discovery crawl as if its zone were cut off for some time.
             Kind::DiscoveryLate => self.net.cut(0, now + length / 2),
-            Kind::ZoneCut => fault.targets.iter().for_each(|&zone| self.net.cut(zone, now + length)),
+            Kind::ZoneCut => fault
+                .targets
+                .iter()
+                .for_each(|&zone| self.net.cut(zone, now + length)),
             Kind::Deaf => {
                 for &server in &fault.targets {
                     self.net.deafen(self.servers[server].node, now + length);
@@ -519,7 +618,8 @@
                 // Most come up before the router has waited long enough, some do not.
                 let by = (self.plan.dial_timeout as f64 * (0.4 + 0.7 * fault.size)) as Time;
                 for &server in &fault.targets {
-                    self.net.delay_connects(self.servers[server].node, now + length, by);
+                    self.net
+                        .delay_connects(self.servers[server].node, now + length, by);
                 }
             }
             Kind::SilentWatches => self.discovery.silence_watches(),
@@ -527,7 +627,8 @@
                 for &router in &fault.targets {
                     let node = self.routers[router].node;
                     // Up to an hour, either way.
-                    self.net.set_clock(node, ((fault.size - 0.5) * 7.2e9) as i64);
+                    self.net
+                        .set_clock(node, ((fault.size - 0.5) * 7.2e9) as i64);
                     self.after(length, move |day| day.net.set_clock(node, 0));
                 }
             }
@@ -535,7 +636,9 @@
                 for turn in 0..8 {
                     let targets = fault.targets.clone();
                     self.after(length / 8 * turn, move |day| {
-                        targets.iter().for_each(|&server| day.servers[server].reset_idle());
+                        targets
+                            .iter()
+                            .for_each(|&server| day.servers[server].reset_idle());
                     });
                 }
             }
@@ -577,7 +680,10 @@
                 for (later, next) in self.plan.asks.iter().enumerate().skip(place + 1).take(40) {
                     let near = next.router == ask.router && next.at < ask.at + 400 * MILLI;
                     if asks.len() < wanted && near && !std::mem::replace(&mut taken[later], true) {
-                        asks.push(Ask { at: ask.at, ..next.clone() });
+                        asks.push(Ask {
+                            at: ask.at,
+                            ..next.clone()
+                        });
                     }
                 }
             }
@@ -589,18 +695,26 @@
     /// Crowds come on as many connections as they may, and their writers on one each.
     fn schedule_crowds(self: &Rc<Self>) {
         for burst in &self.plan.bursts {
-            let chunks = burst.asks.chunks(CROWD / CROWD_CONNECTIONS).chain(burst.writes.chunks(1));
+            let chunks = burst
+                .asks
+                .chunks(CROWD / CROWD_CONNECTIONS)
+                .chain(burst.writes.chunks(1));
             for chunk in chunks {
                 let (first, asks) = (chunk[0].clone(), chunk.to_vec());
                 let manner = self.manner(&first);
-                self.at(first.at, move |day| day.clients[first.router].ask_as_crowd(asks, manner));
+                self.at(first.at, move |day| {
+                    day.clients[first.router].ask_as_crowd(asks, manner)
+                });
             }
         }
     }
 
     fn manner(&self, ask: &Ask) -> Manner {
         let mut manner = Manner::default();
-        if self.during(ask, Kind::ClientsLeave).is_some_and(|fault| ask.lot < 0.2 + 0.6 * fault.size) {
+        if self
+            .during(ask, Kind::ClientsLeave)
+            .is_some_and(|fault| ask.lot < 0.2 + 0.6 * fault.size)
+        {
             manner.leaves = Some((ask.wait as f64 * ask.lot * ask.lot) as Time);
         }
         if self.during(ask, Kind::ClientsReadSlowly).is_some() {
@@ -610,10 +724,9 @@
     }
 
     fn during(&self, ask: &Ask, kind: Kind) -> Option<&Fault> {
-        self.plan
-            .faults
-            .iter()
-            .find(|fault| fault.kind == kind && (fault.at..fault.at + fault.length).contains(&ask.at))
+        self.plan.faults.iter().find(|fault| {
+            fault.kind == kind && (fault.at..fault.at + fault.length).contains(&ask.at)
+        })
     }
 
     // ---- the end
@@ -624,19 +737,30 @@
         for router in &self.routers {
             let engine = router.engine.borrow().clone();
             let Some(engine) = engine else {
-                judge.breach(Rule::Liveness, now, None, format!("router {} is not back", router.index));
+                judge.breach(
+                    Rule::Liveness,
+                    now,
+                    None,
+                    format!("router {} is not back", router.index),
+                );
                 continue;
             };
             let held = engine.holdings();
             let open = self.net.open(router.node);
             let left = held.owed + held.open + held.held + held.waiters + held.flights;
             if left > 0 || held.timers > RESTING_TIMERS {
-                let text = format!("router {} still holds {held:?} when all is over", router.index);
+                let text = format!(
+                    "router {} still holds {held:?} when all is over",
+                    router.index
+                );
                 judge.breach(Rule::Bounds, now, None, text);
             }
             // Its watch is one more.
             if open > held.clients + held.idle + 1 {
-                let text = format!("router {} holds {open} connections and knows of {held:?}", router.index);
+                let text = format!(
+                    "router {} holds {open} connections and knows of {held:?}",
+                    router.index
+                );
                 judge.breach(Rule::Bounds, now, None, text);
             }
         }
--- a/crates/asterport-sim/src/rounds.rs
+++ b/crates/asterport-sim/src/rounds.rs
@@ -51,7 +51,11 @@
         all.connections += day.connections;
         all.left_waiting += day.left_waiting;
         all.sent_for_nobody += day.sent_for_nobody;
-        self.fewest = if self.days == 1 { day.taken } else { self.fewest.min(day.taken) };
+        self.fewest = if self.days == 1 {
+            day.taken
+        } else {
+            self.fewest.min(day.taken)
+        };
         for (place, fault) in plan.faults.iter().enumerate() {
             *self.faults.entry(fault.kind).or_default() += 1;
             for other in &plan.faults[place + 1..] {
@@ -61,14 +65,20 @@
                 }
             }
         }
-        self.digest = self.digest.rotate_left(7).wrapping_mul(0x9E37_79B9_7F4A_7C15) ^ report.digest;
-        self.crowds.resize_with(self.crowds.len().max(report.crowds.len()), BTreeMap::new);
+        self.digest = self
+            .digest
+            .rotate_left(7)
+            .wrapping_mul(0x9E37_79B9_7F4A_7C15)
+            ^ report.digest;
+        self.crowds
+            .resize_with(self.crowds.len().max(report.crowds.len()), BTreeMap::new);
         for (of, &attempts) in self.crowds.iter_mut().zip(&report.crowds) {
             *of.entry(attempts).or_default() += 1;
         }
         let (taken, served) = report.calm;
         if (served as f64) < JAMMED * taken as f64 {
-            self.jammed.push((report.seed, served as f64 / taken as f64));
+            self.jammed
+                .push((report.seed, served as f64 / taken as f64));
         }
         if !report.breaches.is_empty() {
             self.broken.push(report);
@@ -78,8 +88,21 @@
 
 impl fmt::Display for Summary {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Counts { taken, served, joined, refused, failed, attempts, connections, .. } = self.counts;
-        let Counts { left_waiting, sent_for_nobody, .. } = self.counts;
+        let Counts {
+            taken,
+            served,
+            joined,
+            refused,
+            failed,
+            attempts,
+            connections,
+            ..
+        } = self.counts;
+        let Counts {
+            left_waiting,
+            sent_for_nobody,
+            ..
+        } = self.counts;
         writeln!(
             f,
             "days      {}, at least {} requests each, {} steps on the wire",
@@ -93,11 +116,18 @@
             f,
             "left      {left_waiting} requests before anything of them was sent, {sent_for_nobody} of them sent over 0.3 s later"
         )?;
-        let faults: Vec<String> =
-            self.faults.iter().map(|(kind, count)| format!("{} {count}", kind.name())).collect();
+        let faults: Vec<String> = self
+            .faults
+            .iter()
+            .map(|(kind, count)| format!("{} {count}", kind.name()))
+            .collect();
         writeln!(f, "faults    {}", faults.join(", "))?;
         writeln!(f, "pairs     {} of {PAIRS} met on a day", self.pairs.len())?;
-        for (crowds, when) in self.crowds.iter().zip(["while all is well", "in the faults", "in the calm"]) {
+        for (crowds, when) in
+            self.crowds
+                .iter()
+                .zip(["while all is well", "in the faults", "in the calm"])
+        {
             let of = |attempts| crowds.get(&attempts).copied().unwrap_or(0);
             let most = crowds.keys().next_back().copied().unwrap_or(0);
             writeln!(
@@ -140,9 +170,18 @@
 pub type Draw = fn(u64, &[Kind]) -> Plan;
 
 /// Plays the days of these seeds on so many threads. `played` is called after each.
-pub fn run(draw: Draw, seeds: Range<u64>, only: &[Kind], jobs: usize, played: impl Fn() + Sync) -> Summary {
+pub fn run(
+    draw: Draw,
+    seeds: Range<u64>,
+    only: &[Kind],
+    jobs: usize,
+    played: impl Fn() + Sync,
+) -> Summary {
     let next = AtomicU64::new(seeds.start);
-    let waiting = Mutex::new(Waiting { first: seeds.start, ..Waiting::default() });
+    let waiting = Mutex::new(Waiting {
+        first: seeds.start,
+        ..Waiting::default()
+    });
     std::thread::scope(|scope| {
         for _ in 0..jobs.max(1) {
             scope.spawn(|| {
@@ -154,7 +193,11 @@
                     let plan = draw(seed, only);
                     let report = play(&plan, Keep::Verdict);
                     let mut guard = waiting.lock().unwrap_or_else(PoisonError::into_inner);
-                    let Waiting { first, days, summary } = &mut *guard;
+                    let Waiting {
+                        first,
+                        days,
+                        summary,
+                    } = &mut *guard;
                     days.insert(seed, (plan, report));
                     while let Some((plan, report)) = days.remove(first) {
                         summary.add(&plan, report);
@@ -166,13 +209,21 @@
             });
         }
     });
-    waiting.into_inner().unwrap_or_else(PoisonError::into_inner).summary
+    waiting
+        .into_inner()
+        .unwrap_or_else(PoisonError::into_inner)
+        .summary
 }
 
 /// Reduces a day to the fewest faults and requests that still break this rule, by taking ever smaller parts out.
 /// None if the day does not break it.
 pub fn shrink(plan: &Plan, rule: Rule) -> Option<Plan> {
-    let breaks = |plan: &Plan| play(plan, Keep::Verdict).breaches.iter().any(|breach| breach.rule == rule);
+    let breaks = |plan: &Plan| {
+        play(plan, Keep::Verdict)
+            .breaches
+            .iter()
+            .any(|breach| breach.rule == rule)
+    };
     if !breaks(plan) {
         return None;
     }
@@ -235,16 +286,32 @@
             scope.spawn(|| {
                 loop {
                     let place = next.fetch_add(1, Ordering::Relaxed);
-                    let Some(&bug) = Bug::ALL.get(place as usize) else { return };
+                    let Some(&bug) = Bug::ALL.get(place as usize) else {
+                        return;
+                    };
                     plant(Some(bug));
-                    let draw: Draw = if bug.is_of_joining() { Plan::draw_joining } else { Plan::draw };
+                    let draw: Draw = if bug.is_of_joining() {
+                        Plan::draw_joining
+                    } else {
+                        Plan::draw
+                    };
                     let by = seeds.clone().find_map(|seed| {
                         let report = play(&draw(seed, &[]), Keep::Verdict);
-                        report.breaches.into_iter().next().map(|breach| (seed, breach.rule, breach.text))
+                        report
+                            .breaches
+                            .into_iter()
+                            .next()
+                            .map(|breach| (seed, breach.rule, breach.text))
                     });
                     plant(None);
-                    let caught = Caught { bug: format!("{bug:?}"), by };
-                    found.lock().unwrap_or_else(PoisonError::into_inner).insert(place, caught);
+                    let caught = Caught {
+                        bug: format!("{bug:?}"),
+                        by,
+                    };
+                    found
+                        .lock()
+                        .unwrap_or_else(PoisonError::into_inner)
+                        .insert(place, caught);
                     played();
                 }
             });
--- a/crates/asterport-sim/src/scene.rs
+++ b/crates/asterport-sim/src/scene.rs
@@ -101,9 +101,16 @@
 
     fn set_up(servers: usize, seed: u64, is_joining: bool, is_pushed: bool) -> Scene {
         let exec = Exec::new(Dice::new(seed, 1));
-        let names: Vec<(String, usize)> = (0..servers).map(|i| (format!("s-{i:02}"), i % 2)).collect();
-        let shares = Shares { class: CLASSES[0].to_string(), flights: 2 };
-        let judged = Figures { joining: is_joining.then_some(shares), ..figures() };
+        let names: Vec<(String, usize)> =
+            (0..servers).map(|i| (format!("s-{i:02}"), i % 2)).collect();
+        let shares = Shares {
+            class: CLASSES[0].to_string(),
+            flights: 2,
+        };
+        let judged = Figures {
+            joining: is_joining.then_some(shares),
+            ..figures()
+        };
         let judge = Rc::new(RefCell::new(Judge::new(judged, &names, true)));
         let weather = calm();
         let observer: Rc<RefCell<dyn Observer>> = judge.clone();
@@ -115,17 +122,31 @@
         let addr = |a: u8, b: usize| SocketAddr::from((Ipv4Addr::new(10, a, 0, b as u8 + 1), 6379));
         let peers: Vec<Rc<Peer>> = (0..servers)
             .map(|i| {
-                let (node, does) = (machine(Role::Server(i)), RefCell::new(Does::Serves(5 * MILLI)));
+                let (node, does) = (
+                    machine(Role::Server(i)),
+                    RefCell::new(Does::Serves(5 * MILLI)),
+                );
                 let (seen, streams) = (RefCell::default(), Cell::new(0));
-                Rc::new(Peer { node, addr: addr(1, i), does, seen, streams })
+                Rc::new(Peer {
+                    node,
+                    addr: addr(1, i),
+                    does,
+                    seen,
+                    streams,
+                })
             })
             .collect();
-        let (router, discovery, client) =
-            (machine(Role::Router(0)), machine(Role::Discovery), machine(Role::Client));
+        let (router, discovery, client) = (
+            machine(Role::Router(0)),
+            machine(Role::Discovery),
+            machine(Role::Client),
+        );
         let known = list(
             1,
             true,
-            &(0..servers).map(|i| entry(&names[i].0, peers[i].addr, i % 2, "up", 0)).collect::<Vec<_>>(),
+            &(0..servers)
+                .map(|i| entry(&names[i].0, peers[i].addr, i % 2, "up", 0))
+                .collect::<Vec<_>>(),
         );
         judge.borrow_mut().router_started(0, 0, &known);
         let lists = Rc::new(RefCell::new(Vec::new()));
@@ -167,9 +188,15 @@
         }
         scene.discover(discovery, addr(2, 0));
         let listener = scene.net.listen(router, scene.addr);
-        let (engine, stop, ended) = (scene.engine.clone(), scene.stop.clone(), scene.has_ended.clone());
+        let (engine, stop, ended) = (
+            scene.engine.clone(),
+            scene.stop.clone(),
+            scene.has_ended.clone(),
+        );
         scene.exec.spawn(router, async move {
-            engine.run(listener, async move { stop.notified().await }).await;
+            engine
+                .run(listener, async move { stop.notified().await })
+                .await;
             ended.set(true);
         });
         // The watch is up.
@@ -234,7 +261,8 @@
 
     /// Connections to this server come up so much later.
     pub fn delay_connects(&self, server: usize, by: Time) {
-        self.net.delay_connects(self.peers[server].node, Time::MAX, by);
+        self.net
+            .delay_connects(self.peers[server].node, Time::MAX, by);
     }
 
     /// A born time of now.
@@ -247,15 +275,36 @@
         self.words_of(None, class, key, wait)
     }
 
-    fn words_of(&self, tenant: Option<usize>, class: usize, key: u64, wait: Time) -> (Vec<u8>, u64) {
+    fn words_of(
+        &self,
+        tenant: Option<usize>,
+        class: usize,
+        key: u64,
+        wait: Time,
+    ) -> (Vec<u8>, u64) {
         let id = self.asked.get() + 1;
         self.asked.set(id);
         let (key, id_text) = (format!("{key:016x}"), format!("{id:016x}"));
         let tenant = tenant.map_or(String::new(), |tenant| format!(",t=t{tenant}"));
-        let fields = format!("c={}{tenant},d={},k={id:016x}", CLASSES[class], wait / MILLI);
+        let fields = format!(
+            "c={}{tenant},d={},k={id:016x}",
+            CLASSES[class],
+            wait / MILLI
+        );
         let bytes = match class {
-            0 => command(&[b"C.GET", key.as_bytes(), id_text.as_bytes(), fields.as_bytes()]),
-            _ => command(&[b"C.SET", key.as_bytes(), id_text.as_bytes(), fields.as_bytes(), b"v"]),
+            0 => command(&[
+                b"C.GET",
+                key.as_bytes(),
+                id_text.as_bytes(),
+                fields.as_bytes(),
+            ]),
+            _ => command(&[
+                b"C.SET",
+                key.as_bytes(),
+                id_text.as_bytes(),
+                fields.as_bytes(),
+                b"v",
+            ]),
         };
         (bytes, id)
     }
@@ -264,8 +313,12 @@
     /// in whole reads.
     pub fn client(&self, writes: Vec<(Time, Vec<u8>)>, leaves_at: Option<Time>) -> Told {
         let told = Told::default();
-        let (world, exec, addr, to) =
-            (self.net.world(self.client), self.exec.clone(), self.addr, told.clone());
+        let (world, exec, addr, to) = (
+            self.net.world(self.client),
+            self.exec.clone(),
+            self.addr,
+            told.clone(),
+        );
         self.exec.spawn(self.client, async move {
             let Ok(mut stream) = world.connect(addr).await else { return };
             for (at, bytes) in writes {
@@ -295,7 +348,9 @@
     pub fn deaf_client(&self, at: Time, bytes: Vec<u8>, until: Time) {
         let (world, exec, addr) = (self.net.world(self.client), self.exec.clone(), self.addr);
         self.exec.spawn(self.client, async move {
-            let Ok(mut stream) = world.connect(addr).await else { return };
+            let Ok(mut stream) = world.connect(addr).await else {
+                return;
+            };
             exec.sleep_until(at).await;
             // What it writes has room.
             let _ = stream.write_all(&bytes).await;
@@ -343,10 +398,17 @@
 
     fn discover(&self, node: Node, addr: SocketAddr) {
         let listener = self.net.listen(node, addr);
-        let (exec, lists, silent_at) = (self.exec.clone(), self.lists.clone(), self.silent_at.clone());
+        let (exec, lists, silent_at) = (
+            self.exec.clone(),
+            self.lists.clone(),
+            self.silent_at.clone(),
+        );
         self.exec.spawn(node, async move {
             while let Ok(stream) = listener.accept().await {
-                exec.spawn(node, watch(exec.clone(), stream, lists.clone(), silent_at.clone()));
+                exec.spawn(
+                    node,
+                    watch(exec.clone(), stream, lists.clone(), silent_at.clone()),
+                );
             }
         });
     }
@@ -363,7 +425,10 @@
     let mut buffer = [0; 1_024];
     let _ = stream.read(&mut buffer).await;
     let chunk = |text: &str| format!("{:x}\r\n{text}\n\r\n", text.len() + 1);
-    let first = format!("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n{}", chunk(""));
+    let first = format!(
+        "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n{}",
+        chunk("")
+    );
     let mut written = stream.write_all(first.as_bytes()).await;
     let (mut seq, mut beat) = (1, exec.now() + SECOND);
     while written.is_ok() {
@@ -375,20 +440,32 @@
         let due: Vec<String> = {
             let mut lists = lists.borrow_mut();
             let now = exec.now();
-            let due = lists.iter().filter(|line| line.0 <= now).map(|line| line.1.clone()).collect();
+            let due = lists
+                .iter()
+                .filter(|line| line.0 <= now)
+                .map(|line| line.1.clone())
+                .collect();
             lists.retain(|line| line.0 > now);
             due
         };
         if !due.is_empty() {
             seq += 1;
-            written = stream.write_all(chunk(&list(seq, false, &due)).as_bytes()).await;
+            written = stream
+                .write_all(chunk(&list(seq, false, &due)).as_bytes())
+                .await;
         } else if exec.now() >= beat {
             beat = exec.now() + SECOND;
             written = stream.write_all(chunk("").as_bytes()).await;
         }
         // A scene's lists may be said at any time: it looks often, and at each exact time.
-        let next = lists.borrow().iter().map(|line| line.0).min().unwrap_or(Time::MAX);
-        exec.sleep_until(next.min(exec.now() + 500).max(exec.now() + 1)).await;
+        let next = lists
+            .borrow()
+            .iter()
+            .map(|line| line.0)
+            .min()
+            .unwrap_or(Time::MAX);
+        exec.sleep_until(next.min(exec.now() + 500).max(exec.now() + 1))
+            .await;
     }
 }
 
@@ -428,7 +505,11 @@
         let said = match does {
             Does::Serves(time) | Does::ServesLarge(time, _) => {
                 exec.sleep(time).await;
-                let size = if let Does::ServesLarge(_, size) = does { size } else { 20 };
+                let size = if let Does::ServesLarge(_, size) = does {
+                    size
+                } else {
+                    20
+                };
                 let value = value_for(call.id, "scene", size);
                 let mut out = format!("*3\r\n${}\r\n", value.len()).into_bytes();
                 out.extend_from_slice(&value);
@@ -443,7 +524,8 @@
                 exec.sleep(time).await;
                 let value = value_for(call.id, "scene", 20);
                 let value = String::from_utf8_lossy(&value);
-                let out = format!("*3\r\n${}\r\n{value}\r\n$3\r\nhit\r\n$-1\r\n", value.len()).into_bytes();
+                let out = format!("*3\r\n${}\r\n{value}\r\n$3\r\nhit\r\n$-1\r\n", value.len())
+                    .into_bytes();
                 if stream.write_all(&out).await.is_err() {
                     return;
                 }
@@ -485,7 +567,11 @@
         Judged::Unsafe,
     ];
     Figures {
-        classes: CLASSES.iter().map(|name| (*name).to_string()).zip(effects).collect(),
+        classes: CLASSES
+            .iter()
+            .map(|name| (*name).to_string())
+            .zip(effects)
+            .collect(),
         answer_grace: 20 * MILLI,
         drain_grace: 250 * MILLI,
         max_attempts: 5,
@@ -511,11 +597,19 @@
     let settings = Settings {
         classes: vec![
             class(Effect::Safe),
-            class(Effect::Keyed { group: Group::All, memory }),
-            class(Effect::Keyed { group: Group::Zone, memory }),
+            class(Effect::Keyed {
+                group: Group::All,
+                memory,
+            }),
+            class(Effect::Keyed {
+                group: Group::Zone,
+                memory,
+            }),
             class(Effect::Unsafe),
         ],
-        discovery: Listing::Subscribe { ask_within: Micros(10 * SECOND) },
+        discovery: Listing::Subscribe {
+            ask_within: Micros(10 * SECOND),
+        },
         rules: Rules {
             answer_grace: Micros(20 * MILLI),
             drain_grace: Micros(250 * MILLI),
@@ -535,7 +629,13 @@
         connection_idle: Micros(15 * SECOND),
         prices: Default::default(),
         origin_falls: false,
-        tenants: vec![Tenant { quota_per_s: 30.0, share: 0.5 }; 2],
+        tenants: vec![
+            Tenant {
+                quota_per_s: 30.0,
+                share: 0.5
+            };
+            2
+        ],
         ..Settings::default()
     };
     let text = |names: &[&str]| names.iter().map(|name| (*name).to_string()).collect();
@@ -545,5 +645,10 @@
         zones: text(&["z0", "z1"]),
         kinds: text(&["m"]),
     };
-    Deployment { settings, names, dial_timeout: Micros(300 * MILLI), reports: Columns::default() }
+    Deployment {
+        settings,
+        names,
+        dial_timeout: Micros(300 * MILLI),
+        reports: Columns::default(),
+    }
 }
--- a/crates/asterport-sim/src/wire.rs
+++ b/crates/asterport-sim/src/wire.rs
@@ -54,12 +54,20 @@
 /// A frame that begins at this place, and where it ends.
 fn parse(bytes: &[u8], at: usize, depth: u32) -> Result<Option<(Frame, usize)>, NoFrame> {
     let Some(length) = bytes[at..].iter().position(|&byte| byte == b'\n') else {
-        return if bytes.len() - at > 4096 { Err(NoFrame) } else { Ok(None) };
+        return if bytes.len() - at > 4096 {
+            Err(NoFrame)
+        } else {
+            Ok(None)
+        };
     };
     let line = &bytes[at..at + length + 1];
     let text = line.strip_suffix(b"\r\n").ok_or(NoFrame)?;
     let end = at + line.len();
-    let number = || std::str::from_utf8(&text[1..]).ok().and_then(|digits| digits.parse::<i64>().ok());
+    let number = || {
+        std::str::from_utf8(&text[1..])
+            .ok()
+            .and_then(|digits| digits.parse::<i64>().ok())
+    };
     match text.first() {
         Some(b'+' | b'-' | b':') => Ok(Some((Frame::Line(text.to_vec()), end))),
         Some(b'$') => match number().ok_or(NoFrame)? {
@@ -68,22 +76,27 @@
                 let size = size as usize;
                 match bytes.get(end..end + size + 2) {
                     None => Ok(None),
-                    Some(body) if body.ends_with(b"\r\n") => {
-                        Ok(Some((Frame::Bulk(Some(body[..size].to_vec())), end + size + 2)))
-                    }
+                    Some(body) if body.ends_with(b"\r\n") => Ok(Some((
+                        Frame::Bulk(Some(body[..size].to_vec())),
+                        end + size + 2,
+                    ))),
                     Some(_) => Err(NoFrame),
                 }
             }
             _ => Err(NoFrame),
         },
         Some(b'*') if depth < 2 => {
-            let count = number().filter(|count| (0..=16).contains(count)).ok_or(NoFrame)?;
+            let count = number()
+                .filter(|count| (0..=16).contains(count))
+                .ok_or(NoFrame)?;
             let (mut items, mut at) = (Vec::new(), end);
             for _ in 0..count {
                 if at >= bytes.len() {
                     return Ok(None);
                 }
-                let Some((item, next)) = parse(bytes, at, depth + 1)? else { return Ok(None) };
+                let Some((item, next)) = parse(bytes, at, depth + 1)? else {
+                    return Ok(None);
+                };
                 items.push(item);
                 at = next;
             }
@@ -126,7 +139,9 @@
 impl Spoken {
     /// What a frame says as a command.
     pub fn of(frame: &Frame) -> Spoken {
-        let Frame::Array(items) = frame else { return Spoken::Other };
+        let Frame::Array(items) = frame else {
+            return Spoken::Other;
+        };
         let words: Vec<&[u8]> = items
             .iter()
             .map(|item| match item {
@@ -134,7 +149,11 @@
                 _ => &[],
             })
             .collect();
-        let text = |place: usize| words.get(place).and_then(|word| std::str::from_utf8(word).ok());
+        let text = |place: usize| {
+            words
+                .get(place)
+                .and_then(|word| std::str::from_utf8(word).ok())
+        };
         let write = match words.first() {
             Some(&b"PING") => return Spoken::Ping,
             Some(&b"C.GET") if words.len() == 4 => false,
@@ -150,13 +169,17 @@
                 .map(|pair| pair.1)
         };
         let id = text(2).and_then(|id| u64::from_str_radix(id, 16).ok());
-        let (Some(id), Some(class)) = (id, field("c")) else { return Spoken::Other };
+        let (Some(id), Some(class)) = (id, field("c")) else {
+            return Spoken::Other;
+        };
         Spoken::Call(Call {
             write,
             key: words[1].to_vec(),
             id,
             class: class.to_string(),
-            wait_ms: field("d").and_then(|digits| digits.parse().ok()).unwrap_or(0),
+            wait_ms: field("d")
+                .and_then(|digits| digits.parse().ok())
+                .unwrap_or(0),
             once: field("k").map(str::to_string),
             hint: field("h").and_then(|digits| digits.parse().ok()),
         })
@@ -184,7 +207,9 @@
                 _ => Answer::Failed,
             },
             Frame::Line(text) if text.starts_with(b"-BUSY") => {
-                let advice = std::str::from_utf8(&text[5..]).ok().and_then(|text| text.trim().parse().ok());
+                let advice = std::str::from_utf8(&text[5..])
+                    .ok()
+                    .and_then(|text| text.trim().parse().ok());
                 Answer::Refused(advice)
             }
             _ => Answer::Failed,
--- a/crates/asterport-sim/tests/days.rs
+++ b/crates/asterport-sim/tests/days.rs
@@ -7,7 +7,10 @@
 use std::process::{Command, Output};
 
 fn command(words: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_asterport-sim")).args(words).output().expect("the command runs")
+    Command::new(env!("CARGO_BIN_EXE_asterport-sim"))
+        .args(words)
+        .output()
+        .expect("the command runs")
 }
 
 fn text(output: &Output) -> String {
@@ -15,7 +18,11 @@
 }
 
 fn line_of(output: &Output, name: &str) -> String {
-    text(output).lines().find(|line| line.starts_with(name)).unwrap_or_default().to_string()
+    text(output)
+        .lines()
+        .find(|line| line.starts_with(name))
+        .unwrap_or_default()
+        .to_string()
 }
 
 #[test]
@@ -29,21 +36,42 @@
 fn seeds_play_alike_in_two_processes_and_whatever_the_number_of_jobs() {
     let runs: Vec<String> = ["1", "2", "3"]
         .iter()
-        .map(|jobs| line_of(&command(&["run", "--seeds", "40..60", "--jobs", jobs]), "digest"))
+        .map(|jobs| {
+            line_of(
+                &command(&["run", "--seeds", "40..60", "--jobs", jobs]),
+                "digest",
+            )
+        })
         .collect();
     assert!(runs[0].len() > 16, "{}", runs[0]);
     assert!(runs.iter().all(|run| *run == runs[0]), "{runs:?}");
-    assert_ne!(runs[0], line_of(&command(&["run", "--seeds", "41..61"]), "digest"));
+    assert_ne!(
+        runs[0],
+        line_of(&command(&["run", "--seeds", "41..61"]), "digest")
+    );
 }
 
 #[test]
 fn each_day_has_the_size_and_the_overlap_that_is_wanted() {
     for seed in 0..200 {
         let plan = Plan::draw(seed, &[]);
-        assert!(plan.routers.len() >= 3 && plan.servers.len() >= 8, "seed {seed}");
+        assert!(
+            plan.routers.len() >= 3 && plan.servers.len() >= 8,
+            "seed {seed}"
+        );
         assert!(plan.faults.len() >= 3, "seed {seed}");
-        let begun = plan.faults.iter().map(|fault| fault.at).max().expect("a fault");
-        assert!(plan.faults.iter().all(|fault| fault.at + fault.length > begun), "seed {seed}: all overlap");
+        let begun = plan
+            .faults
+            .iter()
+            .map(|fault| fault.at)
+            .max()
+            .expect("a fault");
+        assert!(
+            plan.faults
+                .iter()
+                .all(|fault| fault.at + fault.length > begun),
+            "seed {seed}: all overlap"
+        );
     }
 }
 
@@ -52,8 +80,12 @@
     let mut met = std::collections::BTreeSet::new();
     for seed in 0..PAIRS {
         let plan = Plan::draw(seed, &[]);
-        let paired: Vec<Kind> =
-            plan.faults.iter().map(|fault| fault.kind).filter(|kind| Kind::ALL.contains(kind)).collect();
+        let paired: Vec<Kind> = plan
+            .faults
+            .iter()
+            .map(|fault| fault.kind)
+            .filter(|kind| Kind::ALL.contains(kind))
+            .collect();
         for a in &paired {
             met.extend(paired.iter().filter(|b| a < b).map(|b| (*a, *b)));
         }
@@ -64,7 +96,11 @@
 #[test]
 fn only_named_faults_are_drawn_where_some_are_named() {
     let plan = Plan::draw(5, &[Kind::Hangs, Kind::Deaf]);
-    assert!(plan.faults.iter().all(|fault| matches!(fault.kind, Kind::Hangs | Kind::Deaf)));
+    assert!(
+        plan.faults
+            .iter()
+            .all(|fault| matches!(fault.kind, Kind::Hangs | Kind::Deaf))
+    );
 }
 
 /// Days on which the program broke a rule before it was mended: keyed repeats that outlasted their memory while they
@@ -76,7 +112,11 @@
 fn days_that_once_broke_a_rule_break_none() {
     for seed in REGRESSIONS {
         let report = play(&Plan::draw(seed, &[]), Keep::Verdict);
-        assert!(report.breaches.is_empty(), "seed {seed}: {:?}", report.breaches);
+        assert!(
+            report.breaches.is_empty(),
+            "seed {seed}: {:?}",
+            report.breaches
+        );
     }
 }
 
@@ -87,8 +127,16 @@
         assert!(plan.bursts.iter().all(|burst| burst.asks.len() == 500));
         let (first, again) = (play(&plan, Keep::Verdict), play(&plan, Keep::Verdict));
         assert_eq!(first.digest, again.digest, "seed {seed}");
-        assert!(first.breaches.is_empty(), "seed {seed}: {:?}", first.breaches);
-        assert!(first.counts.joined > 500, "seed {seed}: {}", first.counts.joined);
+        assert!(
+            first.breaches.is_empty(),
+            "seed {seed}: {:?}",
+            first.breaches
+        );
+        assert!(
+            first.counts.joined > 500,
+            "seed {seed}: {}",
+            first.counts.joined
+        );
     }
 }
 
@@ -98,7 +146,11 @@
 fn days_with_crowds_that_once_failed_do_not() {
     for seed in [566, 1080, 2049] {
         let report = play(&Plan::draw_joining(seed, &[]), Keep::Verdict);
-        assert!(report.breaches.is_empty(), "seed {seed}: {:?}", report.breaches);
+        assert!(
+            report.breaches.is_empty(),
+            "seed {seed}: {:?}",
+            report.breaches
+        );
     }
 }
 
@@ -126,8 +178,17 @@
     let output = command(&["replay", "3", "--until", "5"]);
     assert_eq!(output.status.code(), Some(0));
     let said = text(&output);
-    assert!(said.contains("fault 0: ") && said.contains("no breach"), "{said}");
-    assert_eq!(said.lines().filter(|line| line.contains(" us conn ")).count(), 5, "{said}");
+    assert!(
+        said.contains("fault 0: ") && said.contains("no breach"),
+        "{said}"
+    );
+    assert_eq!(
+        said.lines()
+            .filter(|line| line.contains(" us conn "))
+            .count(),
+        5,
+        "{said}"
+    );
 }
 
 #[cfg(not(feature = "planted"))]
@@ -144,16 +205,34 @@
     plant(Some(Bug::RepeatsUnsafe));
     let failing = (0..200)
         .map(|seed| Plan::draw(seed, &[]))
-        .find(|plan| play(plan, Keep::Verdict).breaches.iter().any(|breach| breach.rule == Rule::Effects))
+        .find(|plan| {
+            play(plan, Keep::Verdict)
+                .breaches
+                .iter()
+                .any(|breach| breach.rule == Rule::Effects)
+        })
         .expect("a day that shows the bug");
     let least = rounds::shrink(&failing, Rule::Effects).expect("it fails");
     let (first, again) = (play(&least, Keep::Verdict), play(&least, Keep::Trace));
     plant(None);
-    assert!(least.asks.len() < failing.asks.len() / 10, "{} of {}", least.asks.len(), failing.asks.len());
+    assert!(
+        least.asks.len() < failing.asks.len() / 10,
+        "{} of {}",
+        least.asks.len(),
+        failing.asks.len()
+    );
     assert!(least.faults.len() <= failing.faults.len());
     assert_eq!(first.digest, again.digest);
-    assert!(again.breaches.iter().any(|breach| breach.rule == Rule::Effects && !breach.steps.is_empty()));
-    assert!(play(&least, Keep::Verdict).breaches.is_empty(), "without the bug the day is clean");
+    assert!(
+        again
+            .breaches
+            .iter()
+            .any(|breach| breach.rule == Rule::Effects && !breach.steps.is_empty())
+    );
+    assert!(
+        play(&least, Keep::Verdict).breaches.is_empty(),
+        "without the bug the day is clean"
+    );
 }
 
 #[cfg(not(feature = "planted"))]
@@ -167,8 +246,11 @@
 fn days_leave_no_memory_behind() {
     let kilobytes = || -> usize {
         let status = std::fs::read_to_string("/proc/self/statm").expect("the process's memory");
-        let pages: usize =
-            status.split(' ').nth(1).and_then(|pages| pages.parse().ok()).expect("resident pages");
+        let pages: usize = status
+            .split(' ')
+            .nth(1)
+            .and_then(|pages| pages.parse().ok())
+            .expect("resident pages");
         pages * 4
     };
     let play_some = || (0..40).for_each(|seed| drop(play(&Plan::draw(seed, &[]), Keep::Verdict)));
--- a/crates/asterport-sim/tests/joined_scenes.rs
+++ b/crates/asterport-sim/tests/joined_scenes.rs
@@ -5,7 +5,10 @@
 use asterport_sim::scene::{DEADLINE, Does, LATENCY, Scene, Told};
 
 fn text(told: &Told) -> String {
-    told.borrow().iter().map(|(_, bytes)| String::from_utf8_lossy(bytes).into_owned()).collect()
+    told.borrow()
+        .iter()
+        .map(|(_, bytes)| String::from_utf8_lossy(bytes).into_owned())
+        .collect()
 }
 
 fn served(told: &Told) -> usize {
@@ -33,7 +36,11 @@
 fn ends_well(scene: &Scene) {
     assert_eq!(scene.breaches().len(), 0, "{:#?}", scene.breaches());
     let held = scene.engine.holdings();
-    assert_eq!((held.owed, held.open, held.held, held.waiters, held.flights), (0, 0, 0, 0, 0), "{held:?}");
+    assert_eq!(
+        (held.owed, held.open, held.held, held.waiters, held.flights),
+        (0, 0, 0, 0, 0),
+        "{held:?}"
+    );
 }
 
 /// The owner of a key among these servers.
@@ -41,7 +48,9 @@
     let scene = Scene::new(servers, 1);
     scene.ask_at(SECOND, 0, key, SECOND);
     scene.run_until(2 * SECOND);
-    (0..servers).find(|&server| !scene.seen(server).is_empty()).expect("one has it")
+    (0..servers)
+        .find(|&server| !scene.seen(server).is_empty())
+        .expect("one has it")
 }
 
 #[test]
@@ -68,14 +77,21 @@
 
 #[test]
 fn a_failed_flight_is_tried_once_more_for_all() {
-    for does in [Does::Resets(50 * MILLI), Does::Says(50 * MILLI, b"-BUSY\r\n")] {
+    for does in [
+        Does::Resets(50 * MILLI),
+        Does::Says(50 * MILLI, b"-BUSY\r\n"),
+    ] {
         let scene = Scene::joining(3, 1);
         let owner = owner(3, 7);
         scene.all_do(&Does::Serves(50 * MILLI));
         scene.does(owner, does.clone());
         let told = crowd(&scene, SECOND, 7, SECOND);
         scene.run_until(3 * SECOND);
-        assert_eq!((scene.seen(owner).len(), scene.all_seen()), (1, 2), "{does:?}");
+        assert_eq!(
+            (scene.seen(owner).len(), scene.all_seen()),
+            (1, 2),
+            "{does:?}"
+        );
         assert_eq!(all(&told, served), 500, "{does:?}");
         ends_well(&scene);
     }
@@ -120,9 +136,17 @@
     let short = scene.ask_at(SECOND + 60 * MILLI, 0, 7, 100 * MILLI);
     scene.run_until(4 * SECOND);
     assert_eq!((refused(&first), refused(&short), served(&long)), (1, 1, 1));
-    assert_eq!(first.borrow()[0].0, SECOND + 300 * MILLI + LATENCY, "to the microsecond");
+    assert_eq!(
+        first.borrow()[0].0,
+        SECOND + 300 * MILLI + LATENCY,
+        "to the microsecond"
+    );
     assert_eq!(short.borrow()[0].0, SECOND + 160 * MILLI + LATENCY);
-    assert_eq!(scene.all_seen(), 1, "the attempt that was out is the one that serves");
+    assert_eq!(
+        scene.all_seen(),
+        1,
+        "the attempt that was out is the one that serves"
+    );
     ends_well(&scene);
 }
 
@@ -143,7 +167,11 @@
     assert_eq!(scene.engine.holdings().flights, 1);
     scene.run_until(4 * SECOND + 210 * MILLI);
     ends_well(&scene);
-    assert_eq!(scene.engine.holdings().idle, 0, "its connection went with it");
+    assert_eq!(
+        scene.engine.holdings().idle,
+        0,
+        "its connection went with it"
+    );
 }
 
 #[test]
@@ -164,8 +192,16 @@
     let second = crowd(&scene, 4 * SECOND + 50 * MILLI, 7, DEADLINE);
     let third = crowd(&scene, 4 * SECOND + 60 * MILLI, 7, DEADLINE);
     scene.run_until(5 * SECOND);
-    assert_eq!(scene.all_seen() - before, 2, "the cause that was lost, and one more");
-    assert_eq!([&first, &second, &third].map(|told| all(told, served)), [500; 3], "the first crowd too");
+    assert_eq!(
+        scene.all_seen() - before,
+        2,
+        "the cause that was lost, and one more"
+    );
+    assert_eq!(
+        [&first, &second, &third].map(|told| all(told, served)),
+        [500; 3],
+        "the first crowd too"
+    );
     scene.run_until(9 * SECOND);
     ends_well(&scene);
 }
@@ -184,7 +220,10 @@
     scene.run_until(SECOND + 399 * MILLI);
     let after = scene.ask_at(SECOND + 400 * MILLI, 0, 7, DEADLINE);
     scene.run_until(4 * SECOND);
-    assert_eq!((served(&before), served(&during), served(&after)), (1, 1, 1));
+    assert_eq!(
+        (served(&before), served(&during), served(&after)),
+        (1, 1, 1)
+    );
     ends_well(&scene);
     scene
 }
@@ -192,7 +231,11 @@
 #[test]
 fn no_read_after_a_write_has_an_answer_from_before_it() {
     // Served 100 ms later; failed, so that it may have run; and without an answer until its time is up.
-    for write in [Does::Serves(100 * MILLI), Does::Says(100 * MILLI, b"-ERR failed\r\n"), Does::Nothing] {
+    for write in [
+        Does::Serves(100 * MILLI),
+        Does::Says(100 * MILLI, b"-ERR failed\r\n"),
+        Does::Nothing,
+    ] {
         let scene = around_a_write(write.clone());
         let reads = scene.seen(0).iter().filter(|(_, call)| !call.write).count();
         assert_eq!(reads, 3, "{write:?}: each has one of its own");
@@ -220,7 +263,11 @@
         let at = SECOND * class as Time;
         let told: Vec<Told> = (0..3).map(|_| scene.ask_at(at, class, 7, SECOND)).collect();
         scene.run_until(at + 900 * MILLI);
-        assert_eq!((scene.all_seen() - before, all(&told, served)), (3, 3), "class {class}");
+        assert_eq!(
+            (scene.all_seen() - before, all(&told, served)),
+            (3, 3),
+            "class {class}"
+        );
     }
     ends_well(&scene);
 }
@@ -277,7 +324,14 @@
     let told = crowd(&scene, SECOND, 7, SECOND);
     scene.told_at(SECOND + 100 * MILLI, owner, "removed", 0);
     scene.run_until(4 * SECOND);
-    assert_eq!((scene.seen(owner).len(), scene.all_seen(), all(&told, served)), (1, 2, 500));
+    assert_eq!(
+        (
+            scene.seen(owner).len(),
+            scene.all_seen(),
+            all(&told, served)
+        ),
+        (1, 2, 500)
+    );
     ends_well(&scene);
 }
 
@@ -321,7 +375,11 @@
     let again = scene.client(vec![(SECOND + 10 * MILLI, bytes)], None);
     scene.run_until(3 * SECOND);
     assert_eq!(served(&told), 1);
-    assert!(text(&again).starts_with("-ERR a request of this id is open"), "{}", text(&again));
+    assert!(
+        text(&again).starts_with("-ERR a request of this id is open"),
+        "{}",
+        text(&again)
+    );
     assert_eq!(scene.engine.holdings().owed, 0);
 }
 
@@ -329,7 +387,9 @@
 fn room_after_a_crowd_of(tenant: usize) -> usize {
     let scene = Scene::joining(1, 1);
     scene.all_do(&Does::Serves(100 * MILLI));
-    let told: Vec<Told> = (0..150).map(|_| scene.ask_as(tenant, SECOND, 7, SECOND)).collect();
+    let told: Vec<Told> = (0..150)
+        .map(|_| scene.ask_as(tenant, SECOND, 7, SECOND))
+        .collect();
     scene.run_until(3 * SECOND);
     assert_eq!((scene.all_seen(), all(&told, served)), (1, 150));
     scene.all_do(&Does::Nothing);
@@ -341,5 +401,8 @@
 #[test]
 fn each_waiter_counts_for_its_own_tenant() {
     let (own, other) = (room_after_a_crowd_of(0), room_after_a_crowd_of(1));
-    assert!(0 < own && own < other, "{own} after its own crowd, {other} after the other's");
+    assert!(
+        0 < own && own < other,
+        "{own} after its own crowd, {other} after the other's"
+    );
 }
--- a/crates/asterport-sim/tests/judge.rs
+++ b/crates/asterport-sim/tests/judge.rs
@@ -26,14 +26,23 @@
 
     /// Reads of the first class may share answers.
     fn joining() -> Wire {
-        let shares = Shares { class: CLASSES[0].to_string(), flights: 2 };
-        Wire::with(Figures { joining: Some(shares), ..figures() })
+        let shares = Shares {
+            class: CLASSES[0].to_string(),
+            flights: 2,
+        };
+        Wire::with(Figures {
+            joining: Some(shares),
+            ..figures()
+        })
     }
 
     fn with(figures: Figures) -> Wire {
         let names: Vec<(String, usize)> = (0..4).map(|i| (format!("s-{i:02}"), i % 2)).collect();
         let mut judge = Judge::new(figures, &names, true);
-        for role in [Role::Router(0), Role::Client].into_iter().chain((0..4).map(Role::Server)) {
+        for role in [Role::Router(0), Role::Client]
+            .into_iter()
+            .chain((0..4).map(Role::Server))
+        {
             judge.machine(role);
         }
         judge.machine(Role::Discovery);
@@ -82,12 +91,19 @@
     fn rules(&mut self, end: Time) -> Vec<Rule> {
         // Something passes later on, so that what is overdue shows.
         self.client(end);
-        self.judge.breaches.iter().map(|breach| breach.rule).collect()
+        self.judge
+            .breaches
+            .iter()
+            .map(|breach| breach.rule)
+            .collect()
     }
 }
 
 fn call(id: u64, class: usize, wait: Time) -> Vec<u8> {
-    let (id, fields) = (format!("{id:016x}"), format!("c={},d={},k=1", CLASSES[class], wait / MILLI));
+    let (id, fields) = (
+        format!("{id:016x}"),
+        format!("c={},d={},k=1", CLASSES[class], wait / MILLI),
+    );
     match class {
         0 => command(&[b"C.GET", b"key", id.as_bytes(), fields.as_bytes()]),
         _ => command(&[b"C.SET", b"key", id.as_bytes(), fields.as_bytes(), b"v"]),
@@ -122,13 +138,19 @@
 
 #[test]
 fn no_answer_breaks_rule_1_unless_the_router_died_or_the_client_left() {
-    for (what, broken) in [("nothing", true), ("router dies", false), ("client leaves", false)] {
+    for (what, broken) in [
+        ("nothing", true),
+        ("router dies", false),
+        ("client leaves", false),
+    ] {
         let mut wire = Wire::new();
         let client = wire.client(0);
         wire.asks(SECOND, client, 1, 0, 100 * MILLI);
         match what {
             "router dies" => wire.judge.router_died(SECOND + 1, 0),
-            "client leaves" => wire.judge.left(SECOND + 1, client, Side::Dialer, Leaving::Fin),
+            "client leaves" => wire
+                .judge
+                .left(SECOND + 1, client, Side::Dialer, Leaving::Fin),
             _ => {}
         }
         assert_eq!(wire.rules(9 * SECOND) == [Rule::Answered], broken, "{what}");
@@ -145,8 +167,13 @@
         // All of it, or all but its last byte.
         let count = bytes.len() - usize::from(!arrives);
         wire.judge.delivered(SECOND, client, Side::Dialer, count);
-        wire.judge.left(SECOND + 1, client, Side::Listener, Leaving::Fin);
-        assert_eq!(wire.rules(9 * SECOND) == [Rule::Answered], lost, "{arrives}");
+        wire.judge
+            .left(SECOND + 1, client, Side::Listener, Leaving::Fin);
+        assert_eq!(
+            wire.rules(9 * SECOND) == [Rule::Answered],
+            lost,
+            "{arrives}"
+        );
     }
 }
 
@@ -170,7 +197,11 @@
         wire.asks(SECOND, client, 2, 0, 100 * MILLI);
         wire.answers(SECOND + 500 * MILLI, client, b"-BUSY\r\n");
         wire.answers(SECOND + 500 * MILLI + after, client, b"-BUSY\r\n");
-        assert_eq!(wire.rules(9 * SECOND).contains(&Rule::Answered), broken, "{after}");
+        assert_eq!(
+            wire.rules(9 * SECOND).contains(&Rule::Answered),
+            broken,
+            "{after}"
+        );
     }
 }
 
@@ -230,14 +261,22 @@
     assert_eq!(repeated(3, "all but the last byte", 1, 10 * MILLI), []);
     assert_eq!(repeated(3, "reset", 1, 10 * MILLI), [Rule::Effects]);
     assert_eq!(repeated(3, "failed", 1, 10 * MILLI), [Rule::Effects]);
-    assert_eq!(repeated(0, "reset", 1, 10 * MILLI), [], "a safe one may follow anything");
+    assert_eq!(
+        repeated(0, "reset", 1, 10 * MILLI),
+        [],
+        "a safe one may follow anything"
+    );
 }
 
 #[test]
 fn a_keyed_request_may_be_repeated_to_the_last_microsecond_of_its_memory() {
     assert_eq!(repeated(1, "reset", 1, MEMORY), []);
     assert_eq!(repeated(1, "reset", 1, MEMORY + 1), [Rule::Effects]);
-    assert_eq!(repeated(1, "busy", 1, MEMORY + 1), [], "nothing ran that could be remembered");
+    assert_eq!(
+        repeated(1, "busy", 1, MEMORY + 1),
+        [],
+        "nothing ran that could be remembered"
+    );
 }
 
 #[test]
@@ -265,9 +304,18 @@
     for second_copies in [true, false] {
         let mut wire = Wire::new();
         let names: Vec<(String, usize)> = (0..4).map(|i| (format!("s-{i:02}"), i % 2)).collect();
-        let mut judge =
-            Judge::new(asterport_sim::judge::Figures { second_copies, ..figures() }, &names, true);
-        for role in [Role::Router(0), Role::Client].into_iter().chain((0..4).map(Role::Server)) {
+        let mut judge = Judge::new(
+            asterport_sim::judge::Figures {
+                second_copies,
+                ..figures()
+            },
+            &names,
+            true,
+        );
+        for role in [Role::Router(0), Role::Client]
+            .into_iter()
+            .chain((0..4).map(Role::Server))
+        {
             judge.machine(role);
         }
         wire.judge = judge;
@@ -283,7 +331,11 @@
 /// A request's first byte for server 0 so long after the router was told that it drains.
 fn sent_after_drain(after: Time, health: &str) -> Vec<Rule> {
     let mut wire = Wire::new();
-    let (client, server, watch) = (wire.client(0), wire.server(0, 0), wire.open(0, ROUTER, DISCOVERY));
+    let (client, server, watch) = (
+        wire.client(0),
+        wire.server(0, 0),
+        wire.open(0, ROUTER, DISCOVERY),
+    );
     wire.told(SECOND, watch, health, 0);
     wire.asks(SECOND + after, client, 1, 0, 100 * MILLI);
     wire.sends(SECOND + after, server, 1, 0);
@@ -304,7 +356,11 @@
 #[test]
 fn a_drain_counts_from_when_its_line_has_come_and_is_over_once_the_server_is_up_again() {
     let mut wire = Wire::new();
-    let (client, server, watch) = (wire.client(0), wire.server(0, 0), wire.open(0, ROUTER, DISCOVERY));
+    let (client, server, watch) = (
+        wire.client(0),
+        wire.server(0, 0),
+        wire.open(0, ROUTER, DISCOVERY),
+    );
     wire.told(SECOND, watch, "draining", 0);
     wire.told(SECOND + 100 * MILLI, watch, "up", 5);
     wire.asks(2 * SECOND, client, 1, 0, 100 * MILLI);
@@ -314,7 +370,8 @@
     // A line of which the last byte is still on its way tells nothing.
     let line = b"{\"seq\":3,\"whole\":false,\"hosts\":[{\"host\":\"s-00\",\"health\":\"draining\",\"born_ms\":5}]}\n";
     wire.judge.written(3 * SECOND, watch, Side::Listener, line);
-    wire.judge.delivered(3 * SECOND, watch, Side::Listener, line.len() - 1);
+    wire.judge
+        .delivered(3 * SECOND, watch, Side::Listener, line.len() - 1);
     wire.asks(4 * SECOND, client, 2, 0, 100 * MILLI);
     wire.sends(4 * SECOND, server, 2, 0);
     wire.answers(4 * SECOND, client, &served(2));
@@ -323,7 +380,10 @@
 
 #[test]
 fn what_discovery_has_to_tell_counts_as_told_after_six_seconds() {
-    for (after, broken) in [(6 * SECOND + 250 * MILLI, false), (6 * SECOND + 250 * MILLI + 1, true)] {
+    for (after, broken) in [
+        (6 * SECOND + 250 * MILLI, false),
+        (6 * SECOND + 250 * MILLI + 1, true),
+    ] {
         let mut wire = Wire::new();
         let known = r#"{"seq":1,"whole":true,"hosts":[{"host":"s-00","health":"up","born_ms":0}]}"#;
         wire.judge.router_started(0, 0, known);
@@ -341,13 +401,16 @@
 fn pushed(work: f64, told: bool) -> (bool, Vec<Rule>) {
     let mut wire = Wire::new();
     let watch = wire.open(0, ROUTER, DISCOVERY);
-    wire.judge.server_started(SECOND, 0, 77, 0.5, 1_000_000 * SECOND);
+    wire.judge
+        .server_started(SECOND, 0, 77, 0.5, 1_000_000 * SECOND);
     if told {
         wire.told(SECOND, watch, "up", 77);
     }
     let mut fell = false;
     for part in 0..10 {
-        fell |= wire.judge.work_arrived(SECOND + part * 100 * MILLI, 0, 0, work / 10.0);
+        fell |= wire
+            .judge
+            .work_arrived(SECOND + part * 100 * MILLI, 0, 0, work / 10.0);
     }
     (fell, wire.rules(9 * SECOND))
 }
@@ -358,7 +421,11 @@
     let stands = 1e6;
     assert_eq!(pushed(stands * 0.999, true), (false, vec![]));
     assert_eq!(pushed(stands * 1.001, true), (true, vec![Rule::Cold]));
-    assert_eq!(pushed(stands * 1.001, false), (true, vec![]), "nobody knew of its start");
+    assert_eq!(
+        pushed(stands * 1.001, false),
+        (true, vec![]),
+        "nobody knew of its start"
+    );
 }
 
 #[test]
@@ -372,7 +439,10 @@
     assert_eq!((breach.rule, breach.request), (Rule::Answered, Some(1)));
     assert!(breach.step > 0 && breach.step <= wire.judge.steps());
     assert!(
-        breach.steps.iter().any(|step| step.contains("router 0 sends to server 0")),
+        breach
+            .steps
+            .iter()
+            .any(|step| step.contains("router 0 sends to server 0")),
         "{:?}",
         breach.steps
     );
@@ -387,7 +457,11 @@
     wire.asks(start, first, 1, 0, SECOND);
     wire.sends(start, server, 1, 0);
     let mut steps: Vec<(Time, u8)> = vec![(joins_at, 0), (start + 100 * MILLI, 3)];
-    steps.extend(wrote.into_iter().flat_map(|at| [(at, 1), (at + 10 * MILLI, 2)]));
+    steps.extend(
+        wrote
+            .into_iter()
+            .flat_map(|at| [(at, 1), (at + 10 * MILLI, 2)]),
+    );
     steps.sort_unstable();
     for (at, step) in steps {
         match step {
@@ -413,20 +487,33 @@
     let at = SECOND + 50 * MILLI;
     assert_eq!(shared(Wire::joining(), at, None, 0), []);
     assert_eq!(shared(Wire::new(), at, None, 0), [Rule::Answered]);
-    assert!(shared(Wire::joining(), at, None, 1).contains(&Rule::Joining), "a write");
+    assert!(
+        shared(Wire::joining(), at, None, 1).contains(&Rule::Joining),
+        "a write"
+    );
 }
 
 #[test]
 fn who_asks_when_the_value_is_there_may_not_have_it() {
     assert_eq!(shared(Wire::joining(), SECOND + 100 * MILLI, None, 0), []);
-    assert_eq!(shared(Wire::joining(), SECOND + 100 * MILLI + 1, None, 0), [Rule::Joining]);
+    assert_eq!(
+        shared(Wire::joining(), SECOND + 100 * MILLI + 1, None, 0),
+        [Rule::Joining]
+    );
 }
 
 #[test]
 fn who_comes_after_a_write_began_may_not_have_what_is_older() {
     let wrote = SECOND + 50 * MILLI;
-    assert_eq!(shared(Wire::joining(), wrote, Some(wrote), 0), [], "in one instant, in whichever order");
-    assert_eq!(shared(Wire::joining(), wrote + 1, Some(wrote), 0), [Rule::Joining]);
+    assert_eq!(
+        shared(Wire::joining(), wrote, Some(wrote), 0),
+        [],
+        "in one instant, in whichever order"
+    );
+    assert_eq!(
+        shared(Wire::joining(), wrote + 1, Some(wrote), 0),
+        [Rule::Joining]
+    );
     assert_eq!(
         shared(Wire::joining(), wrote + 20 * MILLI, Some(wrote), 0),
         [Rule::Joining],
@@ -443,7 +530,11 @@
             wire.asks(SECOND, client, id, 0, 100 * MILLI);
             wire.sends(SECOND, server, id, 0);
         }
-        let found = wire.judge.breaches.iter().any(|breach| breach.rule == Rule::Joining);
+        let found = wire
+            .judge
+            .breaches
+            .iter()
+            .any(|breach| breach.rule == Rule::Joining);
         assert_eq!(found, broken, "{count}");
     }
 }
@@ -459,7 +550,11 @@
         }
         wire.answers(SECOND + 100 * MILLI, first, b"-BUSY\r\n");
         wire.sends(SECOND + 101 * MILLI, server, 1, 0);
-        let found = wire.judge.breaches.iter().any(|breach| breach.rule == Rule::Joining);
+        let found = wire
+            .judge
+            .breaches
+            .iter()
+            .any(|breach| breach.rule == Rule::Joining);
         assert_eq!(found, !others);
     }
 }
--- a/crates/asterport-sim/tests/net.rs
+++ b/crates/asterport-sim/tests/net.rs
@@ -23,7 +23,12 @@
 
 fn network(weather: Weather, seed: u64) -> (Exec, Net, Node, Node) {
     let exec = Exec::new(Dice::new(seed, 1));
-    let net = Net::new(exec.clone(), Rc::new(RefCell::new(Nobody)), weather, Dice::new(seed, 2));
+    let net = Net::new(
+        exec.clone(),
+        Rc::new(RefCell::new(Nobody)),
+        weather,
+        Dice::new(seed, 2),
+    );
     let (a, b) = (net.machine(0, 100), net.machine(1, 100));
     (exec, net, a, b)
 }
@@ -34,7 +39,13 @@
 
 /// Datagrams 0 to 99 go out, one each millisecond: which came, in their order.
 fn datagrams(datagrams: DatagramWeather, seed: u64, cut: bool) -> Vec<u8> {
-    let (exec, net, a, b) = network(Weather { datagrams, ..calm() }, seed);
+    let (exec, net, a, b) = network(
+        Weather {
+            datagrams,
+            ..calm()
+        },
+        seed,
+    );
     if cut {
         net.cut(1, 50_000);
     }
@@ -64,18 +75,44 @@
 
 #[test]
 fn datagrams_arrive_in_order_where_the_weather_is_calm() {
-    assert_eq!(datagrams(DatagramWeather::default(), 1, false), (0..100).collect::<Vec<u8>>());
+    assert_eq!(
+        datagrams(DatagramWeather::default(), 1, false),
+        (0..100).collect::<Vec<u8>>()
+    );
 }
 
 #[test]
 fn datagrams_are_lost_doubled_and_reordered_by_the_weather_and_alike_for_a_seed() {
-    let lost = datagrams(DatagramWeather { lost: 0.3, ..DatagramWeather::default() }, 1, false);
-    assert!(lost.len() < 90 && lost.len() > 40 && lost.is_sorted(), "{lost:?}");
-    let doubled = datagrams(DatagramWeather { doubled: 0.3, ..DatagramWeather::default() }, 1, false);
+    let lost = datagrams(
+        DatagramWeather {
+            lost: 0.3,
+            ..DatagramWeather::default()
+        },
+        1,
+        false,
+    );
+    assert!(
+        lost.len() < 90 && lost.len() > 40 && lost.is_sorted(),
+        "{lost:?}"
+    );
+    let doubled = datagrams(
+        DatagramWeather {
+            doubled: 0.3,
+            ..DatagramWeather::default()
+        },
+        1,
+        false,
+    );
     assert!(doubled.len() > 110, "{doubled:?}");
-    let late = DatagramWeather { late: (0.3, 20_000), ..DatagramWeather::default() };
+    let late = DatagramWeather {
+        late: (0.3, 20_000),
+        ..DatagramWeather::default()
+    };
     let reordered = datagrams(late, 1, false);
-    assert!(reordered.len() == 100 && !reordered.is_sorted(), "{reordered:?}");
+    assert!(
+        reordered.len() == 100 && !reordered.is_sorted(),
+        "{reordered:?}"
+    );
     assert_eq!(reordered, datagrams(late, 1, false));
     assert_ne!(reordered, datagrams(late, 2, false));
 }
@@ -94,7 +131,10 @@
     exec.spawn(a, async move {
         let first = world.bind(addr(1)).await.expect("free");
         assert!(world.bind(addr(1)).await.is_err());
-        assert!(first.send_to(&[0; 65_508], addr(2)).await.is_err(), "too long for UDP");
+        assert!(
+            first.send_to(&[0; 65_508], addr(2)).await.is_err(),
+            "too long for UDP"
+        );
         drop(first);
         assert!(world.bind(addr(1)).await.is_ok());
         *done.borrow_mut() = true;
@@ -104,7 +144,9 @@
 }
 
 /// What a connection's dialer reads, when, after its listener was treated like this.
-fn read_after(treat: impl Fn(&Net, Node) + 'static) -> Vec<(Time, Result<usize, std::io::ErrorKind>)> {
+fn read_after(
+    treat: impl Fn(&Net, Node) + 'static,
+) -> Vec<(Time, Result<usize, std::io::ErrorKind>)> {
     let (exec, net, a, b) = network(calm(), 1);
     let listener = net.listen(b, addr(1));
     exec.spawn(b, async move {
@@ -135,7 +177,13 @@
 #[test]
 fn a_process_that_dies_resets_its_connections_and_a_machine_that_vanishes_says_nothing() {
     let dies = read_after(|net, node| net.kill(node, false));
-    assert_eq!(dies, [(2 * LATENCY, Ok(5)), (10_000 + LATENCY, Err(std::io::ErrorKind::ConnectionReset))]);
+    assert_eq!(
+        dies,
+        [
+            (2 * LATENCY, Ok(5)),
+            (10_000 + LATENCY, Err(std::io::ErrorKind::ConnectionReset))
+        ]
+    );
     let vanishes = read_after(|net, node| net.kill(node, true));
     assert_eq!(vanishes, [(2 * LATENCY, Ok(5))]);
 }
@@ -157,7 +205,11 @@
             *to.borrow_mut() = Some((clock.now(), refused));
         });
         exec.run_until(60_000_000);
-        let expected = if vanishes { None } else { Some((10 + 2 * LATENCY, true)) };
+        let expected = if vanishes {
+            None
+        } else {
+            Some((10 + 2 * LATENCY, true))
+        };
         assert_eq!(*ended.borrow(), expected);
         exec.end();
     }
--- a/crates/asterport-sim/tests/rare_scenes.rs
+++ b/crates/asterport-sim/tests/rare_scenes.rs
@@ -19,7 +19,9 @@
 fn departure_behind_commands() -> Scene {
     let scene = Scene::new(1, 1);
     scene.delay_connects(0, 230 * MILLI);
-    let bytes: Vec<u8> = (0..80).flat_map(|key| scene.words(0, key, 2 * SECOND).0).collect();
+    let bytes: Vec<u8> = (0..80)
+        .flat_map(|key| scene.words(0, key, 2 * SECOND).0)
+        .collect();
     scene.client(vec![(SECOND, bytes)], Some(SECOND + 30 * MILLI));
     scene.run_until(3 * SECOND);
     scene
@@ -46,8 +48,14 @@
 fn owed_at_the_end() -> Scene {
     let scene = Scene::new(1, 1);
     scene.does(0, Does::Nothing);
-    let (first, second) = (scene.words(3, 1, 2 * SECOND).0, scene.words(3, 2, 2 * SECOND).0);
-    scene.client(vec![(SECOND + 400 * MILLI, first), (3 * SECOND, second)], None);
+    let (first, second) = (
+        scene.words(3, 1, 2 * SECOND).0,
+        scene.words(3, 2, 2 * SECOND).0,
+    );
+    scene.client(
+        vec![(SECOND + 400 * MILLI, first), (3 * SECOND, second)],
+        None,
+    );
     scene.run_until(SECOND + 500 * MILLI);
     scene.terminate();
     // Longest deadline and 0.7 s.
@@ -113,7 +121,11 @@
             let answered: Time = SECOND + 5 * MILLI;
             scene.ask_at(answered + step * 200, 0, 2, SECOND);
             scene.run_until(3 * SECOND);
-            assert!(scene.breaches().is_empty(), "{later} ms late, step {step}: {:?}", scene.breaches());
+            assert!(
+                scene.breaches().is_empty(),
+                "{later} ms late, step {step}: {:?}",
+                scene.breaches()
+            );
         }
     }
 }
@@ -123,8 +135,12 @@
 #[test]
 fn each_rare_bug_is_caught() {
     use asterport_engine::planted::{Bug, plant};
-    let bugs =
-        [Bug::SendsAfterDeparture, Bug::OverlooksDepartures, Bug::KeepsSilentPush, Bug::DropsOwedAtTheEnd];
+    let bugs = [
+        Bug::SendsAfterDeparture,
+        Bug::OverlooksDepartures,
+        Bug::KeepsSilentPush,
+        Bug::DropsOwedAtTheEnd,
+    ];
     for ((play, rule), bug) in KINDS.into_iter().zip(bugs) {
         plant(Some(bug));
         let scene = play();
--- a/crates/asterport-sim/tests/scenes.rs
+++ b/crates/asterport-sim/tests/scenes.rs
@@ -18,7 +18,10 @@
 }
 
 fn text(told: &Told) -> String {
-    told.borrow().iter().map(|(_, bytes)| String::from_utf8_lossy(bytes).into_owned()).collect()
+    told.borrow()
+        .iter()
+        .map(|(_, bytes)| String::from_utf8_lossy(bytes).into_owned())
+        .collect()
 }
 
 #[test]
@@ -29,7 +32,10 @@
     scene.run_until(4 * SECOND);
     assert_eq!(scene.seen(0).len(), 1);
     let said = text(&told);
-    assert!(said.starts_with('-') && said.matches("\r\n").count() == 1, "one answer, no value: {said}");
+    assert!(
+        said.starts_with('-') && said.matches("\r\n").count() == 1,
+        "one answer, no value: {said}"
+    );
     assert_eq!(scene.breaches().len(), 0, "{:?}", scene.breaches());
     assert_eq!(scene.engine.holdings().open, 0);
 }
@@ -51,11 +57,22 @@
         scene.run_until(4 * SECOND);
         let said = text(&told);
         assert_eq!(told.borrow().len(), 1, "one answer: {said}");
-        assert_eq!(told.borrow()[0].0, 2 * SECOND + 200 * MILLI + LATENCY, "at the very instant");
-        *(if said.starts_with('*') { &mut served } else { &mut refused }) += 1;
+        assert_eq!(
+            told.borrow()[0].0,
+            2 * SECOND + 200 * MILLI + LATENCY,
+            "at the very instant"
+        );
+        *(if said.starts_with('*') {
+            &mut served
+        } else {
+            &mut refused
+        }) += 1;
         assert_eq!(scene.breaches().len(), 0, "{:?}", scene.breaches());
     }
-    assert!(served > 0 && refused > 0, "served {served}, refused {refused}");
+    assert!(
+        served > 0 && refused > 0,
+        "served {served}, refused {refused}"
+    );
 }
 
 /// News of a server at one time, a request for one of its keys around the mark 250 ms later.
@@ -63,11 +80,22 @@
     let key = key_of(0);
     let scene = Scene::new(2, 1);
     let before = scene.seen(0).len();
-    scene.told_at(SECOND, 0, health, if health == "up" { 1_700_000_001_000 } else { 0 });
-    let at = (SECOND + 250 * MILLI).checked_add_signed(offset).expect("a time");
+    scene.told_at(
+        SECOND,
+        0,
+        health,
+        if health == "up" { 1_700_000_001_000 } else { 0 },
+    );
+    let at = (SECOND + 250 * MILLI)
+        .checked_add_signed(offset)
+        .expect("a time");
     let told = scene.ask_at(at, 0, key, SECOND);
     scene.run_until(4 * SECOND);
-    assert!(text(&told).starts_with('*'), "served by one or the other: {}", text(&told));
+    assert!(
+        text(&told).starts_with('*'),
+        "served by one or the other: {}",
+        text(&told)
+    );
     assert_eq!(scene.breaches().len(), 0, "{:?}", scene.breaches());
     (scene.seen(0).len() - before, scene.seen(1).len())
 }
@@ -76,7 +104,11 @@
 fn at_the_250_ms_mark_of_a_drain_or_removal_nothing_new_goes_there() {
     for health in ["draining", "removed"] {
         for offset in [-1, 0, 1] {
-            assert_eq!(asked_around_the_mark(health, offset), (0, 1), "{health} {offset}");
+            assert_eq!(
+                asked_around_the_mark(health, offset),
+                (0, 1),
+                "{health} {offset}"
+            );
         }
     }
 }
@@ -125,7 +157,12 @@
     scene.narrow(0, length - short_of);
     let told = scene.ask_at(SECOND, class, key, wait);
     scene.run_until(4 * SECOND);
-    assert_eq!(scene.breaches().len(), 0, "class {class}, {short_of} short: {:?}", scene.breaches());
+    assert_eq!(
+        scene.breaches().len(),
+        0,
+        "class {class}, {short_of} short: {:?}",
+        scene.breaches()
+    );
     (scene.seen(1).len(), text(&told))
 }
 
@@ -133,20 +170,35 @@
 fn a_break_one_byte_before_the_last_proves_that_nothing_ran() {
     for class in [0, 1, 2, 3] {
         let (elsewhere, said) = broken_at(class, 1);
-        assert!(elsewhere == 1 && said.starts_with('*'), "class {class} is served elsewhere: {said}");
+        assert!(
+            elsewhere == 1 && said.starts_with('*'),
+            "class {class} is served elsewhere: {said}"
+        );
     }
 }
 
 #[test]
 fn after_a_break_behind_the_last_byte_each_effect_has_its_own_way() {
     let (elsewhere, said) = broken_at(0, 0);
-    assert!(elsewhere == 1 && said.starts_with('*'), "a safe one is repeated: {said}");
+    assert!(
+        elsewhere == 1 && said.starts_with('*'),
+        "a safe one is repeated: {said}"
+    );
     let (elsewhere, said) = broken_at(1, 0);
-    assert!(elsewhere == 1 && said.starts_with('*'), "a keyed one is repeated within its group: {said}");
+    assert!(
+        elsewhere == 1 && said.starts_with('*'),
+        "a keyed one is repeated within its group: {said}"
+    );
     let (elsewhere, said) = broken_at(2, 0);
-    assert!(elsewhere == 0 && said.starts_with("-ERR"), "its group has no other server: {said}");
+    assert!(
+        elsewhere == 0 && said.starts_with("-ERR"),
+        "its group has no other server: {said}"
+    );
     let (elsewhere, said) = broken_at(3, 0);
-    assert!(elsewhere == 0 && said.starts_with("-ERR"), "an unsafe one fails: {said}");
+    assert!(
+        elsewhere == 0 && said.starts_with("-ERR"),
+        "an unsafe one fails: {said}"
+    );
 }
 
 /// A keyed request fails so long after it was sent; the repeat would go out at once.
@@ -193,7 +245,13 @@
     let scene = Scene::new(2, 1);
     let (bytes, _) = scene.words(0, 1, SECOND);
     let (head, tail) = bytes.split_at(bytes.len() / 2);
-    let told = scene.client(vec![(SECOND, head.to_vec()), (SECOND + 50 * MILLI, tail.to_vec())], None);
+    let told = scene.client(
+        vec![
+            (SECOND, head.to_vec()),
+            (SECOND + 50 * MILLI, tail.to_vec()),
+        ],
+        None,
+    );
     scene.run_until(SECOND + 20 * MILLI);
     scene.terminate();
     scene.run_until(SECOND + 20 * MILLI + DEADLINE + 700 * MILLI);
@@ -220,7 +278,10 @@
     scene.run_until(5 * SECOND);
     assert!(scene.has_ended());
     let said = text(&told);
-    let places: Vec<usize> = ids.iter().map(|id| said.find(id.as_str()).expect("answered")).collect();
+    let places: Vec<usize> = ids
+        .iter()
+        .map(|id| said.find(id.as_str()).expect("answered"))
+        .collect();
     assert!(places.is_sorted(), "{said}");
     assert_eq!(scene.breaches().len(), 0, "{:?}", scene.breaches());
 }
--- a/crates/asterport-sim/tests/slow_origin.rs
+++ b/crates/asterport-sim/tests/slow_origin.rs
@@ -23,7 +23,13 @@
             let at = SECOND / 4 + (i as f64 / count as f64 * 40e6) as u64;
             let work = ask.work / times;
             // Each router sees all keys.
-            Ask { number: i as u32, at, router: (i * 7 + i / drawn.len()) % routers, work, ..ask.clone() }
+            Ask {
+                number: i as u32,
+                at,
+                router: (i * 7 + i / drawn.len()) % routers,
+                work,
+                ..ask.clone()
+            }
         })
         .collect();
     plan.mean_work /= times;
@@ -32,7 +38,13 @@
 }
 
 fn fault(kind: Kind, at: u64, length: u64, targets: Vec<usize>, size: f64) -> Fault {
-    Fault { kind, at, length, targets, size }
+    Fault {
+        kind,
+        at,
+        length,
+        targets,
+        size,
+    }
 }
 
 /// Eight times as slow as usual.
@@ -52,7 +64,11 @@
     let before = served_in_the_calm(&plan);
     plan.faults = faults;
     let after = served_in_the_calm(&plan);
-    assert!(after * 10 >= before * 9, "seed {}: {after} of {before} served in the calm", plan.seed);
+    assert!(
+        after * 10 >= before * 9,
+        "seed {}: {after} of {before} served in the calm",
+        plan.seed
+    );
 }
 
 #[test]
@@ -90,7 +106,13 @@
 fn cold_servers_stay_within_their_budget_at_30_routers() {
     for seed in 0..4 {
         let mut plan = day(seed, 30, 3.0);
-        plan.faults = vec![fault(Kind::ServerCrash, FROM, 500 * MILLI, vec![0, 2, 4], 0.5)];
+        plan.faults = vec![fault(
+            Kind::ServerCrash,
+            FROM,
+            500 * MILLI,
+            vec![0, 2, 4],
+            0.5,
+        )];
         served_in_the_calm(&plan);
     }
 }
--- a/crates/asterport-testkit/examples/ordinary_path.rs
+++ b/crates/asterport-testkit/examples/ordinary_path.rs
@@ -33,13 +33,18 @@
 
 fn main() {
     let mut args = std::env::args().skip(1);
-    let each: usize = args.next().map_or(500, |text| text.parse().expect("a number of requests"));
+    let each: usize = args
+        .next()
+        .map_or(500, |text| text.parse().expect("a number of requests"));
     let servers: Vec<Server> = (0..8).map(|i| Server::start(&format!("s-{i}"))).collect();
     let (router, _discovery) = router_of(&servers.iter().collect::<Vec<_>>());
     ask_all(router.addr, 50);
     let mut tracer = args.next().map(|tool| {
         let pid = router.pid().to_string();
-        let child = Command::new(tool).args(["-c", "-f", "-p", &pid]).stderr(Stdio::piped()).spawn();
+        let child = Command::new(tool)
+            .args(["-c", "-f", "-p", &pid])
+            .stderr(Stdio::piped())
+            .spawn();
         std::thread::sleep(Duration::from_millis(500));
         child.expect("the tracer starts")
     });
@@ -50,9 +55,16 @@
     if let Some(tracer) = tracer.take() {
         let output = tracer.wait_with_output().expect("its table");
         let text = String::from_utf8_lossy(&output.stderr).into_owned();
-        let total = text.lines().rev().find(|line| line.ends_with("total")).unwrap_or("no total");
+        let total = text
+            .lines()
+            .rev()
+            .find(|line| line.ends_with("total"))
+            .unwrap_or("no total");
         println!("{text}\n{count} requests; calls in all: {total}");
     } else {
-        println!("{count} requests, {:.2} us of CPU each", used as f64 / 1e3 / count as f64);
+        println!(
+            "{count} requests, {:.2} us of CPU each",
+            used as f64 / 1e3 / count as f64
+        );
     }
 }
--- a/crates/asterport-testkit/src/lib.rs
+++ b/crates/asterport-testkit/src/lib.rs
@@ -48,12 +48,18 @@
 /// The words of a command.
 fn words(frame: &[u8]) -> Vec<String> {
     let text = String::from_utf8_lossy(frame).into_owned();
-    text.split("\r\n").skip(2).step_by(2).map(str::to_string).collect()
+    text.split("\r\n")
+        .skip(2)
+        .step_by(2)
+        .map(str::to_string)
+        .collect()
 }
 
 pub fn command(words: &[&str]) -> Vec<u8> {
     let mut out = format!("*{}\r\n", words.len());
-    words.iter().for_each(|word| out.push_str(&format!("${}\r\n{word}\r\n", word.len())));
+    words
+        .iter()
+        .for_each(|word| out.push_str(&format!("${}\r\n{word}\r\n", word.len())));
     out.into_bytes()
 }
 
@@ -116,7 +122,11 @@
 
     pub fn on(name: &str, listener: TcpListener) -> Server {
         let addr = listener.local_addr().expect("an address");
-        let server = Server { name: name.to_string(), addr, seen: Arc::default() };
+        let server = Server {
+            name: name.to_string(),
+            addr,
+            seen: Arc::default(),
+        };
         let accepting = server.clone();
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
@@ -141,7 +151,11 @@
             let words = words(&frame);
             let does = {
                 let mut seen = self.seen.0.lock().unwrap();
-                let does = seen.does.get(&words[1]).cloned().or_else(|| seen.usually.clone());
+                let does = seen
+                    .does
+                    .get(&words[1])
+                    .cloned()
+                    .or_else(|| seen.usually.clone());
                 seen.commands.push((number, words));
                 does.unwrap_or(Does::Serves)
             };
@@ -197,7 +211,12 @@
 
     /// What it does with commands for one key.
     pub fn does(&self, key: &str, does: Does) {
-        self.seen.0.lock().unwrap().does.insert(key.to_string(), does);
+        self.seen
+            .0
+            .lock()
+            .unwrap()
+            .does
+            .insert(key.to_string(), does);
     }
 
     pub fn gaps(&self) -> Vec<Duration> {
@@ -217,7 +236,14 @@
     }
 
     pub fn commands(&self) -> Vec<Vec<String>> {
-        self.seen.0.lock().unwrap().commands.iter().map(|(_, words)| words.clone()).collect()
+        self.seen
+            .0
+            .lock()
+            .unwrap()
+            .commands
+            .iter()
+            .map(|(_, words)| words.clone())
+            .collect()
     }
 
     /// The same, each with the number of its connection.
@@ -243,7 +269,10 @@
 }
 
 pub fn list(seq: u64, whole: bool, entries: &[String]) -> String {
-    format!(r#"{{"seq":{seq},"whole":{whole},"hosts":[{}]}}"#, entries.join(","))
+    format!(
+        r#"{{"seq":{seq},"whole":{whole},"hosts":[{}]}}"#,
+        entries.join(",")
+    )
 }
 
 #[derive(Default)]
@@ -275,7 +304,10 @@
     pub fn start(first: String) -> Discovery {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let addr = listener.local_addr().expect("an address");
-        let discovery = Discovery { addr, watch: Arc::default() };
+        let discovery = Discovery {
+            addr,
+            watch: Arc::default(),
+        };
         discovery.watch.lock().unwrap().first = first;
         let (accepting, beating) = (discovery.clone(), discovery.clone());
         thread::spawn(move || {
@@ -316,11 +348,13 @@
         }
         if watch.fails > 0 {
             watch.fails -= 1;
-            let _ = stream.write_all(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
+            let _ =
+                stream.write_all(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
             return;
         }
         let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-        let _ = stream.write_all(format!("{head}{}", chunk(&format!("{}\n", watch.first))).as_bytes());
+        let _ =
+            stream.write_all(format!("{head}{}", chunk(&format!("{}\n", watch.first))).as_bytes());
         watch.stream = Some(stream);
     }
 
@@ -331,7 +365,9 @@
     /// Whether the other side has ended the watch.
     pub fn is_left(&self) -> bool {
         let watch = self.watch.lock().unwrap();
-        let Some(mut stream) = watch.stream.as_ref() else { return true };
+        let Some(mut stream) = watch.stream.as_ref() else {
+            return true;
+        };
         let _ = stream.set_read_timeout(Some(Duration::from_millis(1)));
         matches!(stream.read(&mut [0]), Ok(0))
     }
@@ -359,7 +395,12 @@
     /// Writes to the watch as it stands, as one chunk.
     pub fn writes(&self, text: &str) {
         let watch = self.watch.lock().unwrap();
-        watch.stream.as_ref().expect("a watch").write_all(chunk(text).as_bytes()).expect("written");
+        watch
+            .stream
+            .as_ref()
+            .expect("a watch")
+            .write_all(chunk(text).as_bytes())
+            .expect("written");
     }
 
     /// Ends the watch.
@@ -418,13 +459,21 @@
     let _ = stream.read_to_end(&mut answer);
     let answer = String::from_utf8_lossy(&answer).into_owned();
     let (head, body) = answer.split_once("\r\n\r\n").unwrap_or_default();
-    (head.split(' ').nth(1).and_then(|code| code.parse().ok()).unwrap_or(0), body.to_string())
+    (
+        head.split(' ')
+            .nth(1)
+            .and_then(|code| code.parse().ok())
+            .unwrap_or(0),
+        body.to_string(),
+    )
 }
 
 /// One call: its status and the body of its answer.
 pub fn call(addr: SocketAddr, method: &str, path: &str, body: &str) -> (u16, String) {
     let length = body.len();
-    let head = format!("{method} {path} HTTP/1.1\r\nHost: {addr}\r\nContent-Length: {length}\r\n\r\n{body}");
+    let head = format!(
+        "{method} {path} HTTP/1.1\r\nHost: {addr}\r\nContent-Length: {length}\r\n\r\n{body}"
+    );
     call_with(addr, head.as_bytes())
 }
 
@@ -442,7 +491,10 @@
         return path.into();
     }
     let test = std::env::current_exe().expect("the test's own path");
-    let folder = test.parent().and_then(std::path::Path::parent).expect("cargo's folder for binaries");
+    let folder = test
+        .parent()
+        .and_then(std::path::Path::parent)
+        .expect("cargo's folder for binaries");
     folder.join("asterport")
 }
 
@@ -460,7 +512,8 @@
 ) -> (Child, std::path::PathBuf) {
     static COUNT: std::sync::atomic::AtomicUsize = std::sync::atomic::AtomicUsize::new(0);
     let number = COUNT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-    let folder = std::env::temp_dir().join(format!("asterport-test-{}-{number}", std::process::id()));
+    let folder =
+        std::env::temp_dir().join(format!("asterport-test-{}-{number}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let file = folder.join("config.json");
     std::fs::write(&file, config).expect("written");
@@ -506,7 +559,10 @@
 fn to_end((child, folder): (Child, std::path::PathBuf)) -> (ExitStatus, String) {
     let output = child.wait_with_output().expect("the router ends");
     let _ = std::fs::remove_dir_all(folder);
-    (output.status, String::from_utf8_lossy(&output.stderr).into_owned())
+    (
+        output.status,
+        String::from_utf8_lossy(&output.stderr).into_owned(),
+    )
 }
 
 impl Router {
@@ -525,21 +581,36 @@
 
     fn listening((mut child, folder): (Child, std::path::PathBuf)) -> Router {
         let log = Arc::new(Mutex::new(Vec::new()));
-        let (lines, to) = (BufReader::new(child.stderr.take().expect("its log")), log.clone());
+        let (lines, to) = (
+            BufReader::new(child.stderr.take().expect("its log")),
+            log.clone(),
+        );
         thread::spawn(move || {
-            lines.lines().map_while(Result::ok).for_each(|line| to.lock().unwrap().push(line))
+            lines
+                .lines()
+                .map_while(Result::ok)
+                .for_each(|line| to.lock().unwrap().push(line))
         });
         let mut addr = None;
         let start = Instant::now();
         wait_until("the router listens", || {
             let log = log.lock().unwrap();
-            assert!(start.elapsed() < LONG / 2, "the router does not listen: {log:?}");
-            let place_of = |line: &String| line.split(" on ").nth(1)?.split(',').next()?.parse().ok();
+            assert!(
+                start.elapsed() < LONG / 2,
+                "the router does not listen: {log:?}"
+            );
+            let place_of =
+                |line: &String| line.split(" on ").nth(1)?.split(',').next()?.parse().ok();
             let place = log.iter().find_map(place_of);
             addr = place;
             addr.is_some()
         });
-        Router { child, addr: addr.expect("its address"), log, folder }
+        Router {
+            child,
+            addr: addr.expect("its address"),
+            log,
+            folder,
+        }
     }
 
     pub fn client(&self) -> Client {
@@ -547,12 +618,18 @@
     }
 
     pub fn log_has(&self, text: &str) -> bool {
-        self.log.lock().unwrap().iter().any(|line| line.contains(text))
+        self.log
+            .lock()
+            .unwrap()
+            .iter()
+            .any(|line| line.contains(text))
     }
 
     fn signal(&self, name: &str) {
-        let kill =
-            Command::new("/bin/sh").arg("-c").arg(format!("kill -{name} {}", self.child.id())).status();
+        let kill = Command::new("/bin/sh")
+            .arg("-c")
+            .arg(format!("kill -{name} {}", self.child.id()))
+            .status();
         assert!(kill.expect("kill runs").success());
     }
 
@@ -568,14 +645,22 @@
     /// Replaces the file of the configuration and tells the router.
     pub fn reload(&self, text: &str) {
         std::fs::write(self.folder.join("new.json"), text).expect("written");
-        std::fs::rename(self.folder.join("new.json"), self.folder.join("config.json")).expect("replaced");
+        std::fs::rename(
+            self.folder.join("new.json"),
+            self.folder.join("config.json"),
+        )
+        .expect("replaced");
         self.signal("HUP");
     }
 
     /// The CPU time that it has used, in nanoseconds.
     pub fn cpu_ns(&self) -> u64 {
-        let text = std::fs::read_to_string(format!("/proc/{}/schedstat", self.child.id())).expect("its time");
-        text.split_whitespace().next().and_then(|number| number.parse().ok()).expect("a number")
+        let text = std::fs::read_to_string(format!("/proc/{}/schedstat", self.child.id()))
+            .expect("its time");
+        text.split_whitespace()
+            .next()
+            .and_then(|number| number.parse().ok())
+            .expect("a number")
     }
 
     pub fn pid(&self) -> u32 {
@@ -584,15 +669,23 @@
 
     /// How many descriptors it holds.
     pub fn descriptors(&self) -> usize {
-        std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).expect("its descriptors").count()
+        std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))
+            .expect("its descriptors")
+            .count()
     }
 
     /// The memory that it has in use, in KB.
     pub fn memory_kb(&self) -> usize {
-        let status =
-            std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("its status");
-        let line = status.lines().find(|line| line.starts_with("VmRSS")).expect("its memory");
-        line.split_whitespace().nth(1).and_then(|number| number.parse().ok()).expect("a number")
+        let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))
+            .expect("its status");
+        let line = status
+            .lines()
+            .find(|line| line.starts_with("VmRSS"))
+            .expect("its memory");
+        line.split_whitespace()
+            .nth(1)
+            .and_then(|number| number.parse().ok())
+            .expect("a number")
     }
 
     pub fn is_running(&mut self) -> bool {
@@ -623,9 +716,13 @@
     pub fn new() -> Platform {
         static COUNT: std::sync::atomic::AtomicUsize = std::sync::atomic::AtomicUsize::new(0);
         let number = COUNT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-        let folder = std::env::temp_dir().join(format!("asterport-tmp-{}-{number}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("asterport-tmp-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
-        Platform { listener: TcpListener::bind("127.0.0.1:0").expect("a port"), folder }
+        Platform {
+            listener: TcpListener::bind("127.0.0.1:0").expect("a port"),
+            folder,
+        }
     }
 
     pub fn addr(&self) -> SocketAddr {
@@ -673,7 +770,11 @@
         let stream = TcpStream::connect(addr).expect("connected");
         stream.set_read_timeout(Some(LONG)).expect("a limit");
         let reader = BufReader::new(stream.try_clone().expect("a handle"));
-        Client { stream, reader, count: 0 }
+        Client {
+            stream,
+            reader,
+            count: 0,
+        }
     }
 
     pub fn write(&mut self, bytes: &[u8]) {
@@ -714,7 +815,9 @@
     }
 
     pub fn end_sending(&self) {
-        self.stream.shutdown(std::net::Shutdown::Write).expect("an end");
+        self.stream
+            .shutdown(std::net::Shutdown::Write)
+            .expect("an end");
     }
 
     /// All that comes until the end of the connection.
@@ -731,7 +834,10 @@
 }
 
 /// The same with other settings: `change` is given the `settings` of its configuration.
-pub fn router_with(servers: &[&Server], change: impl FnOnce(&mut serde_json::Value)) -> (Router, Discovery) {
+pub fn router_with(
+    servers: &[&Server],
+    change: impl FnOnce(&mut serde_json::Value),
+) -> (Router, Discovery) {
     let discovery = Discovery::start(list(7, false, &[]));
     let known: Vec<String> = servers.iter().map(|server| server.entry("up")).collect();
     let mut config = config(discovery.addr, &known);
@@ -754,18 +860,26 @@
     let (a, b) = (Server::start("s-a"), Server::start("s-b"));
     let (router, discovery) = router_with(&[&a, &b], change);
     assert!(router.client().ask("read", key).contains("s-"));
-    let (owner, other) = if a.commands().is_empty() { (b, a) } else { (a, b) };
+    let (owner, other) = if a.commands().is_empty() {
+        (b, a)
+    } else {
+        (a, b)
+    };
     (owner, other, router, discovery)
 }
 
 /// A listener whose queue of connections is full: new ones stay unanswered, as with a machine that vanished.
 pub fn silent_listener() -> (TcpListener, Vec<TcpStream>) {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
-    socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
+    socket
+        .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
+        .unwrap();
     socket.listen(0).unwrap();
     let listener = TcpListener::from(socket);
     let addr = listener.local_addr().unwrap();
     let limit = Duration::from_millis(100);
-    let fillers = (0..4).map_while(|_| TcpStream::connect_timeout(&addr, limit).ok()).collect();
+    let fillers = (0..4)
+        .map_while(|_| TcpStream::connect_timeout(&addr, limit).ok())
+        .collect();
     (listener, fillers)
 }
--- a/crates/asterport/benches/joining.rs
+++ b/crates/asterport/benches/joining.rs
@@ -10,7 +10,9 @@
 //! A first argument sets the seconds of load for each row (6).
 #![allow(missing_docs)] // A program.
 
-use asterport_testkit::{Client, Discovery, Does, Router, Server, command, config, entry, list, wait_until};
+use asterport_testkit::{
+    Client, Discovery, Does, Router, Server, command, config, entry, list, wait_until,
+};
 use std::collections::HashMap;
 use std::io;
 use std::net::SocketAddr;
@@ -51,13 +53,19 @@
 fn next_command(buffer: &mut Vec<u8>) -> Option<Vec<String>> {
     let mut at = 0;
     let mut line = |buffer: &[u8]| {
-        let end = at + buffer.get(at..)?.windows(2).position(|pair| pair == b"\r\n")?;
+        let end = at
+            + buffer
+                .get(at..)?
+                .windows(2)
+                .position(|pair| pair == b"\r\n")?;
         let text = std::str::from_utf8(&buffer[at..end]).ok()?.to_string();
         at = end + 2;
         Some(text)
     };
     let count: usize = line(buffer)?[1..].parse().ok()?;
-    let words = (0..count).map(|_| line(buffer).and_then(|_| line(buffer))).collect::<Option<Vec<_>>>()?;
+    let words = (0..count)
+        .map(|_| line(buffer).and_then(|_| line(buffer)))
+        .collect::<Option<Vec<_>>>()?;
     buffer.drain(..at);
     Some(words)
 }
@@ -86,21 +94,32 @@
         };
         fleet.upstream.fetch_add(1, Ordering::Relaxed);
         let key = &words[1];
-        let is_kept = kept.lock().expect("kept").get(key).is_some_and(|&until| Instant::now() < until);
+        let is_kept = kept
+            .lock()
+            .expect("kept")
+            .get(key)
+            .is_some_and(|&until| Instant::now() < until);
         if is_kept {
             tokio::time::sleep(HIT).await;
         } else {
             fleet.fetches.fetch_add(1, Ordering::Relaxed);
             let is_hot = u64::from_str_radix(key, 16).is_ok_and(|rank| (rank as usize) < HOT);
-            fleet.hot_fetches.fetch_add(usize::from(is_hot), Ordering::Relaxed);
+            fleet
+                .hot_fetches
+                .fetch_add(usize::from(is_hot), Ordering::Relaxed);
             let place = fleet.origin.acquire().await.map_err(io::Error::other)?;
             tokio::time::sleep(FETCH).await;
             drop(place);
-            kept.lock().expect("kept").insert(key.clone(), Instant::now() + KEEPS);
+            kept.lock()
+                .expect("kept")
+                .insert(key.clone(), Instant::now() + KEEPS);
         }
         let note = if is_kept { "hit" } else { "miss" };
         let body = "v".repeat(600);
-        let answer = format!("*3\r\n$600\r\n{body}\r\n${}\r\n{note}\r\n$-1\r\n", note.len());
+        let answer = format!(
+            "*3\r\n$600\r\n{body}\r\n${}\r\n{note}\r\n$-1\r\n",
+            note.len()
+        );
         stream.write_all(answer.as_bytes()).await?;
     }
 }
@@ -113,7 +132,12 @@
     idle: Vec<TcpStream>,
 }
 
-async fn ask(router: SocketAddr, bytes: Vec<u8>, due: Instant, seen: &Mutex<Seen>) -> io::Result<()> {
+async fn ask(
+    router: SocketAddr,
+    bytes: Vec<u8>,
+    due: Instant,
+    seen: &Mutex<Seen>,
+) -> io::Result<()> {
     let idle = seen.lock().expect("seen").idle.pop();
     let mut stream = match idle {
         Some(stream) => stream,
@@ -123,7 +147,9 @@
     stream.write_all(&bytes).await?;
     let mut answer = Vec::new();
     // Served answers are long and end with a null for the load report; all others are one line.
-    while !(answer.ends_with(b"$-1\r\n") || (answer.first() == Some(&b'-') && answer.ends_with(b"\r\n"))) {
+    while !(answer.ends_with(b"$-1\r\n")
+        || (answer.first() == Some(&b'-') && answer.ends_with(b"\r\n")))
+    {
         if stream.read_buf(&mut answer).await? == 0 {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
@@ -156,8 +182,11 @@
 }
 
 fn load(skew: f64, joins: bool, seconds: f64) -> String {
-    let runtime =
-        tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build().expect("threads");
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(2)
+        .enable_all()
+        .build()
+        .expect("threads");
     let fleet = Arc::new(Fleet {
         origin: Semaphore::new(FETCHES),
         upstream: AtomicUsize::new(0),
@@ -166,7 +195,9 @@
     });
     let known: Vec<String> = (0..SERVERS)
         .map(|i| {
-            let listener = runtime.block_on(TcpListener::bind("127.0.0.1:0")).expect("a port");
+            let listener = runtime
+                .block_on(TcpListener::bind("127.0.0.1:0"))
+                .expect("a port");
             let addr = listener.local_addr().expect("an address");
             runtime.spawn(serve(listener, fleet.clone()));
             entry(&format!("s-{i}"), addr, "up")
@@ -188,11 +219,15 @@
             let due = start + Duration::from_secs_f64(number as f64 / RATE);
             tokio::time::sleep_until(due.into()).await;
             let lot = unit(&mut state);
-            let key = weights.partition_point(|&weight| weight < lot).min(KEYS - 1);
+            let key = weights
+                .partition_point(|&weight| weight < lot)
+                .min(KEYS - 1);
             let (key, id) = (format!("{key:016x}"), format!("id-{number}"));
             let bytes = command(&["C.GET", &key, &id, &format!("c=read,t=acme,d={WAIT_MS}")]);
             let (seen, addr) = (seen.clone(), router.addr);
-            asks.push(tokio::spawn(async move { ask(addr, bytes, due, &seen).await }));
+            asks.push(tokio::spawn(
+                async move { ask(addr, bytes, due, &seen).await },
+            ));
         }
         for ask in asks {
             ask.await.expect("a task").expect("an answer");
@@ -203,7 +238,9 @@
     seen.served.sort_unstable();
     let place = |share: f64| {
         let place = (seen.served.len() as f64 * share) as usize;
-        seen.served.get(place).map_or(f64::NAN, |time| time.as_secs_f64() * 1e3)
+        seen.served
+            .get(place)
+            .map_or(f64::NAN, |time| time.as_secs_f64() * 1e3)
     };
     let of = |count: &AtomicUsize| count.load(Ordering::Relaxed);
     format!(
@@ -219,7 +256,9 @@
 }
 
 fn clients(router: &Router) -> Vec<Client> {
-    let mut clients: Vec<Client> = (0..WAITERS.div_ceil(PIPELINE)).map(|_| router.client()).collect();
+    let mut clients: Vec<Client> = (0..WAITERS.div_ceil(PIPELINE))
+        .map(|_| router.client())
+        .collect();
     for client in &mut clients {
         client.write(&command(&["PING"]));
         client.answer().expect("an answer");
@@ -263,7 +302,12 @@
     let pings = router.cpu_ns() - cpu;
     let (memory, cpu) = (router.memory_kb(), router.cpu_ns());
     let read = |number: usize| {
-        command(&["C.GET", "7f3a9c21e0b4d655", &format!("{number:016x}"), "c=read,t=acme,d=4000"])
+        command(&[
+            "C.GET",
+            "7f3a9c21e0b4d655",
+            &format!("{number:016x}"),
+            "c=read,t=acme,d=4000",
+        ])
     };
     send(&mut clients, read);
     wait_until("all wait", || {
@@ -277,7 +321,10 @@
     let reads = router.cpu_ns() - cpu;
     assert_eq!(server.commands().len(), 1);
     let each = |all: u64| all as f64 / 1e3 / WAITERS as f64;
-    println!("\n{WAITERS} reads that waited for one flight, on {} connections:", clients.len());
+    println!(
+        "\n{WAITERS} reads that waited for one flight, on {} connections:",
+        clients.len()
+    );
     println!(
         "memory {:.0} bytes each beside their connections ({held} KB)",
         held as f64 * 1024.0 / WAITERS as f64
@@ -292,8 +339,13 @@
 
 fn main() {
     // Cargo adds words of its own.
-    let seconds = std::env::args().skip(1).find_map(|word| word.parse().ok()).unwrap_or(6.0);
-    println!("{KEYS} keys by Zipf, {RATE} reads a second, a fetch takes {FETCH:?}, kept for {KEEPS:?}\n");
+    let seconds = std::env::args()
+        .skip(1)
+        .find_map(|word| word.parse().ok())
+        .unwrap_or(6.0);
+    println!(
+        "{KEYS} keys by Zipf, {RATE} reads a second, a fetch takes {FETCH:?}, kept for {KEEPS:?}\n"
+    );
     println!(
         "| skew | joining | reads | served | upstream | fetches | of the {HOT} hottest keys | p50 ms | p99 ms | CPU us a read |"
     );
--- a/crates/asterport/src/desk.rs
+++ b/crates/asterport/src/desk.rs
@@ -25,7 +25,12 @@
 impl Desk {
     /// A desk in front of this engine. `relieves`: no other process serves.
     pub fn new(engine: Rc<Engine<Service>>, store: Option<Store>, relieves: bool) -> Rc<Desk> {
-        Rc::new(Desk { engine, store, others: RefCell::default(), relieves: Cell::new(relieves) })
+        Rc::new(Desk {
+            engine,
+            store,
+            others: RefCell::default(),
+            relieves: Cell::new(relieves),
+        })
     }
 
     /// The other process has been told that this one serves, or is gone.
@@ -47,7 +52,8 @@
     pub fn heard(&self, message: Message) {
         match message {
             Message::Word(server, said) => {
-                self.engine.told([(ServerId::from(server.as_str()), word(said))]);
+                self.engine
+                    .told([(ServerId::from(server.as_str()), word(said))]);
                 self.keep();
             }
             Message::Drained(true) => self.engine.evacuate(),
@@ -59,17 +65,24 @@
     /// The operators' words, as they are handed over.
     pub fn words(&self) -> Vec<(String, Said)> {
         let words = self.engine.words().into_iter();
-        words.map(|(server, word)| (server.to_string(), said(word))).collect()
+        words
+            .map(|(server, word)| (server.to_string(), said(word)))
+            .collect()
     }
 
     fn say(&self, message: &Message) {
-        self.others.borrow_mut().retain(|other| other.send(message.clone()).is_ok());
+        self.others
+            .borrow_mut()
+            .retain(|other| other.send(message.clone()).is_ok());
     }
 
     /// A drain is not kept: a process that was killed starts in service, as its front expects.
     fn keep(&self) {
         let Some(store) = &self.store else { return };
-        if let Err(problem) = store.save(State { words: self.words(), ..State::default() }) {
+        if let Err(problem) = store.save(State {
+            words: self.words(),
+            ..State::default()
+        }) {
             eprintln!("asterport: {}: {problem}", store.path().display());
         }
     }
@@ -78,7 +91,9 @@
     fn spread(&self, server: &str, is_known: bool) -> bool {
         if is_known {
             self.keep();
-            if let Some((server, said)) = self.words().into_iter().find(|(named, _)| named == server) {
+            if let Some((server, said)) =
+                self.words().into_iter().find(|(named, _)| named == server)
+            {
                 self.say(&Message::Word(server, said));
             }
         }
--- a/crates/asterport/src/main.rs
+++ b/crates/asterport/src/main.rs
@@ -74,7 +74,8 @@
 
 /// The file as it stands now.
 fn read_file() -> Result<Config, String> {
-    let path = std::env::var("GW_CONFIG").map_err(|_| "GW_CONFIG names no configuration file".to_string())?;
+    let path = std::env::var("GW_CONFIG")
+        .map_err(|_| "GW_CONFIG names no configuration file".to_string())?;
     let text = std::fs::read(&path).map_err(|e| plainly(&path, e))?;
     serde_json::from_slice(&text).map_err(|e| plainly(&path, e))
 }
@@ -82,13 +83,21 @@
 /// The configuration at the start, in which the environment takes precedence.
 fn read_config() -> Result<Config, String> {
     let mut config = read_file()?;
-    for (name, addr) in [("GW_LISTEN", &mut config.listen), ("GW_DISCOVERY", &mut config.discovery)] {
+    for (name, addr) in [
+        ("GW_LISTEN", &mut config.listen),
+        ("GW_DISCOVERY", &mut config.discovery),
+    ] {
         if let Ok(text) = std::env::var(name) {
-            *addr = text.parse().map_err(|_| format!("{name}: '{text}' is not an address"))?;
+            *addr = text
+                .parse()
+                .map_err(|_| format!("{name}: '{text}' is not an address"))?;
         }
     }
     if let Ok(text) = std::env::var("GW_ADMIN") {
-        config.admin = Some(text.parse().map_err(|_| format!("GW_ADMIN: '{text}' is not an address"))?);
+        config.admin = Some(
+            text.parse()
+                .map_err(|_| format!("GW_ADMIN: '{text}' is not an address"))?,
+        );
     }
     if let Ok(name) = std::env::var("GW_NAME") {
         config.name = name;
@@ -100,7 +109,9 @@
     fn deployment(&self) -> Result<Deployment, String> {
         let mut pairs = Vec::new();
         flatten("", &self.settings, &mut pairs);
-        let pairs = pairs.iter().map(|(path, value)| (path.as_str(), value.as_str()));
+        let pairs = pairs
+            .iter()
+            .map(|(path, value)| (path.as_str(), value.as_str()));
         let deployment = params::read(pairs).map_err(|e| e.to_string())?;
         deployment.settings.validate().map_err(|e| e.to_string())?;
         Ok(deployment)
@@ -113,9 +124,15 @@
     while hangup.recv().await.is_some() {
         match read_file().and_then(|config| config.deployment().map(|_| config)) {
             Ok(config) => {
-                let rest =
-                    if config.settings == settings { "" } else { "; other settings at the next start" };
-                eprintln!("asterport: new configuration: discovery {}{rest}", config.discovery);
+                let rest = if config.settings == settings {
+                    ""
+                } else {
+                    "; other settings at the next start"
+                };
+                eprintln!(
+                    "asterport: new configuration: discovery {}{rest}",
+                    config.discovery
+                );
                 engine.watch_at(config.discovery);
             }
             Err(problem) => eprintln!("asterport: the old configuration holds: {problem}"),
@@ -125,7 +142,9 @@
 
 /// What joining came to so far, where it is on.
 fn say_joined(engine: &Engine<Service>) {
-    let Some((counters, oldest)) = engine.joined() else { return };
+    let Some((counters, oldest)) = engine.joined() else {
+        return;
+    };
     let (now, oldest) = (engine.holdings(), oldest.map_or(0, |age| age.0 / 1_000));
     let (waiters, flights) = (now.waiters, now.flights);
     eprintln!(
@@ -136,15 +155,24 @@
 /// The settings in the form of the bench's pairs, so that both have one reader: a list of plain values is joined
 /// with commas, a list of objects states its length under `.count` and its items under their numbers.
 fn flatten(path: &str, value: &Value, pairs: &mut Vec<(String, String)>) {
-    let below = |name: &str| if path.is_empty() { name.to_string() } else { format!("{path}.{name}") };
+    let below = |name: &str| {
+        if path.is_empty() {
+            name.to_string()
+        } else {
+            format!("{path}.{name}")
+        }
+    };
     match value {
         Value::Null => {}
-        Value::Object(members) => {
-            members.iter().for_each(|(name, value)| flatten(&below(name), value, pairs))
-        }
+        Value::Object(members) => members
+            .iter()
+            .for_each(|(name, value)| flatten(&below(name), value, pairs)),
         Value::Array(items) if items.iter().any(Value::is_object) => {
             pairs.push((below("count"), items.len().to_string()));
-            items.iter().enumerate().for_each(|(i, item)| flatten(&below(&i.to_string()), item, pairs));
+            items
+                .iter()
+                .enumerate()
+                .for_each(|(i, item)| flatten(&below(&i.to_string()), item, pairs));
         }
         Value::Array(items) => {
             let items: Vec<String> = items.iter().map(plain).collect();
@@ -155,11 +183,15 @@
 }
 
 fn plain(value: &Value) -> String {
-    value.as_str().map_or_else(|| value.to_string(), str::to_string)
+    value
+        .as_str()
+        .map_or_else(|| value.to_string(), str::to_string)
 }
 
 fn run() -> Result<(), String> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|e| plainly("runtime", e))?;
     LocalSet::new().block_on(&runtime, route())
 }
@@ -169,7 +201,9 @@
     let Ok(text) = std::env::var("GW_FD") else {
         return service::listen(addr).map_err(|e| plainly(&addr.to_string(), e));
     };
-    let descriptor = text.parse().map_err(|_| format!("GW_FD: '{text}' is not a descriptor"))?;
+    let descriptor = text
+        .parse()
+        .map_err(|_| format!("GW_FD: '{text}' is not a descriptor"))?;
     let inherited = inherited_listener(descriptor, addr);
     let inherited = inherited.map_err(|e| format!("GW_FD: descriptor {descriptor}: {e}"))?;
     TcpListener::from_std(inherited).map_err(|e| plainly("GW_FD", e))
@@ -194,12 +228,16 @@
 
 /// How the process ended, for the log.
 fn ended(stopped: Stopped) -> String {
-    let Stopped { failed, unanswered, .. } = stopped;
+    let Stopped {
+        failed, unanswered, ..
+    } = stopped;
     match (failed, unanswered) {
         (0, 0) => "all answered".into(),
         (failed, 0) => format!("{failed} answered as failed: the time before SIGKILL was over"),
         (failed, left) => {
-            format!("{failed} failed and {left} of them unanswered: the time before SIGKILL was over")
+            format!(
+                "{failed} failed and {left} of them unanswered: the time before SIGKILL was over"
+            )
         }
     }
 }
@@ -211,11 +249,15 @@
     let mut tell = signal(SignalKind::user_defined1()).map_err(|e| plainly("signals", e))?;
     let config = read_config()?;
     let deployment = config.deployment()?;
-    let seed =
-        u64::from_str_radix(&config.seed, 16).map_err(|_| format!("seed: '{}' is not hex", config.seed))?;
+    let seed = u64::from_str_radix(&config.seed, 16)
+        .map_err(|_| format!("seed: '{}' is not hex", config.seed))?;
     let (operator, operator_path) = OperatorFile::read()?;
-    let joining = operator.joining.rules(&deployment).map_err(|e| plainly(&operator_path, e))?;
-    let store = std::env::var_os("TMPDIR").map(|folder| Store::new(Path::new(&folder), &config.name));
+    let joining = operator
+        .joining
+        .rules(&deployment)
+        .map_err(|e| plainly(&operator_path, e))?;
+    let store =
+        std::env::var_os("TMPDIR").map(|folder| Store::new(Path::new(&folder), &config.name));
     // Another process of this router can serve only where the platform holds the listener for both.
     let meeting = std::env::var_os("TMPDIR").filter(|_| std::env::var_os("GW_FD").is_some());
     let meeting = meeting.map(|folder| Meeting::new(Path::new(&folder), &config.name));
@@ -227,14 +269,28 @@
         Some((link, state)) => (Some(link), state),
         None => (None, store.as_ref().map(left_behind).unwrap_or_default()),
     };
-    let known = newest(left.list, config.discovery).or(config.known).unwrap_or_default();
+    let known = newest(left.list, config.discovery)
+        .or(config.known)
+        .unwrap_or_default();
     let (count, discovery, sockets) = (known.servers(), config.discovery, config.limits.sockets);
     let memory = config.limits.memory_mb.saturating_mul(1 << 20);
     let engine = Rc::new(Engine::new(
         Service,
-        Start { deployment, seed, discovery, known, memory, sockets, joining },
+        Start {
+            deployment,
+            seed,
+            discovery,
+            known,
+            memory,
+            sockets,
+            joining,
+        },
     )?);
-    engine.told(left.words.into_iter().map(|(server, said)| (ServerId::from(&server[..]), desk::word(said))));
+    engine.told(
+        left.words
+            .into_iter()
+            .map(|(server, said)| (ServerId::from(&server[..]), desk::word(said))),
+    );
     // What does not fit is left out, and all of it where it cannot be read: it is learnt anew.
     if let Ok(learnt) = postcard::from_bytes(&left.learnt) {
         engine.recall(learnt);
@@ -249,7 +305,10 @@
         let listener = service::listen(admin).map_err(|e| plainly(&admin.to_string(), e))?;
         spawn_local(asterport_admin::server::serve(listener, desk.clone()));
     }
-    eprintln!("asterport: {} on {addr}, {count} servers known", config.name);
+    eprintln!(
+        "asterport: {} on {addr}, {count} servers known",
+        config.name
+    );
     if let Some(link) = before {
         spawn_local(succession::take_over(link, engine.clone(), desk.clone()));
     }
--- a/crates/asterport/src/operator.rs
+++ b/crates/asterport/src/operator.rs
@@ -24,11 +24,16 @@
 impl OperatorFile {
     /// The file that the environment names, and its path for messages; all off where it names none.
     pub fn read() -> Result<(OperatorFile, String), String> {
-        let Some(path) = std::env::var_os(VARIABLE) else { return Ok(Default::default()) };
+        let Some(path) = std::env::var_os(VARIABLE) else {
+            return Ok(Default::default());
+        };
         let name = path.to_string_lossy().into_owned();
         let file = File::open(&path).map_err(|e| format!("{VARIABLE}: {name}: {e}"))?;
         let mut text = String::new();
-        let length = file.take(MOST + 1).read_to_string(&mut text).map_err(|e| format!("{name}: {e}"))?;
+        let length = file
+            .take(MOST + 1)
+            .read_to_string(&mut text)
+            .map_err(|e| format!("{name}: {e}"))?;
         if length as u64 > MOST {
             return Err(format!("{name}: longer than {MOST} bytes"));
         }
@@ -38,7 +43,9 @@
 
     fn parse(text: &str) -> Result<OperatorFile, String> {
         toml::from_str(text).map_err(|error| {
-            let before = text.get(..error.span().map_or(0, |span| span.start)).unwrap_or_default();
+            let before = text
+                .get(..error.span().map_or(0, |span| span.start))
+                .unwrap_or_default();
             let line = before.matches('\n').count() + 1;
             format!("line {line}: {}", error.message().replace('\n', " "))
         })
@@ -52,7 +59,10 @@
     #[test]
     fn what_cannot_be_read_is_one_line_that_names_the_place() {
         let rows = [
-            ("[joining]\nclasses = [\"a\"]\nspeed = 3\n", "line 3: unknown field `speed`"),
+            (
+                "[joining]\nclasses = [\"a\"]\nspeed = 3\n",
+                "line 3: unknown field `speed`",
+            ),
             ("[joining]\nclasses = 3\n", "line 2: invalid type"),
             ("[joining]\n\nclasses = [\n", "line 3"),
             ("[quotas]\n", "line 1: unknown field `quotas`"),
@@ -60,13 +70,19 @@
         ];
         for (text, expected) in rows {
             let problem = OperatorFile::parse(text).expect_err(text);
-            assert!(problem.starts_with(expected) && !problem.contains('\n'), "{text}: {problem}");
+            assert!(
+                problem.starts_with(expected) && !problem.contains('\n'),
+                "{text}: {problem}"
+            );
         }
     }
 
     #[test]
     fn the_shipped_file_is_read_and_joins_nothing() {
         let text = include_str!("../../../deploy/operator.toml");
-        assert_eq!(OperatorFile::parse(text).expect("readable").joining, JoiningFile::default());
+        assert_eq!(
+            OperatorFile::parse(text).expect("readable").joining,
+            JoiningFile::default()
+        );
     }
 }
--- a/crates/asterport/src/succession.rs
+++ b/crates/asterport/src/succession.rs
@@ -24,7 +24,14 @@
 pub async fn meet(meeting: &Meeting, router: &str) -> Option<(Link, State)> {
     let link = meeting.join().await?;
     let asked = async {
-        link.send(&Message::Hello { version: VERSION, name: router.into() }, None).await?;
+        link.send(
+            &Message::Hello {
+                version: VERSION,
+                name: router.into(),
+            },
+            None,
+        )
+        .await?;
         Ok(link.receive().await?.0.state(router)?)
     };
     match timeout(STATE_LIMIT, asked).await {
@@ -90,9 +97,17 @@
     match link.receive().await? {
         (Message::Connection { unread, has_asked }, Some(descriptor)) => {
             let stream = std::net::TcpStream::from(descriptor);
-            let stream = stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream));
+            let stream = stream
+                .set_nonblocking(true)
+                .and_then(|()| TcpStream::from_std(stream));
             let unread = BytesMut::from(&unread[..]);
-            Ok(stream.ok().map(|stream| Taken::Connection(Resting { stream, unread, has_asked })))
+            Ok(stream.ok().map(|stream| {
+                Taken::Connection(Resting {
+                    stream,
+                    unread,
+                    has_asked,
+                })
+            }))
         }
         (message @ (Message::Word(..) | Message::Drained(_)), _) => Ok(Some(Taken::Said(message))),
         _ => Err(FormError::Unexpected.into()),
@@ -101,7 +116,12 @@
 
 /// Meets the processes that come after this one, for as long as the program runs; returns once one of them has all
 /// connections and the engine has ended.
-pub async fn give_way(meeting: Meeting, router: String, engine: Rc<Engine<Service>>, desk: Rc<Desk>) {
+pub async fn give_way(
+    meeting: Meeting,
+    router: String,
+    engine: Rc<Engine<Service>>,
+    desk: Rc<Desk>,
+) {
     // Until then the one before this one is to be met: this one may die before it serves.
     while !desk.has_relieved() {
         sleep(LOOK).await;
@@ -120,7 +140,15 @@
         let greeted = async {
             link.receive().await?.0.greets(&router)?;
             let (name, state) = (router.clone(), state(&engine, &desk));
-            link.send(&Message::State { version: VERSION, name, state }, None).await
+            link.send(
+                &Message::State {
+                    version: VERSION,
+                    name,
+                    state,
+                },
+                None,
+            )
+            .await
         };
         match timeout(GREETING_LIMIT, greeted).await {
             Ok(Ok(())) => {
@@ -140,7 +168,12 @@
     let (addr, list) = engine.list();
     let list = serde_json::to_vec(&list).ok().map(|list| (addr, list));
     let learnt = postcard::to_stdvec(&engine.learnt()).unwrap_or_default();
-    State { words: desk.words(), drained: engine.life().is_drained(), list, learnt }
+    State {
+        words: desk.words(),
+        drained: engine.life().is_drained(),
+        list,
+        learnt,
+    }
 }
 
 /// Gives a successor what it needs until it has gone; from when it serves it gets the connections. True if this process
