--- a/crates/asterport/src/summary.rs
+++ b/crates/asterport/src/summary.rs
@@ -70,12 +70,20 @@
     ticks.set_missed_tick_behavior(MissedTickBehavior::Skip);
     loop {
         ticks.tick().await;
-        let at = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
+        let at = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default()
+            .as_secs();
         let mut line = format!("asterport: summary at={at}");
         let attempts = engine.attempts();
         let now = counts(&engine, &attempts);
-        let grown = now.iter().map(|(name, count)| (&name[..], count - before.get(name).unwrap_or(&0)));
-        for (name, count) in grown.chain(levels(&engine, &attempts.1)).filter(|(_, count)| *count > 0) {
+        let grown = now
+            .iter()
+            .map(|(name, count)| (&name[..], count - before.get(name).unwrap_or(&0)));
+        for (name, count) in grown
+            .chain(levels(&engine, &attempts.1))
+            .filter(|(_, count)| *count > 0)
+        {
             let _ = write!(line, " {name}={count}");
         }
         eprintln!("{line}");
--- a/crates/asterport/tests/router_clients.rs
+++ b/crates/asterport/tests/router_clients.rs
@@ -37,7 +37,11 @@
     owner.end_connections();
     // Another client's request, whose attempt breaks after that of the one that left, goes on to the other server.
     assert!(client.ask("read", key).contains(&other.name));
-    assert!(other.commands().iter().all(|words| words[2] != "left"), "{:?}", other.commands());
+    assert!(
+        other.commands().iter().all(|words| words[2] != "left"),
+        "{:?}",
+        other.commands()
+    );
 }
 
 /// What a client may send that is no command for a cache server, each whole but for the last ones.
@@ -47,31 +51,61 @@
     vec![
         ("no arguments", command(&["C.GET"])),
         ("no fields", command(&["C.GET", "00000000000000aa", "id"])),
-        ("a value too many", command(&["C.GET", "00000000000000aa", "id", "c=read,t=acme,d=400", "v"])),
-        ("no value", command(&["C.SET", "00000000000000aa", "id", "c=put,t=acme,d=400,k=1"])),
+        (
+            "a value too many",
+            command(&[
+                "C.GET",
+                "00000000000000aa",
+                "id",
+                "c=read,t=acme,d=400",
+                "v",
+            ]),
+        ),
+        (
+            "no value",
+            command(&["C.SET", "00000000000000aa", "id", "c=put,t=acme,d=400,k=1"]),
+        ),
         ("no class", get("id", "t=acme,d=400")),
         ("an unknown class", get("id", "c=unknown,t=acme,d=400")),
         ("no names", get("id", "no fields at all")),
-        ("a deadline that is no number", get("id", "c=read,t=acme,d=soon")),
+        (
+            "a deadline that is no number",
+            get("id", "c=read,t=acme,d=soon"),
+        ),
         ("a negative deadline", get("id", "c=read,t=acme,d=-5")),
         ("a deadline with a sign", get("id", "c=read,t=acme,d=+5")),
         ("a deadline of nothing", get("id", "c=read,t=acme,d=0")),
         ("an empty deadline", get("id", "c=read,t=acme,d=")),
         ("two deadlines", get("id", "c=read,t=acme,d=400,d=400")),
-        ("a hint that is no number", get("id", "c=read,t=acme,d=400,h=much")),
+        (
+            "a hint that is no number",
+            get("id", "c=read,t=acme,d=400,h=much"),
+        ),
         ("an empty id", get("", "c=read,t=acme,d=400")),
         ("a long id", get(&long, "c=read,t=acme,d=400")),
         ("an unprintable id", get("a\u{1}b", "c=read,t=acme,d=400")),
-        ("an id with an end of line", get("a\r\nb", "c=read,t=acme,d=400")),
-        ("no key", command(&["C.GET", "", "id", "c=read,t=acme,d=400"])),
-        ("no idempotency key", command(&["C.SET", "00000000000000aa", "id", "c=put,t=acme,d=400", "v"])),
+        (
+            "an id with an end of line",
+            get("a\r\nb", "c=read,t=acme,d=400"),
+        ),
+        (
+            "no key",
+            command(&["C.GET", "", "id", "c=read,t=acme,d=400"]),
+        ),
+        (
+            "no idempotency key",
+            command(&["C.SET", "00000000000000aa", "id", "c=put,t=acme,d=400", "v"]),
+        ),
         (
             "a large value",
             b"*5\r\n$5\r\nC.SET\r\n$1\r\nk\r\n$2\r\nid\r\n$5\r\nc=put\r\n$4194305\r\n".to_vec(),
         ),
         ("an empty name", command(&[""])),
         ("no RESP", b"GET x\r\n".to_vec()),
-        ("a length past all bounds", b"*1\r\n$99999999999999999999999\r\n".to_vec()),
+        (
+            "a length past all bounds",
+            b"*1\r\n$99999999999999999999999\r\n".to_vec(),
+        ),
         ("many words", b"*99999999999\r\n".to_vec()),
         ("a negative length", b"*1\r\n$-9\r\n".to_vec()),
         ("a null", b"*-1\r\n".to_vec()),
@@ -97,12 +131,25 @@
             "{what}: {:?}",
             String::from_utf8_lossy(&rest)
         );
-        assert_eq!(rest.iter().filter(|&&byte| byte == b'\n').count(), 1, "{what}: one error");
-        assert!(start.elapsed().as_secs() < 3, "{what}: {:?}", start.elapsed());
+        assert_eq!(
+            rest.iter().filter(|&&byte| byte == b'\n').count(),
+            1,
+            "{what}: one error"
+        );
+        assert!(
+            start.elapsed().as_secs() < 3,
+            "{what}: {:?}",
+            start.elapsed()
+        );
     }
     assert!(router.is_running());
     assert!(server.commands().is_empty(), "{:?}", server.commands());
-    assert!(router.client().ask("read", "00000000000000aa").contains("s-a"));
+    assert!(
+        router
+            .client()
+            .ask("read", "00000000000000aa")
+            .contains("s-a")
+    );
 }
 
 /// A deadline past all bounds is that of the class; the arithmetic of time holds.
@@ -112,7 +159,12 @@
     let (mut router, _discovery) = router_of(&[&server]);
     for wait in [u64::MAX.to_string(), "9".repeat(60)] {
         let mut client = router.client();
-        client.write(&command(&["C.GET", "00000000000000aa", "id", &format!("c=read,t=acme,d={wait}")]));
+        client.write(&command(&[
+            "C.GET",
+            "00000000000000aa",
+            "id",
+            &format!("c=read,t=acme,d={wait}"),
+        ]));
         assert!(client.answer().unwrap().contains("s-a"));
     }
     for words in server.commands() {
@@ -128,11 +180,17 @@
     let server = Server::start("s-a");
     let (router, _discovery) = router_of(&[&server]);
     let mut client = router.client();
-    let mut bytes = b"*5\r\n$5\r\nC.SET\r\n$1\r\nk\r\n$2\r\nid\r\n$5\r\nc=put\r\n$60000000\r\n".to_vec();
+    let mut bytes =
+        b"*5\r\n$5\r\nC.SET\r\n$1\r\nk\r\n$2\r\nid\r\n$5\r\nc=put\r\n$60000000\r\n".to_vec();
     bytes.resize(200_000, b'v');
     client.write_what_it_takes(&bytes);
     assert_eq!(client.rest(), b"-ERR command too large\r\n");
-    assert!(router.client().ask("read", "00000000000000aa").contains("s-a"));
+    assert!(
+        router
+            .client()
+            .ask("read", "00000000000000aa")
+            .contains("s-a")
+    );
 }
 
 #[test]
@@ -148,7 +206,11 @@
     server.open_gate();
     assert!(client.answer().unwrap().contains("s-a"));
     assert!(client.rest().starts_with(b"-ERR protocol error"));
-    assert_eq!(server.commands().len(), 1, "nothing behind the error is read");
+    assert_eq!(
+        server.commands().len(),
+        1,
+        "nothing behind the error is read"
+    );
 }
 
 /// The id of another client's open request is an error, never an answer; with the request the id is free again.
@@ -188,8 +250,12 @@
 fn silent_and_half_clients_are_closed() {
     let server = Server::start("s-a");
     let (router, _discovery) = router_of(&[&server]);
-    let (mut silent, mut half, mut usual, mut stuck) =
-        (router.client(), router.client(), router.client(), router.client());
+    let (mut silent, mut half, mut usual, mut stuck) = (
+        router.client(),
+        router.client(),
+        router.client(),
+        router.client(),
+    );
     half.write(b"*4\r\n$5\r\nC.GET\r\n$16\r\n0000");
     assert!(usual.ask("read", "00000000000000aa").contains("s-a"));
     assert!(stuck.ask("read", "00000000000000bb").contains("s-a"));
@@ -199,7 +265,11 @@
         assert_eq!(client.rest(), b"");
         assert!(start.elapsed().as_secs_f64() < 6.0, "{:?}", start.elapsed());
     }
-    assert!(start.elapsed().as_secs_f64() > 1.0, "not at once: {:?}", start.elapsed());
+    assert!(
+        start.elapsed().as_secs_f64() > 1.0,
+        "not at once: {:?}",
+        start.elapsed()
+    );
     assert!(usual.ask("read", "00000000000000aa").contains("s-a"));
 }
 
@@ -227,7 +297,10 @@
         assert!(router.descriptors() <= 96, "{}", router.descriptors());
     }
     assert!(router.is_running());
-    assert!(!router.log_has("accepting a client"), "it never ran out of descriptors");
+    assert!(
+        !router.log_has("accepting a client"),
+        "it never ran out of descriptors"
+    );
     wait_until("the crowd is closed", || router.descriptors() < 30);
 }
 
@@ -249,12 +322,25 @@
 fn running_out_of_descriptors_does_not_end_it() {
     let server = Server::start("s-a");
     let discovery = Discovery::start(list(7, false, &[]));
-    let mut router = Router::start_after(&config(discovery.addr, &[server.entry("up")]), "ulimit -n 24;");
+    let mut router = Router::start_after(
+        &config(discovery.addr, &[server.entry("up")]),
+        "ulimit -n 24;",
+    );
     let mut clients: Vec<Client> = (0..40).map(|_| router.client()).collect();
     wait_until("it has run out", || router.log_has("accepting a client"));
     clients.truncate(2);
-    assert!(router.client().ask("read", "00000000000000aa").starts_with(['*', '-']));
-    wait_until("it serves again", || router.client().ask("read", "00000000000000aa").contains("s-a"));
+    assert!(
+        router
+            .client()
+            .ask("read", "00000000000000aa")
+            .starts_with(['*', '-'])
+    );
+    wait_until("it serves again", || {
+        router
+            .client()
+            .ask("read", "00000000000000aa")
+            .contains("s-a")
+    });
     assert!(router.is_running());
 }
 
@@ -306,7 +392,9 @@
         assert!(client.ask("read", "00000000000000aa").contains("s-a"));
     }
     // A few connections lead to the server.
-    wait_until("most places are free", || router.descriptors() <= few + 6 + 4);
+    wait_until("most places are free", || {
+        router.descriptors() <= few + 6 + 4
+    });
     assert_eq!(clients[0].answer(), None, "who asked longest ago is closed");
     // Who asked last may ask again.
     assert!(clients[21].ask("read", "00000000000000aa").contains("s-a"));
--- a/crates/asterport/tests/router_departures.rs
+++ b/crates/asterport/tests/router_departures.rs
@@ -5,7 +5,11 @@
 
 /// The ids of the commands that came to a server.
 fn ids(server: &Server) -> Vec<String> {
-    server.commands().into_iter().map(|words| words[2].clone()).collect()
+    server
+        .commands()
+        .into_iter()
+        .map(|words| words[2].clone())
+        .collect()
 }
 
 fn get(key: &str, id: &str) -> Vec<u8> {
@@ -15,12 +19,23 @@
 const KEY: &str = "7f3a9c21e0b4d655";
 
 /// A router that knows one server, whose connections come up once the fillers are dropped.
-fn router_of_a_hung_server() -> (Router, Discovery, std::net::TcpListener, Vec<std::net::TcpStream>) {
+fn router_of_a_hung_server() -> (
+    Router,
+    Discovery,
+    std::net::TcpListener,
+    Vec<std::net::TcpStream>,
+) {
     let (silent, fillers) = silent_listener();
     let discovery = Discovery::start(list(7, false, &[]));
-    let mut config = config(discovery.addr, &[entry("s-a", silent.local_addr().unwrap(), "up")]);
+    let mut config = config(
+        discovery.addr,
+        &[entry("s-a", silent.local_addr().unwrap(), "up")],
+    );
     config["settings"]["limits"]["dial_timeout"] = 15.0.into();
-    for class in config["settings"]["request_classes"].as_array_mut().unwrap() {
+    for class in config["settings"]["request_classes"]
+        .as_array_mut()
+        .unwrap()
+    {
         class["give_up"] = 20.0.into();
     }
     let router = Router::start_with(&config, "[summary]\nevery_second = true\n");
@@ -46,8 +61,19 @@
     client.write(&get(KEY, "stayed"));
     assert!(client.answer().unwrap().contains("s-a"));
     assert_eq!(ids(&server), ["stayed"]);
-    wait_until("it went out on that connection", || router.log_has(" written=1 "));
-    assert_eq!(router.log.lock().unwrap().iter().filter(|line| line.contains(" opened=")).count(), 1);
+    wait_until("it went out on that connection", || {
+        router.log_has(" written=1 ")
+    });
+    assert_eq!(
+        router
+            .log
+            .lock()
+            .unwrap()
+            .iter()
+            .filter(|line| line.contains(" opened="))
+            .count(),
+        1
+    );
 }
 
 #[test]
@@ -59,7 +85,10 @@
     // Places for two clients and two connections to cache servers.
     config["limits"]["sockets"] = 52.into();
     config["settings"]["limits"]["dial_timeout"] = 15.0.into();
-    for class in config["settings"]["request_classes"].as_array_mut().unwrap() {
+    for class in config["settings"]["request_classes"]
+        .as_array_mut()
+        .unwrap()
+    {
         class["give_up"] = 20.0.into();
     }
     let router = Router::start(&config);
@@ -72,10 +101,17 @@
     leaving.leave();
     server.usually(Does::Serves);
     server.end_connections();
-    assert!(client.answer().unwrap().starts_with("-ERR") && client.answer().unwrap().starts_with("-ERR"));
+    assert!(
+        client.answer().unwrap().starts_with("-ERR")
+            && client.answer().unwrap().starts_with("-ERR")
+    );
     client.write(&get(KEY, "stayed"));
     assert!(client.answer().unwrap().contains("s-a"));
-    assert!(!ids(&server).contains(&"left".to_string()), "{:?}", ids(&server));
+    assert!(
+        !ids(&server).contains(&"left".to_string()),
+        "{:?}",
+        ids(&server)
+    );
 }
 
 #[test]
@@ -86,7 +122,9 @@
     let mut client = router.client();
     client.write(&get(KEY, "before"));
     wait_until("it is at the server", || server.commands().len() == 1);
-    let anew = server.entry("up").replace(r#""born_ms":0"#, r#""born_ms":1700000000000"#);
+    let anew = server
+        .entry("up")
+        .replace(r#""born_ms":0"#, r#""born_ms":1700000000000"#);
     discovery.writes(&format!("{}\n", list(8, false, &[anew, new.entry("up")])));
     // Each asks for another key until one of the new server shows that the list is known.
     let (mut other, mut key) = (router.client(), 0);
@@ -100,7 +138,14 @@
     let opened = server.connections().0;
     server.open_gate();
     assert!(client.answer().unwrap().contains("s-a"));
-    let used = |id: &str| server.numbered().into_iter().find(|(_, words)| words[2] == id).expect("it came").0;
+    let used = |id: &str| {
+        server
+            .numbered()
+            .into_iter()
+            .find(|(_, words)| words[2] == id)
+            .expect("it came")
+            .0
+    };
     // Past the time for which a connection has to stay quiet.
     std::thread::sleep(std::time::Duration::from_millis(100));
     // As many at once as there may be idle connections.
@@ -112,7 +157,12 @@
         assert!(client.answer().is_some() && client.answer().is_some());
     }
     let before = used("before");
-    assert!(server.numbered().iter().all(|(number, words)| *number != before || words[2] == "before"));
+    assert!(
+        server
+            .numbered()
+            .iter()
+            .all(|(number, words)| *number != before || words[2] == "before")
+    );
 }
 
 /// The end stands behind commands that are not read, since as many answers are owed as may be.
@@ -127,8 +177,14 @@
     let server = Server::on("s-a", silent);
     // What waits for its connection for nobody holds a place at the server until that is up.
     let mut client = router.client();
-    wait_until("the server is free", || client.ask("read", KEY).contains("s-a"));
-    assert!(ids(&server).iter().all(|id| !id.starts_with("left")), "{:?}", ids(&server));
+    wait_until("the server is free", || {
+        client.ask("read", KEY).contains("s-a")
+    });
+    assert!(
+        ids(&server).iter().all(|id| !id.starts_with("left")),
+        "{:?}",
+        ids(&server)
+    );
 }
 
 /// What it did wrong is still answered, but nobody waits for what it asked before.
--- a/crates/asterport/tests/router_discovery.rs
+++ b/crates/asterport/tests/router_discovery.rs
@@ -8,7 +8,9 @@
     type Lose = fn(&Discovery);
     let lose: [(&str, Lose); 4] = [
         ("its end", |d| d.ends()),
-        ("a malformed line", |d| d.writes("{\"seq\":9,\"hosts\":[{\"host\":7}]}\n")),
+        ("a malformed line", |d| {
+            d.writes("{\"seq\":9,\"hosts\":[{\"host\":7}]}\n")
+        }),
         ("no JSON", |d| d.writes("what?\n")),
         ("silence", |d| d.is_silent(true)),
     ];
@@ -24,7 +26,11 @@
         discovery.begins_with(list(12, true, &[new.entry("up")]));
         lost(&discovery);
         wait_until(what, || discovery.calls().len() >= 2);
-        assert!(discovery.calls()[1].contains("after=8 "), "{what}: {:?}", discovery.calls());
+        assert!(
+            discovery.calls()[1].contains("after=8 "),
+            "{what}: {:?}",
+            discovery.calls()
+        );
         let mut client = router.client();
         wait_until("the whole list replaces the old one", || {
             client.ask("read", "00000000000000aa").contains("s-b")
@@ -42,24 +48,36 @@
     let router = Router::start(&config(discovery.addr, &[server.entry("up")]));
     wait_until("it calls again", || discovery.calls().len() >= 3);
     // The list that it knew goes on to hold.
-    assert!(router.client().ask("read", "00000000000000aa").contains("s-a"));
+    assert!(
+        router
+            .client()
+            .ask("read", "00000000000000aa")
+            .contains("s-a")
+    );
     discovery.fails(false);
     let new = Server::start("s-b");
     discovery.begins_with(list(9, true, &[new.entry("up")]));
     let mut client = router.client();
-    wait_until("the new list", || client.ask("read", "00000000000000aa").contains("s-b"));
+    wait_until("the new list", || {
+        client.ask("read", "00000000000000aa").contains("s-b")
+    });
 }
 
 #[test]
 fn a_line_may_come_in_pieces() {
     let (old, new) = (Server::start("s-a"), Server::start("s-b"));
     let (router, discovery) = router_of(&[&old]);
-    let line = format!("{}\n\n", list(8, false, &[new.entry("up"), old.entry("removed")]));
+    let line = format!(
+        "{}\n\n",
+        list(8, false, &[new.entry("up"), old.entry("removed")])
+    );
     let (first, rest) = line.split_at(31);
     discovery.writes(first);
     discovery.writes(rest);
     let mut client = router.client();
-    wait_until("the change", || client.ask("read", "00000000000000aa").contains("s-b"));
+    wait_until("the change", || {
+        client.ask("read", "00000000000000aa").contains("s-b")
+    });
     assert_eq!(discovery.calls().len(), 1);
 }
 
@@ -69,8 +87,13 @@
     let (router, discovery) = router_of(&[&old]);
     let mut client = router.client();
     assert!(client.ask("read", "00000000000000aa").contains("s-a"));
-    discovery.writes(&format!("{}\n", list(8, false, &[entry("s-a", new.addr, "up")])));
-    wait_until("the new address", || client.ask("read", "00000000000000aa").contains("moved"));
+    discovery.writes(&format!(
+        "{}\n",
+        list(8, false, &[entry("s-a", new.addr, "up")])
+    ));
+    wait_until("the new address", || {
+        client.ask("read", "00000000000000aa").contains("moved")
+    });
 }
 
 #[test]
@@ -79,7 +102,9 @@
     let (owner, other, router, discovery) = pair_for(key);
     discovery.writes(&format!("{}\n", list(8, false, &[owner.entry("draining")])));
     let mut client = router.client();
-    wait_until("its key moves", || client.ask("read", key).contains(&other.name));
+    wait_until("its key moves", || {
+        client.ask("read", key).contains(&other.name)
+    });
     let before = owner.commands().len();
     for _ in 0..20 {
         assert!(client.ask("read", key).contains(&other.name));
@@ -91,11 +116,18 @@
 /// with it, and requests find those that are there.
 #[test]
 fn many_replaced_servers_leave_nothing_behind() {
-    let servers = [Server::start("s-a"), Server::start("s-b"), Server::start("s-c")];
+    let servers = [
+        Server::start("s-a"),
+        Server::start("s-b"),
+        Server::start("s-c"),
+    ];
     let discovery = Discovery::start(list(7, false, &[]));
     let mut config = config(discovery.addr, &[servers[0].entry("up")]);
     // What is remembered of a server for the requests that it may still hold goes soon.
-    for class in config["settings"]["request_classes"].as_array_mut().unwrap() {
+    for class in config["settings"]["request_classes"]
+        .as_array_mut()
+        .unwrap()
+    {
         class["give_up"] = 0.2.into();
         class["target"] = 0.1.into();
     }
@@ -119,7 +151,9 @@
             if number % 20 == 0 {
                 let owner = &servers[here % 3].name;
                 wait_until("the newest serves", || {
-                    client.ask("read", &format!("{here:016x}")).contains(owner.as_str())
+                    client
+                        .ask("read", &format!("{here:016x}"))
+                        .contains(owner.as_str())
                 });
             }
         }
@@ -158,12 +192,22 @@
         wait_until("the old server is gone", || {
             (0..16).all(|key| client.ask("read", &format!("{key:016x}")).contains("s-b"))
         });
-        assert!(start.elapsed().as_secs_f64() < 6.0, "{mode}: {:?}", start.elapsed());
-        assert_eq!(discovery.calls().len(), 2 + hangs, "{mode}: {:?}", discovery.calls());
+        assert!(
+            start.elapsed().as_secs_f64() < 6.0,
+            "{mode}: {:?}",
+            start.elapsed()
+        );
+        assert_eq!(
+            discovery.calls().len(),
+            2 + hangs,
+            "{mode}: {:?}",
+            discovery.calls()
+        );
     };
     let both = [("subscribe", 0), ("automatic", 1)]
         .map(|(mode, hangs)| std::thread::spawn(move || run(mode, hangs)));
-    both.into_iter().for_each(|run| run.join().expect("both hold"));
+    both.into_iter()
+        .for_each(|run| run.join().expect("both hold"));
 }
 
 /// An agent that is silent while discovery is down costs calls, and nothing that the router has.
@@ -175,8 +219,15 @@
     let mut config = config(discovery.addr, &[server.entry("up")]);
     config["settings"]["discovery"] = "automatic".into();
     let router = Router::start(&config);
-    wait_until("it has called and called again", || discovery.calls().len() >= 2);
-    assert!(router.client().ask("read", "00000000000000aa").contains("s-a"));
+    wait_until("it has called and called again", || {
+        discovery.calls().len() >= 2
+    });
+    assert!(
+        router
+            .client()
+            .ask("read", "00000000000000aa")
+            .contains("s-a")
+    );
     assert!(router.log_has("discovery: watch silent for too long"));
 }
 
@@ -184,7 +235,8 @@
 fn lists_come_on_one_line_or_on_many_and_cut_anywhere() {
     let (old, new) = (Server::start("s-a"), Server::start("s-b"));
     let (router, discovery) = router_of(&[&old]);
-    let text: serde_json::Value = serde_json::from_str(&list(8, true, &[new.entry("up")])).expect("a list");
+    let text: serde_json::Value =
+        serde_json::from_str(&list(8, true, &[new.entry("up")])).expect("a list");
     let text = serde_json::to_string_pretty(&text).expect("written") + "\n";
     // The last byte of the object is withheld: nothing of it counts.
     let (most, last) = text.split_at(text.len() - 2);
@@ -194,7 +246,9 @@
     let mut client = router.client();
     assert!(client.ask("read", "00000000000000aa").contains("s-a"));
     discovery.writes(last);
-    wait_until("the list is known", || client.ask("read", "00000000000000aa").contains("s-b"));
+    wait_until("the list is known", || {
+        client.ask("read", "00000000000000aa").contains("s-b")
+    });
     // And two at once, with an empty line between them.
     let (drained, back) = (old.entry("up"), new.entry("draining"));
     discovery.writes(&format!(
@@ -202,7 +256,9 @@
         list(9, true, std::slice::from_ref(&drained)),
         list(10, true, &[drained, back])
     ));
-    wait_until("the last one holds", || client.ask("read", "00000000000000aa").contains("s-a"));
+    wait_until("the last one holds", || {
+        client.ask("read", "00000000000000aa").contains("s-a")
+    });
     assert_eq!(discovery.calls().len(), 1, "{:?}", discovery.calls());
 }
 
@@ -214,7 +270,9 @@
     discovery.writes("{\"seq\":8,\n\"hosts\":[\n");
     discovery.begins_with(list(9, true, &[new.entry("up")]));
     let mut client = router.client();
-    wait_until("a new watch", || client.ask("read", "00000000000000aa").contains("s-b"));
+    wait_until("a new watch", || {
+        client.ask("read", "00000000000000aa").contains("s-b")
+    });
 }
 
 /// A drain in the very chunk before the watch breaks is told.
@@ -229,5 +287,12 @@
     wait_until("the drain is known", || {
         (0..16).all(|key| client.ask("read", &format!("{key:016x}")).contains("s-b"))
     });
-    assert_eq!(discovery.calls().iter().filter(|call| call.contains("after=7 ")).count(), 1);
+    assert_eq!(
+        discovery
+            .calls()
+            .iter()
+            .filter(|call| call.contains("after=7 "))
+            .count(),
+        1
+    );
 }
--- a/crates/asterport/tests/router_joining.rs
+++ b/crates/asterport/tests/router_joining.rs
@@ -22,7 +22,8 @@
 }
 
 fn two_tenants(config: &mut serde_json::Value) {
-    let customer = |name: &str| serde_json::json!({"name": name, "quota_per_s": 100.0, "share": 0.5});
+    let customer =
+        |name: &str| serde_json::json!({"name": name, "quota_per_s": 100.0, "share": 0.5});
     config["settings"]["customers"] = serde_json::json!([customer("acme"), customer("bima")]);
 }
 
@@ -33,7 +34,10 @@
 }
 
 fn fields(client: usize, number: usize, wait_ms: u64) -> Vec<u8> {
-    let (id, fields) = (format!("crowd-{client}-{number}"), format!("c=read,t=acme,d={wait_ms}"));
+    let (id, fields) = (
+        format!("crowd-{client}-{number}"),
+        format!("c=read,t=acme,d={wait_ms}"),
+    );
     command(&["C.GET", KEY, &id, &fields])
 }
 
@@ -41,7 +45,9 @@
 fn crowd(router: &Router, wait_ms: u64) -> Vec<Client> {
     let mut clients: Vec<Client> = (0..50).map(|_| router.client()).collect();
     for (place, client) in clients.iter_mut().enumerate() {
-        let bytes: Vec<u8> = (0..10).flat_map(|number| fields(place, number, wait_ms)).collect();
+        let bytes: Vec<u8> = (0..10)
+            .flat_map(|number| fields(place, number, wait_ms))
+            .collect();
         client.write(&bytes);
     }
     clients
@@ -66,7 +72,9 @@
         let before = router.log.lock().unwrap().len();
         router.asks_what_joined();
         wait_until("it tells", || router.log.lock().unwrap().len() > before);
-        router.log.lock().unwrap()[before..].iter().any(|line| line.contains(&format!("now {count} waiters")))
+        router.log.lock().unwrap()[before..]
+            .iter()
+            .any(|line| line.contains(&format!("now {count} waiters")))
     });
 }
 
@@ -80,28 +88,46 @@
     server.open_gate();
     assert_eq!(answers(&mut clients), (500, 0));
     assert_eq!(server.commands().len(), 1);
-    assert!(clients[0].ask("read", KEY).starts_with('*'), "and nothing is kept");
+    assert!(
+        clients[0].ask("read", KEY).starts_with('*'),
+        "and nothing is kept"
+    );
     assert_eq!(server.commands().len(), 2);
 }
 
 #[test]
 fn what_may_not_be_joined_is_refused_at_the_start_in_one_line() {
     let rows = [
-        ("classes = [\"put\"]", "joining.classes: 'put' can never be joined: its effect is keyed"),
-        ("classes = [\"once\"]", "joining.classes: 'once' can never be joined: its effect is unsafe"),
-        ("classes = [\"read\", \"reed\"]", "joining.classes: there is no class 'reed'"),
+        (
+            "classes = [\"put\"]",
+            "joining.classes: 'put' can never be joined: its effect is keyed",
+        ),
+        (
+            "classes = [\"once\"]",
+            "joining.classes: 'once' can never be joined: its effect is unsafe",
+        ),
+        (
+            "classes = [\"read\", \"reed\"]",
+            "joining.classes: there is no class 'reed'",
+        ),
         (
             "classes = [\"read\"]\nbounds = { waiters = 0 }",
             "joining.bounds.waiters: 0 does not lie between 1 and",
         ),
-        ("classes = [\"read\"]\nignore = [\"c\"]", "joining.ignore: 'c' cannot be left out of account"),
+        (
+            "classes = [\"read\"]\nignore = [\"c\"]",
+            "joining.ignore: 'c' cannot be left out of account",
+        ),
         ("clases = [\"read\"]", "line 2: unknown field `clases`"),
     ];
     for (text, expected) in rows {
         let config = config(([127, 0, 0, 1], 1).into(), &[]).to_string();
         let (status, log) = run_to_end_with(&config, &format!("[joining]\n{text}\n"));
         assert_eq!(status.code(), Some(2), "{text}");
-        assert!(log.contains(expected) && log.lines().count() == 1, "{text}: {log}");
+        assert!(
+            log.contains(expected) && log.lines().count() == 1,
+            "{text}: {log}"
+        );
     }
 }
 
@@ -113,7 +139,13 @@
     let (router, _discovery) = joining(&[&a, &b]);
     let mut clients = crowd(&router, 4_000);
     assert_eq!(answers(&mut clients), (500, 0));
-    let of_key = |server: &Server| server.commands().iter().filter(|words| words[1] == KEY).count();
+    let of_key = |server: &Server| {
+        server
+            .commands()
+            .iter()
+            .filter(|words| words[1] == KEY)
+            .count()
+    };
     // Some may have come after the answer, for whom there was another flight; none has one of its own.
     let sent = of_key(&a) + of_key(&b);
     assert!((2..20).contains(&sent), "{sent}");
@@ -185,9 +217,15 @@
         clients.push(client);
         std::thread::sleep(Duration::from_millis(200));
     }
-    wait_until("the second is out", || server.commands().len() - before >= 2);
+    wait_until("the second is out", || {
+        server.commands().len() - before >= 2
+    });
     assert_eq!(server.commands().len() - before, 2);
-    assert!(clients.iter_mut().all(|client| client.answer().expect("an answer").starts_with("-BUSY")));
+    assert!(
+        clients
+            .iter_mut()
+            .all(|client| client.answer().expect("an answer").starts_with("-BUSY"))
+    );
 }
 
 #[test]
@@ -207,7 +245,13 @@
         wait_for_waiters(&router, 2);
         clients[3].write(&fields(3, 0, 4_000));
         wait_for_waiters(&router, 3);
-        let reads = || server.commands().iter().filter(|words| words[0] == "C.GET").count();
+        let reads = || {
+            server
+                .commands()
+                .iter()
+                .filter(|words| words[0] == "C.GET")
+                .count()
+        };
         wait_until("those after the write are out", || reads() == 2);
         server.open_gate();
         for place in [0, 2, 3] {
@@ -224,7 +268,9 @@
     let (router, _discovery) = joining(&[&server]);
     let mut deaf: Vec<Client> = (0..10).map(|_| router.client()).collect();
     for (place, client) in deaf.iter_mut().enumerate() {
-        let bytes: Vec<u8> = (0..60).flat_map(|number| fields(1_000 + place, number, 4_000)).collect();
+        let bytes: Vec<u8> = (0..60)
+            .flat_map(|number| fields(1_000 + place, number, 4_000))
+            .collect();
         client.write(&bytes);
     }
     let mut clients = crowd(&router, 4_000);
@@ -277,7 +323,13 @@
     owner.open_gate();
     assert_eq!(answers(&mut clients), (500, 0));
     assert!(late.answer().expect("an answer").contains(&owner.name));
-    assert_eq!(owner.commands()[before..].iter().filter(|words| words[1] == KEY).count(), 1);
+    assert_eq!(
+        owner.commands()[before..]
+            .iter()
+            .filter(|words| words[1] == KEY)
+            .count(),
+        1
+    );
 }
 
 #[test]
@@ -289,13 +341,19 @@
     let mut clients: Vec<Client> = (0..5).map(|_| router.client()).collect();
     for (place, client) in clients.iter_mut().enumerate() {
         client.write(&fields(place, 0, 4_000));
-        wait_until("it is taken", || place < 3 || server.commands().len() == place - 1);
+        wait_until("it is taken", || {
+            place < 3 || server.commands().len() == place - 1
+        });
         if place == 2 {
             wait_for_waiters(&router, 3);
         }
     }
     server.open_gate();
-    assert!(clients.iter_mut().all(|client| client.answer().expect("an answer").starts_with('*')));
+    assert!(
+        clients
+            .iter_mut()
+            .all(|client| client.answer().expect("an answer").starts_with('*'))
+    );
     assert_eq!(server.commands().len(), 3);
 }
 
@@ -321,7 +379,9 @@
     wait_until("all are out", || server.commands().len() >= 3);
     server.open_gate();
     assert!(
-        reads.iter().all(|_| client.answer().expect("an answer").starts_with('*')),
+        reads
+            .iter()
+            .all(|_| client.answer().expect("an answer").starts_with('*')),
         "two or more on one connection"
     );
     assert_eq!(server.commands().len(), 3);
@@ -330,7 +390,11 @@
 #[test]
 fn those_without_time_for_a_further_attempt_are_told_when_the_first_fails() {
     let (a, b) = (Server::start("s-a"), Server::start("s-b"));
-    let (owner, other) = if key_is_at(&a, &b) { (&a, &b) } else { (&b, &a) };
+    let (owner, other) = if key_is_at(&a, &b) {
+        (&a, &b)
+    } else {
+        (&b, &a)
+    };
     owner.does(KEY, Does::SaysAfter(1_000, b"-BUSY\r\n".to_vec()));
     other.does(KEY, Does::SaysAfter(1_000, value("s-b")));
     let (router, _discovery) = router_with(READS, &[&a, &b], |config| {
@@ -349,7 +413,11 @@
 #[test]
 fn a_list_that_moves_the_key_leaves_the_flight_and_takes_the_next() {
     let (a, b) = (Server::start("s-a"), Server::start("s-b"));
-    let (owner, other) = if key_is_at(&a, &b) { (&a, &b) } else { (&b, &a) };
+    let (owner, other) = if key_is_at(&a, &b) {
+        (&a, &b)
+    } else {
+        (&b, &a)
+    };
     let before = owner.commands().len();
     other.does(KEY, Does::ServesLater);
     let (router, discovery) = joining(&[other]);
@@ -362,7 +430,12 @@
         assert!(writer.ask("put", &format!("{key:016x}")).starts_with('*'));
         owner.commands().len() > before
     });
-    let of_key = || owner.commands()[before..].iter().filter(|words| words[1] == KEY).count();
+    let of_key = || {
+        owner.commands()[before..]
+            .iter()
+            .filter(|words| words[1] == KEY)
+            .count()
+    };
     assert_eq!(of_key(), 0);
     other.open_gate();
     assert_eq!(answers(&mut clients), (500, 0));
@@ -389,23 +462,43 @@
     server.usually(Does::IsSilent);
     let before = server.commands().len();
     let mut client = router.client();
-    let read =
-        |key| command(&["C.GET", &format!("{key:016x}"), &format!("id-{key}"), "c=read,t=acme,d=4000"]);
+    let read = |key| {
+        command(&[
+            "C.GET",
+            &format!("{key:016x}"),
+            &format!("id-{key}"),
+            "c=read,t=acme,d=4000",
+        ])
+    };
     client.write(&(0..60).flat_map(read).collect::<Vec<u8>>());
     wait_until("all are taken", || {
         router.asks_what_joined();
         std::thread::sleep(Duration::from_millis(5));
         router.log_has("joining: 61 flights, 149 joined")
     });
-    let line = router.log.lock().unwrap().iter().rev().find(|line| line.contains("joining: 61")).cloned();
-    let waiters = line.as_deref().and_then(|line| line.split("now ").nth(1)?.split(' ').next()?.parse().ok());
+    let line = router
+        .log
+        .lock()
+        .unwrap()
+        .iter()
+        .rev()
+        .find(|line| line.contains("joining: 61"))
+        .cloned();
+    let waiters = line
+        .as_deref()
+        .and_then(|line| line.split("now ").nth(1)?.split(' ').next()?.parse().ok());
     let waiters = waiters.expect("a number");
-    wait_until("they are out", || server.commands().len() - before == waiters);
+    wait_until("they are out", || {
+        server.commands().len() - before == waiters
+    });
     waiters
 }
 
 #[test]
 fn each_waiter_counts_for_its_own_tenant() {
     let (own, other) = (room_after_a_crowd_of("acme"), room_after_a_crowd_of("bima"));
-    assert!(0 < own && own < other, "{own} after its own crowd, {other} after the other's");
+    assert!(
+        0 < own && own < other,
+        "{own} after its own crowd, {other} after the other's"
+    );
 }
--- a/crates/asterport/tests/router_long.rs
+++ b/crates/asterport/tests/router_long.rs
@@ -29,7 +29,10 @@
 
 fn in_progress(admin: std::net::SocketAddr) -> usize {
     let (_, text) = call(admin, "GET", "/api/telemetry", "");
-    let line = text.lines().find_map(|line| line.strip_prefix("router_in_progress ")).expect("the figure");
+    let line = text
+        .lines()
+        .find_map(|line| line.strip_prefix("router_in_progress "))
+        .expect("the figure");
     line.parse().expect("a number")
 }
 
@@ -64,7 +67,10 @@
     client.write_all(&read_command("a")).expect("written");
     let mut begun = vec![0; 10_000];
     client.read_exact(&mut begun).expect("the first bytes");
-    assert!(server.gaps().is_empty(), "the rest has not been written yet");
+    assert!(
+        server.gaps().is_empty(),
+        "the rest has not been written yet"
+    );
     let mut left = vec![0; bytes.len() - 10_000];
     client.read_exact(&mut left).expect("the rest");
     assert!(begun == first && left == rest);
@@ -88,7 +94,10 @@
     server.does(KEY, Does::SaysAndEnds(bytes[..bytes.len() - 1].to_vec()));
     assert!(router.client().ask("read", KEY).as_bytes() == bytes);
     let (_, text) = call(admin, "GET", "/api/telemetry", "");
-    assert!(text.contains("router_bad_gateway_total{category=\"read\"} 3"), "{text}");
+    assert!(
+        text.contains("router_bad_gateway_total{category=\"read\"} 3"),
+        "{text}"
+    );
     server.does(KEY, Does::Serves);
     assert!(router.client().ask("read", KEY).contains("s-a"));
 }
@@ -103,7 +112,9 @@
             let mut client = connect(&router);
             let mut begun = false;
             wait_until("it is begun", || {
-                client.write_all(&read_command(&format!("id{i}"))).expect("written");
+                client
+                    .write_all(&read_command(&format!("id{i}")))
+                    .expect("written");
                 let mut first = [0; 16];
                 let count = client.read(&mut first).expect("the first bytes");
                 // Turned away until the server's work for the others has ended.
@@ -118,7 +129,9 @@
     // 400 MiB are under way.
     assert!(router.memory_kb() < 32 * 1024, "{} KB", router.memory_kb());
     let mut other = router.client();
-    wait_until("another is served", || other.ask("read", "00000000000000bb").contains("s-a"));
+    wait_until("another is served", || {
+        other.ask("read", "00000000000000bb").contains("s-a")
+    });
     // All leave in the middle.
     drop(clients);
     wait_until("nothing is under way", || in_progress(admin) == 0);
@@ -162,7 +175,11 @@
     }
     assert!(most < 48 * 1024, "{most} KB");
     assert_eq!(in_progress(admin), 0);
-    let longest = server.commands().iter().map(|words| words.last().map_or(0, String::len)).max();
+    let longest = server
+        .commands()
+        .iter()
+        .map(|words| words.last().map_or(0, String::len))
+        .max();
     assert_eq!(longest, Some(SIZE));
 }
 
--- a/crates/asterport/tests/router_operators.rs
+++ b/crates/asterport/tests/router_operators.rs
@@ -27,8 +27,11 @@
 
 fn figure(admin: SocketAddr, name: &str) -> f64 {
     let (_, text) = call(admin, "GET", "/api/telemetry", "");
-    let line = text.lines().find(|line| line.starts_with(&format!("{name} ")));
-    line.and_then(|line| line.rsplit(' ').next()?.parse().ok()).unwrap_or_else(|| panic!("{name} in {text}"))
+    let line = text
+        .lines()
+        .find(|line| line.starts_with(&format!("{name} ")));
+    line.and_then(|line| line.rsplit(' ').next()?.parse().ok())
+        .unwrap_or_else(|| panic!("{name} in {text}"))
 }
 
 #[test]
@@ -36,16 +39,37 @@
     let (a, b) = (Server::start("s-a"), Server::start("s-b"));
     let (router, discovery, admin) = operated(&[&a, &b]);
     let mut client = router.client();
-    let ask_all = |client: &mut Client| keys().filter(|key| client.ask("read", key).contains("s-a")).count();
+    let ask_all = |client: &mut Client| {
+        keys()
+            .filter(|key| client.ask("read", key).contains("s-a"))
+            .count()
+    };
     let usual = ask_all(&mut client);
     assert!(usual > 0 && usual < 40);
     assert_eq!(post(admin, "/api/exclude", "s-a"), 200);
     assert_eq!(ask_all(&mut client), 0);
     // Whatever the list says.
-    discovery.writes(&format!("{}\n", list(8, true, &[a.entry("up"), b.entry("up")])));
-    wait_until("the list is taken", || figure(admin, "router_skipped_cache_servers") == 1.0);
-    assert_eq!((ask_all(&mut client), figure(admin, "router_known_cache_servers")), (0, 2.0));
-    assert_eq!((post(admin, "/api/exclude", "s-a"), post(admin, "/api/include", "s-a")), (200, 200));
+    discovery.writes(&format!(
+        "{}\n",
+        list(8, true, &[a.entry("up"), b.entry("up")])
+    ));
+    wait_until("the list is taken", || {
+        figure(admin, "router_skipped_cache_servers") == 1.0
+    });
+    assert_eq!(
+        (
+            ask_all(&mut client),
+            figure(admin, "router_known_cache_servers")
+        ),
+        (0, 2.0)
+    );
+    assert_eq!(
+        (
+            post(admin, "/api/exclude", "s-a"),
+            post(admin, "/api/include", "s-a")
+        ),
+        (200, 200)
+    );
     assert_eq!(figure(admin, "router_skipped_cache_servers"), 0.0);
     wait_until("it is used again", || ask_all(&mut client) > 0);
 }
@@ -71,17 +95,27 @@
     ] {
         let (found, text) = call(admin, method, path, body);
         assert_eq!(found, status, "{method} {path}: {text}");
-        assert!(text.starts_with("{\"error\":") && text.lines().count() == 1, "{method} {path}: {text}");
+        assert!(
+            text.starts_with("{\"error\":") && text.lines().count() == 1,
+            "{method} {path}: {text}"
+        );
     }
     assert_eq!(call_with(admin, b"nonsense\r\n\r\n").0, 400);
-    assert!(router.client().ask("read", "00000000000000aa").contains("s-a"));
+    assert!(
+        router
+            .client()
+            .ask("read", "00000000000000aa")
+            .contains("s-a")
+    );
 }
 
 #[test]
 fn callers_who_say_nothing_and_calls_in_pieces_keep_nobody_waiting() {
     let a = Server::start("s-a");
     let (_router, _discovery, admin) = operated(&[&a]);
-    let silent: Vec<TcpStream> = (0..200).map(|_| TcpStream::connect(admin).expect("connected")).collect();
+    let silent: Vec<TcpStream> = (0..200)
+        .map(|_| TcpStream::connect(admin).expect("connected"))
+        .collect();
     assert_eq!(call(admin, "GET", "/api/ready", "").0, 200);
     let mut slow = TcpStream::connect(admin).expect("connected");
     for byte in b"GET /api/ready HTTP/1.1\r\nHost: x\r\n\r\n" {
@@ -104,7 +138,11 @@
     for _ in 0..3 {
         assert!(client.ask("read", "00000000000000aa").contains("s-a"));
     }
-    assert!(client.ask("once", "00000000000000bb").contains("-ERR failed"));
+    assert!(
+        client
+            .ask("once", "00000000000000bb")
+            .contains("-ERR failed")
+    );
     let mut waiting = router.client();
     waiting.send("read", "00000000000000cc", 4_000);
     wait_until("it is at the server", || a.commands().len() == 5);
@@ -141,12 +179,20 @@
     let mut front = router.client();
     front.write(&command(&["PING"]));
     assert!(front.answer().is_some_and(|text| text.starts_with("-ERR")));
-    assert_eq!(front.answer(), None, "the front's own connection is closed too");
+    assert_eq!(
+        front.answer(),
+        None,
+        "the front's own connection is closed too"
+    );
     // Whoever comes still is served, and closed then.
     let mut late = router.client();
     assert!(late.ask("read", "00000000000000aa").contains("s-a"));
     assert_eq!(late.answer(), None);
-    assert_eq!(router.client().answer(), None, "one that says nothing is closed");
+    assert_eq!(
+        router.client().answer(),
+        None,
+        "one that says nothing is closed"
+    );
     pipelined.send("read", "00000000000000dd", 4_000);
     a.open_gate();
     assert!(busy.answer().is_some_and(|text| text.contains("s-a")));
--- a/crates/asterport/tests/router_servers.rs
+++ b/crates/asterport/tests/router_servers.rs
@@ -10,23 +10,50 @@
     let mut client = router.client();
     client.write(&command(&["PING"]));
     assert_eq!(client.answer().unwrap(), "+PONG\r\n");
-    client.write(&command(&["C.GET", "7f3a9c21e0b4d655", "9b1f", "c=read,t=acme,d=900,h=1200,size=2.172"]));
+    client.write(&command(&[
+        "C.GET",
+        "7f3a9c21e0b4d655",
+        "9b1f",
+        "c=read,t=acme,d=900,h=1200,size=2.172",
+    ]));
     assert_eq!(client.answer().unwrap().into_bytes(), value("s-a"));
     // A connection is used again once it has stayed quiet for a moment.
     std::thread::sleep(std::time::Duration::from_millis(100));
-    client.write(&command(&["C.SET", "7f3a9c21e0b4d655", "9b20", "c=put,t=acme,d=900,k=5c0f", "answers"]));
+    client.write(&command(&[
+        "C.SET",
+        "7f3a9c21e0b4d655",
+        "9b20",
+        "c=put,t=acme,d=900,k=5c0f",
+        "answers",
+    ]));
     assert_eq!(client.answer().unwrap().into_bytes(), value("s-a"));
     let commands = server.commands();
-    let wait =
-        |fields: &str| fields.split(",d=").nth(1).unwrap().split(',').next().unwrap().parse::<u64>().unwrap();
+    let wait = |fields: &str| {
+        fields
+            .split(",d=")
+            .nth(1)
+            .unwrap()
+            .split(',')
+            .next()
+            .unwrap()
+            .parse::<u64>()
+            .unwrap()
+    };
     let (read, write) = (&commands[0], &commands[1]);
     assert_eq!(read[..3], ["C.GET", "7f3a9c21e0b4d655", "9b1f"]);
     assert!((1..=900).contains(&wait(&read[3])), "{}", read[3]);
-    assert_eq!(read[3].replace(&format!("d={}", wait(&read[3])), "d="), "c=read,t=acme,d=,h=1200,size=2.172");
+    assert_eq!(
+        read[3].replace(&format!("d={}", wait(&read[3])), "d="),
+        "c=read,t=acme,d=,h=1200,size=2.172"
+    );
     assert_eq!(write[..3], ["C.SET", "7f3a9c21e0b4d655", "9b20"]);
     assert_eq!(write[4], "answers");
     assert!(write[3].ends_with(",k=5c0f"));
-    assert_eq!(server.connections().0, 1, "the second request takes the idle connection");
+    assert_eq!(
+        server.connections().0,
+        1,
+        "the second request takes the idle connection"
+    );
 }
 
 /// Each row of the table of what comes back, with a request that must never run twice: it is declined only where
@@ -37,15 +64,31 @@
     let rows = [
         ("a value", Does::Serves, "*3"),
         ("an error", Does::Says(b"-ERR failed\r\n".to_vec()), "-ERR"),
-        ("an error with a load report", Does::Says(b"-ERR failed inflight=7,queue=2\r\n".to_vec()), "-ERR"),
+        (
+            "an error with a load report",
+            Does::Says(b"-ERR failed inflight=7,queue=2\r\n".to_vec()),
+            "-ERR",
+        ),
         ("busy", Does::Says(b"-BUSY\r\n".to_vec()), "-BUSY"),
-        ("busy with a load report", Does::Says(b"-BUSY inflight=7,queue=2\r\n".to_vec()), "-BUSY"),
+        (
+            "busy with a load report",
+            Does::Says(b"-BUSY inflight=7,queue=2\r\n".to_vec()),
+            "-BUSY",
+        ),
         ("a null", Does::Says(null), "-ERR"),
         ("no value", Does::Says(b"*0\r\n".to_vec()), "-ERR"),
         ("another form", Does::Says(b":7\r\n".to_vec()), "-ERR"),
         ("no RESP", Does::Says(b"what?\r\n".to_vec()), "-ERR"),
-        ("an end after the command", Does::SaysAndEnds(Vec::new()), "-ERR"),
-        ("an end within the value", Does::SaysAndEnds(b"*3\r\n$9\r\nhalf".to_vec()), "-ERR"),
+        (
+            "an end after the command",
+            Does::SaysAndEnds(Vec::new()),
+            "-ERR",
+        ),
+        (
+            "an end within the value",
+            Does::SaysAndEnds(b"*3\r\n$9\r\nhalf".to_vec()),
+            "-ERR",
+        ),
         ("nothing", Does::IsSilent, "-ERR"),
     ];
     for (what, does, expected) in rows {
@@ -54,7 +97,9 @@
         let (router, _discovery) = router_of(&[&server]);
         let mut client = router.client();
         client.send("once", "7f3a9c21e0b4d655", 300);
-        let answer = client.answer().unwrap_or_else(|| panic!("{what}: no answer"));
+        let answer = client
+            .answer()
+            .unwrap_or_else(|| panic!("{what}: no answer"));
         assert!(answer.starts_with(expected), "{what}: {answer}");
         assert_eq!(server.commands().len(), 1, "{what}: sent once");
         client.write(&command(&["PING"]));
@@ -65,14 +110,25 @@
 #[test]
 fn a_refused_connection_proves_that_nothing_ran() {
     let server = Server::start("s-a");
-    let closed = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let closed = std::net::TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap();
     let discovery = Discovery::start(list(7, false, &[]));
-    let router = Router::start(&config(discovery.addr, &[entry(&server.name, closed, "up")]));
+    let router = Router::start(&config(
+        discovery.addr,
+        &[entry(&server.name, closed, "up")],
+    ));
     let start = Instant::now();
     let answer = router.client().ask("once", "7f3a9c21e0b4d655");
     // At once, and with advice in milliseconds on when to come back.
-    let advice = answer.strip_prefix("-BUSY ").unwrap_or_else(|| panic!("{answer}"));
-    assert!((1..=1_000).contains(&advice.trim_end().parse::<u64>().unwrap()), "{answer}");
+    let advice = answer
+        .strip_prefix("-BUSY ")
+        .unwrap_or_else(|| panic!("{answer}"));
+    assert!(
+        (1..=1_000).contains(&advice.trim_end().parse::<u64>().unwrap()),
+        "{answer}"
+    );
     assert!(start.elapsed().as_millis() < 3_000, "{:?}", start.elapsed());
     assert!(server.commands().is_empty());
 }
@@ -81,10 +137,18 @@
 fn a_connection_that_never_comes_up_has_its_own_limit() {
     let (silent, _fillers) = silent_listener();
     let discovery = Discovery::start(list(7, false, &[]));
-    let router = Router::start(&config(discovery.addr, &[entry("s-a", silent.local_addr().unwrap(), "up")]));
+    let router = Router::start(&config(
+        discovery.addr,
+        &[entry("s-a", silent.local_addr().unwrap(), "up")],
+    ));
     let start = Instant::now();
     // Declined: the proof that nothing ran. And long before the client's 4 s are up.
-    assert!(router.client().ask("once", "7f3a9c21e0b4d655").starts_with("-BUSY"));
+    assert!(
+        router
+            .client()
+            .ask("once", "7f3a9c21e0b4d655")
+            .starts_with("-BUSY")
+    );
     assert!(start.elapsed().as_millis() < 3_000, "{:?}", start.elapsed());
 }
 
@@ -97,7 +161,10 @@
     let discovery = Discovery::start(list(7, false, &[]));
     let mut config = config(discovery.addr, &[entry("s-a", addr, "up")]);
     config["settings"]["limits"]["dial_timeout"] = 15.0.into();
-    for class in config["settings"]["request_classes"].as_array_mut().unwrap() {
+    for class in config["settings"]["request_classes"]
+        .as_array_mut()
+        .unwrap()
+    {
         class["give_up"] = 20.0.into();
     }
     let router = Router::start(&config);
@@ -105,10 +172,16 @@
     let mut client = router.client();
     client.send("once", "7f3a9c21e0b4d655", 16_000);
     client.write(&command(&["PING"]));
-    let news = list(8, false, &[entry("s-a", addr, "draining"), other.entry("up")]);
+    let news = list(
+        8,
+        false,
+        &[entry("s-a", addr, "draining"), other.entry("up")],
+    );
     discovery.writes(&format!("{news}\n"));
     let mut second = router.client();
-    wait_until("the drain is known", || second.ask("read", "00000000000000aa").contains("s-b"));
+    wait_until("the drain is known", || {
+        second.ask("read", "00000000000000aa").contains("s-b")
+    });
     drop(fillers);
     let drained = Server::on("s-a", silent);
     // It never ran there, so that it may go to the other server.
@@ -123,7 +196,10 @@
     owner.usually(Does::SaysAndEnds(Vec::new()));
     let mut client = router.client();
     assert!(client.ask("put", key).contains(&other.name));
-    let (first, second) = (owner.commands().pop().unwrap(), other.commands().pop().unwrap());
+    let (first, second) = (
+        owner.commands().pop().unwrap(),
+        other.commands().pop().unwrap(),
+    );
     assert_eq!(first[..3], second[..3]);
     assert!(first[3].ends_with(",k=5c0f") && second[3].ends_with(",k=5c0f"));
     assert_eq!(first[4], second[4]);
@@ -140,7 +216,13 @@
     }
     let (router, _discovery) = router_of(&[&a, &b]);
     let mut client = router.client();
-    let sent = |key: &str| a.commands().iter().chain(&b.commands()).filter(|words| words[1] == key).count();
+    let sent = |key: &str| {
+        a.commands()
+            .iter()
+            .chain(&b.commands())
+            .filter(|words| words[1] == key)
+            .count()
+    };
     assert!(client.ask("read", "00000000000000aa").starts_with("-BUSY "));
     assert_eq!(sent("00000000000000aa"), 2);
     assert!(client.ask("read", "00000000000000bb").starts_with("-BUSY "));
@@ -217,23 +299,53 @@
         ("a bulk string", says("$3\r\nabc\r\n")),
         ("a null array", says("*-1\r\n")),
         ("an array of two", says("*2\r\n$1\r\nv\r\n$3\r\nhit\r\n")),
-        ("an array of four", says("*4\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n$-1\r\n")),
+        (
+            "an array of four",
+            says("*4\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n$-1\r\n"),
+        ),
         ("a null value", says("*3\r\n$-1\r\n$3\r\nhit\r\n$-1\r\n")),
         ("an integer value", says("*3\r\n:7\r\n$3\r\nhit\r\n$-1\r\n")),
-        ("an array within", says("*3\r\n*1\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n")),
-        ("noise on how it went", says("*3\r\n$1\r\nv\r\n$3\r\n\u{1}\u{2}\u{3}\r\n$-1\r\n")),
-        ("a length that is short", says("*3\r\n$2\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n")),
-        ("a length that is long", says("*3\r\n$50\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n")),
-        ("a length with a sign", says("*3\r\n$+1\r\nv\r\n$3\r\nhit\r\n$-1\r\n")),
-        ("a negative length", says("*3\r\n$-2\r\nv\r\n$3\r\nhit\r\n$-1\r\n")),
-        ("a length past all bounds", says("*3\r\n$99999999999999999999999\r\n")),
+        (
+            "an array within",
+            says("*3\r\n*1\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n"),
+        ),
+        (
+            "noise on how it went",
+            says("*3\r\n$1\r\nv\r\n$3\r\n\u{1}\u{2}\u{3}\r\n$-1\r\n"),
+        ),
+        (
+            "a length that is short",
+            says("*3\r\n$2\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n"),
+        ),
+        (
+            "a length that is long",
+            says("*3\r\n$50\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n"),
+        ),
+        (
+            "a length with a sign",
+            says("*3\r\n$+1\r\nv\r\n$3\r\nhit\r\n$-1\r\n"),
+        ),
+        (
+            "a negative length",
+            says("*3\r\n$-2\r\nv\r\n$3\r\nhit\r\n$-1\r\n"),
+        ),
+        (
+            "a length past all bounds",
+            says("*3\r\n$99999999999999999999999\r\n"),
+        ),
         ("another error", says("-SYNTAX no\r\n")),
         ("an error with noise", says("-ERR \u{1}\u{2}\r\n")),
         ("half an answer", says("*3\r\n$5\r\nva")),
         ("half a header", says("*")),
         ("noise", Does::Says(vec![0xFF; 300])),
-        ("a line without end", Does::SaysWithoutEnd(b"-ERR ".to_vec(), vec![b'x'; 1_000])),
-        ("3 GB", Does::SaysWithoutEnd(b"*3\r\n$3221225472\r\n".to_vec(), vec![b'v'; 65_536])),
+        (
+            "a line without end",
+            Does::SaysWithoutEnd(b"-ERR ".to_vec(), vec![b'x'; 1_000]),
+        ),
+        (
+            "3 GB",
+            Does::SaysWithoutEnd(b"*3\r\n$3221225472\r\n".to_vec(), vec![b'v'; 65_536]),
+        ),
     ];
     let server = Server::start("s-a");
     let (router, _discovery) = router_of(&[&server]);
@@ -243,9 +355,16 @@
         let start = Instant::now();
         let answer = client.ask("once", "00000000000000aa");
         assert!(answer.starts_with("-ERR"), "{what}: {answer}");
-        assert!(start.elapsed().as_millis() < 3_000, "{what}: {:?}", start.elapsed());
+        assert!(
+            start.elapsed().as_millis() < 3_000,
+            "{what}: {:?}",
+            start.elapsed()
+        );
         wait_until(what, || server.connections().1 == count + 1);
-        assert!(client.ask("once", "00000000000000bb").contains("s-a"), "{what}: the next is served");
+        assert!(
+            client.ask("once", "00000000000000bb").contains("s-a"),
+            "{what}: the next is served"
+        );
     }
 }
 
@@ -265,10 +384,16 @@
         ("a second copy", format!("{good}$-1\r\n{good}$-1\r\n")),
         ("noise behind", format!("{good}$-1\r\n\u{1}\u{2}\u{3}")),
         ("a report of noise", format!("{good}\u{1}\u{2}\u{3}\r\n")),
-        ("an unprintable report", format!("{good}$3\r\n\u{1}\u{2}\u{3}\r\n")),
+        (
+            "an unprintable report",
+            format!("{good}$3\r\n\u{1}\u{2}\u{3}\r\n"),
+        ),
         ("an integer for a report", format!("{good}:7\r\n")),
         ("a report past all bounds", format!("{good}$99999\r\n")),
-        ("a report that is too long", format!("{good}$3\r\nutil=0.61\r\n")),
+        (
+            "a report that is too long",
+            format!("{good}$3\r\nutil=0.61\r\n"),
+        ),
         ("half a report", format!("{good}$30\r\nutil=0.61\r\n")),
         ("no report", good.to_string()),
     ];
@@ -280,7 +405,10 @@
         let answer = client.ask("once", "00000000000000aa");
         assert_eq!(answer, format!("{good}$-1\r\n"), "{what}");
         wait_until(what, || server.connections().1 == count + 1);
-        assert!(client.ask("once", "00000000000000bb").contains("s-a"), "{what}: the next is served");
+        assert!(
+            client.ask("once", "00000000000000bb").contains("s-a"),
+            "{what}: the next is served"
+        );
     }
 }
 
@@ -289,11 +417,20 @@
 #[test]
 fn a_second_copy_that_comes_later_answers_nobody() {
     let server = Server::start("s-a");
-    server.does("00000000000000aa", Does::SaysThen(value("first"), 3, value("first")));
+    server.does(
+        "00000000000000aa",
+        Does::SaysThen(value("first"), 3, value("first")),
+    );
     let (router, _discovery) = router_of(&[&server]);
     let mut client = router.client();
     // A fake that slept for longer than it should proves nothing either way.
-    let in_time = || server.gaps().iter().filter(|gap| gap.as_millis() < 5).count();
+    let in_time = || {
+        server
+            .gaps()
+            .iter()
+            .filter(|gap| gap.as_millis() < 5)
+            .count()
+    };
     wait_until("copies in time", || {
         let before = (in_time(), server.gaps().len());
         assert!(client.ask("read", "00000000000000aa").contains("first"));
@@ -328,7 +465,11 @@
         assert!(client.ask("once", "00000000000000bb").contains("s-a"));
         std::thread::sleep(std::time::Duration::from_millis(50));
     }
-    assert!(server.connections().0 <= before + 1, "{} connections more", server.connections().0 - before);
+    assert!(
+        server.connections().0 <= before + 1,
+        "{} connections more",
+        server.connections().0 - before
+    );
 }
 
 /// What a cache server spoils tells nothing of idle connections: the others are not closed for it.
@@ -356,7 +497,8 @@
     }
     let before = owner.commands().len();
     // Ever new keys, so that none is so popular that it has further homes.
-    let mut keys = (1_u64..).map(|number| format!("{:016x}", number.wrapping_mul(0x9E37_79B9_7F4A_7C15)));
+    let mut keys =
+        (1_u64..).map(|number| format!("{:016x}", number.wrapping_mul(0x9E37_79B9_7F4A_7C15)));
     for key in keys.by_ref().take(20) {
         client.send("read", &key, 400);
         assert!(client.answer().unwrap().contains(&other.name));
@@ -370,7 +512,11 @@
         owner.commands().len() > before
     });
     owner.usually(Does::Serves);
-    let mut again = || client.ask("read", &keys.next().unwrap()).contains(&owner.name);
+    let mut again = || {
+        client
+            .ask("read", &keys.next().unwrap())
+            .contains(&owner.name)
+    };
     wait_until("its arc is its own again", || again() && again() && again());
 }
 
@@ -394,7 +540,11 @@
         let (came, _) = server.connections();
         wait_until("all have ended", || server.connections() == (came, came));
     }
-    assert_eq!(server.connections().0, 48, "each went out on a new connection");
+    assert_eq!(
+        server.connections().0,
+        48,
+        "each went out on a new connection"
+    );
 }
 
 /// A kept connection that turns out to be dead is no word from its server: the key stays there, on another connection,
@@ -403,7 +553,8 @@
 fn a_dead_connection_costs_a_key_neither_its_server_nor_a_further_attempt() {
     let key = "7f3a9c21e0b4d655";
     // One of many routers starts with few further attempts in hand.
-    let (owner, other, router, _discovery) = pair_with(key, |settings| settings["peers_total"] = 12.into());
+    let (owner, other, router, _discovery) =
+        pair_with(key, |settings| settings["peers_total"] = 12.into());
     let mut client = router.client();
     // The router learns how long the owner's answers take: what breaks much sooner did no work.
     owner.usually(Does::SaysAfter(100, value(&owner.name)));
@@ -419,7 +570,10 @@
         let answer = client.ask("read", key);
         assert!(answer.contains(&owner.name), "round {round}: {answer}");
     }
-    assert!(owner.connections().0 >= before + 20, "a new connection each time");
+    assert!(
+        owner.connections().0 >= before + 20,
+        "a new connection each time"
+    );
     assert!(other.commands().is_empty(), "{:?}", other.commands());
     // A request that must never run twice may have run.
     pause();
@@ -463,19 +617,37 @@
     server.does(key, Does::IsSilent);
     let mut client = router.client();
     client.send("read", key, 100);
-    assert!(client.answer().expect("an answer").starts_with("-BUSY"), "its time is up");
+    assert!(
+        client.answer().expect("an answer").starts_with("-BUSY"),
+        "its time is up"
+    );
     let mut others: Vec<Client> = (0..held).map(|_| router.client()).collect();
-    others.iter_mut().enumerate().for_each(|(i, other)| other.send("read", &format!("other{i}"), 4_000));
-    wait_until("half of the places are taken", || server.commands().len() == 1 + held);
+    others
+        .iter_mut()
+        .enumerate()
+        .for_each(|(i, other)| other.send("read", &format!("other{i}"), 4_000));
+    wait_until("half of the places are taken", || {
+        server.commands().len() == 1 + held
+    });
     std::thread::sleep(std::time::Duration::from_millis(600));
-    client.write(&command(&["C.GET", key, "again", "c=read,t=acme,d=3000,r=1"]));
-    assert!(client.answer().expect("an answer").starts_with("-BUSY"), "past its aim");
+    client.write(&command(&[
+        "C.GET",
+        key,
+        "again",
+        "c=read,t=acme,d=3000,r=1",
+    ]));
+    assert!(
+        client.answer().expect("an answer").starts_with("-BUSY"),
+        "past its aim"
+    );
     assert_eq!(server.commands().len(), 1 + held, "it was not sent on");
     server.does(key, Does::Serves);
     client.write(&command(&["C.GET", key, "new", "c=read,t=acme,d=3000"]));
     assert!(client.answer().expect("an answer").contains("s-a"));
     server.open_gate();
-    others.iter_mut().for_each(|other| assert!(other.answer().expect("an answer").contains("s-a")));
+    others
+        .iter_mut()
+        .for_each(|other| assert!(other.answer().expect("an answer").contains("s-a")));
 }
 
 /// Guards routers of many: one of forty spaces out what it sends a server that turned requests away, unless the server
@@ -493,8 +665,18 @@
         (0..12).for_each(|_| assert!(client.ask("read", "7f3a9c21e0b4d655").starts_with("-BUSY")));
         server.commands().len()
     };
-    assert_eq!(reached("utilization,backlog", "util=0.2,queue=0"), 12, "all are sent");
-    assert!(reached("utilization,backlog", "util=1.0,queue=9") < 8, "a queue");
-    assert!(reached("utilization,backlog", "util=lots,queue=-3") < 8, "no figures");
+    assert_eq!(
+        reached("utilization,backlog", "util=0.2,queue=0"),
+        12,
+        "all are sent"
+    );
+    assert!(
+        reached("utilization,backlog", "util=1.0,queue=9") < 8,
+        "a queue"
+    );
+    assert!(
+        reached("utilization,backlog", "util=lots,queue=-3") < 8,
+        "no figures"
+    );
     assert!(reached("", "util=0.2,queue=0") < 8, "no reports here");
 }
--- a/crates/asterport/tests/router_signals.rs
+++ b/crates/asterport/tests/router_signals.rs
@@ -14,7 +14,12 @@
     wait_until("it is at the server", || server.commands().len() == 2);
     router.terminate();
     // New connections go on coming for a while, and are served.
-    assert!(router.client().ask("read", "00000000000000cc").contains("s-a"));
+    assert!(
+        router
+            .client()
+            .ask("read", "00000000000000cc")
+            .contains("s-a")
+    );
     // An idle one is closed, with nothing lost on it.
     assert_eq!(idle.answer(), None);
     assert!(router.is_running(), "it waits for the answer that it owes");
@@ -41,7 +46,9 @@
     assert_eq!(client.answer(), None);
     assert_eq!(router.wait().code(), Some(0));
     assert!(start.elapsed().as_millis() < 3_700, "{:?}", start.elapsed());
-    wait_until("it says so", || router.log_has("stopped, 2 answered as failed"));
+    wait_until("it says so", || {
+        router.log_has("stopped, 2 answered as failed")
+    });
 }
 
 /// The machine has accepted them, and the listener's end would reset them.
@@ -59,7 +66,9 @@
     busy[1].send("once", "00000000000000bb", 60_000);
     wait_until("both places are taken", || server.commands().len() == 2);
     let mut waiting = [router.client(), router.client(), router.client()];
-    waiting.iter_mut().for_each(|client| client.write(&command(&["PING"])));
+    waiting
+        .iter_mut()
+        .for_each(|client| client.write(&command(&["PING"])));
     router.terminate();
     for client in &mut waiting {
         assert_eq!(client.answer().as_deref(), Some("+PONG\r\n"));
@@ -67,7 +76,8 @@
     }
     assert!(router.is_running(), "it waits for the answers that it owes");
     server.end_connections();
-    busy.iter_mut().for_each(|client| assert!(client.answer().expect("an answer").starts_with("-ERR")));
+    busy.iter_mut()
+        .for_each(|client| assert!(client.answer().expect("an answer").starts_with("-ERR")));
     assert_eq!(router.wait().code(), Some(0));
 }
 
@@ -85,7 +95,12 @@
     config["listen"] = addr.to_string().into();
     let second = Router::start(&config);
     assert_eq!(second.addr, addr);
-    assert!(second.client().ask("read", "00000000000000aa").contains("s-a"));
+    assert!(
+        second
+            .client()
+            .ask("read", "00000000000000aa")
+            .contains("s-a")
+    );
 }
 
 #[test]
@@ -93,7 +108,10 @@
     let discovery = Discovery::start(list(7, false, &[]));
     let good = config(discovery.addr, &[]);
     let mut no_classes = good.clone();
-    no_classes["settings"].as_object_mut().unwrap().remove("request_classes");
+    no_classes["settings"]
+        .as_object_mut()
+        .unwrap()
+        .remove("request_classes");
     let mut bad_address = good;
     bad_address["listen"] = "here".into();
     for text in ["{", "[]", &no_classes.to_string(), &bad_address.to_string()] {
@@ -109,30 +127,54 @@
 fn after_sighup_the_list_comes_from_the_new_discovery() {
     for mode in ["subscribe", "automatic"] {
         let (old, new) = (Server::start("s-a"), Server::start("s-b"));
-        let (first, second) =
-            (Discovery::start(list(41, false, &[])), Discovery::start(list(3, true, &[new.entry("up")])));
+        let (first, second) = (
+            Discovery::start(list(41, false, &[])),
+            Discovery::start(list(3, true, &[new.entry("up")])),
+        );
         let mut config = config(Server::start("nowhere").addr, &[old.entry("up")]);
         config["settings"]["discovery"] = mode.into();
-        let mut router = Router::start_after(&config, &format!("export GW_DISCOVERY={};", first.addr));
+        let mut router =
+            Router::start_after(&config, &format!("export GW_DISCOVERY={};", first.addr));
         wait_until("the router watches", || !first.calls().is_empty());
         let mut client = router.client();
-        assert!(client.ask("read", "00000000000000aa").contains("s-a"), "{mode}");
+        assert!(
+            client.ask("read", "00000000000000aa").contains("s-a"),
+            "{mode}"
+        );
         config["discovery"] = second.addr.to_string().into();
         let start = Instant::now();
         router.reload(&config.to_string());
-        wait_until("the new list", || client.ask("read", "00000000000000aa").contains("s-b"));
-        assert!(start.elapsed().as_secs_f64() < 4.0, "{mode}: {:?}", start.elapsed());
-        assert!(second.calls()[0].contains("after=0 "), "{mode}: {:?}", second.calls());
-        assert_eq!((first.calls().len(), second.calls().len()), (1, 1), "{mode}: one call each");
+        wait_until("the new list", || {
+            client.ask("read", "00000000000000aa").contains("s-b")
+        });
+        assert!(
+            start.elapsed().as_secs_f64() < 4.0,
+            "{mode}: {:?}",
+            start.elapsed()
+        );
+        assert!(
+            second.calls()[0].contains("after=0 "),
+            "{mode}: {:?}",
+            second.calls()
+        );
+        assert_eq!(
+            (first.calls().len(), second.calls().len()),
+            (1, 1),
+            "{mode}: one call each"
+        );
         wait_until("the old watch is closed", || first.is_left());
         // And once more, back to the first.
         first.begins_with(list(50, true, &[old.entry("up")]));
         config["discovery"] = first.addr.to_string().into();
         router.reload(&config.to_string());
-        wait_until("the old list again", || client.ask("read", "00000000000000aa").contains("s-a"));
+        wait_until("the old list again", || {
+            client.ask("read", "00000000000000aa").contains("s-a")
+        });
         // The watch at the last address is the one that counts.
         first.writes(&format!("{}\n", list(51, true, &[new.entry("up")])));
-        wait_until("its change", || client.ask("read", "00000000000000aa").contains("s-b"));
+        wait_until("its change", || {
+            client.ask("read", "00000000000000aa").contains("s-b")
+        });
         assert!(router.is_running());
     }
 }
@@ -141,8 +183,10 @@
 #[test]
 fn after_sighup_no_back_off_holds_the_new_discovery_up() {
     let (old, new) = (Server::start("s-a"), Server::start("s-b"));
-    let (first, second) =
-        (Discovery::start(list(7, false, &[])), Discovery::start(list(3, true, &[new.entry("up")])));
+    let (first, second) = (
+        Discovery::start(list(7, false, &[])),
+        Discovery::start(list(3, true, &[new.entry("up")])),
+    );
     first.fails(true);
     second.fails_times(2);
     let mut config = config(first.addr, &[old.entry("up")]);
@@ -152,7 +196,9 @@
     config["discovery"] = second.addr.to_string().into();
     router.reload(&config.to_string());
     let mut client = router.client();
-    wait_until("the new list", || client.ask("read", "00000000000000aa").contains("s-b"));
+    wait_until("the new list", || {
+        client.ask("read", "00000000000000aa").contains("s-b")
+    });
     assert_eq!(second.calls().len(), 3);
 }
 
@@ -164,14 +210,25 @@
     let mut router = Router::start(&good);
     wait_until("the router watches", || !discovery.calls().is_empty());
     let mut no_classes = good.clone();
-    no_classes["settings"].as_object_mut().unwrap().remove("request_classes");
+    no_classes["settings"]
+        .as_object_mut()
+        .unwrap()
+        .remove("request_classes");
     let mut bad_address = good.clone();
     bad_address["discovery"] = "there".into();
-    for (count, text) in ["{", "", &no_classes.to_string(), &bad_address.to_string()].into_iter().enumerate()
+    for (count, text) in ["{", "", &no_classes.to_string(), &bad_address.to_string()]
+        .into_iter()
+        .enumerate()
     {
         router.reload(text);
         let lines = || {
-            router.log.lock().unwrap().iter().filter(|line| line.contains("old configuration holds")).count()
+            router
+                .log
+                .lock()
+                .unwrap()
+                .iter()
+                .filter(|line| line.contains("old configuration holds"))
+                .count()
         };
         wait_until("it says so", || lines() == count + 1);
     }
@@ -179,7 +236,9 @@
     assert!(client.ask("read", "00000000000000aa").contains("s-a"));
     // The old watch goes on.
     discovery.writes(&format!("{}\n", list(8, true, &[new.entry("up")])));
-    wait_until("a change", || client.ask("read", "00000000000000aa").contains("s-b"));
+    wait_until("a change", || {
+        client.ask("read", "00000000000000aa").contains("s-b")
+    });
     assert_eq!(discovery.calls().len(), 1);
     assert!(router.is_running());
 }
--- a/crates/asterport/tests/router_upgrade.rs
+++ b/crates/asterport/tests/router_upgrade.rs
@@ -17,7 +17,12 @@
     let platform = Platform::new();
     let router = platform.start(&config);
     assert_eq!(router.addr, platform.addr());
-    assert!(router.client().ask("read", "00000000000000aa").contains("s-a"));
+    assert!(
+        router
+            .client()
+            .ask("read", "00000000000000aa")
+            .contains("s-a")
+    );
 }
 
 #[test]
@@ -27,11 +32,17 @@
         ("export GW_FD=three;", "GW_FD: 'three' is not a descriptor"),
         ("export GW_FD=-1;", "GW_FD: descriptor -1: "),
         ("export GW_FD=999;", "GW_FD: descriptor 999: "),
-        ("exec 3</dev/null; export GW_FD=3;", "GW_FD: descriptor 3: is no listening TCP socket"),
+        (
+            "exec 3</dev/null; export GW_FD=3;",
+            "GW_FD: descriptor 3: is no listening TCP socket",
+        ),
     ] {
         let (status, log) = run_to_end_after(&config.to_string(), before);
         assert_eq!(status.code(), Some(2), "{log}");
-        assert!(log.starts_with(&format!("asterport: {expected}")) && log.lines().count() == 1, "{log}");
+        assert!(
+            log.starts_with(&format!("asterport: {expected}")) && log.lines().count() == 1,
+            "{log}"
+        );
     }
 }
 
@@ -129,10 +140,16 @@
     let mut old = platform.start(&first);
     wait_until("it is ready", || is_ready(admin));
     let ban = |admin, path: &str, host: &str| {
-        assert_eq!(call(admin, "POST", path, &format!(r#"{{"host":"{host}"}}"#)).0, 200);
+        assert_eq!(
+            call(admin, "POST", path, &format!(r#"{{"host":"{host}"}}"#)).0,
+            200
+        );
+    };
+    let skipped = |admin| {
+        call(admin, "GET", "/api/telemetry", "")
+            .1
+            .contains("router_skipped_cache_servers 1")
     };
-    let skipped =
-        |admin| call(admin, "GET", "/api/telemetry", "").1.contains("router_skipped_cache_servers 1");
     ban(admin, "/api/exclude", "s-a");
     let (next, new_admin) = with_admin(&config);
     let new = platform.start(&next);
@@ -155,7 +172,11 @@
     let last = platform.start(&next);
     wait_until("it is ready", || is_ready(admin));
     assert!(skipped(admin));
-    assert!(last.client().ask("read", "00000000000000aa").contains("s-a"));
+    assert!(
+        last.client()
+            .ask("read", "00000000000000aa")
+            .contains("s-a")
+    );
 }
 
 #[test]
@@ -166,20 +187,30 @@
     let (first, admin) = with_admin(&config);
     let router = platform.start(&first);
     wait_until("it is ready", || is_ready(admin));
-    assert_eq!(call(admin, "POST", "/api/exclude", r#"{"host":"s-a"}"#).0, 200);
+    assert_eq!(
+        call(admin, "POST", "/api/exclude", r#"{"host":"s-a"}"#).0,
+        200
+    );
     drop(router);
     let good = std::fs::read(&path).expect("the file");
     let mut spoilt = good.clone();
     spoilt[10] ^= 1;
-    for (bytes, expected) in
-        [(&good[..good.len() - 1], "cut off"), (&good[..3], "cut off"), (&spoilt, "checksum")]
-    {
+    for (bytes, expected) in [
+        (&good[..good.len() - 1], "cut off"),
+        (&good[..3], "cut off"),
+        (&spoilt, "checksum"),
+    ] {
         std::fs::write(&path, bytes).expect("written");
         let (config, admin) = with_admin(&config);
         let router = platform.start(&config);
         wait_until("it is ready", || is_ready(admin));
         assert!(router.log_has(expected), "{:?}", router.log.lock().unwrap());
-        assert!(router.client().ask("read", "00000000000000aa").contains("s-a"));
+        assert!(
+            router
+                .client()
+                .ask("read", "00000000000000aa")
+                .contains("s-a")
+        );
     }
 }
 
@@ -210,9 +241,15 @@
 fn a_client_that_leaves_during_a_hand_over_has_left() {
     let (silent, fillers) = silent_listener();
     let discovery = Discovery::start(list(7, false, &[]));
-    let mut config = config(discovery.addr, &[entry("s-a", silent.local_addr().unwrap(), "up")]);
+    let mut config = config(
+        discovery.addr,
+        &[entry("s-a", silent.local_addr().unwrap(), "up")],
+    );
     config["settings"]["limits"]["dial_timeout"] = 15.0.into();
-    for class in config["settings"]["request_classes"].as_array_mut().unwrap() {
+    for class in config["settings"]["request_classes"]
+        .as_array_mut()
+        .unwrap()
+    {
         class["give_up"] = 20.0.into();
     }
     let platform = Platform::new();
@@ -220,16 +257,29 @@
     let old = platform.start(&first);
     wait_until("it is ready", || is_ready(admin));
     let mut leaving = old.client();
-    leaving.write(&command(&["C.GET", "00000000000000aa", "left", "c=read,t=acme,d=15000"]));
+    leaving.write(&command(&[
+        "C.GET",
+        "00000000000000aa",
+        "left",
+        "c=read,t=acme,d=15000",
+    ]));
     leaving.write(&command(&["PING"]));
     let (next, next_admin) = with_admin(&config);
     let new = platform.start(&next);
-    wait_until("the next serves", || is_ready(next_admin) && !is_ready(admin));
+    wait_until("the next serves", || {
+        is_ready(next_admin) && !is_ready(admin)
+    });
     // Long before its time is up, without an answer.
     leaving.leave();
     drop(fillers);
     let server = Server::on("s-a", silent);
     let mut client = new.client();
-    wait_until("the server is there", || client.ask("read", "00000000000000aa").contains("s-a"));
-    assert!(server.commands().iter().all(|words| words[2] != "left"), "{:?}", server.commands());
+    wait_until("the server is there", || {
+        client.ask("read", "00000000000000aa").contains("s-a")
+    });
+    assert!(
+        server.commands().iter().all(|words| words[2] != "left"),
+        "{:?}",
+        server.commands()
+    );
 }
--- a/crates/onyxpick-benchlink/src/main.rs
+++ b/crates/onyxpick-benchlink/src/main.rs
@@ -42,7 +42,11 @@
 
 fn main() -> ExitCode {
     std::panic::set_hook(Box::new(|_| {}));
-    let mut input = Input { source: io::stdin().lock(), text: String::new(), number: 0 };
+    let mut input = Input {
+        source: io::stdin().lock(),
+        text: String::new(),
+        number: 0,
+    };
     let trace = match std::env::args().skip(1).collect::<Vec<_>>().as_slice() {
         [] => Ok(None),
         [flag, path] if flag == "--trace" => Trace::create(path).map(Some),
@@ -55,7 +59,11 @@
             return ExitCode::from(2);
         }
     };
-    match run(&mut input, BufWriter::with_capacity(1 << 16, io::stdout().lock()), trace) {
+    match run(
+        &mut input,
+        BufWriter::with_capacity(1 << 16, io::stdout().lock()),
+        trace,
+    ) {
         Ok(()) => ExitCode::SUCCESS,
         Err(Stop::Wire(error)) => {
             eprintln!("onyxpick-benchlink: line {}: {error}", input.number);
@@ -97,7 +105,9 @@
             None => return Ok(()),
             Some(mut line) if line.name() == "sync" => line.time("clock")?,
             Some(line) => {
-                return Err(WireError::new(format!("expected sync, found '{}'", line.name())).into());
+                return Err(
+                    WireError::new(format!("expected sync, found '{}'", line.name())).into(),
+                );
             }
         };
         loop {
@@ -115,10 +125,22 @@
                     let number = line.integer("router")?;
                     let seed = line.integer("rng_seed")?;
                     let pairs = wire::pairs(line.rest())?;
-                    let Deployment { settings, names, reports, .. } =
-                        params::read(pairs).map_err(WireError::from)?;
-                    let router = Router::new(settings, seed).map_err(|e| WireError::new(e.to_string()))?;
-                    instances.insert(number, Instance { router, names, reports });
+                    let Deployment {
+                        settings,
+                        names,
+                        reports,
+                        ..
+                    } = params::read(pairs).map_err(WireError::from)?;
+                    let router =
+                        Router::new(settings, seed).map_err(|e| WireError::new(e.to_string()))?;
+                    instances.insert(
+                        number,
+                        Instance {
+                            router,
+                            names,
+                            reports,
+                        },
+                    );
                 }
                 "exit" => {
                     instances.remove(&line.integer("router")?);
@@ -126,10 +148,14 @@
                 name if wire::EVENTS.contains(&name) => {
                     let number = line.integer("router")?;
                     let Some(instance) = instances.get_mut(&number) else {
-                        return Err(WireError::new(format!("router {number} has not come up")).into());
+                        return Err(
+                            WireError::new(format!("router {number} has not come up")).into()
+                        );
                     };
                     let count = wire::item_count(&line)?;
-                    let Some(mut event) = wire::event(&mut line, &instance.names, &instance.reports)? else {
+                    let Some(mut event) =
+                        wire::event(&mut line, &instance.names, &instance.reports)?
+                    else {
                         continue;
                     };
                     for _ in 0..count {
@@ -140,11 +166,18 @@
                     }
                     trace.iter_mut().for_each(|trace| trace.event(&event));
                     let router = &mut instance.router;
-                    let done = catch_unwind(AssertUnwindSafe(|| router.handle(now, event, &mut actions)));
+                    let done =
+                        catch_unwind(AssertUnwindSafe(|| router.handle(now, event, &mut actions)));
                     if let Err(cause) = done {
                         let text = cause.downcast_ref::<String>().map(String::as_str);
-                        let text = text.or_else(|| cause.downcast_ref::<&str>().copied()).unwrap_or("panic");
-                        writeln!(output, "crash\t{number}\t{}", text.replace(['\n', '\t'], " "))?;
+                        let text = text
+                            .or_else(|| cause.downcast_ref::<&str>().copied())
+                            .unwrap_or("panic");
+                        writeln!(
+                            output,
+                            "crash\t{number}\t{}",
+                            text.replace(['\n', '\t'], " ")
+                        )?;
                         actions.clear();
                     }
                     for action in actions.drain(..) {
--- a/crates/onyxpick-benchlink/src/trace.rs
+++ b/crates/onyxpick-benchlink/src/trace.rs
@@ -39,7 +39,12 @@
             "second asked again sent served missed errors full late refused | held fetches limit misses latefail \
              tokens usual_ms at_work least mean most ready ease | {verdicts}"
         )?;
-        Ok(Trace { to, due: Micros(0), counts: Counts::default(), verdicts: Default::default() })
+        Ok(Trace {
+            to,
+            due: Micros(0),
+            counts: Counts::default(),
+            verdicts: Default::default(),
+        })
     }
 
     pub fn event(&mut self, event: &Event) {
@@ -50,8 +55,10 @@
                 counts.again += u32::from(ask.retry);
             }
             Event::Ended(end) => {
-                counts.missed +=
-                    u32::from(matches!(end.note, Some(CacheNote::Miss | CacheNote::MissPending)));
+                counts.missed += u32::from(matches!(
+                    end.note,
+                    Some(CacheNote::Miss | CacheNote::MissPending)
+                ));
                 match end.outcome {
                     Outcome::Success => counts.served += 1,
                     Outcome::Failure => counts.errors += 1,
@@ -80,13 +87,15 @@
         let views: Vec<View> = views.collect();
         self.due = now.plus(STEP);
         let c = std::mem::take(&mut self.counts);
-        let mean = |of: fn(&View) -> f64| views.iter().map(of).sum::<f64>() / views.len().max(1) as f64;
+        let mean =
+            |of: fn(&View) -> f64| views.iter().map(of).sum::<f64>() / views.len().max(1) as f64;
         let before = std::mem::take(&mut self.verdicts);
         let sum = |i: usize| views.iter().map(|v| v.verdicts[i]).sum::<u64>();
         self.verdicts = std::array::from_fn(sum);
         let now_and_before = self.verdicts.iter().zip(&before);
-        let verdicts: String =
-            now_and_before.map(|(now, old)| format!(" {:5}", now.saturating_sub(*old))).collect();
+        let verdicts: String = now_and_before
+            .map(|(now, old)| format!(" {:5}", now.saturating_sub(*old)))
+            .collect();
         writeln!(
             self.to,
             "{:6.1} {:5} {:5} {:5} {:5} {:5} {:5} {:4} {:4} {:5} | {:5.1} {:5.1} {:5.2} {:4.2} {:4.2} {:4.1} {:5.0} \
--- a/crates/onyxpick-benchlink/src/wire.rs
+++ b/crates/onyxpick-benchlink/src/wire.rs
@@ -30,16 +30,24 @@
 
 /// The `path=value` pairs of an instance's first message.
 pub fn pairs(text: &str) -> Result<Vec<(&str, &str)>, WireError> {
-    let pairs = text
-        .split('\t')
-        .filter(|p| !p.is_empty())
-        .map(|pair| pair.split_once('=').ok_or_else(|| WireError(format!("setting '{pair}' has no value"))));
+    let pairs = text.split('\t').filter(|p| !p.is_empty()).map(|pair| {
+        pair.split_once('=')
+            .ok_or_else(|| WireError(format!("setting '{pair}' has no value")))
+    });
     pairs.collect()
 }
 
 /// The events of an instance that is up.
-pub const EVENTS: [&str; 8] =
-    ["membership", "arrival", "headers", "outcome", "lapsed", "due", "checked", "whisper"];
+pub const EVENTS: [&str; 8] = [
+    "membership",
+    "arrival",
+    "headers",
+    "outcome",
+    "lapsed",
+    "due",
+    "checked",
+    "whisper",
+];
 
 /// One line: its name and the values not yet read.
 pub struct Line<'a> {
@@ -50,8 +58,14 @@
 impl<'a> Line<'a> {
     pub fn new(text: &'a str) -> Self {
         match text.split_once('\t') {
-            Some((name, rest)) => Line { name, rest: Some(rest) },
-            None => Line { name: text, rest: None },
+            Some((name, rest)) => Line {
+                name,
+                rest: Some(rest),
+            },
+            None => Line {
+                name: text,
+                rest: None,
+            },
         }
     }
 
@@ -65,7 +79,9 @@
     }
 
     fn text(&mut self, field: &str) -> Result<&'a str, WireError> {
-        let rest = self.rest.ok_or_else(|| WireError(format!("{}: {field} is missing", self.name)))?;
+        let rest = self
+            .rest
+            .ok_or_else(|| WireError(format!("{}: {field} is missing", self.name)))?;
         let (value, rest) = match rest.split_once('\t') {
             Some((value, rest)) => (value, Some(rest)),
             None => (rest, None),
@@ -76,10 +92,16 @@
 
     fn parsed<T: std::str::FromStr>(&mut self, field: &str, what: &str) -> Result<T, WireError> {
         let value = self.text(field)?;
-        value.parse().map_err(|_| WireError(format!("{}: {field} '{value}' is not {what}", self.name)))
+        value
+            .parse()
+            .map_err(|_| WireError(format!("{}: {field} '{value}' is not {what}", self.name)))
     }
 
-    fn optional<T: std::str::FromStr>(&mut self, field: &str, what: &str) -> Result<Option<T>, WireError> {
+    fn optional<T: std::str::FromStr>(
+        &mut self,
+        field: &str,
+        what: &str,
+    ) -> Result<Option<T>, WireError> {
         let value = self.text(field)?;
         if value == "-" || value.is_empty() {
             return Ok(None);
@@ -99,7 +121,10 @@
     pub fn time(&mut self, field: &str) -> Result<Micros, WireError> {
         let secs: f64 = self.parsed(field, "a time")?;
         if !secs.is_finite() || secs < 0.0 {
-            return Err(WireError(format!("{}: {field} '{secs}' is not a time", self.name)));
+            return Err(WireError(format!(
+                "{}: {field} '{secs}' is not a time",
+                self.name
+            )));
         }
         Ok(Micros::from_secs_f64(secs))
     }
@@ -107,9 +132,10 @@
     fn optional_time(&mut self, field: &str) -> Result<Option<Micros>, WireError> {
         let secs: Option<f64> = self.optional(field, "a time")?;
         match secs {
-            Some(secs) if !secs.is_finite() || secs < 0.0 => {
-                Err(WireError(format!("{}: {field} '{secs}' is not a time", self.name)))
-            }
+            Some(secs) if !secs.is_finite() || secs < 0.0 => Err(WireError(format!(
+                "{}: {field} '{secs}' is not a time",
+                self.name
+            ))),
             secs => Ok(secs.map(Micros::from_secs_f64)),
         }
     }
@@ -118,7 +144,10 @@
         match self.text(field)? {
             "1" => Ok(true),
             "0" | "-" => Ok(false),
-            other => Err(WireError(format!("{}: {field} '{other}' is neither 1 nor 0", self.name))),
+            other => Err(WireError(format!(
+                "{}: {field} '{other}' is neither 1 nor 0",
+                self.name
+            ))),
         }
     }
 
@@ -131,7 +160,10 @@
         if value == "-" || value == "0" || value.is_empty() {
             return Ok(None);
         }
-        Err(WireError(format!("{}: {field} '{value}' is not in the settings", self.name)))
+        Err(WireError(format!(
+            "{}: {field} '{value}' is not in the settings",
+            self.name
+        )))
     }
 }
 
@@ -141,11 +173,17 @@
         return Ok(0);
     }
     let count = line.rest().split('\t').nth(2).unwrap_or("");
-    count.parse().map_err(|_| WireError(format!("membership: items '{count}' is not a whole number")))
+    count
+        .parse()
+        .map_err(|_| WireError(format!("membership: items '{count}' is not a whole number")))
 }
 
 /// Reads an event; `None` for one that this router has no use for.
-pub fn event(line: &mut Line<'_>, names: &Names, reports: &Columns) -> Result<Option<Event>, WireError> {
+pub fn event(
+    line: &mut Line<'_>,
+    names: &Names,
+    reports: &Columns,
+) -> Result<Option<Event>, WireError> {
     let event = match line.name() {
         "membership" => {
             let kind = match line.text("mode")? {
@@ -153,16 +191,30 @@
                 "total" => MembershipKind::Full,
                 "warm_copy" => MembershipKind::Cached,
                 "lost" => MembershipKind::Lost,
-                other => return Err(WireError(format!("membership: mode '{other}' is not known"))),
+                other => {
+                    return Err(WireError(format!(
+                        "membership: mode '{other}' is not known"
+                    )));
+                }
             };
             line.integer("stamp")?;
-            Event::Membership { kind, members: Vec::new() }
+            Event::Membership {
+                kind,
+                members: Vec::new(),
+            }
         }
         "arrival" => arrival(line, names)?,
-        "headers" => Event::StreamStarted { id: line.request()?, attempt: attempt(line)? },
+        "headers" => Event::StreamStarted {
+            id: line.request()?,
+            attempt: attempt(line)?,
+        },
         "outcome" => outcome(line, reports)?,
-        "lapsed" => Event::Gone { id: line.request()? },
-        "due" => Event::Timer { token: line.integer("name")? },
+        "lapsed" => Event::Gone {
+            id: line.request()?,
+        },
+        "due" => Event::Timer {
+            token: line.integer("name")?,
+        },
         _ => return Ok(None),
     };
     Ok(Some(event))
@@ -183,7 +235,16 @@
     line.optional::<f64>("object_size", "a size")?;
     let retry = line.flag("repeat")?;
     let write = line.flag("update")?;
-    Ok(Event::Request(Request { id, class: ClassId(class), tenant, key, expires, cost_hint, retry, write }))
+    Ok(Event::Request(Request {
+        id,
+        class: ClassId(class),
+        tenant,
+        key,
+        expires,
+        cost_hint,
+        retry,
+        write,
+    }))
 }
 
 fn outcome(line: &mut Line<'_>, reports: &Columns) -> Result<Event, WireError> {
@@ -211,7 +272,12 @@
     let elapsed = line.time("elapsed")?;
     let attempt = attempt(line)?;
     let load = reports.read_row(line.text("load")?);
-    Ok(Event::Ended(AttemptEnd { complete, note, load, ..AttemptEnd::new(id, attempt, outcome, elapsed) }))
+    Ok(Event::Ended(AttemptEnd {
+        complete,
+        note,
+        load,
+        ..AttemptEnd::new(id, attempt, outcome, elapsed)
+    }))
 }
 
 /// Reads one `item` line into the membership event it belongs to.
@@ -232,7 +298,15 @@
     let started = line.optional_time("start_time")?.unwrap_or_default();
     let weight = line.optional("weight", "a number")?.unwrap_or(1.0);
     if let Event::Membership { members, .. } = event {
-        members.push(Member { server, state, zone, cell, kind, started, weight });
+        members.push(Member {
+            server,
+            state,
+            zone,
+            cell,
+            kind,
+            started,
+            weight,
+        });
     }
     Ok(())
 }
@@ -241,11 +315,18 @@
 pub fn write(to: &mut impl Write, router: u64, action: &Action) -> io::Result<()> {
     match action {
         // The simulator writes a command the moment it is sent: nothing is late to start.
-        Action::Send { id, server, timeout, start_within: _ } => {
+        Action::Send {
+            id,
+            server,
+            timeout,
+            start_within: _,
+        } => {
             let timeout = timeout.map_or(0.0, Micros::as_secs_f64);
             writeln!(to, "send\t{router}\t{}\t{server}\t{timeout}", id.0)
         }
-        Action::Cancel { id, attempt } => writeln!(to, "retract\t{router}\t{}\t{}", id.0, attempt.0),
+        Action::Cancel { id, attempt } => {
+            writeln!(to, "retract\t{router}\t{}\t{}", id.0, attempt.0)
+        }
         Action::Refuse { id, retry_after } => {
             let pause = retry_after.map_or(0.0, Micros::as_secs_f64);
             writeln!(to, "busy\t{router}\t{}\t{pause}", id.0)
--- a/crates/onyxpick-benchlink/tests/adapter.rs
+++ b/crates/onyxpick-benchlink/tests/adapter.rs
@@ -37,7 +37,10 @@
 }
 
 fn stdout(output: &Output) -> Vec<String> {
-    String::from_utf8_lossy(&output.stdout).lines().map(str::to_string).collect()
+    String::from_utf8_lossy(&output.stdout)
+        .lines()
+        .map(str::to_string)
+        .collect()
 }
 
 fn up(router: u32) -> String {
@@ -57,7 +60,11 @@
         up(3)
     );
     let output = run(&input);
-    assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
+    assert!(
+        output.status.success(),
+        "{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
     assert_eq!(
         stdout(&output),
         [
@@ -96,14 +103,19 @@
         up(3)
     );
     let output = run(&input);
-    assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
+    assert!(
+        output.status.success(),
+        "{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
     assert_eq!(stdout(&output).last().map(String::as_str), Some("yield"));
 }
 
 #[test]
 fn instances_are_apart_and_start_anew() {
-    let arrivals: String =
-        (0..3).map(|r| format!("arrival\t{r}\t9\tread\tacme\t2\t101.5\t-\t-\t0\t0\n")).collect();
+    let arrivals: String = (0..3)
+        .map(|r| format!("arrival\t{r}\t9\tread\tacme\t2\t101.5\t-\t-\t0\t0\n"))
+        .collect();
     let input = format!(
         "sync\t100\n{}{}{}commit\nsync\t101\n{arrivals}commit\nsync\t101.1\nexit\t1\n{}commit\n\
          sync\t101.2\narrival\t1\t9\tread\tacme\t2\t101.5\t-\t-\t0\t0\ncommit\n",
@@ -114,18 +126,27 @@
     );
     let output = stdout(&run(&input));
     for router in 0..3 {
-        let sends =
-            output.iter().filter(|l| l.starts_with(&format!("send\t{router}\t9\t10.0.0.2:80"))).count();
+        let sends = output
+            .iter()
+            .filter(|l| l.starts_with(&format!("send\t{router}\t9\t10.0.0.2:80")))
+            .count();
         assert_eq!(sends, if router == 1 { 2 } else { 1 }, "{output:?}");
     }
 }
 
 #[test]
 fn long_batches_are_answered_whole() {
-    let arrivals: String =
-        (0..20_000).map(|id| format!("arrival\t3\t{id}\tread\tacme\t{id}\t101.5\t-\t-\t0\t0\n")).collect();
-    let output = stdout(&run(&format!("sync\t100\n{}commit\nsync\t101\n{arrivals}commit\n", up(3))));
-    let answered = output.iter().filter(|l| l.starts_with("send\t") || l.starts_with("busy\t")).count();
+    let arrivals: String = (0..20_000)
+        .map(|id| format!("arrival\t3\t{id}\tread\tacme\t{id}\t101.5\t-\t-\t0\t0\n"))
+        .collect();
+    let output = stdout(&run(&format!(
+        "sync\t100\n{}commit\nsync\t101\n{arrivals}commit\n",
+        up(3)
+    )));
+    let answered = output
+        .iter()
+        .filter(|l| l.starts_with("send\t") || l.starts_with("busy\t"))
+        .count();
     assert_eq!(answered, 20_000);
     assert_eq!(output.last().map(String::as_str), Some("yield"));
 }
@@ -142,39 +163,91 @@
     let setup = format!("sync\t100\n{}commit\nsync\t101\n", up(3));
     let line = setup.lines().count() + 1;
     for (bad, cause) in [
-        ("arrival\t3\tx\tread\tacme\t2\t101.8\t-\t-\t0\t0\n", "id 'x'"),
-        ("arrival\t3\t1\tnope\tacme\t2\t101.8\t-\t-\t0\t0\n", "class 'nope'"),
+        (
+            "arrival\t3\tx\tread\tacme\t2\t101.8\t-\t-\t0\t0\n",
+            "id 'x'",
+        ),
+        (
+            "arrival\t3\t1\tnope\tacme\t2\t101.8\t-\t-\t0\t0\n",
+            "class 'nope'",
+        ),
         ("arrival\t3\t1\tread\tacme\t2\n", "expires is missing"),
-        ("arrival\t3\t1\tread\tacme\t2\t-5\t-\t-\t0\t0\n", "expires '-5'"),
-        ("outcome\t3\t1\t0\t10.0.0.1:80\t-\texploded\t0.1\t0\t-\n", "code 'exploded'"),
-        ("outcome\t3\t1\t2\t10.0.0.1:80\t-\tsuccess\t0.1\t0\t-\n", "complete '2'"),
+        (
+            "arrival\t3\t1\tread\tacme\t2\t-5\t-\t-\t0\t0\n",
+            "expires '-5'",
+        ),
+        (
+            "outcome\t3\t1\t0\t10.0.0.1:80\t-\texploded\t0.1\t0\t-\n",
+            "code 'exploded'",
+        ),
+        (
+            "outcome\t3\t1\t2\t10.0.0.1:80\t-\tsuccess\t0.1\t0\t-\n",
+            "complete '2'",
+        ),
         ("membership\t3\tincr\t1\tmany\n", "items 'many'"),
         ("membership\t3\tincr\t1\t1\ncommit\n", "expected item"),
         ("due\t4\t1\n", "router 4 has not come up"),
-        ("up\t4\t1\tpeers_total=2\n", "request_classes.count is missing"),
+        (
+            "up\t4\t1\tpeers_total=2\n",
+            "request_classes.count is missing",
+        ),
     ] {
         let output = run(&format!("{setup}{bad}commit\n"));
         let stderr = String::from_utf8_lossy(&output.stderr).to_string();
         assert_eq!(output.status.code(), Some(2), "{bad:?} was taken");
         assert_eq!(stderr.lines().count(), 1, "{stderr}");
         let second_line = bad.contains("items") || cause == "expected item";
-        let number = if second_line && cause == "expected item" { line + 1 } else { line };
-        assert!(stderr.contains(&format!("line {number}:")), "{bad:?}: {stderr}");
+        let number = if second_line && cause == "expected item" {
+            line + 1
+        } else {
+            line
+        };
+        assert!(
+            stderr.contains(&format!("line {number}:")),
+            "{bad:?}: {stderr}"
+        );
         assert!(stderr.contains(cause), "{bad:?}: {stderr}");
     }
-    assert!(!run("sync\t100\narrival\t3").status.success(), "input that ends inside a batch");
+    assert!(
+        !run("sync\t100\narrival\t3").status.success(),
+        "input that ends inside a batch"
+    );
     assert!(!run("hello\n").status.success());
 }
 
 #[test]
 fn unusable_settings_are_named() {
     for (from, to, cause) in [
-        ("request_classes.0.target=0.3", "request_classes.0.target=0", "classes.0.aim"),
-        ("request_classes.0.effect=idempotent", "request_classes.0.effect=maybe", "request_classes.0.effect"),
-        ("invariants.cold_from=0.3", "invariants.cold_from=NaN", "invariants.cold_from"),
-        ("invariants.cold_from=0.3\t", "", "invariants.cold_from is missing"),
-        ("limits.max_attempts=3", "limits.max_attempts=0", "limits.max_attempts"),
-        ("limits.may_duplicate=true", "limits.may_duplicate=perhaps", "limits.may_duplicate"),
+        (
+            "request_classes.0.target=0.3",
+            "request_classes.0.target=0",
+            "classes.0.aim",
+        ),
+        (
+            "request_classes.0.effect=idempotent",
+            "request_classes.0.effect=maybe",
+            "request_classes.0.effect",
+        ),
+        (
+            "invariants.cold_from=0.3",
+            "invariants.cold_from=NaN",
+            "invariants.cold_from",
+        ),
+        (
+            "invariants.cold_from=0.3\t",
+            "",
+            "invariants.cold_from is missing",
+        ),
+        (
+            "limits.max_attempts=3",
+            "limits.max_attempts=0",
+            "limits.max_attempts",
+        ),
+        (
+            "limits.may_duplicate=true",
+            "limits.may_duplicate=perhaps",
+            "limits.may_duplicate",
+        ),
     ] {
         let input = format!("sync\t100\n{}commit\n", up(3)).replace(from, to);
         let output = run(&input);
@@ -194,14 +267,21 @@
              item\t0\t10.0.0.1:80\tRunning\teast\tbox\t-\t4\nitem\t0\t10.0.0.2:80\tRunning\teast\tbox\t-\t0.1\ncommit\n"
         )
     };
-    let asks: String =
-        (0..8).map(|id| format!("arrival\t3\t{id}\tread\tacme\t{id}\t101.8\t-\t-\t0\t0\n")).collect();
+    let asks: String = (0..8)
+        .map(|id| format!("arrival\t3\t{id}\tread\tacme\t{id}\t101.8\t-\t-\t0\t0\n"))
+        .collect();
     let small = |params: &str| {
         let output = stdout(&run(&format!("{}sync\t101\n{asks}commit\n", list(params))));
-        output.iter().filter(|l| l.starts_with("send\t") && l.contains("10.0.0.2:80")).count()
+        output
+            .iter()
+            .filter(|l| l.starts_with("send\t") && l.contains("10.0.0.2:80"))
+            .count()
     };
     assert!(small("") > 2);
-    assert!(small("\tweight_kind=live") > 2, "weights that vary are no sizes");
+    assert!(
+        small("\tweight_kind=live") > 2,
+        "weights that vary are no sizes"
+    );
     assert!(small("\tweight_kind=nominal") <= 1);
     let input = list(
         "\tinvariants.drain_close=0.8\trequest_classes.0.late_value=0\trequest_classes.0.target=1.2\t\
@@ -211,24 +291,46 @@
         "{input}sync\t101\narrival\t3\t77\tread\tacme\t2\t103\t-\t-\t0\t0\ncommit\nsync\t101.1\n\
          membership\t3\tincr\t2\t1\nitem\t0\t10.0.0.1:80\tStopping\teast\tbox\t-\t4\ncommit\n"
     )));
-    assert!(output.contains(&"let_go\t3\t10.0.0.1:80".to_string()), "{output:?}");
-    assert!(output.iter().any(|l| l.starts_with("send\t3\t77\t") && !l.ends_with("\t0")), "{output:?}");
+    assert!(
+        output.contains(&"let_go\t3\t10.0.0.1:80".to_string()),
+        "{output:?}"
+    );
+    assert!(
+        output
+            .iter()
+            .any(|l| l.starts_with("send\t3\t77\t") && !l.ends_with("\t0")),
+        "{output:?}"
+    );
 }
 
 /// A trace leaves the replies as they are; what it cannot write is said before anything is read.
 #[test]
 fn a_trace_has_a_line_a_second_and_changes_no_reply() {
-    let input = format!("sync\t100.5\n{}commit\nsync\t100.7\ncommit\nsync\t102\ncommit\n", up(3));
+    let input = format!(
+        "sync\t100.5\n{}commit\nsync\t100.7\ncommit\nsync\t102\ncommit\n",
+        up(3)
+    );
     let path = std::env::temp_dir().join(format!("benchlink-trace-{}", std::process::id()));
     let traced = run_with(&["--trace", path.to_str().expect("a plain path")], &input);
     assert_eq!(stdout(&traced), stdout(&run(&input)));
     let text = std::fs::read_to_string(&path).expect("the trace");
     std::fs::remove_file(&path).expect("removed");
-    let starts: Vec<_> = text.lines().map(|line| line.split_whitespace().next().unwrap_or("")).collect();
+    let starts: Vec<_> = text
+        .lines()
+        .map(|line| line.split_whitespace().next().unwrap_or(""))
+        .collect();
     assert_eq!(starts, ["second", "100.5", "102.0"]);
-    for arguments in [&["--trace"][..], &["--trace", "/nowhere/at/all"], &["--other", "x"]] {
+    for arguments in [
+        &["--trace"][..],
+        &["--trace", "/nowhere/at/all"],
+        &["--other", "x"],
+    ] {
         let refused = run_with(arguments, "");
         assert_eq!(refused.status.code(), Some(2), "{arguments:?}");
-        assert_eq!(String::from_utf8_lossy(&refused.stderr).lines().count(), 1, "{arguments:?}");
+        assert_eq!(
+            String::from_utf8_lossy(&refused.stderr).lines().count(),
+            1,
+            "{arguments:?}"
+        );
     }
 }
--- a/crates/onyxpick/benches/decision.rs
+++ b/crates/onyxpick/benches/decision.rs
@@ -21,17 +21,39 @@
 impl Fleet {
     fn new(servers: usize) -> Fleet {
         let aim = Micros::from_millis(300);
-        let class =
-            Class { aim, deadline: aim.scaled(4.0), worth: 1.0, late_worth: 0.0, effect: Effect::Safe };
-        let settings = Settings { routers: 4, classes: vec![class], ..Settings::default() };
+        let class = Class {
+            aim,
+            deadline: aim.scaled(4.0),
+            worth: 1.0,
+            late_worth: 0.0,
+            effect: Effect::Safe,
+        };
+        let settings = Settings {
+            routers: 4,
+            classes: vec![class],
+            ..Settings::default()
+        };
         let mut router = Router::new(settings, 7).expect("usable settings");
-        let members =
-            (0..servers).map(|i| Member::ready(format!("10.0.{}.{}:80", i / 250, i % 250).as_str().into()));
+        let members = (0..servers)
+            .map(|i| Member::ready(format!("10.0.{}.{}:80", i / 250, i % 250).as_str().into()));
         let (now, mut actions) = (Micros::from_millis(100_000), Vec::new());
         let members = members.collect();
-        router.handle(now, Event::Membership { kind: MembershipKind::Full, members }, &mut actions);
+        router.handle(
+            now,
+            Event::Membership {
+                kind: MembershipKind::Full,
+                members,
+            },
+            &mut actions,
+        );
         actions.clear();
-        let mut fleet = Fleet { router, now, next: 0, open: Vec::new(), actions };
+        let mut fleet = Fleet {
+            router,
+            now,
+            next: 0,
+            open: Vec::new(),
+            actions,
+        };
         (0..HELD).for_each(|_| fleet.ask());
         fleet
     }
@@ -50,8 +72,13 @@
             retry: false,
             write: false,
         };
-        self.router.handle(self.now, Event::Request(ask), &mut self.actions);
-        if self.actions.iter().any(|action| matches!(action, Action::Send { .. })) {
+        self.router
+            .handle(self.now, Event::Request(ask), &mut self.actions);
+        if self
+            .actions
+            .iter()
+            .any(|action| matches!(action, Action::Send { .. }))
+        {
             self.open.push(id);
         }
         black_box(&self.actions);
@@ -64,9 +91,19 @@
             return;
         }
         let id = self.open.remove(0);
-        let end = AttemptEnd::new(id, AttemptNo(0), Outcome::Success, Micros::from_millis(u64::from(HELD)));
-        let end = AttemptEnd { complete: true, note: Some(CacheNote::Hit), ..end };
-        self.router.handle(self.now, Event::Ended(end), &mut self.actions);
+        let end = AttemptEnd::new(
+            id,
+            AttemptNo(0),
+            Outcome::Success,
+            Micros::from_millis(u64::from(HELD)),
+        );
+        let end = AttemptEnd {
+            complete: true,
+            note: Some(CacheNote::Hit),
+            ..end
+        };
+        self.router
+            .handle(self.now, Event::Ended(end), &mut self.actions);
         self.actions.clear();
     }
 }
@@ -74,13 +111,17 @@
 fn decision(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("a request and its answer");
     for servers in [15, 100, 1_000] {
-        group.bench_with_input(BenchmarkId::from_parameter(servers), &servers, |bencher, &servers| {
-            let mut fleet = Fleet::new(servers);
-            bencher.iter(|| {
-                fleet.ask();
-                fleet.serve();
-            });
-        });
+        group.bench_with_input(
+            BenchmarkId::from_parameter(servers),
+            &servers,
+            |bencher, &servers| {
+                let mut fleet = Fleet::new(servers);
+                bencher.iter(|| {
+                    fleet.ask();
+                    fleet.serve();
+                });
+            },
+        );
     }
     group.finish();
 }
--- a/crates/onyxpick/examples/two_routers.rs
+++ b/crates/onyxpick/examples/two_routers.rs
@@ -11,14 +11,22 @@
         late_worth: 0.0,
         effect: Effect::Safe,
     };
-    let settings = Settings { routers: 2, classes: vec![class], ..Settings::default() };
+    let settings = Settings {
+        routers: 2,
+        classes: vec![class],
+        ..Settings::default()
+    };
     let mut routers = [Router::new(settings.clone(), 1)?, Router::new(settings, 2)?];
     let now = Micros::from_millis(1_000);
-    let members: Vec<Member> =
-        (1..=4).map(|i| Member::ready(format!("10.0.0.{i}:80").as_str().into())).collect();
+    let members: Vec<Member> = (1..=4)
+        .map(|i| Member::ready(format!("10.0.0.{i}:80").as_str().into()))
+        .collect();
     let mut actions = Vec::new();
     for router in &mut routers {
-        let event = Event::Membership { kind: MembershipKind::Full, members: members.clone() };
+        let event = Event::Membership {
+            kind: MembershipKind::Full,
+            members: members.clone(),
+        };
         router.handle(now, event, &mut actions);
     }
     for (number, key) in (1..=6).zip([17, 4, 99, 17, 4, 99]) {
--- a/crates/onyxpick/src/api.rs
+++ b/crates/onyxpick/src/api.rs
@@ -287,7 +287,17 @@
     /// the connection is unknown.
     pub fn new(id: RequestId, attempt: AttemptNo, outcome: Outcome, elapsed: Micros) -> Self {
         let (complete, note, begun, link, load) = (false, None, false, Link::Unknown, None);
-        AttemptEnd { id, attempt, outcome, complete, elapsed, note, begun, link, load }
+        AttemptEnd {
+            id,
+            attempt,
+            outcome,
+            complete,
+            elapsed,
+            note,
+            begun,
+            link,
+            load,
+        }
     }
 }
 
@@ -310,28 +320,46 @@
                 return fail(format!("classes.{i}.deadline"), "must be above zero");
             }
             if !finite(class.worth) {
-                return fail(format!("classes.{i}.worth"), "must be a number of at least zero");
+                return fail(
+                    format!("classes.{i}.worth"),
+                    "must be a number of at least zero",
+                );
             }
             if !finite(class.late_worth) {
-                return fail(format!("classes.{i}.late_worth"), "must be a number of at least zero");
+                return fail(
+                    format!("classes.{i}.late_worth"),
+                    "must be a number of at least zero",
+                );
             }
         }
         for (i, tenant) in self.tenants.iter().enumerate() {
             if !finite(tenant.quota_per_s) {
-                return fail(format!("tenants.{i}.quota_per_s"), "must be a number of at least zero");
+                return fail(
+                    format!("tenants.{i}.quota_per_s"),
+                    "must be a number of at least zero",
+                );
             }
             if !finite(tenant.share) {
-                return fail(format!("tenants.{i}.share"), "must be a number of at least zero");
+                return fail(
+                    format!("tenants.{i}.share"),
+                    "must be a number of at least zero",
+                );
             }
         }
         if !finite(self.over_quota_worth) {
-            return fail("over_quota_worth".into(), "must be a number of at least zero");
+            return fail(
+                "over_quota_worth".into(),
+                "must be a number of at least zero",
+            );
         }
         if !(0.0..=1.0).contains(&self.rules.cold_share) {
             return fail("rules.cold_share".into(), "must lie between 0 and 1");
         }
         if !finite(self.rules.fall_multiple) {
-            return fail("rules.fall_multiple".into(), "must be a number of at least zero");
+            return fail(
+                "rules.fall_multiple".into(),
+                "must be a number of at least zero",
+            );
         }
         if self.limits.max_attempts == 0 {
             return fail("limits.max_attempts".into(), "must be at least 1");
@@ -430,7 +458,10 @@
 impl Outcome {
     /// Whether the outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Overloaded | Outcome::Unreachable | Outcome::Void | Outcome::Miss)
+        matches!(
+            self,
+            Outcome::Overloaded | Outcome::Unreachable | Outcome::Void | Outcome::Miss
+        )
     }
 }
 
--- a/crates/onyxpick/src/asking.rs
+++ b/crates/onyxpick/src/asking.rs
@@ -23,12 +23,20 @@
             MembershipKind::Cached => self.ask(),
             MembershipKind::Lost => {
                 let failures = self.asking.failures.saturating_add(1);
-                self.asking = Asking { failures, ..Asking::default() };
+                self.asking = Asking {
+                    failures,
+                    ..Asking::default()
+                };
                 let share = (ASK_AGAIN * f64::from(1u32 << failures.min(4))).min(0.5);
                 let after = ask_within.scaled(share * (0.5 + 0.5 * self.random.next()));
                 self.set_timer(after, RequestId(0), TIMER_ASK);
             }
-            _ => self.asking = Asking { subscribed: true, ..Asking::default() },
+            _ => {
+                self.asking = Asking {
+                    subscribed: true,
+                    ..Asking::default()
+                }
+            }
         }
     }
 
--- a/crates/onyxpick/src/balance.rs
+++ b/crates/onyxpick/src/balance.rs
@@ -75,7 +75,12 @@
     /// A router with nothing known yet; `seed` drives what little chance its decisions hold.
     pub fn new(settings: Settings, seed: u64) -> Result<Router, SettingsError> {
         settings.validate()?;
-        let shortest_aim = settings.classes.iter().map(|c| c.aim).min().unwrap_or_default();
+        let shortest_aim = settings
+            .classes
+            .iter()
+            .map(|c| c.aim)
+            .min()
+            .unwrap_or_default();
         let routers = f64::from(settings.routers);
         // However many routers there are, one alone is no crowd: the first request always goes.
         let first = (FIRST_TOTAL / routers).max(1.0);
@@ -85,7 +90,13 @@
         router.retry_tokens = router.retry_keep();
         router.usual = shortest_aim.scaled(SLOW_SHARE);
         let of_use = |c: &Class| c.aim.plus(c.deadline.since(c.aim).scaled(c.late_worth));
-        let longest = router.settings.classes.iter().map(of_use).min().unwrap_or_default();
+        let longest = router
+            .settings
+            .classes
+            .iter()
+            .map(of_use)
+            .min()
+            .unwrap_or_default();
         router.fetches = Origin::new(first, longest.scaled(SLOW_SHARE));
         router.shortest_aim = shortest_aim;
         Ok(router)
@@ -104,10 +115,18 @@
             Event::Excluded { server } => self.on_excluded(server),
             Event::Included { server, at } => self.on_included(server, at),
             Event::Request(ask) => self.on_request(ask),
-            Event::StreamStarted { id, .. } => _ = self.held.get_mut(&id).map(|h| h.streaming = true),
+            Event::StreamStarted { id, .. } => {
+                _ = self.held.get_mut(&id).map(|h| h.streaming = true)
+            }
             Event::Ended(end) => self.on_end(end),
-            Event::Joined { id, tenant, expires } => self.on_joined(id, tenant, expires),
-            Event::Shortened { id, expires } => _ = self.held.get_mut(&id).map(|h| h.ask.expires = expires),
+            Event::Joined {
+                id,
+                tenant,
+                expires,
+            } => self.on_joined(id, tenant, expires),
+            Event::Shortened { id, expires } => {
+                _ = self.held.get_mut(&id).map(|h| h.ask.expires = expires)
+            }
             Event::Gone { id } => self.on_gone(id),
             Event::Timer { token } => match (token & 3, RequestId((token >> 2) as u32)) {
                 (TIMER_ASK, _) => self.ask(),
@@ -121,9 +140,13 @@
     fn on_membership(&mut self, kind: MembershipKind, members: Vec<Member>) {
         if matches!(kind, MembershipKind::Full | MembershipKind::Cached) {
             // What a full list leaves out is gone.
-            self.servers.iter_mut().for_each(|s| s.member.state = ServerState::Gone);
+            self.servers
+                .iter_mut()
+                .for_each(|s| s.member.state = ServerState::Gone);
         }
-        members.into_iter().for_each(|member| self.on_member(member));
+        members
+            .into_iter()
+            .for_each(|member| self.on_member(member));
         self.on_standing();
         if let Discovery::Subscribe { ask_within } = self.settings.discovery {
             self.on_list_answer(kind, ask_within);
@@ -132,14 +155,23 @@
 
     /// What servers may be used for has changed, by the list or by the operators.
     pub(crate) fn on_standing(&mut self) {
-        let weights = self.servers.iter().filter(|s| s.is_ready() && !s.is_origin).map(|s| s.member.weight);
-        let (count, sum) = weights.fold((0_u32, 0.0), |(count, sum), weight| (count + 1, sum + weight));
+        let weights = self
+            .servers
+            .iter()
+            .filter(|s| s.is_ready() && !s.is_origin)
+            .map(|s| s.member.weight);
+        let (count, sum) = weights.fold((0_u32, 0.0), |(count, sum), weight| {
+            (count + 1, sum + weight)
+        });
         self.mean_weight = sum / f64::from(count.max(1));
         if self.servers.iter().any(|s| s.is_ready() != s.listed) {
             let (first_list, routers) = (self.ring.is_empty(), f64::from(self.settings.routers));
             self.update_ring();
             if first_list {
-                self.fetches.limit = self.idle.first.max(FIRST_FETCHES * self.ready as f64 / routers);
+                self.fetches.limit = self
+                    .idle
+                    .first
+                    .max(FIRST_FETCHES * self.ready as f64 / routers);
             }
         }
     }
@@ -159,7 +191,9 @@
         }
         let servers = &self.servers;
         let name = |index: usize| &servers[index].member.server;
-        let order = |a: &(u32, usize), b: &(u32, usize)| a.0.cmp(&b.0).then_with(|| name(a.1).cmp(name(b.1)));
+        let order = |a: &(u32, usize), b: &(u32, usize)| {
+            a.0.cmp(&b.0).then_with(|| name(a.1).cmp(name(b.1)))
+        };
         come.sort_unstable_by(order);
         self.ring.retain(|&(_, index)| servers[index].is_ready());
         self.ring.append(&mut come);
@@ -170,12 +204,17 @@
     /// A server that hangs or vanished says nothing at all, not even to those that need no fetch; a slow
     /// origin or a queue lets some answers through. Its successors have its arc but for a trial now and then.
     pub(crate) fn is_silent(&self, server: &Server) -> bool {
-        let waits = |since: Micros| server.load.in_flight > 0 && self.now.since(since) > self.shortest_aim;
+        let waits =
+            |since: Micros| server.load.in_flight > 0 && self.now.since(since) > self.shortest_aim;
         server.unheard >= SILENT || server.waiting_since.is_some_and(waits)
     }
 
     /// The ring owner of a place, then the distinct successors clockwise; the first that is allowed.
-    fn first_candidate<T>(&self, place: u32, mut allowed: impl FnMut(usize) -> Option<T>) -> Option<T> {
+    fn first_candidate<T>(
+        &self,
+        place: u32,
+        mut allowed: impl FnMut(usize) -> Option<T>,
+    ) -> Option<T> {
         let start = self.ring.partition_point(|&(point, _)| point < place);
         let (mut seen, mut left) = (vec![false; self.servers.len()], self.ready);
         for &(_, index) in self.ring[start..].iter().chain(&self.ring[..start]) {
@@ -195,28 +234,40 @@
             return;
         }
         let id = ask.id;
-        let text = ask.key.map_or_else(|| format!("request {}", id.0), |key| key.to_string());
+        let text = ask
+            .key
+            .map_or_else(|| format!("request {}", id.0), |key| key.to_string());
         let points = digest_points(text.as_bytes());
         let worth = self.settings.classes[ask.class.0].worth;
         self.demand.came_of(ask.tenant);
         let count = self.demand.came(self.now, (ask.class.0, worth), points[0]);
-        let familiar =
-            if ask.write { 0 } else { [1.5, 2.5, 4.5].iter().filter(|&&least| count > least).count() };
+        let familiar = if ask.write {
+            0
+        } else {
+            [1.5, 2.5, 4.5]
+                .iter()
+                .filter(|&&least| count > least)
+                .count()
+        };
         self.set_timer(ask.expires.since(self.now), id, TIMER_DEADLINE);
         let slice = f64::from(points[1]) / f64::from(u32::MAX);
         let deadline = self.settings.classes[ask.class.0].deadline;
         let came = if ask.retry {
-            self.turned_away.first_came(self.now, deadline, &ask, points[0])
+            self.turned_away
+                .first_came(self.now, deadline, &ask, points[0])
         } else {
             self.now
         };
-        self.held.insert(id, Held::new(ask, came, points[0], slice, familiar));
+        self.held
+            .insert(id, Held::new(ask, came, points[0], slice, familiar));
         self.advance(id);
     }
 
     /// The client has left: what it asked for may come again.
     fn on_gone(&mut self, id: RequestId) {
-        let Some(mut held) = self.held.remove(&id) else { return };
+        let Some(mut held) = self.held.remove(&id) else {
+            return;
+        };
         if !held.answered {
             held.answered = true;
             self.turned_away.remember(held.place, &held.ask, held.came);
@@ -227,7 +278,9 @@
     /// Counts the one that joins for its own tenant; the request goes on as that of whoever floods least.
     fn on_joined(&mut self, id: RequestId, tenant: Option<TenantId>, expires: Micros) {
         self.demand.came_of(tenant);
-        let Some(mut held) = self.held.remove(&id) else { return };
+        let Some(mut held) = self.held.remove(&id) else {
+            return;
+        };
         let (old, before) = (held.ask.tenant, self.stretch(&held));
         held.ask.expires = held.ask.expires.max(expires);
         held.ask.tenant = tenant;
@@ -241,11 +294,17 @@
     /// doublings count: a home that follows each count of a small sample moves, and each move is a fetch.
     fn homes(&self, place: u32) -> f64 {
         let heat = HOT_ROOM * self.demand.share(place) * self.ready as f64;
-        if heat < 1.0 { 0.0 } else { heat.log2().floor().exp2() }
+        if heat < 1.0 {
+            0.0
+        } else {
+            heat.log2().floor().exp2()
+        }
     }
 
     fn advance(&mut self, id: RequestId) {
-        let Some(mut held) = self.held.remove(&id) else { return };
+        let Some(mut held) = self.held.remove(&id) else {
+            return;
+        };
         if !held.answered && !held.is_out() {
             self.attempt(&mut held);
         }
@@ -270,7 +329,10 @@
     }
 
     pub(crate) fn set_timer(&mut self, after: Micros, id: RequestId, what_for: u64) {
-        self.out.push(Action::SetTimer { after, token: u64::from(id.0) << 2 | what_for });
+        self.out.push(Action::SetTimer {
+            after,
+            token: u64::from(id.0) << 2 | what_for,
+        });
     }
 
     fn class(&self, held: &Held) -> &Class {
@@ -285,7 +347,11 @@
         }
         // A move drives out another key besides, which is fetched again too: it is served last.
         let fetch = aside || self.may_fetch(held.familiar, stretch);
-        let room = if self.fetches.has_queue() { MOVE_ROOM } else { 1.0 };
+        let room = if self.fetches.has_queue() {
+            MOVE_ROOM
+        } else {
+            1.0
+        };
         let move_off = aside || (fetch && self.may_fetch(held.familiar, stretch * room));
         // One pass over the fleet: the largest part, what is in use, and all limits together.
         let (mut most, mut used, mut limits) = (0.0_f64, 0.0, 0.0);
@@ -308,7 +374,11 @@
             most,
             used,
             limits,
-            passed_on: if held.ask.write { 0.0 } else { self.corner * spread.min(others) },
+            passed_on: if held.ask.write {
+                0.0
+            } else {
+                self.corner * spread.min(others)
+            },
             owner: true,
             near: true,
             may_move: false,
@@ -322,11 +392,17 @@
             // The first that was fit but for room or a fetch, else what the last was left out for.
             let fit = matches!(reason, Verdict::Full | Verdict::NoFetch);
             reason = if fit { reason } else { verdict };
-            verdict.is_taken().then_some((index, verdict == Verdict::MovedPaid))
+            verdict
+                .is_taken()
+                .then_some((index, verdict == Verdict::MovedPaid))
         });
         self.verdicts = seen;
         self.unplaced[reason as usize] += u64::from(found.is_none() && walk.earlier.is_none());
-        self.retry_tokens -= if found.is_some_and(|(_, paid)| paid) { 1.0 } else { 0.0 };
+        self.retry_tokens -= if found.is_some_and(|(_, paid)| paid) {
+            1.0
+        } else {
+            0.0
+        };
         // Of a hot key's further homes none may be fit: then an earlier one is better than none.
         found.map(|(index, _)| index).or(walk.earlier)
     }
@@ -399,7 +475,11 @@
     /// A server's size against the mean, where the list tells.
     fn size(&self, server: &Server) -> f64 {
         let known = self.settings.weights != Weights::Unknown && self.mean_weight > 0.0;
-        if known { server.member.weight / self.mean_weight } else { 1.0 }
+        if known {
+            server.member.weight / self.mean_weight
+        } else {
+            1.0
+        }
     }
 
     /// The part of its arcs that a server has, before it is held against the largest.
@@ -410,12 +490,27 @@
     /// What is not known to be kept is a fetch as often as such requests missed lately: one router of many
     /// has asked for few of the keys that are kept. What takes longer than hits do is one surely.
     fn may_fetch(&mut self, familiar: usize, stretch: f64) -> bool {
-        let out = self.held.values().flat_map(|h| &h.attempts).filter(|a| a.fetch && a.fate == Fate::Out);
+        let out = self
+            .held
+            .values()
+            .flat_map(|h| &h.attempts)
+            .filter(|a| a.fetch && a.fate == Fate::Out);
         let mut young = [0; FAMILIAR];
         let since = self.now.since(self.usual.scaled(2.0));
-        out.filter(|a| a.sent >= since).for_each(|a| young[a.familiar] += 1);
-        let round = self.usual.scaled(f64::from(self.settings.routers) / self.ready.max(1) as f64);
-        self.fetches.has_room(self.now, &young, &Claim { familiar, stretch, round })
+        out.filter(|a| a.sent >= since)
+            .for_each(|a| young[a.familiar] += 1);
+        let round = self
+            .usual
+            .scaled(f64::from(self.settings.routers) / self.ready.max(1) as f64);
+        self.fetches.has_room(
+            self.now,
+            &young,
+            &Claim {
+                familiar,
+                stretch,
+                round,
+            },
+        )
     }
 
     /// Whether a server's limit has a place, of which `room` may be used. Under one it is a rate, so that
@@ -425,21 +520,32 @@
         let limit = believed * room * server.capacity(self.now, &self.settings.rules);
         let here = f64::from(server.load.in_flight);
         here < limit * walk.stretch
-            && (limit >= 1.0 || server.load.is_due(self.now, self.gap(server, believed, limit), walk.rank))
+            && (limit >= 1.0
+                || server
+                    .load
+                    .is_due(self.now, self.gap(server, believed, limit), walk.rank))
     }
 
     /// The limit of a server by all that is known now.
     fn believed(&self, server: &Server) -> f64 {
         let limit = server.load.believed(self.now);
         // One at a time, where the server says that it waits for work: a limit under one is of before.
-        if server.queue.is_at_ease(self.now) { limit.max(1.0) } else { limit }
+        if server.queue.is_at_ease(self.now) {
+            limit.max(1.0)
+        } else {
+            limit
+        }
     }
 
     /// The time between requests where `limit`, what may be used of what is `believed`, is under one: a share
     /// of what this router would send there, if that is for want of room at the server, and else of one at a
     /// time.
     fn gap(&self, server: &Server, believed: f64, limit: f64) -> Micros {
-        let round = if believed < 1.0 { self.demand.pace.scaled(self.ready as f64) } else { Micros(0) };
+        let round = if believed < 1.0 {
+            self.demand.pace.scaled(self.ready as f64)
+        } else {
+            Micros(0)
+        };
         server.usual.max(round).scaled(1.0 / limit)
     }
 
@@ -459,12 +565,23 @@
     /// How much of a limit a request may use: more if it is worth much, less if its tenant floods.
     fn stretch(&self, held: &Held) -> f64 {
         let class = self.class(held);
-        let worthy = if class.worth >= 2.0 * self.demand.mean_worth { WORTHY_STRETCH } else { 1.0 };
+        let worthy = if class.worth >= 2.0 * self.demand.mean_worth {
+            WORTHY_STRETCH
+        } else {
+            1.0
+        };
         let late = held.came.plus(class.aim) < self.now.plus(self.usual);
-        let worthy = if late { worthy * class.late_worth.max(MOVE_ROOM) } else { worthy };
-        let Some(tenant) = held.ask.tenant.filter(|t| t.0 < self.demand.mix.len()) else { return worthy };
+        let worthy = if late {
+            worthy * class.late_worth.max(MOVE_ROOM)
+        } else {
+            worthy
+        };
+        let Some(tenant) = held.ask.tenant.filter(|t| t.0 < self.demand.mix.len()) else {
+            return worthy;
+        };
         let odds = |share: f64| share / (1.0 - share).max(1e-3);
-        let flood = odds(self.demand.mix[tenant.0]) / odds(self.settings.tenants[tenant.0].share).max(1e-3);
+        let flood =
+            odds(self.demand.mix[tenant.0]) / odds(self.settings.tenants[tenant.0].share).max(1e-3);
         worthy * (FLOOD / flood.max(1e-3)).min(1.0)
     }
 
@@ -477,7 +594,10 @@
     /// would push it over before any hears that it is slow; where they are few, their limits see to it, but
     /// where a request costs so much that what these let through at once is more than it can stand.
     fn has_budget(&self, server: &Server, cost: Option<Micros>) -> bool {
-        let (rules, middle) = (&self.settings.rules, server.last_sent.plus(self.now).scaled(0.5));
+        let (rules, middle) = (
+            &self.settings.rules,
+            server.last_sent.plus(self.now).scaled(0.5),
+        );
         let stands = COLD_WORK * rules.fall_multiple * server.capacity(middle, rules);
         let budget = stands / f64::from(self.settings.routers);
         let at_once = cost.unwrap_or_default().scaled(FIRST_TOTAL);
@@ -515,7 +635,11 @@
         let (server, now) = (&self.servers[index], self.now);
         let believed = self.believed(server);
         let limit = believed * server.capacity(now, &self.settings.rules);
-        let gap = if limit < 1.0 { self.gap(server, believed, limit) } else { Micros(0) };
+        let gap = if limit < 1.0 {
+            self.gap(server, believed, limit)
+        } else {
+            Micros(0)
+        };
         let server = &mut self.servers[index];
         server.load.draw(now, gap);
         server.load.in_flight += 1;
@@ -525,7 +649,12 @@
         }
         let (id, server) = (held.ask.id, server.member.server.clone());
         let timeout = self.patience(held, index);
-        self.out.push(Action::Send { id, server, timeout, start_within });
+        self.out.push(Action::Send {
+            id,
+            server,
+            timeout,
+            start_within,
+        });
         true
     }
 
@@ -538,7 +667,8 @@
         let left = held.came.plus(class.aim).since(self.now);
         let part = left.scaled(PATIENCE);
         let overdue = part >= self.usual.max(self.servers[index].usual).scaled(OVERDUE);
-        let further = ((class.late_worth == 0.0 && overdue) || self.is_silent(&self.servers[index]))
+        let further = ((class.late_worth == 0.0 && overdue)
+            || self.is_silent(&self.servers[index]))
             && class.effect != Effect::Unsafe
             && tried < self.settings.limits.max_attempts
             && self.retry_tokens >= 1.0
@@ -549,19 +679,28 @@
 
     /// How long a repeat of a keyed request that may have run is still dropped.
     fn memory_left(&self, held: &Held) -> Option<Micros> {
-        let Effect::Keyed { memory, .. } = self.class(held).effect else { return None };
-        held.first_run().map(|first| first.sent.plus(memory).since(self.now))
+        let Effect::Keyed { memory, .. } = self.class(held).effect else {
+            return None;
+        };
+        held.first_run()
+            .map(|first| first.sent.plus(memory).since(self.now))
     }
 
     fn effect_allows(&self, held: &Held, index: usize) -> bool {
-        let Some(first) = held.first_run() else { return true };
+        let Some(first) = held.first_run() else {
+            return true;
+        };
         match self.class(held).effect {
             Effect::Safe => true,
             Effect::Unsafe => false,
             Effect::Keyed { group, memory } => {
-                let (a, b) = (&self.servers[first.server].member, &self.servers[index].member);
+                let (a, b) = (
+                    &self.servers[first.server].member,
+                    &self.servers[index].member,
+                );
                 let close = group == Group::Zone || a.cell == b.cell;
-                (group == Group::All || (a.zone == b.zone && close)) && self.now.since(first.sent) < memory
+                (group == Group::All || (a.zone == b.zone && close))
+                    && self.now.since(first.sent) < memory
             }
         }
     }
@@ -573,30 +712,55 @@
         }
         held.answered = true;
         self.turned_away.remember(held.place, &held.ask, held.came);
-        let safe = matches!(self.class(held).effect, Effect::Safe | Effect::Keyed { group: Group::All, .. });
+        let safe = matches!(
+            self.class(held).effect,
+            Effect::Safe
+                | Effect::Keyed {
+                    group: Group::All,
+                    ..
+                }
+        );
         let harmless = safe || held.first_run().is_none();
         let (id, retry_after) = (held.ask.id, self.advice());
-        self.out.push(if harmless { Action::Refuse { id, retry_after } } else { Action::Fail { id } });
+        self.out.push(if harmless {
+            Action::Refuse { id, retry_after }
+        } else {
+            Action::Fail { id }
+        });
     }
 
     /// When to come back: what is at work now has mostly been served after one to two usual times; clients
     /// declined together do not return together. Guards against retries at once, into the same jam.
     fn advice(&mut self) -> Option<Micros> {
         let (limits, spread) = (&self.settings.limits, self.random.next());
-        limits.retry_after.then(|| self.usual.scaled(1.0 + spread).min(limits.max_retry_after))
+        limits
+            .retry_after
+            .then(|| self.usual.scaled(1.0 + spread).min(limits.max_retry_after))
     }
 
     fn on_end(&mut self, end: AttemptEnd) {
-        let Some(mut held) = self.held.remove(&end.id) else { return };
+        let Some(mut held) = self.held.remove(&end.id) else {
+            return;
+        };
         let aim = self.class(&held).aim;
-        let tried = held.attempts.get_mut(end.attempt.0 as usize).filter(|a| a.fate == Fate::Out);
+        let tried = held
+            .attempts
+            .get_mut(end.attempt.0 as usize)
+            .filter(|a| a.fate == Fate::Out);
         if let Some(tried) = tried {
             tried.unmet = self.servers[tried.server].is_unmet(&end);
-            tried.fate = if end.outcome.never_ran() { Fate::NeverRan } else { Fate::MayHaveRan };
-            let (index, fetch, idle, familiar) = (tried.server, tried.fetch, tried.idle, tried.familiar);
+            tried.fate = if end.outcome.never_ran() {
+                Fate::NeverRan
+            } else {
+                Fate::MayHaveRan
+            };
+            let (index, fetch, idle, familiar) =
+                (tried.server, tried.fetch, tried.idle, tried.familiar);
             let end = self.with_note(end);
             self.servers[index].last_used = self.now;
-            end.load.iter().for_each(|&load| self.servers[index].queue.said(self.now, load));
+            end.load
+                .iter()
+                .for_each(|&load| self.servers[index].queue.said(self.now, load));
             self.kept.learn(self.now, idle, &end);
             self.links.learn(&end);
             // Where an answer was lost or late, the key is likelier to be hot than its share here tells.
@@ -608,7 +772,12 @@
             self.learn_silence(index, &end);
             self.learn_load(index, fetch, familiar, &end, aim);
             // What an origin answers is kept where the request missed.
-            let home = held.attempts.iter().rev().map(|a| a.server).find(|&i| !self.servers[i].is_origin);
+            let home = held
+                .attempts
+                .iter()
+                .rev()
+                .map(|a| a.server)
+                .find(|&i| !self.servers[i].is_origin);
             let home = home.unwrap_or(index);
             let failed = end.note.is_some() || end.outcome == Outcome::TimedOut;
             if end.outcome == Outcome::Success {
@@ -657,7 +826,8 @@
         match end.outcome {
             Outcome::Cancelled | Outcome::Void => {}
             // What had hardly any time tells nothing.
-            Outcome::TimedOut if !end.begun && end.elapsed < self.shortest_aim.scaled(SLOW_SHARE) => {}
+            Outcome::TimedOut
+                if !end.begun && end.elapsed < self.shortest_aim.scaled(SLOW_SHARE) => {}
             Outcome::TimedOut if !end.begun => server.unheard = server.unheard.saturating_add(1),
             Outcome::Unreachable => server.unheard = server.unheard.saturating_add(1),
             _ => (server.unheard, server.waiting_since) = (0, None),
@@ -665,7 +835,14 @@
     }
 
     /// How long hits take tells of the server; what fetches take beyond that, or a failure, of the origin.
-    fn learn_load(&mut self, index: usize, fetch: bool, familiar: usize, end: &AttemptEnd, aim: Micros) {
+    fn learn_load(
+        &mut self,
+        index: usize,
+        fetch: bool,
+        familiar: usize,
+        end: &AttemptEnd,
+        aim: Micros,
+    ) {
         // Where routers are many, each sees too little of a server to learn in time.
         let little = f64::from(self.settings.routers) > FIRST_TOTAL;
         let least = (LEAST_TOTAL / f64::from(self.settings.routers)).min(1.0);
@@ -674,11 +851,18 @@
         let missed = matches!(end.note, Some(CacheNote::Miss | CacheNote::MissPending));
         let (half, beyond) = (aim.scaled(SLOW_SHARE), end.elapsed.since(server.usual));
         // What hangs on a fetch is no server's fault; where little is seen, fetches must have failed first.
-        let trusted = if little { 1.0 - CUT } else { self.fetches.first };
+        let trusted = if little {
+            1.0 - CUT
+        } else {
+            self.fetches.first
+        };
         let silent = server.unheard >= SILENT;
-        let hung =
-            !silent && (self.fetches.limit < trusted || (fetch && (!little || self.fetches.is_slow())));
-        let (served, late) = (end.outcome == Outcome::Success, end.outcome == Outcome::TimedOut);
+        let hung = !silent
+            && (self.fetches.limit < trusted || (fetch && (!little || self.fetches.is_slow())));
+        let (served, late) = (
+            end.outcome == Outcome::Success,
+            end.outcome == Outcome::TimedOut,
+        );
         let hit = served && !missed && !server.is_origin;
         // A quick miss frees a throttled server too: most answers may be misses.
         let quick = end.elapsed <= half && (served || end.outcome == Outcome::Miss);
@@ -698,7 +882,11 @@
             }
             _ if handshake && !quick => {}
             _ if hit || freed || (late && !hung) => {
-                server.queue.took(if late { end.elapsed.scaled(2.0) } else { end.elapsed });
+                server.queue.took(if late {
+                    end.elapsed.scaled(2.0)
+                } else {
+                    end.elapsed
+                });
                 // What comes after the aim counts whatever is said: a server may be slow for itself.
                 let waits = end.elapsed > aim || server.queue.is_there(now, aim);
                 let slow = end.elapsed > half && waits;
@@ -714,7 +902,11 @@
             Outcome::Overloaded | Outcome::Unreachable => {
                 server.load.turned_away(now, LEAST_LIMIT * least);
                 server.usual = server.usual.max(self.usual);
-                server.down_at = if end.outcome == Outcome::Unreachable { self.now } else { server.down_at };
+                server.down_at = if end.outcome == Outcome::Unreachable {
+                    self.now
+                } else {
+                    server.down_at
+                };
             }
             _ => {}
         }
@@ -726,15 +918,20 @@
         }
         let sent = Micros(self.now.0.saturating_sub(end.elapsed.0));
         match end.outcome {
-            Outcome::Success if fetch && end.note != Some(CacheNote::Hit) && !(handshake && beyond > aim) => {
+            Outcome::Success
+                if fetch && end.note != Some(CacheNote::Hit) && !(handshake && beyond > aim) =>
+            {
                 self.fetches.fetched(sent, beyond, beyond <= aim)
             }
             Outcome::TimedOut if fetch && hung => {
-                self.fetches.gave_up(self.now, end.elapsed, beyond, beyond <= half)
+                self.fetches
+                    .gave_up(self.now, end.elapsed, beyond, beyond <= half)
             }
             Outcome::TimedOut if fetch && !silent => self.fetches.late(),
             // A quick error cost the origin nothing, unless too much of them stops it.
-            Outcome::Failure if fetch && missed && (beyond > half || self.settings.origin_falls) => {
+            Outcome::Failure
+                if fetch && missed && (beyond > half || self.settings.origin_falls) =>
+            {
                 self.fetches.failed(sent)
             }
             _ => {}
@@ -746,8 +943,15 @@
         let in_time = held.ask.expires.since(self.now) >= self.class(held).further_attempt_needs();
         // Where a fetch failed, a further one elsewhere only feeds a failing origin.
         let in_vain = end.outcome == Outcome::Failure && end.note.is_some();
-        let unmet = held.attempts.get(end.attempt.0 as usize).is_some_and(|a| a.unmet);
-        let price = if end.outcome == Outcome::Miss || unmet { 0.0 } else { 1.0 };
+        let unmet = held
+            .attempts
+            .get(end.attempt.0 as usize)
+            .is_some_and(|a| a.unmet);
+        let price = if end.outcome == Outcome::Miss || unmet {
+            0.0
+        } else {
+            1.0
+        };
         let again = in_time && !in_vain && self.retry_tokens >= price;
         self.retry_tokens -= if again { price } else { 0.0 };
         again
@@ -755,7 +959,9 @@
 
     /// The client's time is up: answer, and some grace later forget what never ended.
     fn on_deadline(&mut self, id: RequestId) {
-        let Some(mut held) = self.held.remove(&id) else { return };
+        let Some(mut held) = self.held.remove(&id) else {
+            return;
+        };
         let grace = self.settings.rules.answer_grace.max(Micros(1));
         if held.streaming || self.now < held.ask.expires {
             if !held.streaming {
--- a/crates/onyxpick/src/belief.rs
+++ b/crates/onyxpick/src/belief.rs
@@ -43,7 +43,12 @@
 impl Gauge {
     /// One that has seen nothing.
     pub fn new(in_flight: u32, first: f64) -> Gauge {
-        Gauge { in_flight, limit: first, first, ..Gauge::default() }
+        Gauge {
+            in_flight,
+            limit: first,
+            first,
+            ..Gauge::default()
+        }
     }
 
     /// `chance` in [0, 1) lets part of the requests through where the limit is under one.
@@ -55,7 +60,11 @@
 
     /// What is left at `now` of the weight that observations had.
     fn left(&self, now: Micros) -> f64 {
-        if self.told { 1.0 } else { (-now.since(self.seen).as_secs_f64() / MEMORY.as_secs_f64()).exp() }
+        if self.told {
+            1.0
+        } else {
+            (-now.since(self.seen).as_secs_f64() / MEMORY.as_secs_f64()).exp()
+        }
     }
 
     /// The limit at `now`: what was seen by what is left of it, the start for the rest.
@@ -101,13 +110,18 @@
     /// least worth, 1 most).
     pub fn is_due(&self, now: Micros, gap: Micros, rank: f64) -> bool {
         let ahead = SAVED * (2.0 * rank - 1.0);
-        self.paid.plus(gap.scaled((1.0 - ahead).max(0.0))) <= now.plus(gap.scaled((ahead - 1.0).max(0.0)))
+        self.paid.plus(gap.scaled((1.0 - ahead).max(0.0)))
+            <= now.plus(gap.scaled((ahead - 1.0).max(0.0)))
     }
 
     /// One went out, at one every `gap`; 0 where nothing spaces them out.
     pub fn draw(&mut self, now: Micros, gap: Micros) {
         self.drawn = now;
         let saved = Micros(now.0.saturating_sub(gap.scaled(SAVED + 1.0).0));
-        self.paid = if gap == Micros(0) { now } else { self.paid.max(saved).plus(gap) };
+        self.paid = if gap == Micros(0) {
+            now
+        } else {
+            self.paid.max(saved).plus(gap)
+        };
     }
 }
--- a/crates/onyxpick/src/demand.rs
+++ b/crates/onyxpick/src/demand.rs
@@ -34,7 +34,11 @@
         Demand {
             popular: HashMap::new(),
             asked_for: 0.0,
-            mean_worth: settings.classes.iter().map(|c| c.worth).fold(f64::INFINITY, f64::min),
+            mean_worth: settings
+                .classes
+                .iter()
+                .map(|c| c.worth)
+                .fold(f64::INFINITY, f64::min),
             asked: vec![1.0 / classes.max(1) as f64; classes],
             mix: settings.tenants.iter().map(|t| t.share).collect(),
             pace: Micros(0),
@@ -70,7 +74,11 @@
 
     /// The share of all that goes to a place; asked for once is no evidence.
     pub fn share(&self, place: u32) -> f64 {
-        let count = self.popular.get(&place).map_or(0.0, |count| count - 1.0).max(0.0);
+        let count = self
+            .popular
+            .get(&place)
+            .map_or(0.0, |count| count - 1.0)
+            .max(0.0);
         count / (self.asked_for + MIX_SPAN / 8.0)
     }
 
--- a/crates/onyxpick/src/kept.rs
+++ b/crates/onyxpick/src/kept.rs
@@ -29,7 +29,11 @@
 impl Kept {
     /// Nothing is known.
     pub fn new() -> Kept {
-        Kept { stale: Micros::MAX, until: Micros(0), doubt: 0 }
+        Kept {
+            stale: Micros::MAX,
+            until: Micros(0),
+            doubt: 0,
+        }
     }
 
     /// Whether those idle for so long are most likely dead.
@@ -41,14 +45,20 @@
     /// takes more of it than of answers. What breaks once an answer has begun was spoilt by the server, on a
     /// connection that was well.
     pub fn learn(&mut self, now: Micros, idle: Option<Micros>, end: &AttemptEnd) {
-        let Some(idle) = idle.filter(|&idle| idle >= LEAST_IDLE) else { return };
+        let Some(idle) = idle.filter(|&idle| idle >= LEAST_IDLE) else {
+            return;
+        };
         self.doubt = match end.outcome {
             Outcome::TimedOut if !end.begun => (self.doubt + 1).min(DOUBT),
             Outcome::Broken if !end.begun => DOUBT,
             _ => self.doubt.saturating_sub(1),
         };
         if self.doubt == DOUBT {
-            let known = if now < self.until { self.stale } else { Micros::MAX };
+            let known = if now < self.until {
+                self.stale
+            } else {
+                Micros::MAX
+            };
             self.stale = known.min(idle.scaled(MARGIN).max(LEAST_IDLE));
             self.until = now.plus(STALE_TIME);
         }
--- a/crates/onyxpick/src/known.rs
+++ b/crates/onyxpick/src/known.rs
@@ -33,7 +33,10 @@
 
     /// Another process is in this server's place now, and holds nothing.
     pub fn forget(&mut self, index: usize) {
-        self.0.iter_mut().filter(|known| known.1 == index).for_each(|known| known.1 = NONE);
+        self.0
+            .iter_mut()
+            .filter(|known| known.1 == index)
+            .for_each(|known| known.1 = NONE);
     }
 
     /// Whether the server served the place, and nothing spoke against it since.
--- a/crates/onyxpick/src/learnt.rs
+++ b/crates/onyxpick/src/learnt.rs
@@ -59,10 +59,17 @@
             last_sent: s.last_sent.0,
             due: s.due,
         };
-        let mut popular: Vec<(u32, f64)> =
-            self.demand.popular.iter().map(|(&place, &count)| (place, count)).collect();
+        let mut popular: Vec<(u32, f64)> = self
+            .demand
+            .popular
+            .iter()
+            .map(|(&place, &count)| (place, count))
+            .collect();
         popular.sort_unstable_by_key(|&(place, _)| place);
-        let known = self.known.iter().filter(|(_, index)| *index < self.servers.len());
+        let known = self
+            .known
+            .iter()
+            .filter(|(_, index)| *index < self.servers.len());
         Learnt {
             servers: self.servers.iter().map(server).collect(),
             known: known.map(|(place, index)| (place, index as u32)).collect(),
@@ -87,7 +94,9 @@
             let place = self.by_name.get(old.name.as_str()).copied();
             let place = place.filter(|&i| self.servers[i].member.started == Micros(old.started));
             places.push(place);
-            let Some(server) = place.map(|i| &mut self.servers[i]) else { continue };
+            let Some(server) = place.map(|i| &mut self.servers[i]) else {
+                continue;
+            };
             if is_sound(old.limit) && old.limit > 0.0 {
                 server.load.limit = old.limit;
                 server.load.recalled(now);
@@ -95,14 +104,21 @@
             server.usual = Micros(old.usual).min(Micros::from_millis(60_000));
             server.down_at = server.down_at.max(Micros(old.down_at).min(now));
             server.last_sent = Micros(old.last_sent).min(now);
-            server.due = if is_sound(old.due) { old.due.min(1.0) } else { server.due };
+            server.due = if is_sound(old.due) {
+                old.due.min(1.0)
+            } else {
+                server.due
+            };
         }
         for (place, index) in learnt.known.into_iter().take(KEYS) {
             if let Some(Some(index)) = places.get(index as usize) {
                 self.known.learn(place, *index);
             }
         }
-        let popular = learnt.popular.into_iter().filter(|(_, count)| is_sound(*count));
+        let popular = learnt
+            .popular
+            .into_iter()
+            .filter(|(_, count)| is_sound(*count));
         self.demand.popular = popular.take(KEYS).collect();
         if is_sound(learnt.asked_for) {
             self.demand.asked_for = learnt.asked_for;
@@ -122,7 +138,8 @@
             self.demand.mean_worth = learnt.mean_worth;
         }
         let shares = |mine: &mut Vec<f64>, theirs: Vec<f64>| {
-            if theirs.len() == mine.len() && theirs.iter().all(|share| (0.0..=1.0).contains(share)) {
+            if theirs.len() == mine.len() && theirs.iter().all(|share| (0.0..=1.0).contains(share))
+            {
                 *mine = theirs;
             }
         };
--- a/crates/onyxpick/src/life.rs
+++ b/crates/onyxpick/src/life.rs
@@ -48,7 +48,11 @@
     pub fn warmth(&self, at: Micros, rules: &Rules) -> f64 {
         let since = self.member.started.max(self.down_at);
         let part = at.since(since).as_secs_f64() / rules.cold_time.as_secs_f64();
-        if since == Micros(0) || part.is_nan() { 1.0 } else { part.min(1.0) }
+        if since == Micros(0) || part.is_nan() {
+            1.0
+        } else {
+            part.min(1.0)
+        }
     }
 
     /// The part of its capacity that it has at least.
@@ -60,7 +64,9 @@
 impl Router {
     /// What a server may be used for now; `None`: nobody has told this router of it.
     pub fn standing(&self, server: &ServerId) -> Option<Standing> {
-        self.by_name.get(server).map(|&place| self.servers[place].standing())
+        self.by_name
+            .get(server)
+            .map(|&place| self.servers[place].standing())
     }
 
     /// A process that is new has no record, is sent little at first, and holds no keys.
@@ -72,10 +78,19 @@
             return;
         }
         // The place of a server that went before any request now held was sent is used again.
-        let longest = self.settings.classes.iter().map(|c| c.deadline).max().unwrap_or_default();
+        let longest = self
+            .settings
+            .classes
+            .iter()
+            .map(|c| c.deadline)
+            .max()
+            .unwrap_or_default();
         let since = self.now.since(longest.scaled(2.0));
-        let unused = |s: &Server| s.is_gone() && !s.listed && s.load.in_flight == 0 && s.last_sent < since;
-        let place = place.or_else(|| self.servers.iter().position(unused)).unwrap_or(self.servers.len());
+        let unused =
+            |s: &Server| s.is_gone() && !s.listed && s.load.in_flight == 0 && s.last_sent < since;
+        let place = place
+            .or_else(|| self.servers.iter().position(unused))
+            .unwrap_or(self.servers.len());
         self.renew(place, member);
     }
 
@@ -88,8 +103,15 @@
         let name = member.server.clone();
         let origin = matches!(self.settings.mode, CacheMode::Aside { origin } if member.kind == Some(origin));
         let points = |i| digest_points(format!("{name}{i}").as_bytes());
-        let points = (0..if origin { 0 } else { DIGESTS }).flat_map(points).collect();
-        let mut server = Server::new(member, points, origin, Gauge::new(in_flight, self.idle.first));
+        let points = (0..if origin { 0 } else { DIGESTS })
+            .flat_map(points)
+            .collect();
+        let mut server = Server::new(
+            member,
+            points,
+            origin,
+            Gauge::new(in_flight, self.idle.first),
+        );
         // Routers that hear of it together do not all send at once.
         server.due = self.random.next();
         server.last_sent = self.now;
@@ -99,7 +121,9 @@
         if place < self.servers.len() {
             self.known.forget(place);
         }
-        let old = self.servers.splice(place..(place + 1).min(self.servers.len()), [server]);
+        let old = self
+            .servers
+            .splice(place..(place + 1).min(self.servers.len()), [server]);
         old.for_each(|s| _ = self.by_name.remove(&s.member.server));
         self.by_name.insert(name, place);
     }
--- a/crates/onyxpick/src/links.rs
+++ b/crates/onyxpick/src/links.rs
@@ -47,7 +47,11 @@
 impl Links {
     /// Nothing is known.
     pub fn new() -> Links {
-        Links { fresh: 0.0, kept: 0.0, part: 1.0 }
+        Links {
+            fresh: 0.0,
+            kept: 0.0,
+            part: 1.0,
+        }
     }
 
     /// An attempt ended.
@@ -60,8 +64,11 @@
         };
         *share += (f64::from(u8::from(turned_away)) - *share) / SPAN;
         if end.link == Link::New {
-            let part =
-                if turned_away && self.are_scarce() { self.part * (1.0 - CUT) } else { self.part + GROW };
+            let part = if turned_away && self.are_scarce() {
+                self.part * (1.0 - CUT)
+            } else {
+                self.part + GROW
+            };
             self.part = part.clamp(LEAST, 1.0);
         }
     }
@@ -94,7 +101,9 @@
             return None;
         }
         if self.kept.are_dead(self.now, idle) {
-            self.out.push(Action::CloseIdle { server: server.member.server.clone() });
+            self.out.push(Action::CloseIdle {
+                server: server.member.server.clone(),
+            });
             return None;
         }
         Some(idle)
@@ -104,7 +113,9 @@
     pub(crate) fn close_drained(&mut self, index: usize) {
         let server = &self.servers[index];
         if self.settings.rules.drain_close.is_some() && !server.is_ready() {
-            self.out.push(Action::CloseIdle { server: server.member.server.clone() });
+            self.out.push(Action::CloseIdle {
+                server: server.member.server.clone(),
+            });
         }
     }
 }
--- a/crates/onyxpick/src/load.rs
+++ b/crates/onyxpick/src/load.rs
@@ -41,13 +41,16 @@
 
 impl Load {
     fn set(&mut self, field: Field, text: &str) {
-        let Ok(value) = text.trim().parse::<f64>() else { return };
+        let Ok(value) = text.trim().parse::<f64>() else {
+            return;
+        };
         let within = |most: f64| Some(value).filter(|v| (0.0..=most).contains(v));
         match field {
             Field::Busy => self.busy = within(MOST_BUSY),
             Field::Queue => self.queue = within(MOST_REQUESTS),
             Field::Service => {
-                self.service = within(LONGEST_SERVICE).map(|millis| Micros::from_secs_f64(millis / 1e3));
+                self.service =
+                    within(LONGEST_SERVICE).map(|millis| Micros::from_secs_f64(millis / 1e3));
             }
             Field::Fetches => self.fetches = within(MOST_REQUESTS),
             Field::Other => {}
@@ -62,7 +65,13 @@
 impl Columns {
     /// From the settings: the names in order, and what `x0` and `x1` are where they are named.
     pub fn new(names: &[String], meanings: [&str; 2]) -> Columns {
-        let own = |meaning: &str| if meaning == "fetches_out" { Field::Fetches } else { Field::Other };
+        let own = |meaning: &str| {
+            if meaning == "fetches_out" {
+                Field::Fetches
+            } else {
+                Field::Other
+            }
+        };
         let field = |name: &str| match name {
             "utilization" | "util" => Field::Busy,
             "backlog" | "queue" => Field::Queue,
@@ -71,7 +80,13 @@
             "x1" => own(meanings[1]),
             _ => Field::Other,
         };
-        Columns(names.iter().take(MOST_FIELDS).map(|name| (name.clone(), field(name))).collect())
+        Columns(
+            names
+                .iter()
+                .take(MOST_FIELDS)
+                .map(|name| (name.clone(), field(name)))
+                .collect(),
+        )
     }
 
     /// Whether answers bring reports at all.
@@ -82,7 +97,10 @@
     /// A row of values set apart by commas, in the order of the fields.
     pub fn read_row(&self, row: &str) -> Option<Load> {
         let mut load = Load::default();
-        self.0.iter().zip(row.split(',')).for_each(|((_, field), text)| load.set(*field, text));
+        self.0
+            .iter()
+            .zip(row.split(','))
+            .for_each(|((_, field), text)| load.set(*field, text));
         Some(load).filter(|load| *load != Load::default())
     }
 
@@ -90,9 +108,16 @@
     /// reports do, so both names count.
     pub fn read_pairs(&self, text: &str) -> Option<Load> {
         let mut load = Load::default();
-        for (name, value) in text.split(',').take(MOST_FIELDS).filter_map(|pair| pair.split_once('=')) {
+        for (name, value) in text
+            .split(',')
+            .take(MOST_FIELDS)
+            .filter_map(|pair| pair.split_once('='))
+        {
             let name = name.trim();
-            let known = self.0.iter().find(|(known, _)| known == name || also_called(known) == name);
+            let known = self
+                .0
+                .iter()
+                .find(|(known, _)| known == name || also_called(known) == name);
             known.iter().for_each(|(_, field)| load.set(*field, value));
         }
         Some(load).filter(|load| *load != Load::default())
--- a/crates/onyxpick/src/origin.rs
+++ b/crates/onyxpick/src/origin.rs
@@ -85,7 +85,14 @@
 impl Origin {
     /// An origin of which nothing is known; at one that takes twice `useful` for a fetch, none is of use.
     pub fn new(first: f64, useful: Micros) -> Origin {
-        Origin { limit: first, goal: first, first, misses: [1.0; FAMILIAR], useful, ..Origin::default() }
+        Origin {
+            limit: first,
+            goal: first,
+            first,
+            misses: [1.0; FAMILIAR],
+            useful,
+            ..Origin::default()
+        }
     }
 
     /// Whether one more may go out. `young` of those out, by kind of key, may yet turn out to be hits, as
@@ -93,7 +100,11 @@
     pub fn has_room(&mut self, now: Micros, young: &[u32; FAMILIAR], claim: &Claim) -> bool {
         self.abandoned.retain(|&end| end > now);
         let undecided = young.iter().sum::<u32>();
-        let likely: f64 = young.iter().zip(&self.misses).map(|(&n, &share)| f64::from(n) * share).sum();
+        let likely: f64 = young
+            .iter()
+            .zip(&self.misses)
+            .map(|(&n, &share)| f64::from(n) * share)
+            .sum();
         let sure = self.out.saturating_sub(undecided);
         let limit = self.limit * claim.stretch;
         if self.limit >= 1.0 {
@@ -101,7 +112,10 @@
         }
         // Under one, the limit spaces fetches out, so that many routers together do not crowd the origin.
         let stretch = claim.stretch.max(LEAST);
-        let gap = self.time.max(self.useful).scaled(1.0 / (self.limit * stretch));
+        let gap = self
+            .time
+            .max(self.useful)
+            .scaled(1.0 / (self.limit * stretch));
         let longest = claim.round.scaled(1.0 / (TRICKLE * stretch));
         let alone = undecided == 0 || likely + self.misses[claim.familiar] <= 1.0;
         sure == 0 && alone && now.since(self.last) >= gap.min(longest)
@@ -166,7 +180,11 @@
         } else if !queue && self.limit < self.goal * CUT {
             self.limit += CUT;
         } else if f64::from(self.out + 1) * 2.0 >= self.limit {
-            self.limit += if queue { CUT * TOLERATED / (1.0 - TOLERATED) } else { GROW };
+            self.limit += if queue {
+                CUT * TOLERATED / (1.0 - TOLERATED)
+            } else {
+                GROW
+            };
         }
     }
 
@@ -174,7 +192,9 @@
     /// that starts low is used little and is no sign of that.
     fn cut(&mut self) {
         self.goal = self.goal.max(self.limit) * (1.0 - FORGET);
-        let limit = self.limit.min((f64::from(self.out + 1) * 2.0).max(self.first));
+        let limit = self
+            .limit
+            .min((f64::from(self.out + 1) * 2.0).max(self.first));
         self.limit = (limit - CUT * limit.min(1.0)).max(LEAST.min(self.limit));
     }
 
--- a/crates/onyxpick/src/params.rs
+++ b/crates/onyxpick/src/params.rs
@@ -60,20 +60,29 @@
 
 impl<'a> Params<'a> {
     fn text(&self, path: &str) -> Result<&'a str, ParamsError> {
-        self.0.get(path).copied().ok_or_else(|| ParamsError::new(format!("setting {path} is missing")))
+        self.0
+            .get(path)
+            .copied()
+            .ok_or_else(|| ParamsError::new(format!("setting {path} is missing")))
     }
 
     fn number(&self, path: &str) -> Result<f64, ParamsError> {
         let text = self.text(path)?;
         match text.parse() {
             Ok(value) if f64::is_finite(value) && value >= 0.0 => Ok(value),
-            _ => Err(ParamsError::new(format!("setting {path}: '{text}' is not a number of at least zero"))),
+            _ => Err(ParamsError::new(format!(
+                "setting {path}: '{text}' is not a number of at least zero"
+            ))),
         }
     }
 
     /// A number that a deployment may leave out.
     fn number_or(&self, path: &str, default: f64) -> Result<f64, ParamsError> {
-        if self.0.contains_key(path) { self.number(path) } else { Ok(default) }
+        if self.0.contains_key(path) {
+            self.number(path)
+        } else {
+            Ok(default)
+        }
     }
 
     fn flag_or(&self, path: &str, default: bool) -> Result<bool, ParamsError> {
@@ -81,9 +90,9 @@
             None => Ok(default),
             Some("true" | "1") => Ok(true),
             Some("false" | "0") => Ok(false),
-            Some(text) => {
-                Err(ParamsError::new(format!("setting {path}: '{text}' is neither true nor false")))
-            }
+            Some(text) => Err(ParamsError::new(format!(
+                "setting {path}: '{text}' is neither true nor false"
+            ))),
         }
     }
 
@@ -93,23 +102,36 @@
 
     /// A time that a deployment may leave out.
     fn optional_time(&self, path: &str) -> Result<Option<Micros>, ParamsError> {
-        if self.0.contains_key(path) { self.time(path).map(Some) } else { Ok(None) }
+        if self.0.contains_key(path) {
+            self.time(path).map(Some)
+        } else {
+            Ok(None)
+        }
     }
 
     fn list(&self, path: &str) -> Vec<String> {
         let text = self.0.get(path).copied().unwrap_or("");
-        text.split(',').filter(|s| !s.is_empty()).map(str::to_string).collect()
+        text.split(',')
+            .filter(|s| !s.is_empty())
+            .map(str::to_string)
+            .collect()
     }
 }
 
 /// Reads the pairs.
-pub fn read<'a>(pairs: impl IntoIterator<Item = (&'a str, &'a str)>) -> Result<Deployment, ParamsError> {
+pub fn read<'a>(
+    pairs: impl IntoIterator<Item = (&'a str, &'a str)>,
+) -> Result<Deployment, ParamsError> {
     let params = Params(pairs.into_iter().collect());
     let zones = params.list("zones");
     let kinds = params.list("kinds");
     let (classes, class_names) = classes(&params)?;
     let (tenants, tenant_names) = tenants(&params)?;
-    let zone = params.0.get("zone").and_then(|zone| zones.iter().position(|z| z == zone)).map(ZoneId);
+    let zone = params
+        .0
+        .get("zone")
+        .and_then(|zone| zones.iter().position(|z| z == zone))
+        .map(ZoneId);
     let settings = Settings {
         routers: params.number_or("peers_total", 1.0)? as u32,
         zone,
@@ -137,18 +159,34 @@
             cancel: params.flag_or("limits.cancel", false)?,
             second_copies: params.flag_or("limits.may_duplicate", false)?,
             retry_after: params.flag_or("limits.retry_after", false)?,
-            max_retry_after: Micros::from_secs_f64(params.number_or("limits.max_retry_after", 0.0)?),
+            max_retry_after: Micros::from_secs_f64(
+                params.number_or("limits.max_retry_after", 0.0)?,
+            ),
         },
-        connection_idle: params.optional_time("limits.conn_idle")?.unwrap_or(Micros::MAX),
+        connection_idle: params
+            .optional_time("limits.conn_idle")?
+            .unwrap_or(Micros::MAX),
         prices: Prices {
             connection: params.number_or("deductions.connection", 0.0)?,
             handshake: params.number_or("deductions.handshake", 0.0)?,
         },
         origin_falls: params.number_or("specifics.origin_fall_multiple", 1.0)? > 0.0,
     };
-    let names = Names { classes: class_names, tenants: tenant_names, zones, kinds };
-    let dial_timeout = params.optional_time("limits.dial_timeout")?.unwrap_or(Micros::MAX);
-    Ok(Deployment { settings, names, dial_timeout, reports: reports(&params) })
+    let names = Names {
+        classes: class_names,
+        tenants: tenant_names,
+        zones,
+        kinds,
+    };
+    let dial_timeout = params
+        .optional_time("limits.dial_timeout")?
+        .unwrap_or(Micros::MAX);
+    Ok(Deployment {
+        settings,
+        names,
+        dial_timeout,
+        reports: reports(&params),
+    })
 }
 
 fn classes(params: &Params<'_>) -> Result<(Vec<Class>, Vec<String>), ParamsError> {
@@ -174,7 +212,10 @@
             },
             "at_most_once" => Effect::Unsafe,
             other => {
-                return Err(ParamsError::new(format!("setting {}: '{other}' is not known", path("effect"))));
+                return Err(ParamsError::new(format!(
+                    "setting {}: '{other}' is not known",
+                    path("effect")
+                )));
             }
         };
         classes.0.push(Class {
@@ -210,21 +251,37 @@
             let origin = KindId(params.number("specifics.origin_kind")? as usize);
             Ok(CacheMode::Aside { origin })
         }
-        Some(other) => Err(ParamsError::new(format!("setting specifics.mode: '{other}' is not known"))),
+        Some(other) => Err(ParamsError::new(format!(
+            "setting specifics.mode: '{other}' is not known"
+        ))),
     }
 }
 
 /// Reports that come with probes alone are none: this router sends no probes.
 fn reports(params: &Params<'_>) -> Columns {
     let meaning = |path: &str| params.0.get(path).copied().unwrap_or("");
-    let names = if meaning("stats.how") == "inline" { params.list("stats.columns") } else { Vec::new() };
-    Columns::new(&names, [meaning("specifics.report_x0"), meaning("specifics.report_x1")])
+    let names = if meaning("stats.how") == "inline" {
+        params.list("stats.columns")
+    } else {
+        Vec::new()
+    };
+    Columns::new(
+        &names,
+        [
+            meaning("specifics.report_x0"),
+            meaning("specifics.report_x1"),
+        ],
+    )
 }
 
 fn discovery(params: &Params<'_>) -> Result<Discovery, ParamsError> {
     match params.0.get("discovery").copied() {
         None | Some("automatic") => Ok(Discovery::Push),
-        Some("subscribe") => Ok(Discovery::Subscribe { ask_within: params.time("invariants.ask_within")? }),
-        Some(other) => Err(ParamsError::new(format!("setting discovery: '{other}' is not known"))),
+        Some("subscribe") => Ok(Discovery::Subscribe {
+            ask_within: params.time("invariants.ask_within")?,
+        }),
+        Some(other) => Err(ParamsError::new(format!(
+            "setting discovery: '{other}' is not known"
+        ))),
     }
 }
--- a/crates/onyxpick/src/queue.rs
+++ b/crates/onyxpick/src/queue.rs
@@ -66,8 +66,8 @@
     fn word(&self, now: Micros) -> Option<bool> {
         let (_, load) = self.said.filter(|&(at, _)| now.since(at) < FRESH)?;
         load.queue.or(load.busy)?;
-        let at_ease =
-            load.queue.is_none_or(|queue| queue < NO_QUEUE) && load.busy.is_none_or(|busy| busy < ROOM);
+        let at_ease = load.queue.is_none_or(|queue| queue < NO_QUEUE)
+            && load.busy.is_none_or(|busy| busy < ROOM);
         (!at_ease || !self.takes(DISBELIEF)).then_some(at_ease)
     }
 
--- a/crates/onyxpick/src/state.rs
+++ b/crates/onyxpick/src/state.rs
@@ -130,7 +130,17 @@
 impl Held {
     pub fn new(ask: Request, came: Micros, place: u32, slice: f64, familiar: usize) -> Held {
         let (attempts, answered, streaming, missed) = (Vec::new(), false, false, false);
-        Held { ask, came, place, slice, attempts, answered, streaming, familiar, missed }
+        Held {
+            ask,
+            came,
+            place,
+            slice,
+            attempts,
+            answered,
+            streaming,
+            familiar,
+            missed,
+        }
     }
 
     pub fn is_out(&self) -> bool {
@@ -277,7 +287,14 @@
     /// How long a connection to a server may rest before it is closed.
     pub fn hold(&self) -> Micros {
         let (routers, servers) = (f64::from(self.settings.routers), self.ready as f64);
-        self.links.hold(self.settings.prices, &Fleet { routers, servers, pace: self.demand.pace })
+        self.links.hold(
+            self.settings.prices,
+            &Fleet {
+                routers,
+                servers,
+                pace: self.demand.pace,
+            },
+        )
     }
 
     /// How many requests and how many servers the router remembers, for an embedding program's metrics.
--- a/crates/onyxpick/src/turned_away.rs
+++ b/crates/onyxpick/src/turned_away.rs
@@ -23,7 +23,13 @@
 
     /// When a client's retry was first asked for. It does not name its earlier tries; most likely it is of the
     /// oldest request within a `deadline` that this router turned away for the same key, class and tenant.
-    pub fn first_came(&mut self, now: Micros, deadline: Micros, ask: &Request, place: u32) -> Micros {
+    pub fn first_came(
+        &mut self,
+        now: Micros,
+        deadline: Micros,
+        ask: &Request,
+        place: u32,
+    ) -> Micros {
         let oldest = now.since(deadline);
         let (alike, slots) = slots(place, ask);
         let known = slots.filter(|&i| self.0[i].0 == alike && self.0[i].1 >= oldest);
--- a/crates/onyxpick/src/view.rs
+++ b/crates/onyxpick/src/view.rs
@@ -39,7 +39,11 @@
         let ready = || self.servers.iter().filter(|s| s.is_ready() && !s.is_origin);
         let limits = || ready().map(|s| s.load.believed(self.now));
         let (count, sum) = (ready().count(), limits().sum::<f64>());
-        let least = if count == 0 { 0.0 } else { limits().fold(f64::INFINITY, f64::min) };
+        let least = if count == 0 {
+            0.0
+        } else {
+            limits().fold(f64::INFINITY, f64::min)
+        };
         View {
             held: self.held.len(),
             fetches: (self.fetches.out, self.fetches.limit),
@@ -48,7 +52,11 @@
             tokens: self.retry_tokens,
             usual: self.usual,
             at_work: ready().map(|s| s.load.in_flight).sum(),
-            limits: (least, sum / count.max(1) as f64, limits().fold(0.0, f64::max)),
+            limits: (
+                least,
+                sum / count.max(1) as f64,
+                limits().fold(0.0, f64::max),
+            ),
             ready: count,
             at_ease: ready().filter(|s| s.queue.is_at_ease(self.now)).count(),
             verdicts: self.verdicts,
@@ -59,6 +67,8 @@
     /// Listed servers that this router avoids now: called out by hand, or silent.
     pub fn avoided(&self) -> usize {
         let listed = self.servers.iter().filter(|s| !s.is_gone() && !s.is_origin);
-        listed.filter(|s| s.standing() == Standing::Out || (s.is_ready() && self.is_silent(s))).count()
+        listed
+            .filter(|s| s.standing() == Standing::Out || (s.is_ready() && self.is_silent(s)))
+            .count()
     }
 }
--- a/crates/onyxpick/src/words.rs
+++ b/crates/onyxpick/src/words.rs
@@ -29,7 +29,11 @@
 
     /// When it was put back; 0 if never.
     pub fn back_at(&self, server: &ServerId) -> Micros {
-        if let Some(Word::Back(at)) = self.0.get(server) { *at } else { Micros(0) }
+        if let Some(Word::Back(at)) = self.0.get(server) {
+            *at
+        } else {
+            Micros(0)
+        }
     }
 
     /// The operators said this.
--- a/crates/onyxpick/tests/common/mod.rs
+++ b/crates/onyxpick/tests/common/mod.rs
@@ -8,12 +8,21 @@
 }
 
 pub fn class(effect: Effect) -> Class {
-    Class { aim: ms(300), deadline: ms(1_000), worth: 1.0, late_worth: 0.3, effect }
+    Class {
+        aim: ms(300),
+        deadline: ms(1_000),
+        worth: 1.0,
+        late_worth: 0.3,
+        effect,
+    }
 }
 
 /// One of four routers. Class 0 is safe, 1 unsafe, 2 keyed (all servers, 400 ms).
 pub fn settings() -> Settings {
-    let keyed = Effect::Keyed { group: Group::All, memory: ms(400) };
+    let keyed = Effect::Keyed {
+        group: Group::All,
+        memory: ms(400),
+    };
     Settings {
         routers: 4,
         classes: vec![class(Effect::Safe), class(Effect::Unsafe), class(keyed)],
@@ -24,7 +33,10 @@
 /// The same, where an answer past the aim is worth this share.
 pub fn settings_with_late_worth(late_worth: f64) -> Settings {
     let mut settings = settings();
-    settings.classes.iter_mut().for_each(|class| class.late_worth = late_worth);
+    settings
+        .classes
+        .iter_mut()
+        .for_each(|class| class.late_worth = late_worth);
     settings
 }
 
@@ -45,7 +57,11 @@
 impl Rig {
     pub fn new(settings: Settings, members: Vec<Member>) -> Rig {
         let router = Router::new(settings, 1).expect("usable settings");
-        let mut rig = Rig { router, now: ms(100_000), next_id: 0 };
+        let mut rig = Rig {
+            router,
+            now: ms(100_000),
+            next_id: 0,
+        };
         rig.list(MembershipKind::Full, members);
         rig
     }
@@ -103,7 +119,10 @@
 /// An end without a note; a success completes the request.
 pub fn ended(id: RequestId, attempt: u32, outcome: Outcome, took: u64) -> AttemptEnd {
     let complete = outcome == Outcome::Success;
-    AttemptEnd { complete, ..AttemptEnd::new(id, AttemptNo(attempt), outcome, ms(took)) }
+    AttemptEnd {
+        complete,
+        ..AttemptEnd::new(id, AttemptNo(attempt), outcome, ms(took))
+    }
 }
 
 pub fn sent(actions: &[Action]) -> Option<ServerId> {
