--- a/crates/onyxpick/tests/departures.rs
+++ b/crates/onyxpick/tests/departures.rs
@@ -7,7 +7,9 @@
 /// A key of the given server in a rig of `count` idle servers.
 fn key_of(server: usize, count: usize) -> u64 {
     let mut rig = Rig::new(settings(), ready(count));
-    (0..).find(|&key| rig.served_by(key) == Some(name(server))).expect("a key")
+    (0..)
+        .find(|&key| rig.served_by(key) == Some(name(server)))
+        .expect("a key")
 }
 
 /// Keys of the given server, each asked for once, so that none of them is hot.
@@ -17,18 +19,27 @@
 
 /// The ring's own server of a key among `count`.
 fn key_at(key: u64, count: usize) -> ServerId {
-    Rig::new(settings(), ready(count)).served_by(key).expect("a server")
+    Rig::new(settings(), ready(count))
+        .served_by(key)
+        .expect("a server")
 }
 
 /// The end of a first attempt, and how the server came by its answer.
 fn noted(id: RequestId, outcome: Outcome, took: u64, note: Option<CacheNote>) -> Event {
-    Event::Ended(AttemptEnd { note, ..ended(id, 0, outcome, took) })
+    Event::Ended(AttemptEnd {
+        note,
+        ..ended(id, 0, outcome, took)
+    })
 }
 
 /// Writes that take every place there is.
 fn take_all_places(rig: &mut Rig) -> Vec<RequestId> {
     let asked: Vec<_> = (0..30).map(|key| rig.ask(1, key)).collect();
-    asked.into_iter().filter(|(_, actions)| sent(actions).is_some()).map(|(id, _)| id).collect()
+    asked
+        .into_iter()
+        .filter(|(_, actions)| sent(actions).is_some())
+        .map(|(id, _)| id)
+        .collect()
 }
 
 /// A server that cannot be reached is left to its successors but for a trickle, and taken back when it serves.
@@ -48,12 +59,18 @@
         }
         rig.now = rig.now.plus(ms(5));
     }
-    assert!((1..20).contains(&down), "{down} of 60 went to a server that is down");
+    assert!(
+        (1..20).contains(&down),
+        "{down} of 60 went to a server that is down"
+    );
     for key in keys.by_ref().take(40) {
         rig.served_by(key);
         rig.now = rig.now.plus(ms(1_000));
     }
-    assert!(keys.take(10).all(|key| rig.served_by(key) == Some(name(1))), "the ring decides again");
+    assert!(
+        keys.take(10).all(|key| rig.served_by(key) == Some(name(1))),
+        "the ring decides again"
+    );
 }
 
 /// Guards against blaming servers for a slow origin: an error that notes a miss leaves their health alone.
@@ -67,7 +84,11 @@
             continue;
         }
         let actions = rig.event(noted(id, Outcome::Failure, 20, Some(CacheNote::Miss)));
-        assert_eq!(sent(&actions), None, "a failed fetch is not tried again elsewhere");
+        assert_eq!(
+            sent(&actions),
+            None,
+            "a failed fetch is not tried again elsewhere"
+        );
         assert!(refused(&actions));
     }
     let reached = (0..100).any(|key| {
@@ -117,7 +138,10 @@
     let mut rig = Rig::new(settings(), ready(1));
     let at_once = |rig: &mut Rig, took: u64| {
         let ids: Vec<_> = (0..20).map(|_| rig.ask(0, 7)).collect();
-        let out: Vec<_> = ids.iter().filter(|(_, actions)| sent(actions).is_some()).collect();
+        let out: Vec<_> = ids
+            .iter()
+            .filter(|(_, actions)| sent(actions).is_some())
+            .collect();
         for (id, _) in &out {
             rig.event(noted(*id, Outcome::Success, took, Some(CacheNote::Hit)));
         }
@@ -128,7 +152,11 @@
     (0..10).for_each(|_| {
         at_once(&mut rig, 290);
     });
-    assert_eq!(at_once(&mut rig, 290), 1, "one at a time to a jammed server");
+    assert_eq!(
+        at_once(&mut rig, 290),
+        1,
+        "one at a time to a jammed server"
+    );
     (0..60).for_each(|_| {
         at_once(&mut rig, 20);
     });
@@ -141,7 +169,10 @@
     let mut rig = Rig::new(settings(), ready(4));
     let key = key_of(1, 4);
     let out: Vec<_> = (0..12).map(|_| rig.ask(0, key)).collect();
-    let homes: std::collections::BTreeSet<_> = out.iter().filter_map(|(_, actions)| sent(actions)).collect();
+    let homes: std::collections::BTreeSet<_> = out
+        .iter()
+        .filter_map(|(_, actions)| sent(actions))
+        .collect();
     assert!(homes.len() >= 2, "{homes:?}");
     for (id, _) in out {
         rig.event(noted(id, Outcome::Success, 10, Some(CacheNote::Hit)));
@@ -160,14 +191,22 @@
 fn a_key_moves_only_to_a_server_with_room_to_spare() {
     let moved = |busy: usize| {
         let mut rig = Rig::new(settings(), ready(2));
-        let (home, next): (Vec<_>, Vec<_>) =
-            (keys_of(1, 2).take(8).collect(), keys_of(2, 2).take(busy).collect());
-        home.iter().chain(&next).for_each(|&key| _ = rig.served_by(key));
+        let (home, next): (Vec<_>, Vec<_>) = (
+            keys_of(1, 2).take(8).collect(),
+            keys_of(2, 2).take(busy).collect(),
+        );
+        home.iter()
+            .chain(&next)
+            .for_each(|&key| _ = rig.served_by(key));
         next.iter().for_each(|&key| _ = rig.ask(0, key));
-        home.iter().any(|&key| sent(&rig.ask(0, key).1) == Some(name(2)))
+        home.iter()
+            .any(|&key| sent(&rig.ask(0, key).1) == Some(name(2)))
     };
     assert!(moved(0), "an idle one takes what has no place at home");
-    assert!(!moved(2), "one that has two of its four places taken does not");
+    assert!(
+        !moved(2),
+        "one that has two of its four places taken does not"
+    );
 }
 
 /// Guards a jam against clients that come again: a retry of what was turned away is as old as its first try. Once an
@@ -179,14 +218,23 @@
         let keys = 100..130;
         keys.clone().for_each(|key| _ = rig.served_by(key));
         let taken = take_all_places(&mut rig);
-        assert!(keys.clone().all(|key| refused(&rig.ask(0, key).1)), "no place is left");
-        taken.into_iter().for_each(|id| _ = rig.end(id, 0, Outcome::Success, 20));
+        assert!(
+            keys.clone().all(|key| refused(&rig.ask(0, key).1)),
+            "no place is left"
+        );
+        taken
+            .into_iter()
+            .for_each(|id| _ = rig.end(id, 0, Outcome::Success, 20));
         rig.now = rig.now.plus(ms(wait));
-        keys.filter(|&key| sent(&rig.retry(0, key).1).is_some()).count()
+        keys.filter(|&key| sent(&rig.retry(0, key).1).is_some())
+            .count()
     };
     let (early, late, worth) = (room(50, 0.0), room(290, 0.0), room(290, 1.0));
     assert!(early >= 4, "{early} in time");
-    assert!((1..=early / 2).contains(&late), "{late} late, where that is worth nothing; {early} in time");
+    assert!(
+        (1..=early / 2).contains(&late),
+        "{late} late, where that is worth nothing; {early} in time"
+    );
     assert_eq!(worth, early, "where it is worth as much");
 }
 
@@ -198,13 +246,23 @@
         let mut rig = Rig::new(settings_with_late_worth(0.0), ready(1));
         (100..130).for_each(|key| _ = rig.served_by(key));
         let taken = take_all_places(&mut rig);
-        (100..130).filter(|_| turned_away).for_each(|key| _ = rig.ask(0, key));
-        taken.into_iter().for_each(|id| _ = rig.end(id, 0, Outcome::Success, 20));
+        (100..130)
+            .filter(|_| turned_away)
+            .for_each(|key| _ = rig.ask(0, key));
+        taken
+            .into_iter()
+            .for_each(|id| _ = rig.end(id, 0, Outcome::Success, 20));
         rig.now = rig.now.plus(ms(1_200));
-        (100..130).filter(|&key| sent(&rig.retry(0, key).1).is_some()).count()
+        (100..130)
+            .filter(|&key| sent(&rig.retry(0, key).1).is_some())
+            .count()
     };
     assert!(room(false) >= 4);
-    assert_eq!(room(true), room(false), "past the class's deadline nobody waits");
+    assert_eq!(
+        room(true),
+        room(false),
+        "past the class's deadline nobody waits"
+    );
 }
 
 #[test]
@@ -212,7 +270,11 @@
     let mut settings = settings();
     settings.classes[1].worth = 8.0;
     let mut rig = Rig::new(settings, ready(1));
-    let room = |rig: &mut Rig, class| (0..30).filter(|_| sent(&rig.ask(class, 7).1).is_some()).count();
+    let room = |rig: &mut Rig, class| {
+        (0..30)
+            .filter(|_| sent(&rig.ask(class, 7).1).is_some())
+            .count()
+    };
     let reads = room(&mut rig, 0);
     assert!(reads > 0);
     assert!(room(&mut rig, 1) > 0, "room is left for what is worth more");
@@ -222,8 +284,16 @@
 #[test]
 fn a_flooding_tenant_leaves_room_for_others() {
     let mut settings = settings();
-    settings.tenants =
-        vec![Tenant { quota_per_s: 10.0, share: 0.5 }, Tenant { quota_per_s: 10.0, share: 0.5 }];
+    settings.tenants = vec![
+        Tenant {
+            quota_per_s: 10.0,
+            share: 0.5,
+        },
+        Tenant {
+            quota_per_s: 10.0,
+            share: 0.5,
+        },
+    ];
     let mut rig = Rig::new(settings, ready(1));
     let mut next = 1_000_000;
     let mut ask = |rig: &mut Rig, tenant| {
@@ -264,7 +334,10 @@
             sends += usize::from(sent(&rig.end(id, attempt, Outcome::Overloaded, 5)).is_some());
         }
     }
-    assert!(sends < 560, "{sends} sends for 500 requests that all failed");
+    assert!(
+        sends < 560,
+        "{sends} sends for 500 requests that all failed"
+    );
 }
 
 #[test]
@@ -277,10 +350,17 @@
     members.push(origin.clone());
     let mut rig = Rig::new(settings, members);
     for key in 0..300 {
-        assert_ne!(rig.served_by(key), Some(origin.server.clone()), "the origin is off the ring");
+        assert_ne!(
+            rig.served_by(key),
+            Some(origin.server.clone()),
+            "the origin is off the ring"
+        );
     }
     let (id, _) = rig.ask(0, 5_000);
-    assert_eq!(sent(&rig.end(id, 0, Outcome::Miss, 3)), Some(origin.server.clone()));
+    assert_eq!(
+        sent(&rig.end(id, 0, Outcome::Miss, 3)),
+        Some(origin.server.clone())
+    );
     rig.end(id, 1, Outcome::Success, 30);
     assert_eq!(sent(&rig.ask(1, 5_000).1), Some(origin.server));
 }
@@ -294,23 +374,34 @@
     let mut actions = Vec::new();
     let list = |kind, members| Event::Membership { kind, members };
     router.handle(ms(1), list(MembershipKind::Cached, ready(3)), &mut actions);
-    assert_eq!(actions, vec![Action::Subscribe], "at the start, from the stale list");
+    assert_eq!(
+        actions,
+        vec![Action::Subscribe],
+        "at the start, from the stale list"
+    );
     let mut waits = Vec::new();
     for _ in 0..6 {
         actions.clear();
         router.handle(ms(2), list(MembershipKind::Lost, vec![]), &mut actions);
-        let [Action::SetTimer { after, token }] = actions[..] else { panic!("{actions:?}") };
+        let [Action::SetTimer { after, token }] = actions[..] else {
+            panic!("{actions:?}")
+        };
         waits.push(after);
         actions.clear();
         router.handle(ms(2), Event::Timer { token }, &mut actions);
         assert_eq!(actions, vec![Action::Subscribe]);
     }
     assert!(waits[3] > waits[0]);
-    assert!(waits.iter().all(|&w| w <= ms(5_000)), "never so late that the router is deemed told: {waits:?}");
+    assert!(
+        waits.iter().all(|&w| w <= ms(5_000)),
+        "never so late that the router is deemed told: {waits:?}"
+    );
     actions.clear();
     router.handle(ms(3), list(MembershipKind::Changes, vec![]), &mut actions);
     router.handle(ms(3), list(MembershipKind::Lost, vec![]), &mut actions);
-    let [Action::SetTimer { after, .. }] = actions[..] else { panic!("{actions:?}") };
+    let [Action::SetTimer { after, .. }] = actions[..] else {
+        panic!("{actions:?}")
+    };
     assert!(after <= ms(1_000), "a new loss starts short again");
 }
 
@@ -319,9 +410,13 @@
 fn places_of_servers_long_gone_are_used_again() {
     let mut rig = Rig::new(settings(), ready(3));
     for i in 10..2_000 {
-        rig.list(MembershipKind::Full, vec![Member::ready(name(1)), Member::ready(name(i))]);
+        rig.list(
+            MembershipKind::Full,
+            vec![Member::ready(name(1)), Member::ready(name(i))],
+        );
         rig.now = rig.now.plus(ms(3_000));
-        let served: std::collections::BTreeSet<_> = (0..40).filter_map(|key| rig.served_by(key)).collect();
+        let served: std::collections::BTreeSet<_> =
+            (0..40).filter_map(|key| rig.served_by(key)).collect();
         assert!(served.contains(&name(1)) && served.iter().all(|s| *s == name(1) || *s == name(i)));
     }
     let (requests, servers) = rig.router.remembered();
@@ -349,8 +444,14 @@
         count
     };
     let calm = sends(&mut rig, 10);
-    let jammed = (0..4).map(|_| sends(&mut rig, 280)).last().expect("four rounds");
-    let after = (0..4).map(|_| sends(&mut rig, 10)).last().expect("four rounds");
+    let jammed = (0..4)
+        .map(|_| sends(&mut rig, 280))
+        .last()
+        .expect("four rounds");
+    let after = (0..4)
+        .map(|_| sends(&mut rig, 10))
+        .last()
+        .expect("four rounds");
     assert!(calm > 90, "{calm} of 100 while calm");
     assert!(jammed < 10, "{jammed} of 100 in two seconds while jammed");
     assert!(after > 90, "{after} of 100 afterwards");
@@ -365,7 +466,9 @@
         u32::from_le_bytes([digest[0], digest[1], digest[2], digest[3]]) % 4096
     };
     let kept = 7;
-    let sharing = (1_000_000..).find(|&key| slot(key) == slot(kept)).expect("a key of the same slot");
+    let sharing = (1_000_000..)
+        .find(|&key| slot(key) == slot(kept))
+        .expect("a key of the same slot");
     let mut rig = Rig::new(settings(), ready(1));
     assert_eq!(rig.served_by(kept), Some(name(1)));
     let others = (10_000..10_400).filter(|&key| slot(key) != slot(kept));
@@ -376,14 +479,24 @@
         }
     }
     for _ in 0..10 {
-        assert_eq!(rig.served_by(kept), Some(name(1)), "a likely hit is served while the origin fails");
+        assert_eq!(
+            rig.served_by(kept),
+            Some(name(1)),
+            "a likely hit is served while the origin fails"
+        );
     }
 }
 
 /// Guards a slow origin behind a thousand routers: each sees few fetches, so that a few failures must be enough.
 #[test]
 fn a_router_of_many_holds_fetches_back_after_a_few_failures() {
-    let mut rig = Rig::new(Settings { routers: 1_000, ..settings() }, ready(50));
+    let mut rig = Rig::new(
+        Settings {
+            routers: 1_000,
+            ..settings()
+        },
+        ready(50),
+    );
     for key in 0..5 {
         let (id, _) = rig.ask(0, key);
         rig.event(noted(id, Outcome::Failure, 20, Some(CacheNote::Miss)));
@@ -403,7 +516,13 @@
 /// origin's, unless fetches have failed.
 #[test]
 fn time_outs_alone_do_not_hold_fetches_back_at_a_router_of_many() {
-    let mut rig = Rig::new(Settings { routers: 1_000, ..settings() }, ready(50));
+    let mut rig = Rig::new(
+        Settings {
+            routers: 1_000,
+            ..settings()
+        },
+        ready(50),
+    );
     let mut let_through = 0;
     for key in 0..100 {
         let (id, actions) = rig.ask(0, key);
@@ -418,7 +537,13 @@
 /// each router leaves a server that was full alone for long, though it has never been served there.
 #[test]
 fn a_full_server_is_left_alone_by_a_router_of_many() {
-    let mut rig = Rig::new(Settings { routers: 1_000, ..settings() }, ready(4));
+    let mut rig = Rig::new(
+        Settings {
+            routers: 1_000,
+            ..settings()
+        },
+        ready(4),
+    );
     let mut knocked = 0;
     for key in keys_of(1, 4).take(20) {
         let (id, actions) = rig.ask(0, key);
@@ -435,7 +560,13 @@
 /// Guards jammed servers behind many routers (incident i3e2ffc): one time-out is news enough for a pause.
 #[test]
 fn one_time_out_at_a_router_of_many_is_news_enough() {
-    let mut rig = Rig::new(Settings { routers: 1_000, ..settings() }, ready(4));
+    let mut rig = Rig::new(
+        Settings {
+            routers: 1_000,
+            ..settings()
+        },
+        ready(4),
+    );
     let key = key_of(1, 4);
     assert_eq!(rig.served_by(key), Some(name(1)));
     rig.now = rig.now.plus(ms(60_000));
@@ -450,11 +581,22 @@
 /// answers are at a router that sees little, is taken up again like one that answers hits.
 #[test]
 fn a_throttled_server_that_answers_misses_is_taken_back() {
-    for (routers, trouble) in
-        [(1_000, Outcome::Overloaded), (64, Outcome::Overloaded), (64, Outcome::TimedOut)]
-    {
-        let mut rig = Rig::new(Settings { routers, ..settings() }, ready(4));
-        let keys: Vec<u64> = (0..).filter(|&k| key_at(k, 4) == name(1)).take(400).collect();
+    for (routers, trouble) in [
+        (1_000, Outcome::Overloaded),
+        (64, Outcome::Overloaded),
+        (64, Outcome::TimedOut),
+    ] {
+        let mut rig = Rig::new(
+            Settings {
+                routers,
+                ..settings()
+            },
+            ready(4),
+        );
+        let keys: Vec<u64> = (0..)
+            .filter(|&k| key_at(k, 4) == name(1))
+            .take(400)
+            .collect();
         for &key in &keys[..40] {
             let (id, _) = rig.ask(0, key);
             rig.end(id, 0, trouble, 300);
@@ -468,7 +610,10 @@
             rig.event(noted(id, Outcome::Success, 60, Some(CacheNote::Miss)));
             rig.now = rig.now.plus(ms(2_000));
         }
-        assert_eq!(last, 20, "the ring decides again, {routers} routers after {trouble:?}");
+        assert_eq!(
+            last, 20,
+            "the ring decides again, {routers} routers after {trouble:?}"
+        );
     }
 }
 
@@ -476,7 +621,13 @@
 /// "full" lengthens the pause.
 #[test]
 fn each_further_full_answer_lengthens_the_pause() {
-    let mut rig = Rig::new(Settings { routers: 1_000, ..settings() }, ready(4));
+    let mut rig = Rig::new(
+        Settings {
+            routers: 1_000,
+            ..settings()
+        },
+        ready(4),
+    );
     let mut knocks = Vec::new();
     for key in keys_of(1, 4).take(400) {
         let (id, actions) = rig.ask(0, key);
@@ -489,7 +640,10 @@
     }
     let pauses: Vec<Micros> = knocks.windows(2).map(|k| k[1].since(k[0])).collect();
     assert!(pauses.len() >= 2, "{pauses:?}");
-    assert!(pauses.windows(2).all(|p| p[1] >= p[0].scaled(1.5)), "{pauses:?}");
+    assert!(
+        pauses.windows(2).all(|p| p[1] >= p[0].scaled(1.5)),
+        "{pauses:?}"
+    );
 }
 
 /// Guards the bounded walk: servers that are skipped for being new do not count, so that one warm server is found.
@@ -514,11 +668,22 @@
     members.iter_mut().for_each(|m| m.weight = 4.0);
     members[0].weight = 1.5;
     let share = |weights| {
-        let mut rig = Rig::new(Settings { weights, ..settings() }, members.clone());
-        (0..2_000).filter(|&key| rig.served_by(key) == Some(name(1))).count()
+        let mut rig = Rig::new(
+            Settings {
+                weights,
+                ..settings()
+            },
+            members.clone(),
+        );
+        (0..2_000)
+            .filter(|&key| rig.served_by(key) == Some(name(1)))
+            .count()
     };
     let (whole, part) = (share(Weights::Unknown), share(Weights::Nominal));
-    assert!(part * 10 > whole * 3 && part * 10 < whole * 6, "{part} of {whole}");
+    assert!(
+        part * 10 > whole * 3 && part * 10 < whole * 6,
+        "{part} of {whole}"
+    );
 }
 
 /// Guards a key hotter than a server: many routers spread it over several homes, each router keeps to one, and
@@ -529,7 +694,14 @@
         let mut homes = std::collections::BTreeSet::new();
         for seed in 0..40 {
             let mut rig = Rig::new(settings(), vec![]);
-            rig.router = Router::new(Settings { routers: 400, ..settings() }, seed).expect("usable settings");
+            rig.router = Router::new(
+                Settings {
+                    routers: 400,
+                    ..settings()
+                },
+                seed,
+            )
+            .expect("usable settings");
             rig.list(MembershipKind::Full, ready(40));
             for key in 0..60 {
                 rig.served_by(if key % 6 == 0 { 7 } else { 1_000 + key });
@@ -540,7 +712,10 @@
         homes.len()
     };
     let (hot, calm) = (homes(0), homes(2_000));
-    assert!((3..12).contains(&hot), "{hot} homes while a sixth of the requests ask for it");
+    assert!(
+        (3..12).contains(&hot),
+        "{hot} homes while a sixth of the requests ask for it"
+    );
     assert_eq!(calm, 1);
 }
 
@@ -567,7 +742,11 @@
     assert!(timeout(2, 0.0, 20).is_some());
     assert_eq!(timeout(1, 0.0, 20), None, "an unsafe one");
     assert_eq!(timeout(0, 0.3, 20), None, "late answers have worth");
-    assert_eq!(timeout(0, 0.0, 100), None, "a third of the aim is usual here");
+    assert_eq!(
+        timeout(0, 0.0, 100),
+        None,
+        "a third of the aim is usual here"
+    );
 }
 
 /// Guards against connections dropped unseen while idle: after one that broke, those idle as long are closed before
@@ -575,7 +754,11 @@
 #[test]
 fn an_idle_connection_is_closed_before_use_after_one_that_broke() {
     let mut rig = Rig::new(settings(), ready(1));
-    let closes = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::CloseIdle { .. }));
+    let closes = |actions: &[Action]| {
+        actions
+            .iter()
+            .any(|a| matches!(a, Action::CloseIdle { .. }))
+    };
     let round = |rig: &mut Rig, wait: u64, outcome: Outcome| {
         rig.now = rig.now.plus(ms(wait));
         let (id, actions) = rig.ask(0, 7);
@@ -586,7 +769,10 @@
     assert!(!round(&mut rig, 4_000, Outcome::Broken));
     assert!(round(&mut rig, 3_000, Outcome::Success), "idle for long");
     assert!(!round(&mut rig, 100, Outcome::Success), "in steady use");
-    assert!(!round(&mut rig, 16_000, Outcome::Success), "beyond its idle time there is none");
+    assert!(
+        !round(&mut rig, 16_000, Outcome::Success),
+        "beyond its idle time there is none"
+    );
 }
 
 /// Guards an origin behind hundreds of routers: the first miss of each goes there.
@@ -599,7 +785,10 @@
         origin.kind = Some(KindId(9));
         let mut rig = Rig::new(settings.clone(), vec![]);
         rig.router = Router::new(settings, seed).expect("usable settings");
-        rig.list(MembershipKind::Full, [ready(3), vec![origin.clone()]].concat());
+        rig.list(
+            MembershipKind::Full,
+            [ready(3), vec![origin.clone()]].concat(),
+        );
         let (id, _) = rig.ask(0, 7);
         assert_eq!(sent(&rig.end(id, 0, Outcome::Miss, 5)), Some(origin.server));
     }
@@ -611,14 +800,25 @@
 fn further_attempts_are_spread() {
     let second = |seed: u64, count: usize| {
         let mut rig = Rig::new(settings(), vec![]);
-        rig.router = Router::new(Settings { routers: 400, ..settings() }, seed).expect("usable settings");
+        rig.router = Router::new(
+            Settings {
+                routers: 400,
+                ..settings()
+            },
+            seed,
+        )
+        .expect("usable settings");
         rig.list(MembershipKind::Full, ready(count));
         let (id, _) = rig.ask(0, 7);
         sent(&rig.end(id, 0, Outcome::TimedOut, 200))
     };
-    let homes: std::collections::BTreeSet<_> = (0..40).filter_map(|seed| second(seed, 20)).collect();
+    let homes: std::collections::BTreeSet<_> =
+        (0..40).filter_map(|seed| second(seed, 20)).collect();
     assert!((2..=4).contains(&homes.len()), "{homes:?}");
-    assert!((0..40).all(|seed| second(seed, 2).is_some()), "the only one left");
+    assert!(
+        (0..40).all(|seed| second(seed, 2).is_some()),
+        "the only one left"
+    );
 }
 
 /// Guards a failing origin where errors carry no note, as on sockets: a likely fetch that fails later than hits are
@@ -627,11 +827,17 @@
 fn a_late_failure_without_a_note_is_laid_to_the_origin() {
     let mut rig = Rig::new(settings(), ready(3));
     let (id, _) = rig.ask(0, 5);
-    assert!(sent(&rig.end(id, 0, Outcome::Failure, 20)).is_some(), "quick: the next server may do");
+    assert!(
+        sent(&rig.end(id, 0, Outcome::Failure, 20)).is_some(),
+        "quick: the next server may do"
+    );
     let mut rig = Rig::new(settings(), ready(3));
     let (id, _) = rig.ask(0, 5);
     let actions = rig.end(id, 0, Outcome::Failure, 400);
-    assert!(sent(&actions).is_none() && refused(&actions), "late: a further fetch feeds the origin's jam");
+    assert!(
+        sent(&actions).is_none() && refused(&actions),
+        "late: a further fetch feeds the origin's jam"
+    );
     for key in 100..140 {
         let (id, actions) = rig.ask(0, key);
         if sent(&actions).is_some() {
@@ -639,7 +845,10 @@
         }
     }
     let (_, actions) = rig.ask(0, 999);
-    assert!(refused(&actions), "no fetch is started while the last ones failed");
+    assert!(
+        refused(&actions),
+        "no fetch is started while the last ones failed"
+    );
 }
 
 /// Guards against a key whose kept copy went void: it must not be sent past the fetch limit for good.
@@ -648,7 +857,10 @@
     let mut rig = Rig::new(settings(), ready(3));
     assert!(rig.served_by(5).is_some());
     let (id, _) = rig.ask(0, 5);
-    assert!(refused(&rig.end(id, 0, Outcome::Failure, 400)), "known, and yet a failed fetch");
+    assert!(
+        refused(&rig.end(id, 0, Outcome::Failure, 400)),
+        "known, and yet a failed fetch"
+    );
     for key in 100..110 {
         let (id, _) = rig.ask(0, key);
         rig.end(id, 0, Outcome::Failure, 400);
@@ -657,5 +869,8 @@
     let (id, actions) = rig.ask(0, 7);
     assert!(sent(&actions).is_some());
     let actions = rig.end(id, 0, Outcome::Failure, 20);
-    assert!(sent(&actions).is_none() && refused(&actions), "the origin turns fetches away at once");
+    assert!(
+        sent(&actions).is_none() && refused(&actions),
+        "the origin turns fetches away at once"
+    );
 }
--- a/crates/onyxpick/tests/embed.rs
+++ b/crates/onyxpick/tests/embed.rs
@@ -16,7 +16,13 @@
     fn new(settings: Settings, seed: u64) -> Result<Embedded, SettingsError> {
         let router = Router::new(settings, seed)?;
         let (sent, answers) = (HashMap::new(), HashMap::new());
-        Ok(Embedded { router, timers: BTreeMap::new(), timers_set: 0, sent, answers })
+        Ok(Embedded {
+            router,
+            timers: BTreeMap::new(),
+            timers_set: 0,
+            sent,
+            answers,
+        })
     }
 
     fn tell(&mut self, now: Micros, event: Event) {
@@ -32,9 +38,13 @@
                 Action::Fail { id } => assert!(self.answers.insert(id, "failed").is_none()),
                 Action::SetTimer { after, token } => {
                     self.timers_set += 1;
-                    self.timers.insert((now.plus(after), self.timers_set), token);
+                    self.timers
+                        .insert((now.plus(after), self.timers_set), token);
                 }
-                Action::Cancel { .. } | Action::CloseIdle { .. } | Action::Subscribe | Action::Log(_) => {}
+                Action::Cancel { .. }
+                | Action::CloseIdle { .. }
+                | Action::Subscribe
+                | Action::Log(_) => {}
             }
         }
     }
@@ -43,7 +53,11 @@
         let attempt = AttemptNo(self.sent[&id].1);
         self.answers.insert(id, "served");
         let end = AttemptEnd::new(id, attempt, Outcome::Success, Micros::from_millis(12));
-        let end = AttemptEnd { complete: true, note: Some(CacheNote::Hit), ..end };
+        let end = AttemptEnd {
+            complete: true,
+            note: Some(CacheNote::Hit),
+            ..end
+        };
         self.tell(now, Event::Ended(end));
     }
 }
@@ -56,7 +70,11 @@
         late_worth: 0.0,
         effect: Effect::Safe,
     };
-    Settings { routers: 3, classes: vec![class], ..Settings::default() }
+    Settings {
+        routers: 3,
+        classes: vec![class],
+        ..Settings::default()
+    }
 }
 
 fn request(id: u32, key: u64, now: Micros) -> Event {
@@ -74,14 +92,24 @@
 
 #[test]
 fn routers_agree_and_share_nothing() -> Result<(), SettingsError> {
-    let mut routers =
-        [Embedded::new(settings(), 1)?, Embedded::new(settings(), 2)?, Embedded::new(settings(), 3)?];
-    let members: Vec<Member> =
-        (0..6).map(|i| Member::ready(format!("cache-{i}:11211").as_str().into())).collect();
+    let mut routers = [
+        Embedded::new(settings(), 1)?,
+        Embedded::new(settings(), 2)?,
+        Embedded::new(settings(), 3)?,
+    ];
+    let members: Vec<Member> = (0..6)
+        .map(|i| Member::ready(format!("cache-{i}:11211").as_str().into()))
+        .collect();
     let mut now = Micros::from_millis(1_000);
     for router in &mut routers {
         let members = members.clone();
-        router.tell(now, Event::Membership { kind: MembershipKind::Full, members });
+        router.tell(
+            now,
+            Event::Membership {
+                kind: MembershipKind::Full,
+                members,
+            },
+        );
     }
     for id in 0..300 {
         now = now.plus(Micros::from_millis(15));
@@ -98,7 +126,8 @@
         routers[0].tell(now, request(id, 0, now));
         let (server, attempt) = routers[0].sent[&RequestId(id)].clone();
         if server == home {
-            let (id, attempt, elapsed) = (RequestId(id), AttemptNo(attempt), Micros::from_millis(2));
+            let (id, attempt, elapsed) =
+                (RequestId(id), AttemptNo(attempt), Micros::from_millis(2));
             let end = AttemptEnd::new(id, attempt, Outcome::Overloaded, elapsed);
             routers[0].tell(now, Event::Ended(end));
         }
@@ -109,7 +138,9 @@
     for router in &mut routers {
         router.tell(now, request(2_000, 0, now));
     }
-    let homes = routers.each_ref().map(|r| r.sent[&RequestId(2_000)].0.clone());
+    let homes = routers
+        .each_ref()
+        .map(|r| r.sent[&RequestId(2_000)].0.clone());
     assert_ne!(homes[0], home);
     assert_eq!((&homes[1], &homes[2]), (&home, &home));
     Ok(())
@@ -120,12 +151,22 @@
     let mut embedded = Embedded::new(settings(), 9)?;
     let now = Micros::from_millis(1_000);
     let members = vec![Member::ready("cache-1:11211".into())];
-    embedded.tell(now, Event::Membership { kind: MembershipKind::Full, members });
+    embedded.tell(
+        now,
+        Event::Membership {
+            kind: MembershipKind::Full,
+            members,
+        },
+    );
     (0..200).for_each(|id| embedded.tell(now, request(id, u64::from(id), now)));
     while let Some(((due, _), token)) = embedded.timers.pop_first() {
         embedded.tell(due, Event::Timer { token });
     }
     assert_eq!(embedded.answers.len(), 200);
-    assert_eq!(embedded.router.remembered(), (0, 1), "nothing is kept of requests that are over");
+    assert_eq!(
+        embedded.router.remembered(),
+        (0, 1),
+        "nothing is kept of requests that are over"
+    );
     Ok(())
 }
--- a/crates/onyxpick/tests/links.rs
+++ b/crates/onyxpick/tests/links.rs
@@ -9,8 +9,18 @@
 
 /// One of a hundred routers, with prices as a deployment has them.
 fn one_of_many() -> Rig {
-    let prices = Prices { connection: 0.08, handshake: 0.12 };
-    Rig::new(Settings { routers: 100, prices, ..settings() }, ready(10))
+    let prices = Prices {
+        connection: 0.08,
+        handshake: 0.12,
+    };
+    Rig::new(
+        Settings {
+            routers: 100,
+            prices,
+            ..settings()
+        },
+        ready(10),
+    )
 }
 
 /// One request every 100 ms, each on this connection and ended this way.
@@ -20,7 +30,11 @@
         rig.now = rig.now.plus(ms(5));
         if sent(&actions).is_some() {
             let note = (outcome == Outcome::Success).then_some(CacheNote::Hit);
-            rig.event(Event::Ended(AttemptEnd { link, note, ..ended(id, 0, outcome, 5) }));
+            rig.event(Event::Ended(AttemptEnd {
+                link,
+                note,
+                ..ended(id, 0, outcome, 5)
+            }));
         }
         rig.event(Event::Gone { id });
         rig.now = rig.now.plus(ms(95));
@@ -50,9 +64,17 @@
     ask(&mut rig, 0..100, KEPT, Outcome::Success);
     let (hold, limits) = (rig.router.hold(), rig.router.view().limits.1);
     ask(&mut rig, 0..40, Link::New, Outcome::Overloaded);
-    assert!(rig.router.hold() < hold.scaled(0.5), "{:?} of {hold:?}", rig.router.hold());
+    assert!(
+        rig.router.hold() < hold.scaled(0.5),
+        "{:?} of {hold:?}",
+        rig.router.hold()
+    );
     // The first ones are not known for what they are.
-    assert!(rig.router.view().limits.1 > 0.8 * limits, "{} of {limits}", rig.router.view().limits.1);
+    assert!(
+        rig.router.view().limits.1 > 0.8 * limits,
+        "{} of {limits}",
+        rig.router.view().limits.1
+    );
 }
 
 #[test]
@@ -64,6 +86,14 @@
         ask(&mut rig, key..key + 1, KEPT, Outcome::Overloaded);
         ask(&mut rig, key + 20..key + 21, Link::New, Outcome::Overloaded);
     }
-    assert!(rig.router.hold() > hold.scaled(0.9), "{:?} of {hold:?}", rig.router.hold());
-    assert!(rig.router.view().limits.1 < 0.8 * limits, "{} of {limits}", rig.router.view().limits.1);
+    assert!(
+        rig.router.hold() > hold.scaled(0.9),
+        "{:?} of {hold:?}",
+        rig.router.hold()
+    );
+    assert!(
+        rig.router.view().limits.1 < 0.8 * limits,
+        "{} of {limits}",
+        rig.router.view().limits.1
+    );
 }
--- a/crates/onyxpick/tests/many_routers.rs
+++ b/crates/onyxpick/tests/many_routers.rs
@@ -7,8 +7,15 @@
 
 /// One router of a hundred: class 0 is worth one, class 1 five; both safe.
 fn one_of_many() -> Settings {
-    let worthy = Class { worth: 5.0, ..class(Effect::Safe) };
-    Settings { routers: 100, classes: vec![class(Effect::Safe), worthy], ..Settings::default() }
+    let worthy = Class {
+        worth: 5.0,
+        ..class(Effect::Safe)
+    };
+    Settings {
+        routers: 100,
+        classes: vec![class(Effect::Safe), worthy],
+        ..Settings::default()
+    }
 }
 
 /// A read of the given class, with 800 ms to live; `number` is its own.
@@ -16,7 +23,16 @@
     let id = RequestId(1_000_000 + number as u32);
     let expires = rig.now.plus(ms(800));
     let (class, key) = (ClassId(class), Some(key));
-    let ask = Request { id, class, tenant: None, key, expires, cost_hint: None, retry: false, write: false };
+    let ask = Request {
+        id,
+        class,
+        tenant: None,
+        key,
+        expires,
+        cost_hint: None,
+        retry: false,
+        write: false,
+    };
     (id, rig.event(Event::Request(ask)))
 }
 
@@ -29,7 +45,11 @@
         let (id, actions) = read(rig, i, class, key);
         if sent(&actions).is_some() {
             sent_on[class] += 1;
-            let took = if sent_on.iter().sum::<usize>() % 9 == 0 { took } else { 60 };
+            let took = if sent_on.iter().sum::<usize>() % 9 == 0 {
+                took
+            } else {
+                60
+            };
             rig.event(noted(id, Outcome::Success, took, Some(CacheNote::Hit)));
         }
         rig.now = rig.now.plus(gap);
@@ -39,11 +59,16 @@
 
 /// Keys of the given server, each asked for once.
 fn keys_of(server: usize, servers: usize) -> impl Iterator<Item = u64> {
-    (0..).filter(move |&key| Rig::new(settings(), ready(servers)).served_by(key) == Some(name(server)))
+    (0..).filter(move |&key| {
+        Rig::new(settings(), ready(servers)).served_by(key) == Some(name(server))
+    })
 }
 
 fn noted(id: RequestId, outcome: Outcome, took: u64, note: Option<CacheNote>) -> Event {
-    Event::Ended(AttemptEnd { note, ..ended(id, 0, outcome, took) })
+    Event::Ended(AttemptEnd {
+        note,
+        ..ended(id, 0, outcome, took)
+    })
 }
 
 /// A server that is slow on every look takes less, and what is worth five times as much goes first: the order of
@@ -56,17 +81,29 @@
     let [low, high] = drive(&mut rig, 200, ms(700), 3, 400);
     assert!(low < 140 / 2, "{low} of 140 of little worth");
     let (refused_low, refused_high) = (140 - low, 60 - high);
-    assert!(refused_high * 140 * 3 <= refused_low * 60, "{refused_high} of 60 against {refused_low} of 140");
+    assert!(
+        refused_high * 140 * 3 <= refused_low * 60,
+        "{refused_high} of 60 against {refused_low} of 140"
+    );
 }
 
 /// Where all is worth the same, neither class gives way to the other.
 #[test]
 fn no_class_gives_way_where_all_worths_are_alike() {
     let alike = vec![class(Effect::Safe), class(Effect::Safe)];
-    let mut rig = Rig::new(Settings { classes: alike, ..one_of_many() }, ready(4));
+    let mut rig = Rig::new(
+        Settings {
+            classes: alike,
+            ..one_of_many()
+        },
+        ready(4),
+    );
     drive(&mut rig, 60, ms(700), 5, 400);
     let [one, other] = drive(&mut rig, 200, ms(700), 5, 400);
-    assert!(one.abs_diff(other) * 4 <= one + other, "{one} against {other}");
+    assert!(
+        one.abs_diff(other) * 4 <= one + other,
+        "{one} against {other}"
+    );
 }
 
 /// One late answer is no state of the server: a minute later its keys are served as before, with no look between.
@@ -102,7 +139,10 @@
         knocks
     };
     let (told, seen) = (knocks(Outcome::Overloaded), knocks(Outcome::TimedOut));
-    assert!(told * 2 <= seen, "{told} knocks after full answers, {seen} after time-outs");
+    assert!(
+        told * 2 <= seen,
+        "{told} knocks after full answers, {seen} after time-outs"
+    );
 }
 
 /// A hunch moves no key: a router that met one late answer refuses or waits, it does not send the key elsewhere,
@@ -153,14 +193,27 @@
 /// A write costs no cached key, so that a hunch is enough for it to go where there is room.
 #[test]
 fn a_write_leaves_a_server_on_a_hunch() {
-    let keyed = class(Effect::Keyed { group: Group::All, memory: ms(400) });
-    let mut rig = Rig::new(Settings { classes: vec![class(Effect::Safe), keyed], ..one_of_many() }, ready(4));
+    let keyed = class(Effect::Keyed {
+        group: Group::All,
+        memory: ms(400),
+    });
+    let mut rig = Rig::new(
+        Settings {
+            classes: vec![class(Effect::Safe), keyed],
+            ..one_of_many()
+        },
+        ready(4),
+    );
     let keys: Vec<u64> = keys_of(1, 4).take(3).collect();
     for &key in &keys[..2] {
         let (id, _) = rig.ask(0, key);
         rig.event(noted(id, Outcome::Success, 400, Some(CacheNote::Hit)));
     }
-    assert_eq!(sent(&rig.ask(0, keys[2]).1), None, "a read waits for its owner");
+    assert_eq!(
+        sent(&rig.ask(0, keys[2]).1),
+        None,
+        "a read waits for its owner"
+    );
     assert!(sent(&rig.ask(1, keys[2]).1).is_some_and(|server| server != name(1)));
 }
 
@@ -173,7 +226,11 @@
     for key in 0..600 {
         let (id, actions) = rig.ask(0, key);
         let owner = Rig::new(settings(), ready(15)).served_by(key);
-        let count = if owner == Some(name(1)) { &mut slow } else { &mut others };
+        let count = if owner == Some(name(1)) {
+            &mut slow
+        } else {
+            &mut others
+        };
         count.0 += 1;
         if let Some(server) = sent(&actions) {
             count.1 += 1;
@@ -182,6 +239,9 @@
         }
         rig.now = rig.now.plus(ms(667));
     }
-    assert!(slow.0 >= 20 && slow.1 * 2 <= slow.0, "{slow:?} of the slow server's");
+    assert!(
+        slow.0 >= 20 && slow.1 * 2 <= slow.0,
+        "{slow:?} of the slow server's"
+    );
     assert!(others.1 * 100 >= others.0 * 97, "{others:?} of the others'");
 }
--- a/crates/onyxpick/tests/operators.rs
+++ b/crates/onyxpick/tests/operators.rs
@@ -16,7 +16,9 @@
 
 /// How many of a hundred keys go to the first server.
 fn share(rig: &mut Rig) -> usize {
-    (0..100).filter(|&key| rig.served_by(key) == Some(name(1))).count()
+    (0..100)
+        .filter(|&key| rig.served_by(key) == Some(name(1)))
+        .count()
 }
 
 #[test]
@@ -24,8 +26,14 @@
     let mut rig = Rig::new(settings(), ready(3));
     assert!(share(&mut rig) > 0);
     let actions = exclude(&mut rig, name(1));
-    assert!(actions.contains(&Action::CloseIdle { server: name(1) }), "{actions:?}");
-    assert_eq!((share(&mut rig), rig.router.standing(&name(1))), (0, Some(Standing::Out)));
+    assert!(
+        actions.contains(&Action::CloseIdle { server: name(1) }),
+        "{actions:?}"
+    );
+    assert_eq!(
+        (share(&mut rig), rig.router.standing(&name(1))),
+        (0, Some(Standing::Out))
+    );
     assert_eq!(rig.router.avoided(), 1);
 }
 
@@ -33,8 +41,14 @@
 fn the_list_does_not_lift_a_ban() {
     let mut rig = Rig::new(settings(), ready(3));
     exclude(&mut rig, name(1));
-    let fresh = Member { started: ms(99_000), ..Member::ready(name(1)) };
-    let gone = Member { state: ServerState::Gone, ..Member::ready(name(1)) };
+    let fresh = Member {
+        started: ms(99_000),
+        ..Member::ready(name(1))
+    };
+    let gone = Member {
+        state: ServerState::Gone,
+        ..Member::ready(name(1))
+    };
     for members in [vec![Member::ready(name(1))], vec![gone], vec![fresh]] {
         rig.list(MembershipKind::Changes, members);
         assert_eq!(share(&mut rig), 0);
@@ -80,7 +94,13 @@
 fn a_call_back_during_its_warm_up_begins_that_anew() {
     let mut rig = Rig::new(settings(), ready(3));
     let usual = share(&mut rig);
-    rig.list(MembershipKind::Changes, vec![Member { started: rig.now, ..Member::ready(name(1)) }]);
+    rig.list(
+        MembershipKind::Changes,
+        vec![Member {
+            started: rig.now,
+            ..Member::ready(name(1))
+        }],
+    );
     rig.now = rig.now.plus(ms(29_000));
     exclude(&mut rig, name(1));
     include(&mut rig, name(1));
@@ -110,7 +130,11 @@
     let usual = share(&mut old);
     exclude(&mut old, name(1));
     include(&mut old, name(1));
-    let words: Vec<_> = old.router.words().map(|(server, word)| (server.clone(), word)).collect();
+    let words: Vec<_> = old
+        .router
+        .words()
+        .map(|(server, word)| (server.clone(), word))
+        .collect();
     let mut new = Rig::new(settings(), ready(3));
     new.now = old.now.plus(ms(1_000));
     for (server, word) in words {
@@ -129,11 +153,17 @@
     exclude(&mut rig, name(1));
     exclude(&mut rig, name(2));
     let (id, actions) = rig.ask(0, 7);
-    assert!(sent(&actions).is_none() && !refused(&actions), "{actions:?}");
+    assert!(
+        sent(&actions).is_none() && !refused(&actions),
+        "{actions:?}"
+    );
     include(&mut rig, name(2));
     rig.now = rig.now.plus(ms(100));
     let timer = u64::from(id.0) << 2 | 1;
-    assert_eq!(sent(&rig.event(Event::Timer { token: timer })), Some(name(2)));
+    assert_eq!(
+        sent(&rig.event(Event::Timer { token: timer })),
+        Some(name(2))
+    );
 }
 
 #[test]
@@ -145,14 +175,20 @@
     let now = old.now;
     new.router.recall(now, learnt.clone());
     assert_eq!(new.router.learnt(), learnt);
-    assert_eq!((0..100).map(|key| new.served_by(key)).collect::<Vec<_>>(), homes);
+    assert_eq!(
+        (0..100).map(|key| new.served_by(key)).collect::<Vec<_>>(),
+        homes
+    );
 }
 
 #[test]
 fn of_a_server_that_was_started_anew_nothing_is_recalled() {
     let mut old = Rig::new(settings(), ready(2));
     let usual = share(&mut old);
-    let fresh = Member { started: ms(99_000), ..Member::ready(name(1)) };
+    let fresh = Member {
+        started: ms(99_000),
+        ..Member::ready(name(1))
+    };
     let mut new = Rig::new(settings(), vec![fresh, Member::ready(name(2))]);
     let now = new.now;
     new.router.recall(now, old.router.learnt());
--- a/crates/onyxpick/tests/origin.rs
+++ b/crates/onyxpick/tests/origin.rs
@@ -6,7 +6,10 @@
 use onyxpick::*;
 
 fn noted(id: RequestId, outcome: Outcome, took: u64, note: CacheNote) -> Event {
-    Event::Ended(AttemptEnd { note: Some(note), ..ended(id, 0, outcome, took) })
+    Event::Ended(AttemptEnd {
+        note: Some(note),
+        ..ended(id, 0, outcome, took)
+    })
 }
 
 /// Sends requests for new keys until one is turned away; their ids.
@@ -30,8 +33,12 @@
     let out = fill(&mut rig, 1_000);
     assert!(out.len() > 10, "{} at once", out.len());
     rig.now = rig.now.plus(ms(400));
-    out.iter().for_each(|&id| _ = rig.event(Event::Ended(ended(id, 0, Outcome::TimedOut, 400))));
-    assert!(fill(&mut rig, 5_000).is_empty(), "all of them still are at work at the origin");
+    out.iter()
+        .for_each(|&id| _ = rig.event(Event::Ended(ended(id, 0, Outcome::TimedOut, 400))));
+    assert!(
+        fill(&mut rig, 5_000).is_empty(),
+        "all of them still are at work at the origin"
+    );
     rig.now = rig.now.plus(ms(4_000));
     assert!(!fill(&mut rig, 9_000).is_empty(), "they have ended");
 }
@@ -49,7 +56,10 @@
         rig.now = rig.now.plus(ms(20));
     }
     let after = rig.router.view().fetches.1;
-    assert!(after >= before, "{before} to {after}, with one in seven late");
+    assert!(
+        after >= before,
+        "{before} to {after}, with one in seven late"
+    );
 }
 
 /// Guards recovery: once the origin is well again a few fetches in time let the others follow.
@@ -74,14 +84,23 @@
             rig.event(noted(id, Outcome::Success, 40, CacheNote::Miss));
         }
     }
-    assert!(served >= 36, "{served} of the last 40 requests, from 3 s after the end");
+    assert!(
+        served >= 36,
+        "{served} of the last 40 requests, from 3 s after the end"
+    );
 }
 
 /// Guards servers behind a slow origin at a router of many, which sees little of each: likely fetches that time out
 /// at one server after another are the origin's.
 #[test]
 fn time_outs_all_over_the_fleet_are_the_origins_at_a_router_of_many() {
-    let mut rig = Rig::new(Settings { routers: 100, ..settings() }, ready(20));
+    let mut rig = Rig::new(
+        Settings {
+            routers: 100,
+            ..settings()
+        },
+        ready(20),
+    );
     let before = rig.router.view();
     for key in 0..60 {
         let (id, actions) = rig.ask(0, key);
@@ -92,8 +111,18 @@
         rig.now = rig.now.plus(ms(300));
     }
     let after = rig.router.view();
-    assert!(after.fetches.1 < before.fetches.1 / 2.0, "{} to {}", before.fetches.1, after.fetches.1);
-    assert!(after.limits.1 > before.limits.1 / 2.0, "servers {} to {}", before.limits.1, after.limits.1);
+    assert!(
+        after.fetches.1 < before.fetches.1 / 2.0,
+        "{} to {}",
+        before.fetches.1,
+        after.fetches.1
+    );
+    assert!(
+        after.limits.1 > before.limits.1 / 2.0,
+        "servers {} to {}",
+        before.limits.1,
+        after.limits.1
+    );
 }
 
 /// Guards against what is full twice over: while the origin has a queue and its fetches are in use, a key does not
@@ -121,12 +150,19 @@
         sent(&rig.ask(0, keys[8]).1)
     };
     let elsewhere = moved(false);
-    assert!(elsewhere.is_some() && elsewhere != Some(name(1)), "at ease a key is moved: {elsewhere:?}");
+    assert!(
+        elsewhere.is_some() && elsewhere != Some(name(1)),
+        "at ease a key is moved: {elsewhere:?}"
+    );
     assert_eq!(moved(true), None, "short of fetches it is not");
 }
 
 /// Keys of the given server, each asked for once, so that none of them is hot.
 fn keys_of(server: usize, count: usize) -> impl Iterator<Item = u64> {
-    let owner = move |key| Rig::new(settings(), ready(count)).served_by(key).expect("a server");
+    let owner = move |key| {
+        Rig::new(settings(), ready(count))
+            .served_by(key)
+            .expect("a server")
+    };
     (1_000..).filter(move |&key| owner(key) == name(server))
 }
--- a/crates/onyxpick/tests/random_events.rs
+++ b/crates/onyxpick/tests/random_events.rs
@@ -10,14 +10,30 @@
 #[derive(Clone, Debug)]
 enum Step {
     Wait(u64),
-    Ask { class: usize, key: u64, life: u64, write: bool, tenant: usize },
+    Ask {
+        class: usize,
+        key: u64,
+        life: u64,
+        write: bool,
+        tenant: usize,
+    },
     AskAgain(u32),
-    End { nth: usize, outcome: usize, note: usize },
-    StrayEnd { id: u32, attempt: u32 },
+    End {
+        nth: usize,
+        outcome: usize,
+        note: usize,
+    },
+    StrayEnd {
+        id: u32,
+        attempt: u32,
+    },
     Gone(usize),
     Stream(usize),
     StrayTimer(u64),
-    List { kind: usize, states: Vec<(usize, usize, u64, u32)> },
+    List {
+        kind: usize,
+        states: Vec<(usize, usize, u64, u32)>,
+    },
 }
 
 const OUTCOMES: [Outcome; 9] = [
@@ -82,7 +98,16 @@
     fn new(settings: Settings, seed: u64) -> World {
         let router = Router::new(settings.clone(), seed).expect("usable settings");
         let (cases, states) = (HashMap::new(), HashMap::new());
-        World { settings, router, now: ms(100_000), next: 0, cases, ids: vec![], timers: vec![], states }
+        World {
+            settings,
+            router,
+            now: ms(100_000),
+            next: 0,
+            cases,
+            ids: vec![],
+            timers: vec![],
+            states,
+        }
     }
 
     fn event(&mut self, event: Event) {
@@ -93,8 +118,13 @@
                 Action::Send { id, server, .. } => self.check_send(id, server),
                 Action::Refuse { id, .. } => self.check_answer(id, true),
                 Action::Fail { id } => self.check_answer(id, false),
-                Action::SetTimer { after, token } => self.timers.push((self.now.plus(after), token)),
-                Action::Cancel { .. } | Action::CloseIdle { .. } | Action::Subscribe | Action::Log(_) => {}
+                Action::SetTimer { after, token } => {
+                    self.timers.push((self.now.plus(after), token))
+                }
+                Action::Cancel { .. }
+                | Action::CloseIdle { .. }
+                | Action::Subscribe
+                | Action::Log(_) => {}
             }
         }
     }
@@ -104,7 +134,11 @@
         let case = self.cases.get_mut(&id).expect("a send for a known request");
         assert!(!case.over && !case.streaming, "a send after the end");
         assert!(self.now < case.expires, "a send after the client's time");
-        assert_eq!(self.states.get(&server), Some(&ServerState::Ready), "a send to {server}");
+        assert_eq!(
+            self.states.get(&server),
+            Some(&ServerState::Ready),
+            "a send to {server}"
+        );
         assert!(case.sent.len() < limits.max_attempts as usize);
         let ran = |s: &&Sent| !s.end.is_some_and(Outcome::never_ran);
         if let Some(first) = case.sent.iter().find(ran) {
@@ -114,17 +148,37 @@
                 Effect::Keyed { memory, .. } => assert!(self.now.since(first.at) < memory),
             }
         }
-        assert!(limits.second_copies || case.sent.iter().all(|s| s.end.is_some()), "two attempts out");
-        case.sent.push(Sent { server: Some(server), at: self.now, end: None });
+        assert!(
+            limits.second_copies || case.sent.iter().all(|s| s.end.is_some()),
+            "two attempts out"
+        );
+        case.sent.push(Sent {
+            server: Some(server),
+            at: self.now,
+            end: None,
+        });
     }
 
     fn check_answer(&mut self, id: RequestId, refused: bool) {
-        let case = self.cases.get_mut(&id).expect("an answer for a known request");
+        let case = self
+            .cases
+            .get_mut(&id)
+            .expect("an answer for a known request");
         assert!(!case.over, "a second answer");
-        assert!(self.now <= case.expires.plus(self.settings.rules.answer_grace), "a late answer");
-        let may_have_run = case.sent.iter().any(|s| !s.end.is_some_and(Outcome::never_ran));
+        assert!(
+            self.now <= case.expires.plus(self.settings.rules.answer_grace),
+            "a late answer"
+        );
+        let may_have_run = case
+            .sent
+            .iter()
+            .any(|s| !s.end.is_some_and(Outcome::never_ran));
         if refused && may_have_run {
-            assert_ne!(self.settings.classes[case.class].effect, Effect::Unsafe, "an unsafe one refused");
+            assert_ne!(
+                self.settings.classes[case.class].effect,
+                Effect::Unsafe,
+                "an unsafe one refused"
+            );
         }
         case.answers += 1;
         case.over = true;
@@ -145,7 +199,11 @@
                     self.end(id, out, Outcome::TimedOut, None);
                 }
                 (_, Some(timer)) => {
-                    let place = self.timers.iter().position(|t| *t == timer).expect("the timer");
+                    let place = self
+                        .timers
+                        .iter()
+                        .position(|t| *t == timer)
+                        .expect("the timer");
                     self.timers.swap_remove(place);
                     self.now = self.now.max(timer.0);
                     self.event(Event::Timer { token: timer.1 });
@@ -164,17 +222,30 @@
         case.over |= ends;
         let (complete, elapsed) = (case.over, self.now.since(case.sent[out].at));
         let attempt = AttemptNo(out as u32);
-        let end = AttemptEnd { complete, note, ..AttemptEnd::new(id, attempt, outcome, elapsed) };
+        let end = AttemptEnd {
+            complete,
+            note,
+            ..AttemptEnd::new(id, attempt, outcome, elapsed)
+        };
         self.event(Event::Ended(end));
     }
 
     fn list(&mut self, kind: usize, states: &[(usize, usize, u64, u32)]) {
-        let kind =
-            [MembershipKind::Changes, MembershipKind::Full, MembershipKind::Cached, MembershipKind::Lost]
-                [kind];
-        let states = if kind == MembershipKind::Lost { &[] } else { states };
+        let kind = [
+            MembershipKind::Changes,
+            MembershipKind::Full,
+            MembershipKind::Cached,
+            MembershipKind::Lost,
+        ][kind];
+        let states = if kind == MembershipKind::Lost {
+            &[]
+        } else {
+            states
+        };
         if matches!(kind, MembershipKind::Full | MembershipKind::Cached) {
-            self.states.values_mut().for_each(|s| *s = ServerState::Gone);
+            self.states
+                .values_mut()
+                .for_each(|s| *s = ServerState::Gone);
         }
         let member = |&(server, state, started, weight): &(usize, usize, u64, u32)| Member {
             state: [ServerState::Ready, ServerState::Draining, ServerState::Gone][state],
@@ -194,7 +265,13 @@
     fn step(&mut self, step: &Step) {
         match step {
             Step::Wait(millis) => self.wait(self.now.plus(ms(*millis))),
-            Step::Ask { class, key, life, write, tenant } => self.ask(*class, *key, *life, *write, *tenant),
+            Step::Ask {
+                class,
+                key,
+                life,
+                write,
+                tenant,
+            } => self.ask(*class, *key, *life, *write, *tenant),
             Step::AskAgain(id) => {
                 if self.cases.contains_key(&RequestId(*id)) {
                     let live = !self.cases[&RequestId(*id)].over;
@@ -209,32 +286,57 @@
                     let sent = self.cases[id].sent.iter().enumerate();
                     sent.filter(|s| s.1.end.is_none()).map(move |s| (*id, s.0))
                 });
-                let Some((id, out)) = out.collect::<Vec<_>>().get(*nth).copied() else { return };
-                let notes = [None, Some(CacheNote::Hit), Some(CacheNote::Miss), Some(CacheNote::MissPending)];
+                let Some((id, out)) = out.collect::<Vec<_>>().get(*nth).copied() else {
+                    return;
+                };
+                let notes = [
+                    None,
+                    Some(CacheNote::Hit),
+                    Some(CacheNote::Miss),
+                    Some(CacheNote::MissPending),
+                ];
                 self.end(id, out, OUTCOMES[*outcome], notes[*note]);
             }
             Step::StrayEnd { id, attempt } => {
                 let known = self.cases.get(&RequestId(*id));
-                if known.is_some_and(|c| c.sent.get(*attempt as usize).is_some_and(|s| s.end.is_none())) {
+                if known.is_some_and(|c| {
+                    c.sent
+                        .get(*attempt as usize)
+                        .is_some_and(|s| s.end.is_none())
+                }) {
                     return;
                 }
                 let (id, attempt) = (RequestId(*id), AttemptNo(*attempt));
-                self.event(Event::Ended(AttemptEnd::new(id, attempt, Outcome::Failure, ms(1))));
+                self.event(Event::Ended(AttemptEnd::new(
+                    id,
+                    attempt,
+                    Outcome::Failure,
+                    ms(1),
+                )));
             }
             Step::Gone(nth) => {
-                let Some(&id) = self.ids.iter().rev().nth(*nth) else { return };
+                let Some(&id) = self.ids.iter().rev().nth(*nth) else {
+                    return;
+                };
                 let case = self.cases.get_mut(&id).expect("a known request");
                 case.answers += u32::from(!case.over);
                 case.over = true;
                 self.event(Event::Gone { id });
             }
             Step::Stream(nth) => {
-                let Some(&id) = self.ids.iter().rev().nth(*nth) else { return };
+                let Some(&id) = self.ids.iter().rev().nth(*nth) else {
+                    return;
+                };
                 let case = self.cases.get_mut(&id).expect("a known request");
                 let out = case.sent.iter().position(|s| s.end.is_none());
-                let Some(out) = out.filter(|_| !case.over) else { return };
+                let Some(out) = out.filter(|_| !case.over) else {
+                    return;
+                };
                 case.streaming = true;
-                self.event(Event::StreamStarted { id, attempt: AttemptNo(out as u32) });
+                self.event(Event::StreamStarted {
+                    id,
+                    attempt: AttemptNo(out as u32),
+                });
             }
             Step::StrayTimer(token) => self.event(Event::Timer { token: *token }),
             Step::List { kind, states } => self.list(*kind, states),
@@ -247,14 +349,33 @@
         let expires = self.now.plus(ms(life));
         if class < self.settings.classes.len() {
             let (sent, answers, over, streaming) = (vec![], 0, false, false);
-            self.cases.insert(id, Case { class, expires, answers, over, streaming, sent });
+            self.cases.insert(
+                id,
+                Case {
+                    class,
+                    expires,
+                    answers,
+                    over,
+                    streaming,
+                    sent,
+                },
+            );
             self.ids.push(id);
         }
-        self.event(Event::Request(request(id.0, class, key, expires, write, tenant)));
+        self.event(Event::Request(request(
+            id.0, class, key, expires, write, tenant,
+        )));
     }
 }
 
-fn request(id: u32, class: usize, key: u64, expires: Micros, write: bool, tenant: usize) -> Request {
+fn request(
+    id: u32,
+    class: usize,
+    key: u64,
+    expires: Micros,
+    write: bool,
+    tenant: usize,
+) -> Request {
     Request {
         id: RequestId(id),
         class: ClassId(class),
@@ -273,9 +394,19 @@
         settings.mode = CacheMode::Aside { origin: KindId(9) };
     }
     if mode & 2 == 2 {
-        settings.discovery = Discovery::Subscribe { ask_within: ms(10_000) };
-        settings.tenants =
-            vec![Tenant { quota_per_s: 5.0, share: 0.7 }, Tenant { quota_per_s: 0.0, share: 0.0 }];
+        settings.discovery = Discovery::Subscribe {
+            ask_within: ms(10_000),
+        };
+        settings.tenants = vec![
+            Tenant {
+                quota_per_s: 5.0,
+                share: 0.7,
+            },
+            Tenant {
+                quota_per_s: 0.0,
+                share: 0.0,
+            },
+        ];
     }
     settings.limits.second_copies = mode & 4 == 4;
     if mode & 8 == 8 {
@@ -289,16 +420,33 @@
 #[test]
 fn random_events_break_no_rule() {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
-    let mut runner = TestRunner::new_with_rng(Config { cases: 600, ..Config::default() }, rng);
+    let mut runner = TestRunner::new_with_rng(
+        Config {
+            cases: 600,
+            ..Config::default()
+        },
+        rng,
+    );
     let steps = proptest::collection::vec(step(), 1..120);
     let result = runner.run(&(0..16u8, any::<u64>(), steps), |(mode, seed, steps)| {
-        let mut worlds = [World::new(variant(mode), seed), World::new(variant(mode), seed)];
+        let mut worlds = [
+            World::new(variant(mode), seed),
+            World::new(variant(mode), seed),
+        ];
         for world in &mut worlds {
-            world.list(1, &[(1, 0, 0, 1), (2, 0, 0, 1), (3, 0, 99_000, 1), (0, 0, 0, 1)]);
+            world.list(
+                1,
+                &[(1, 0, 0, 1), (2, 0, 0, 1), (3, 0, 99_000, 1), (0, 0, 0, 1)],
+            );
             steps.iter().for_each(|step| world.step(step));
             world.wait(world.now.plus(ms(5_000)));
             for (id, case) in &world.cases {
-                prop_assert!(case.streaming || case.answers == 1, "{:?} got {} answers", id, case.answers);
+                prop_assert!(
+                    case.streaming || case.answers == 1,
+                    "{:?} got {} answers",
+                    id,
+                    case.answers
+                );
             }
         }
         let [a, b] = &worlds;
--- a/crates/onyxpick/tests/reports.rs
+++ b/crates/onyxpick/tests/reports.rs
@@ -21,7 +21,11 @@
 /// A hit that took so long, with this report.
 fn hit(rig: &mut Rig, id: RequestId, took: u64, load: Option<Load>) {
     let note = Some(CacheNote::Hit);
-    rig.event(Event::Ended(AttemptEnd { note, load, ..ended(id, 0, Outcome::Success, took) }));
+    rig.event(Event::Ended(AttemptEnd {
+        note,
+        load,
+        ..ended(id, 0, Outcome::Success, took)
+    }));
 }
 
 /// Forty hits in turn, each of so many milliseconds; the mean limit of the servers after each other.
@@ -45,13 +49,25 @@
         (row.busy, row.queue, row.service, row.fetches),
         (Some(0.61), Some(2.0), Some(Micros(83_500)), Some(7.0))
     );
-    assert_eq!(columns().read_pairs("util=0.61,queue=2,latency_ms=83.5,x1=7"), Some(row));
-    assert_eq!(columns().read_pairs("x1=7, backlog=2 ,qps=9,utilization=0.61,recent_ms=83.5"), Some(row));
+    assert_eq!(
+        columns().read_pairs("util=0.61,queue=2,latency_ms=83.5,x1=7"),
+        Some(row)
+    );
+    assert_eq!(
+        columns().read_pairs("x1=7, backlog=2 ,qps=9,utilization=0.61,recent_ms=83.5"),
+        Some(row)
+    );
 }
 
 #[test]
 fn what_cannot_be_a_figure_is_left_out_and_the_rest_is_kept() {
-    for row in ["NaN,2,-,7", "inf,2,1e300,7", "-0.1,2,-5,7", "61,2,,7", "what?,2,0x5,7"] {
+    for row in [
+        "NaN,2,-,7",
+        "inf,2,1e300,7",
+        "-0.1,2,-5,7",
+        "61,2,,7",
+        "what?,2,0x5,7",
+    ] {
         let load = columns().read_row(row).expect(row);
         assert_eq!(
             (load.busy, load.service, load.queue, load.fetches),
@@ -63,7 +79,11 @@
         assert_eq!(columns().read_row(nothing), None, "{nothing}");
         assert_eq!(columns().read_pairs(nothing), None, "{nothing}");
     }
-    assert_eq!(Columns::default().read_pairs("util=0.5"), None, "a deployment without reports");
+    assert_eq!(
+        Columns::default().read_pairs("util=0.5"),
+        None,
+        "a deployment without reports"
+    );
 }
 
 /// Guards servers that are slow by nature: at an aim of 300 ms, hits of 200 ms with nothing waiting are no queue.
@@ -100,14 +120,26 @@
 #[test]
 fn a_server_that_waits_for_work_gets_one_at_a_time_whatever_its_limit() {
     let busy = |load| {
-        let mut rig = Rig::new(Settings { routers: 40, ..settings() }, ready(1));
+        let mut rig = Rig::new(
+            Settings {
+                routers: 40,
+                ..settings()
+            },
+            ready(1),
+        );
         for _ in 0..4 {
             let (id, _) = rig.ask(0, 7);
-            rig.event(Event::Ended(AttemptEnd { load, ..ended(id, 0, Outcome::Overloaded, 2) }));
+            rig.event(Event::Ended(AttemptEnd {
+                load,
+                ..ended(id, 0, Outcome::Overloaded, 2)
+            }));
             rig.now = rig.now.plus(ms(20_000));
         }
         let (id, _) = rig.ask(0, 7);
-        rig.event(Event::Ended(AttemptEnd { load, ..ended(id, 0, Outcome::Overloaded, 2) }));
+        rig.event(Event::Ended(AttemptEnd {
+            load,
+            ..ended(id, 0, Outcome::Overloaded, 2)
+        }));
         rig
     };
     let goes = |rig: &mut Rig, after| {
@@ -127,10 +159,16 @@
 /// who else gets one?
 fn elsewhere(used_elsewhere: usize, in_trouble: bool) -> Option<ServerId> {
     let mut rig = Rig::new(settings(), ready(5));
-    let owner = |key| Rig::new(settings(), ready(5)).served_by(key).expect("a server");
+    let owner = |key| {
+        Rig::new(settings(), ready(5))
+            .served_by(key)
+            .expect("a server")
+    };
     let keys_of = |server: usize| (1_000..).filter(move |&key| owner(key) == name(server));
     // All are known where they belong, so that none is a fetch.
-    let keys: Vec<Vec<u64>> = (1..=5).map(|server| keys_of(server).take(9).collect()).collect();
+    let keys: Vec<Vec<u64>> = (1..=5)
+        .map(|server| keys_of(server).take(9).collect())
+        .collect();
     for &key in keys.iter().flatten() {
         rig.served_by(key).expect("room");
     }
@@ -142,9 +180,14 @@
         }
     }
     for server in 2..=4 {
-        keys[server - 1][..used_elsewhere].iter().for_each(|&key| _ = rig.ask(0, key));
+        keys[server - 1][..used_elsewhere]
+            .iter()
+            .for_each(|&key| _ = rig.ask(0, key));
     }
-    let taken: Vec<ServerId> = keys[0].iter().filter_map(|&key| sent(&rig.ask(0, key).1)).collect();
+    let taken: Vec<ServerId> = keys[0]
+        .iter()
+        .filter_map(|&key| sent(&rig.ask(0, key).1))
+        .collect();
     taken.into_iter().find(|server| *server != name(1))
 }
 
@@ -154,7 +197,11 @@
 fn a_key_moves_off_a_full_server_while_the_fleet_has_room_and_else_only_off_one_in_trouble() {
     assert!(elsewhere(0, false).is_some(), "with room it moves");
     assert_eq!(elsewhere(3, false), None, "in use as a whole it does not");
-    assert_eq!(elsewhere(3, true), Some(name(5)), "off one in trouble it does");
+    assert_eq!(
+        elsewhere(3, true),
+        Some(name(5)),
+        "off one in trouble it does"
+    );
 }
 
 /// Guards an origin that takes longer than an aim at its best: late answers are of use up to the deadline by their
@@ -168,7 +215,10 @@
         assert!(sent(&actions).is_some(), "request {key} of 200");
         rig.now = rig.now.plus(ms(400));
         let end = ended(id, 0, Outcome::Success, 400);
-        rig.event(Event::Ended(AttemptEnd { note: Some(CacheNote::Miss), ..end }));
+        rig.event(Event::Ended(AttemptEnd {
+            note: Some(CacheNote::Miss),
+            ..end
+        }));
     }
     let after = rig.router.view().fetches.1;
     assert!(after >= before, "{before} to {after}");
--- a/crates/onyxpick/tests/ring.rs
+++ b/crates/onyxpick/tests/ring.rs
@@ -7,11 +7,19 @@
 
 /// Computed apart from this crate: MD5 digests cut into little-endian words, five servers 10.0.0.1:80 to 10.0.0.5:80.
 /// Key 769 lies past the highest point and wraps to the lowest.
-const GOLDEN: [(u64, usize); 7] =
-    [(1, 5), (2, 2), (3, 2), (77, 1), (1000, 1), (4569004829183723, 4), (769, 2)];
+const GOLDEN: [(u64, usize); 7] = [
+    (1, 5),
+    (2, 2),
+    (3, 2),
+    (77, 1),
+    (1000, 1),
+    (4569004829183723, 4),
+    (769, 2),
+];
 
 fn owners(rig: &mut Rig, keys: std::ops::Range<u64>) -> Vec<ServerId> {
-    keys.map(|key| rig.served_by(key).expect("a ready server")).collect()
+    keys.map(|key| rig.served_by(key).expect("a ready server"))
+        .collect()
 }
 
 #[test]
--- a/crates/onyxpick/tests/rules.rs
+++ b/crates/onyxpick/tests/rules.rs
@@ -21,7 +21,10 @@
     rig.now = rig.now.plus(after);
     assert!(refused(&rig.event(Event::Timer { token })));
     assert_eq!(
-        rig.event(Event::Timer { token }).iter().filter(|a| matches!(a, Action::Refuse { .. })).count(),
+        rig.event(Event::Timer { token })
+            .iter()
+            .filter(|a| matches!(a, Action::Refuse { .. }))
+            .count(),
         0
     );
 }
@@ -47,7 +50,11 @@
         let (id, _) = rig.ask(1, 5);
         let actions = rig.end(id, 0, outcome, 20);
         assert_eq!(sent(&actions).is_some(), again, "{outcome:?}");
-        assert_eq!(failed(&actions), !again, "{outcome:?}: what may have run is failed, never refused");
+        assert_eq!(
+            failed(&actions),
+            !again,
+            "{outcome:?}: what may have run is failed, never refused"
+        );
         assert!(!refused(&actions));
     }
 }
@@ -74,7 +81,10 @@
     rig.now = rig.now.plus(ms(400));
     let actions = rig.end(id, 0, Outcome::Broken, 400);
     assert_eq!(sent(&actions), None, "its memory is over");
-    assert!(refused(&actions), "all servers share the memory, so that the client may still repeat it");
+    assert!(
+        refused(&actions),
+        "all servers share the memory, so that the client may still repeat it"
+    );
 }
 
 /// The repeat may wait for its connection: it says for how long.
@@ -88,16 +98,27 @@
             _ => None,
         })
     };
-    assert_eq!(within(&actions), Some(None), "nothing can have run before the first attempt");
+    assert_eq!(
+        within(&actions),
+        Some(None),
+        "nothing can have run before the first attempt"
+    );
     rig.now = rig.now.plus(ms(390));
     let actions = rig.end(id, 0, Outcome::Broken, 390);
-    assert_eq!(within(&actions), Some(Some(ms(10))), "ten of its 400 ms are left");
+    assert_eq!(
+        within(&actions),
+        Some(Some(ms(10))),
+        "ten of its 400 ms are left"
+    );
 }
 
 #[test]
 fn a_keyed_request_stays_in_its_zone() {
     let mut settings = settings();
-    settings.classes[2].effect = Effect::Keyed { group: Group::Zone, memory: ms(400) };
+    settings.classes[2].effect = Effect::Keyed {
+        group: Group::Zone,
+        memory: ms(400),
+    };
     let mut members = ready(3);
     for (i, member) in members.iter_mut().enumerate() {
         member.zone = Some(ZoneId(i));
@@ -157,31 +178,45 @@
         let mut members = ready(4);
         members[0].started = ms(100_000 - age);
         let mut rig = Rig::new(settings(), members);
-        (0..4_000).filter(|&key| rig.served_by(key) == Some(name(1))).count()
+        (0..4_000)
+            .filter(|&key| rig.served_by(key) == Some(name(1)))
+            .count()
     };
     let (fresh, half, warm) = (share_at(0), share_at(15_000), share_at(30_000));
     assert!(fresh < warm / 5, "fresh {fresh}, warm {warm}");
-    assert!(half > fresh && half < warm * 3 / 4, "half {half}, warm {warm}");
+    assert!(
+        half > fresh && half < warm * 3 / 4,
+        "half {half}, warm {warm}"
+    );
     assert!(warm > 700, "warm {warm}");
 }
 
 #[test]
 fn a_server_that_was_down_is_cold_when_it_comes_back() {
     let mut rig = Rig::new(settings(), ready(2));
-    let key = (0..).find(|&key| rig.served_by(key) == Some(name(1))).expect("a key of server 1");
+    let key = (0..)
+        .find(|&key| rig.served_by(key) == Some(name(1)))
+        .expect("a key of server 1");
     let fails = |rig: &mut Rig| {
         let (id, _) = rig.ask(0, key);
         rig.end(id, 0, Outcome::Unreachable, 5);
         rig.end(id, 1, Outcome::Success, 5);
     };
-    let served = |rig: &mut Rig| (0..400).filter(|&key| rig.served_by(key) == Some(name(1))).count();
+    let served = |rig: &mut Rig| {
+        (0..400)
+            .filter(|&key| rig.served_by(key) == Some(name(1)))
+            .count()
+    };
     // One connection that was reset shows nothing yet: the server keeps its keys.
     fails(&mut rig);
     assert!(served(&mut rig) > 150, "{} of 400 keys", served(&mut rig));
     fails(&mut rig);
     fails(&mut rig);
     let at_once = served(&mut rig);
-    assert!(at_once < 60, "{at_once} of 400 keys at once to a server that has just been down");
+    assert!(
+        at_once < 60,
+        "{at_once} of 400 keys at once to a server that has just been down"
+    );
 }
 
 /// Guards against refusing everything while the whole fleet is new: slices are measured against the warmest server.
@@ -205,12 +240,21 @@
     let mut members = ready(4);
     members[0].started = ms(85_000);
     let mut few = Rig::new(settings(), members.clone());
-    let key = (0..).find(|&key| few.served_by(key) == Some(name(1))).expect("a key of the cold server");
+    let key = (0..)
+        .find(|&key| few.served_by(key) == Some(name(1)))
+        .expect("a key of the cold server");
     let routers: u32 = 200;
     let mut to_cold = 0;
     for seed in 0..routers {
         let mut rig = Rig::new(settings(), vec![]);
-        rig.router = Router::new(Settings { routers, ..settings() }, seed.into()).expect("usable settings");
+        rig.router = Router::new(
+            Settings {
+                routers,
+                ..settings()
+            },
+            seed.into(),
+        )
+        .expect("usable settings");
         rig.list(MembershipKind::Full, members.clone());
         for _ in 0..4 {
             let (id, actions) = rig.ask(0, key);
@@ -224,7 +268,9 @@
 }
 
 fn closes(actions: &[Action], server: &ServerId) -> bool {
-    actions.contains(&Action::CloseIdle { server: server.clone() })
+    actions.contains(&Action::CloseIdle {
+        server: server.clone(),
+    })
 }
 
 /// Guards closing on drains, where it is a rule: at the notice, and again whenever something ends there.
@@ -236,11 +282,19 @@
     let (id, actions) = rig.ask(0, 5);
     let busy = sent(&actions).expect("sent");
     let mut drained = ready(3);
-    drained.iter_mut().for_each(|m| m.state = ServerState::Draining);
+    drained
+        .iter_mut()
+        .for_each(|m| m.state = ServerState::Draining);
     let actions = rig.list(MembershipKind::Changes, drained);
-    assert!((1..=3).all(|i| closes(&actions, &name(i))), "several drains at once: {actions:?}");
+    assert!(
+        (1..=3).all(|i| closes(&actions, &name(i))),
+        "several drains at once: {actions:?}"
+    );
     let actions = rig.end(id, 0, Outcome::Success, 20);
-    assert!(closes(&actions, &busy), "drained while working: {actions:?}");
+    assert!(
+        closes(&actions, &busy),
+        "drained while working: {actions:?}"
+    );
 
     let mut rig = Rig::new(settings.clone(), ready(3));
     let actions = rig.list(MembershipKind::Full, ready(2));
@@ -250,9 +304,18 @@
     let mut rig = Rig::new(settings, ready(3));
     let (id, actions) = rig.ask(0, 5);
     let server = sent(&actions).expect("sent");
-    rig.list(MembershipKind::Full, ready(3).into_iter().filter(|m| m.server != server).collect());
+    rig.list(
+        MembershipKind::Full,
+        ready(3)
+            .into_iter()
+            .filter(|m| m.server != server)
+            .collect(),
+    );
     rig.event(Event::Gone { id });
-    assert!(closes(&rig.end(id, 0, Outcome::TimedOut, 20), &server), "a last outcome after the client left");
+    assert!(
+        closes(&rig.end(id, 0, Outcome::TimedOut, 20), &server),
+        "a last outcome after the client left"
+    );
 }
 
 /// Guards against clients that come back at once, to the same jam: a refusal says when to come back, where clients
@@ -260,14 +323,27 @@
 #[test]
 fn a_refusal_is_given_at_once_with_advice_on_when_to_come_back() {
     let advice = |retry_after: bool, longest: u64| {
-        let limits =
-            Limits { max_attempts: 1, retry_after, max_retry_after: ms(longest), ..settings().limits };
-        let mut rig = Rig::new(Settings { limits, ..settings() }, ready(1));
+        let limits = Limits {
+            max_attempts: 1,
+            retry_after,
+            max_retry_after: ms(longest),
+            ..settings().limits
+        };
+        let mut rig = Rig::new(
+            Settings {
+                limits,
+                ..settings()
+            },
+            ready(1),
+        );
         let (id, _) = rig.ask(0, 5);
-        let given = rig.end(id, 0, Outcome::Overloaded, 20).into_iter().find_map(|action| match action {
-            Action::Refuse { retry_after, .. } => Some(retry_after),
-            _ => None,
-        });
+        let given = rig
+            .end(id, 0, Outcome::Overloaded, 20)
+            .into_iter()
+            .find_map(|action| match action {
+                Action::Refuse { retry_after, .. } => Some(retry_after),
+                _ => None,
+            });
         given.expect("an answer at the outcome, not at the deadline")
     };
     let usual = advice(true, 1_000).expect("advice");
@@ -277,7 +353,11 @@
 }
 
 fn joined(id: RequestId, tenant: Option<usize>, expires: Micros) -> Event {
-    Event::Joined { id, tenant: tenant.map(TenantId), expires }
+    Event::Joined {
+        id,
+        tenant: tenant.map(TenantId),
+        expires,
+    }
 }
 
 /// A client that waits longer joins: the request's own time is not its end any more, and the longer one is.
@@ -289,31 +369,68 @@
     rig.event(joined(id, None, asked.plus(ms(200))));
     rig.event(joined(id, None, asked.plus(ms(1_000))));
     rig.now = asked.plus(ms(800));
-    let deadline = Event::Timer { token: u64::from(id.0) << 2 };
+    let deadline = Event::Timer {
+        token: u64::from(id.0) << 2,
+    };
     let actions = rig.event(deadline.clone());
-    assert_eq!(actions, [Action::SetTimer { after: ms(200), token: u64::from(id.0) << 2 }]);
+    assert_eq!(
+        actions,
+        [Action::SetTimer {
+            after: ms(200),
+            token: u64::from(id.0) << 2
+        }]
+    );
     rig.now = asked.plus(ms(999));
-    assert!(sent(&rig.end(id, 0, Outcome::Unreachable, 999)).is_none(), "too late for a further attempt");
+    assert!(
+        sent(&rig.end(id, 0, Outcome::Unreachable, 999)).is_none(),
+        "too late for a further attempt"
+    );
     let (id, _) = rig.ask(0, 7);
     rig.event(joined(id, None, rig.now.plus(ms(2_000))));
-    rig.event(Event::Shortened { id, expires: rig.now.plus(ms(50)) });
-    assert!(refused(&rig.end(id, 0, Outcome::Unreachable, 1)), "nobody has the time for a further attempt");
+    rig.event(Event::Shortened {
+        id,
+        expires: rig.now.plus(ms(50)),
+    });
+    assert!(
+        refused(&rig.end(id, 0, Outcome::Unreachable, 1)),
+        "nobody has the time for a further attempt"
+    );
     let (id, _) = rig.ask(0, 7);
     rig.now = rig.now.plus(ms(800));
-    assert!(refused(&rig.event(Event::Timer { token: u64::from(id.0) << 2 })), "its own time without others");
+    assert!(
+        refused(&rig.event(Event::Timer {
+            token: u64::from(id.0) << 2
+        })),
+        "its own time without others"
+    );
 }
 
 /// What floods gets less room; joined by one that does not, a request has the room of that one.
 #[test]
 fn a_request_fares_as_the_most_entitled_of_those_who_joined_it() {
-    let tenants = vec![Tenant { quota_per_s: 10.0, share: 0.5 }; 2];
+    let tenants = vec![
+        Tenant {
+            quota_per_s: 10.0,
+            share: 0.5
+        };
+        2
+    ];
     for others in [false, true] {
-        let mut rig = Rig::new(Settings { tenants: tenants.clone(), routers: 1, ..settings() }, ready(2));
+        let mut rig = Rig::new(
+            Settings {
+                tenants: tenants.clone(),
+                routers: 1,
+                ..settings()
+            },
+            ready(2),
+        );
         let ask = |rig: &mut Rig, number: u32| {
             rig.event(Event::Request(Request {
                 id: RequestId(number),
                 class: ClassId(0),
-                tenant: Some(TenantId(usize::from(number < 2_000 && number.is_multiple_of(5)))),
+                tenant: Some(TenantId(usize::from(
+                    number < 2_000 && number.is_multiple_of(5),
+                ))),
                 key: Some(u64::from(number)),
                 expires: rig.now.plus(ms(800)),
                 cost_hint: None,
@@ -326,13 +443,19 @@
             ask(&mut rig, number);
             rig.end(RequestId(number), 0, Outcome::Success, 5);
         }
-        let out = (10_000..10_400).filter(|&number| sent(&ask(&mut rig, number)).is_some()).count();
+        let out = (10_000..10_400)
+            .filter(|&number| sent(&ask(&mut rig, number)).is_some())
+            .count();
         assert!((2..400).contains(&out), "{out}");
         if others {
             rig.event(joined(RequestId(10_000), Some(1), rig.now.plus(ms(800))));
             rig.event(joined(RequestId(10_000), Some(0), rig.now.plus(ms(800))));
         }
         let again = rig.end(RequestId(10_000), 0, Outcome::Overloaded, 5);
-        assert_eq!(sent(&again).is_some(), others, "there is room for it as tenant 1's alone: {again:?}");
+        assert_eq!(
+            sent(&again).is_some(),
+            others,
+            "there is room for it as tenant 1's alone: {again:?}"
+        );
     }
 }
