--- a/crates/asterport-admin/src/figures.rs
+++ b/crates/admin-api/src/figures.rs
@@ -2,19 +2,19 @@
 //!
 //! The request path counts in plain cells of its own thread; the library sees them when somebody asks.
 
-use asterport_engine::Figures;
 use prometheus_client::collector::Collector;
 use prometheus_client::encoding::{DescriptorEncoder, EncodeMetric, text};
 use prometheus_client::metrics::counter::ConstCounter;
 use prometheus_client::metrics::gauge::ConstGauge;
 use prometheus_client::registry::Registry;
+use router_runtime::Figures;
 use std::fmt;
 
 /// The media type of [`text()`].
 pub const CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
 /// How many of one class came to an end.
-type Count = fn(&asterport_engine::Ends) -> u64;
+type Count = fn(&router_runtime::Ends) -> u64;
 
 #[derive(Debug)]
 struct Shown(Figures);
--- a/crates/asterport-admin/src/lib.rs
+++ b/crates/admin-api/src/lib.rs
@@ -7,7 +7,7 @@
 pub mod figures;
 pub mod server;
 
-use asterport_engine::Figures;
+use router_runtime::Figures;
 
 /// A router as operators see it. Each of these has taken effect when it returns.
 pub trait Operated {
--- a/crates/asterport/benches/joining.rs
+++ b/crates/cache-router/benches/joining.rs
@@ -5,20 +5,20 @@
 //! there. Then 10,000 reads wait for one flight: memory and CPU for each.
 //!
 //! ```text
-//! cargo bench -p asterport --bench joining
+//! cargo bench -p cache-router --bench joining
 //! ```
 //! A first argument sets the seconds of load for each row (6).
 #![allow(missing_docs)] // A program.
 
-use asterport_testkit::{
-    Client, Discovery, Does, Router, Server, command, config, entry, list, wait_until,
-};
 use std::collections::HashMap;
 use std::io;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
+use test_support::{
+    Client, Discovery, Does, Router, Server, command, config, entry, list, wait_until,
+};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Semaphore;
--- a/crates/asterport/src/desk.rs
+++ b/crates/cache-router/src/desk.rs
@@ -1,12 +1,12 @@
 //! The operators' desk: calls become words to the engine, are kept on disk, and are told to another process of this
 //! router while there is one.
 
-use asterport_admin::Operated;
-use asterport_engine::service::Service;
-use asterport_engine::{Engine, Figures};
-use asterport_handover::form::{Message, Said, State};
-use asterport_handover::store::Store;
-use onyxpick::{Micros, ServerId, Word};
+use admin_api::Operated;
+use hot_restart::form::{Message, Said, State};
+use hot_restart::store::Store;
+use load_balancer::{Micros, ServerId, Word};
+use router_runtime::service::Service;
+use router_runtime::{Engine, Figures};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use tokio::sync::mpsc;
--- a/crates/asterport/src/main.rs
+++ b/crates/cache-router/src/main.rs
@@ -7,16 +7,16 @@
 mod succession;
 mod summary;
 
-use asterport_engine::service::{self, Service};
-use asterport_engine::{Engine, List, Start, Stopped};
-use asterport_handover::form::State;
-use asterport_handover::inherited_listener;
-use asterport_handover::link::Meeting;
-use asterport_handover::store::Store;
 use desk::Desk;
-use onyxpick::ServerId;
-use onyxpick::params::{self, Deployment};
+use hot_restart::form::State;
+use hot_restart::inherited_listener;
+use hot_restart::link::Meeting;
+use hot_restart::store::Store;
+use load_balancer::ServerId;
+use load_balancer::params::{self, Deployment};
 use operator::OperatorFile;
+use router_runtime::service::{self, Service};
+use router_runtime::{Engine, List, Start, Stopped};
 use serde::Deserialize;
 use serde_json::Value;
 use std::fmt::Display;
@@ -303,7 +303,7 @@
     let desk = Desk::new(engine.clone(), store, before.is_none());
     if let Some(admin) = config.admin {
         let listener = service::listen(admin).map_err(|e| plainly(&admin.to_string(), e))?;
-        spawn_local(asterport_admin::server::serve(listener, desk.clone()));
+        spawn_local(admin_api::server::serve(listener, desk.clone()));
     }
     eprintln!(
         "asterport: {} on {addr}, {count} servers known",
--- a/crates/asterport/src/operator.rs
+++ b/crates/cache-router/src/operator.rs
@@ -1,7 +1,7 @@
 //! The operator file: what is this project's own and not the platform's. Without one all of it is off.
 
 use crate::summary::SummaryFile;
-use asterport_joining::JoiningFile;
+use request_coalescing::JoiningFile;
 use serde::Deserialize;
 use std::fs::File;
 use std::io::Read;
--- a/crates/asterport/src/succession.rs
+++ b/crates/cache-router/src/succession.rs
@@ -1,11 +1,11 @@
 //! One process of this router after another: meets the one before, takes over from it, and gives way to the next.
 
 use crate::desk::Desk;
-use asterport_engine::service::Service;
-use asterport_engine::{Engine, Resting};
-use asterport_handover::form::{FormError, Message, State, VERSION};
-use asterport_handover::link::{Link, LinkError, Meeting};
 use bytes::BytesMut;
+use hot_restart::form::{FormError, Message, State, VERSION};
+use hot_restart::link::{Link, LinkError, Meeting};
+use router_runtime::service::Service;
+use router_runtime::{Engine, Resting};
 use std::os::fd::AsFd;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/asterport/src/summary.rs
+++ b/crates/cache-router/src/summary.rs
@@ -1,9 +1,9 @@
 //! One line a second on what this router does, so that a folder of logs can be summed over a fleet by second
 //! (`tools/fleet.py`): what one router does is seldom seen to harm, what all of them do together is.
 
-use asterport_engine::service::Service;
-use asterport_engine::{Attempts, Engine, OUTCOMES};
-use onyxpick::{Verdict, View};
+use load_balancer::{Verdict, View};
+use router_runtime::service::Service;
+use router_runtime::{Attempts, Engine, OUTCOMES};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
--- a/crates/asterport/tests/router_clients.rs
+++ b/crates/cache-router/tests/router_clients.rs
@@ -1,7 +1,7 @@
 //! Clients of the router: what they send, and what they may hold. The real binary against fake peers on loopback sockets.
 
-use asterport_testkit::*;
 use std::time::Instant;
+use test_support::*;
 
 #[test]
 fn answers_keep_the_order_of_pipelined_commands() {
--- a/crates/asterport/tests/router_departures.rs
+++ b/crates/cache-router/tests/router_departures.rs
@@ -1,7 +1,7 @@
 //! Clients that leave while their requests wait: nothing of theirs is sent on afterwards. The real binary against fake peers on loopback
 //! sockets; each order of events is forced by a peer.
 
-use asterport_testkit::*;
+use test_support::*;
 
 /// The ids of the commands that came to a server.
 fn ids(server: &Server) -> Vec<String> {
--- a/crates/asterport/tests/router_discovery.rs
+++ b/crates/cache-router/tests/router_discovery.rs
@@ -1,6 +1,6 @@
 //! The list of cache servers as the router has it. The real binary against fake peers on loopback sockets.
 
-use asterport_testkit::*;
+use test_support::*;
 
 /// The ways in which a watch is lost; each is followed by a new call, which goes on from the last version.
 #[test]
--- a/crates/asterport/tests/router_joining.rs
+++ b/crates/cache-router/tests/router_joining.rs
@@ -1,7 +1,7 @@
 //! Identical reads that share one upstream request: the real binary against fake peers on loopback sockets.
 
-use asterport_testkit::*;
 use std::time::{Duration, Instant};
+use test_support::*;
 
 const KEY: &str = "7f3a9c21e0b4d655";
 
--- a/crates/asterport/tests/router_long.rs
+++ b/crates/cache-router/tests/router_long.rs
@@ -1,10 +1,10 @@
 //! Long values: answers passed on as they come, writes under one budget. The real binary against fake peers on loopback
 //! sockets.
 
-use asterport_testkit::*;
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpStream};
 use std::time::Duration;
+use test_support::*;
 
 const SIZE: usize = 4 * 1024 * 1024;
 const KEY: &str = "00000000000000aa";
--- a/crates/asterport/tests/router_operators.rs
+++ b/crates/cache-router/tests/router_operators.rs
@@ -1,8 +1,8 @@
 //! Operators' calls to the router: bans, drains, figures. The real binary against fake peers on loopback sockets.
 
-use asterport_testkit::*;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
+use test_support::*;
 
 /// Keys that both of two servers own some of.
 fn keys() -> impl Iterator<Item = String> {
--- a/crates/asterport/tests/router_servers.rs
+++ b/crates/cache-router/tests/router_servers.rs
@@ -1,7 +1,7 @@
 //! Attempts at cache servers: connections, outcomes and what goes on the wire. The real binary against fake peers on loopback sockets.
 
-use asterport_testkit::*;
 use std::time::Instant;
+use test_support::*;
 
 #[test]
 fn a_read_and_a_write_are_served_unchanged_but_for_the_wait() {
--- a/crates/asterport/tests/router_signals.rs
+++ b/crates/cache-router/tests/router_signals.rs
@@ -1,7 +1,7 @@
 //! Start, SIGHUP, SIGTERM and end of the router. The real binary against fake peers on loopback sockets.
 
-use asterport_testkit::*;
 use std::time::Instant;
+use test_support::*;
 
 #[test]
 fn after_sigterm_all_that_was_taken_is_answered() {
--- a/crates/asterport/tests/router_upgrade.rs
+++ b/crates/cache-router/tests/router_upgrade.rs
@@ -1,7 +1,7 @@
 //! One process of the router after another, on a listening socket that the platform holds. The real binary against
 //! fake peers on loopback sockets.
 
-use asterport_testkit::*;
+use test_support::*;
 
 /// A server, its discovery, and the configuration of a router that knows it.
 fn fleet() -> (Server, Discovery, serde_json::Value) {
--- a/crates/asterport-handover/tests/form.rs
+++ b/crates/hot-restart/tests/form.rs
@@ -1,8 +1,8 @@
 //! What is handed over comes out as it went in, or not at all.
 
-use asterport_handover::form::{FormError, HEAD, MOST, Message, Said, State, VERSION};
-use asterport_handover::link::Link;
-use asterport_handover::store::{Store, StoreError};
+use hot_restart::form::{FormError, HEAD, MOST, Message, Said, State, VERSION};
+use hot_restart::link::Link;
+use hot_restart::store::{Store, StoreError};
 use proptest::collection::vec;
 use proptest::prelude::*;
 use std::os::fd::AsFd;
--- a/crates/onyxpick/benches/decision.rs
+++ b/crates/load-balancer/benches/decision.rs
@@ -1,8 +1,8 @@
-//! What a decision takes at several sizes of fleet: a request with its attempt and its answer. `cargo bench -p onyxpick`.
+//! What a decision takes at several sizes of fleet: a request with its attempt and its answer. `cargo bench -p load-balancer`.
 #![allow(missing_docs)] // A program.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
-use onyxpick::*;
+use load_balancer::*;
 use std::hint::black_box;
 
 /// Requests at work while one is measured, as on a busy router.
--- a/crates/onyxpick/examples/two_routers.rs
+++ b/crates/load-balancer/examples/two_routers.rs
@@ -1,7 +1,7 @@
 //! Two routers that share nothing send each key to the same server. Run with
 //! `cargo run --example two_routers`.
 
-use onyxpick::*;
+use load_balancer::*;
 
 fn main() -> Result<(), SettingsError> {
     let class = Class {
--- a/crates/onyxpick/src/lib.rs
+++ b/crates/load-balancer/src/lib.rs
@@ -5,7 +5,7 @@
 //! their time and returns actions.
 //!
 //! ```
-//! use onyxpick::*;
+//! use load_balancer::*;
 //!
 //! let settings = Settings {
 //!     classes: vec![Class {
--- a/crates/onyxpick/tests/common/mod.rs
+++ b/crates/load-balancer/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A router with its list, clock and actions, as an embedding program would hold it.
 #![allow(dead_code)]
 
-use onyxpick::*;
+use load_balancer::*;
 
 pub fn ms(millis: u64) -> Micros {
     Micros::from_millis(millis)
--- a/crates/onyxpick/tests/departures.rs
+++ b/crates/load-balancer/tests/departures.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use onyxpick::*;
+use load_balancer::*;
 
 /// A key of the given server in a rig of `count` idle servers.
 fn key_of(server: usize, count: usize) -> u64 {
--- a/crates/onyxpick/tests/embed.rs
+++ b/crates/load-balancer/tests/embed.rs
@@ -1,6 +1,6 @@
 //! Several routers in one program, each with a small fake fleet behind it: the public API as an embedding program uses it.
 
-use onyxpick::*;
+use load_balancer::*;
 use std::collections::{BTreeMap, HashMap};
 
 /// One router with what an embedding program keeps beside it.
--- a/crates/onyxpick/tests/links.rs
+++ b/crates/load-balancer/tests/links.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use onyxpick::*;
+use load_balancer::*;
 use std::ops::Range;
 
 /// One of a hundred routers, with prices as a deployment has them.
--- a/crates/onyxpick/tests/many_routers.rs
+++ b/crates/load-balancer/tests/many_routers.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use onyxpick::*;
+use load_balancer::*;
 
 /// One router of a hundred: class 0 is worth one, class 1 five; both safe.
 fn one_of_many() -> Settings {
--- a/crates/onyxpick/tests/operators.rs
+++ b/crates/load-balancer/tests/operators.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use onyxpick::*;
+use load_balancer::*;
 
 fn exclude(rig: &mut Rig, server: ServerId) -> Vec<Action> {
     rig.event(Event::Excluded { server })
--- a/crates/onyxpick/tests/origin.rs
+++ b/crates/load-balancer/tests/origin.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use onyxpick::*;
+use load_balancer::*;
 
 fn noted(id: RequestId, outcome: Outcome, took: u64, note: CacheNote) -> Event {
     Event::Ended(AttemptEnd {
--- a/crates/onyxpick/tests/random_events.rs
+++ b/crates/load-balancer/tests/random_events.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use onyxpick::*;
+use load_balancer::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::collections::HashMap;
--- a/crates/onyxpick/tests/reports.rs
+++ b/crates/load-balancer/tests/reports.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use onyxpick::*;
+use load_balancer::*;
 
 fn columns() -> Columns {
     let names = ["utilization", "backlog", "recent_ms", "x1"].map(String::from);
--- a/crates/onyxpick/tests/ring.rs
+++ b/crates/load-balancer/tests/ring.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use onyxpick::*;
+use load_balancer::*;
 use std::collections::HashMap;
 
 /// Computed apart from this crate: MD5 digests cut into little-endian words, five servers 10.0.0.1:80 to 10.0.0.5:80.
--- a/crates/onyxpick/tests/rules.rs
+++ b/crates/load-balancer/tests/rules.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use onyxpick::*;
+use load_balancer::*;
 
 fn deadline_of(actions: &[Action]) -> (Micros, u64) {
     let timer = actions.iter().find_map(|a| match a {
--- a/crates/asterport-life/src/lib.rs
+++ b/crates/process-lifecycle/src/lib.rs
@@ -14,7 +14,7 @@
 //!
 //! `Evacuate` and `Rejoin` are kept in every state, and are idempotent.
 
-use onyxpick::Micros;
+use load_balancer::Micros;
 
 /// A client that has just connected to a drained router has its first command on the way most likely: it has so long
 /// for it. The front stops sending new ones 0.2 s after it was told no.
--- a/crates/asterport-life/tests/life.rs
+++ b/crates/process-lifecycle/tests/life.rs
@@ -1,7 +1,7 @@
 //! What a process answers in each state, and where states meet.
 
-use asterport_life::{AtRest, Event, Life, READ_ON};
-use onyxpick::Micros;
+use load_balancer::Micros;
+use process_lifecycle::{AtRest, Event, Life, READ_ON};
 
 const START: Micros = Micros::from_millis(1_000);
 
--- a/crates/asterport-joining/benches/waiters.rs
+++ b/crates/request-coalescing/benches/waiters.rs
@@ -1,9 +1,9 @@
-//! What the decisions take for each waiter: it joins, and it is told. `cargo bench -p asterport-joining`.
+//! What the decisions take for each waiter: it joins, and it is told. `cargo bench -p request-coalescing`.
 #![allow(missing_docs)] // A program.
 
-use asterport_joining::*;
 use criterion::{BenchmarkId, Criterion, Throughput, criterion_group, criterion_main};
-use onyxpick::{ClassId, Micros, RequestId};
+use load_balancer::{ClassId, Micros, RequestId};
+use request_coalescing::*;
 use std::hint::black_box;
 
 fn round(joining: &mut Joining, first: u32, waiters: u32, actions: &mut Vec<Action>) {
--- a/crates/asterport-joining/src/joining.rs
+++ b/crates/request-coalescing/src/joining.rs
@@ -6,7 +6,7 @@
 
 use crate::pace::Pace;
 use crate::settings::{Bounds, ClassSettings};
-use onyxpick::{ClassId, Micros, RequestId, TenantId};
+use load_balancer::{ClassId, Micros, RequestId, TenantId};
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeSet, HashMap};
 use std::fmt;
--- a/crates/asterport-joining/src/lib.rs
+++ b/crates/request-coalescing/src/lib.rs
@@ -6,8 +6,8 @@
 //! ends with its answer or with its last waiter; nothing outlives it, and no value is kept.
 //!
 //! ```
-//! use asterport_joining::*;
-//! use onyxpick::{ClassId, Micros, RequestId};
+//! use request_coalescing::*;
+//! use load_balancer::{ClassId, Micros, RequestId};
 //!
 //! let classes = [ClassSettings { aim: Micros::from_millis(100), needs: Micros::from_millis(20) }];
 //! let mut joining = Joining::new(Bounds::default(), &classes);
--- a/crates/asterport-joining/src/pace.rs
+++ b/crates/request-coalescing/src/pace.rs
@@ -1,6 +1,6 @@
 //! How long the flights of one class take, learnt from those that ended.
 
-use onyxpick::Micros;
+use load_balancer::Micros;
 
 /// Answers that are remembered. Hits are many and misses may be few, and a miss does not hang: enough for the few.
 const ANSWERS: usize = 256;
--- a/crates/asterport-joining/src/settings.rs
+++ b/crates/request-coalescing/src/settings.rs
@@ -1,6 +1,6 @@
 //! What operators set, and its checks.
 
-use onyxpick::{Class, Effect, Micros, params::Deployment};
+use load_balancer::{Class, Effect, Micros, params::Deployment};
 use serde::Deserialize;
 use std::fmt;
 
--- a/crates/asterport-joining/tests/joining.rs
+++ b/crates/request-coalescing/tests/joining.rs
@@ -1,7 +1,7 @@
 //! The decisions on their own: who shares what, and what each waiter is told.
 
-use asterport_joining::*;
-use onyxpick::{ClassId, Micros, RequestId, TenantId};
+use load_balancer::{ClassId, Micros, RequestId, TenantId};
+use request_coalescing::*;
 
 const fn ms(millis: u64) -> Micros {
     Micros::from_millis(millis)
--- a/crates/asterport-engine/src/engine.rs
+++ b/crates/router-runtime/src/engine.rs
@@ -10,12 +10,12 @@
 use crate::seam::World;
 use crate::servers::{self, Servers};
 use crate::tally::{Attempts, Ends, Tally};
-use asterport_joining::{Counters, Rules};
-use asterport_life::{Event as LifeEvent, Life};
-use onyxpick::params::Deployment;
-use onyxpick::{
+use load_balancer::params::Deployment;
+use load_balancer::{
     Discovery as Listing, Effect, Group, Learnt, Micros, Router, ServerId, Standing, View, Word,
 };
+use process_lifecycle::{Event as LifeEvent, Life};
+use request_coalescing::{Counters, Rules};
 use std::cell::Cell;
 use std::future::Future;
 use std::net::SocketAddr;
--- a/crates/asterport-engine/src/joiner.rs
+++ b/crates/router-runtime/src/joiner.rs
@@ -1,13 +1,13 @@
 //! Between the fronts and the driver: reads that ask for the same share a flight. It keeps the senders of those who
-//! wait and carries out what [`asterport_joining`] decides.
+//! wait and carries out what [`request_coalescing`] decides.
 //!
 //! Where joining is off it passes requests on and nothing else.
 
 use crate::driver::{Answer, Ask, Driver, News};
 use crate::planted::{self, Bug};
 use crate::seam::World;
-use asterport_joining::{Action, Counters, Event, How, Joining, Read, Rules};
-use onyxpick::{Micros, RequestId};
+use load_balancer::{Micros, RequestId};
+use request_coalescing::{Action, Counters, Event, How, Joining, Read, Rules};
 use rustc_hash::FxHashMap;
 use std::cell::RefCell;
 use std::rc::Rc;
--- a/crates/asterport-engine/src/resp.rs
+++ b/crates/router-runtime/src/resp.rs
@@ -1,7 +1,7 @@
 //! RESP2 as clients and cache servers speak it: whole frames from a buffer, and a client's command.
 
 use bytes::{Bytes, BytesMut};
-use onyxpick::CacheNote;
+use load_balancer::CacheNote;
 use std::fmt;
 use std::io::Write;
 use std::ops::Range;
--- a/crates/asterport-engine/src/servers.rs
+++ b/crates/router-runtime/src/servers.rs
@@ -5,7 +5,7 @@
 use crate::seam::{Stream, World};
 use crate::tally::Tally;
 use bytes::{Bytes, BytesMut};
-use onyxpick::{
+use load_balancer::{
     AttemptNo, CacheNote, Columns, Link, Load, Micros, Outcome, RequestId, ServerId, ServerState,
 };
 use std::cell::{Cell, RefCell};
--- a/crates/asterport-engine/src/tally.rs
+++ b/crates/router-runtime/src/tally.rs
@@ -1,7 +1,7 @@
 //! What requests came to, counted where a client gets its answer and where an attempt is written whole, so that a figure
 //! cannot differ from what the peers saw.
 
-use onyxpick::{CacheNote, Link, Outcome};
+use load_balancer::{CacheNote, Link, Outcome};
 use std::cell::{Cell, RefCell};
 
 /// How a request ended for its client.
--- a/crates/asterport-sim/src/clients.rs
+++ b/crates/router-simulation/src/clients.rs
@@ -4,7 +4,7 @@
 use crate::net::{Net, SimStream};
 use crate::plan::{Ask, CLASSES, MILLI, Plan};
 use crate::wire::{Answer, Frames, command};
-use asterport_engine::seam::World;
+use router_runtime::seam::World;
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/asterport-sim/src/main.rs
+++ b/crates/router-simulation/src/main.rs
@@ -1,21 +1,21 @@
-//! asterport-sim: plays days of overlapping faults on the virtual clock and judges them.
+//! router-simulation: plays days of overlapping faults on the virtual clock and judges them.
 //!
 //! Exit codes: 0 no breach, 1 a breach (or a planted bug that was not caught), 2 a word on the command line that
 //! cannot be used.
 
-use asterport_sim::judge::Breach;
-use asterport_sim::plan::{Kind, MILLI, Plan};
-use asterport_sim::play::{Keep, play};
-use asterport_sim::rounds::{self, Draw};
 use clap::{Parser, Subcommand};
 use indicatif::{ProgressBar, ProgressStyle};
+use router_simulation::judge::Breach;
+use router_simulation::plan::{Kind, MILLI, Plan};
+use router_simulation::play::{Keep, play};
+use router_simulation::rounds::{self, Draw};
 use std::ops::Range;
 use std::process::ExitCode;
 use std::time::Instant;
 
 #[derive(Parser)]
 #[command(
-    name = "asterport-sim",
+    name = "router-simulation",
     version,
     about = "Plays the router on a virtual clock against seeded faults and judges it"
 )]
@@ -134,7 +134,7 @@
                 .take_while(|line| !line.is_empty())
                 .collect::<Vec<_>>()
                 .join(" ");
-            eprintln!("asterport-sim: {}", text.trim_start_matches("error: "));
+            eprintln!("router-simulation: {}", text.trim_start_matches("error: "));
             return ExitCode::from(2);
         }
         Err(help) => {
@@ -326,7 +326,7 @@
         .map(|ask| ask.number.to_string())
         .collect();
     println!(
-        "asterport-sim replay {}{joining} --keep-faults={} --keep-asks={}",
+        "router-simulation replay {}{joining} --keep-faults={} --keep-asks={}",
         plan.seed,
         places.join(","),
         asks.join(",")
@@ -338,7 +338,7 @@
     let start = Instant::now();
     let Some(all) = rounds::mutants(seeds, threads(jobs), || ()) else {
         eprintln!(
-            "asterport-sim: this build leaves the planted bugs out; build it with --features planted"
+            "router-simulation: this build leaves the planted bugs out; build it with --features planted"
         );
         return ExitCode::from(2);
     };
--- a/crates/asterport-sim/src/net.rs
+++ b/crates/router-simulation/src/net.rs
@@ -5,8 +5,8 @@
 
 use crate::dice::Dice;
 use crate::exec::{Exec, Node, Time};
-use asterport_engine::seam;
 use bytes::{Buf, Bytes, BytesMut};
+use router_runtime::seam;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
--- a/crates/asterport-sim/src/play.rs
+++ b/crates/router-simulation/src/play.rs
@@ -13,13 +13,13 @@
 use crate::plan::{
     Act, Acted, Ask, Burst, CLASSES, CROWD, CROWD_CONNECTIONS, Fault, Kind, MILLI, Plan, SECOND,
 };
-use asterport_engine::{Engine, List, Start};
-use asterport_joining::{JoiningFile, Rules};
-use onyxpick::params::{Deployment, Names};
-use onyxpick::{
+use load_balancer::params::{Deployment, Names};
+use load_balancer::{
     Class, Columns, Discovery as Listing, Effect, Group, Limits, Micros, ServerId, Settings,
     Tenant, Weights, Word, ZoneId,
 };
+use request_coalescing::{JoiningFile, Rules};
+use router_runtime::{Engine, List, Start};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -210,7 +210,7 @@
             ask_within: Micros(10 * SECOND),
         },
         weights: Weights::Rough,
-        rules: onyxpick::Rules {
+        rules: load_balancer::Rules {
             answer_grace: Micros(20 * MILLI),
             drain_grace: Micros(250 * MILLI),
             cold_share: plan.cold_share,
--- a/crates/asterport-sim/src/rounds.rs
+++ b/crates/router-simulation/src/rounds.rs
@@ -278,7 +278,7 @@
 /// out. `played` is called after each bug.
 #[cfg(feature = "planted")]
 pub fn mutants(seeds: Range<u64>, jobs: usize, played: impl Fn() + Sync) -> Option<Vec<Caught>> {
-    use asterport_engine::planted::{Bug, plant};
+    use router_runtime::planted::{Bug, plant};
     let next = AtomicU64::new(0);
     let found: Mutex<BTreeMap<u64, Caught>> = Mutex::default();
     std::thread::scope(|scope| {
--- a/crates/asterport-sim/src/scene.rs
+++ b/crates/router-simulation/src/scene.rs
@@ -12,12 +12,12 @@
 use crate::plan::{CLASSES, MILLI, SECOND};
 use crate::play::joins;
 use crate::wire::{Call, Frames, Spoken, command, value_for};
-use asterport_engine::seam::World;
-use asterport_engine::{Engine, List, Start};
-use onyxpick::params::{Deployment, Names};
-use onyxpick::{
+use load_balancer::params::{Deployment, Names};
+use load_balancer::{
     Class, Columns, Discovery as Listing, Effect, Group, Limits, Micros, Rules, Settings, Tenant,
 };
+use router_runtime::seam::World;
+use router_runtime::{Engine, List, Start};
 use std::cell::{Cell, RefCell};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
--- a/crates/asterport-sim/tests/days.rs
+++ b/crates/router-simulation/tests/days.rs
@@ -1,13 +1,13 @@
 //! Drawn days: they repeat to the step, keep the rules, and show what is planted.
 
-use asterport_sim::judge::Rule;
-use asterport_sim::plan::{Kind, PAIRS, Plan};
-use asterport_sim::play::{Keep, play};
-use asterport_sim::rounds;
+use router_simulation::judge::Rule;
+use router_simulation::plan::{Kind, PAIRS, Plan};
+use router_simulation::play::{Keep, play};
+use router_simulation::rounds;
 use std::process::{Command, Output};
 
 fn command(words: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_asterport-sim"))
+    Command::new(env!("CARGO_BIN_EXE_router-simulation"))
         .args(words)
         .output()
         .expect("the command runs")
@@ -169,7 +169,7 @@
         let said = String::from_utf8_lossy(&output.stderr).into_owned();
         assert_eq!(output.status.code(), Some(2), "{words:?}: {said}");
         assert_eq!(said.lines().count(), 1, "{words:?}: {said}");
-        assert!(said.starts_with("asterport-sim: "), "{said}");
+        assert!(said.starts_with("router-simulation: "), "{said}");
     }
 }
 
@@ -201,7 +201,7 @@
 #[cfg(feature = "planted")]
 #[test]
 fn a_failing_day_shrinks_and_replays_alike() {
-    use asterport_engine::planted::{Bug, plant};
+    use router_runtime::planted::{Bug, plant};
     plant(Some(Bug::RepeatsUnsafe));
     let failing = (0..200)
         .map(|seed| Plan::draw(seed, &[]))
--- a/crates/asterport-sim/tests/joined_scenes.rs
+++ b/crates/router-simulation/tests/joined_scenes.rs
@@ -1,8 +1,8 @@
 //! Joining's hard cases at an exact microsecond, with the real engine in between and the judge throughout.
 
-use asterport_sim::exec::Time;
-use asterport_sim::plan::{MILLI, SECOND};
-use asterport_sim::scene::{DEADLINE, Does, LATENCY, Scene, Told};
+use router_simulation::exec::Time;
+use router_simulation::plan::{MILLI, SECOND};
+use router_simulation::scene::{DEADLINE, Does, LATENCY, Scene, Told};
 
 fn text(told: &Told) -> String {
     told.borrow()
--- a/crates/asterport-sim/tests/judge.rs
+++ b/crates/router-simulation/tests/judge.rs
@@ -1,11 +1,11 @@
 //! The judge itself: wire traces that break each rule by the smallest margin, and ones that just keep it.
 
-use asterport_sim::exec::{Node, Time};
-use asterport_sim::judge::{Figures, Judge, Role, Rule, Shares};
-use asterport_sim::net::{Leaving, Observer, Side};
-use asterport_sim::plan::{CLASSES, MILLI, SECOND};
-use asterport_sim::scene::{MEMORY, figures};
-use asterport_sim::wire::{command, value_for};
+use router_simulation::exec::{Node, Time};
+use router_simulation::judge::{Figures, Judge, Role, Rule, Shares};
+use router_simulation::net::{Leaving, Observer, Side};
+use router_simulation::plan::{CLASSES, MILLI, SECOND};
+use router_simulation::scene::{MEMORY, figures};
+use router_simulation::wire::{command, value_for};
 
 const ROUTER: Node = Node(0);
 const CLIENT: Node = Node(1);
@@ -305,7 +305,7 @@
         let mut wire = Wire::new();
         let names: Vec<(String, usize)> = (0..4).map(|i| (format!("s-{i:02}"), i % 2)).collect();
         let mut judge = Judge::new(
-            asterport_sim::judge::Figures {
+            router_simulation::judge::Figures {
                 second_copies,
                 ..figures()
             },
--- a/crates/asterport-sim/tests/net.rs
+++ b/crates/router-simulation/tests/net.rs
@@ -1,10 +1,10 @@
 //! The simulated network and clock by themselves.
 
-use asterport_engine::seam::{Datagrams, World};
-use asterport_sim::dice::Dice;
-use asterport_sim::exec::{Exec, Node, Time};
-use asterport_sim::net::{DatagramWeather, Leaving, Net, Observer, Side, Weather};
-use asterport_sim::scene::{LATENCY, calm};
+use router_runtime::seam::{Datagrams, World};
+use router_simulation::dice::Dice;
+use router_simulation::exec::{Exec, Node, Time};
+use router_simulation::net::{DatagramWeather, Leaving, Net, Observer, Side, Weather};
+use router_simulation::scene::{LATENCY, calm};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/asterport-sim/tests/rare_scenes.rs
+++ b/crates/router-simulation/tests/rare_scenes.rs
@@ -1,9 +1,9 @@
 //! Rare orders of events at an exact microsecond, with the real engine in between; and the bugs that only they show.
 
-use asterport_sim::exec::Time;
-use asterport_sim::judge::Rule;
-use asterport_sim::plan::{MILLI, SECOND};
-use asterport_sim::scene::{Does, Scene};
+use router_simulation::exec::Time;
+use router_simulation::judge::Rule;
+use router_simulation::plan::{MILLI, SECOND};
+use router_simulation::scene::{Does, Scene};
 
 /// A client that leaves while the connection for its request hangs, which comes up 200 ms later.
 fn departure() -> Scene {
@@ -134,7 +134,7 @@
 #[cfg(feature = "planted")]
 #[test]
 fn each_rare_bug_is_caught() {
-    use asterport_engine::planted::{Bug, plant};
+    use router_runtime::planted::{Bug, plant};
     let bugs = [
         Bug::SendsAfterDeparture,
         Bug::OverlooksDepartures,
--- a/crates/asterport-sim/tests/scenes.rs
+++ b/crates/router-simulation/tests/scenes.rs
@@ -1,8 +1,8 @@
 //! Single events at an exact microsecond, with the real engine in between.
 
-use asterport_sim::exec::Time;
-use asterport_sim::plan::{MILLI, SECOND};
-use asterport_sim::scene::{DEADLINE, Does, LATENCY, MEMORY, Scene, Told};
+use router_simulation::exec::Time;
+use router_simulation::plan::{MILLI, SECOND};
+use router_simulation::scene::{DEADLINE, Does, LATENCY, MEMORY, Scene, Told};
 
 /// A key that a scene's router sends to its first server: the ring is the same at every start.
 fn key_of(server: usize) -> u64 {
--- a/crates/asterport-sim/tests/slow_origin.rs
+++ b/crates/router-simulation/tests/slow_origin.rs
@@ -1,8 +1,8 @@
 //! Metastable failures that a router must not fall into, as long scripted days: an origin that was slow, restarts into
 //! it, servers that fail quickly, many routers that each see little.
 
-use asterport_sim::plan::{Ask, Fault, Kind, MILLI, Plan, SECOND};
-use asterport_sim::play::{Keep, Report, play};
+use router_simulation::plan::{Ask, Fault, Kind, MILLI, Plan, SECOND};
+use router_simulation::play::{Keep, Report, play};
 
 /// The origin is slow from here on ...
 const FROM: u64 = 5 * SECOND;
--- a/crates/onyxpick-benchlink/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -5,8 +5,8 @@
 mod trace;
 mod wire;
 
-use onyxpick::params::{self, Deployment};
-use onyxpick::{Action, Columns, Router};
+use load_balancer::params::{self, Deployment};
+use load_balancer::{Action, Columns, Router};
 use std::collections::HashMap;
 use std::io::{self, BufRead, BufWriter, Write};
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -50,12 +50,12 @@
     let trace = match std::env::args().skip(1).collect::<Vec<_>>().as_slice() {
         [] => Ok(None),
         [flag, path] if flag == "--trace" => Trace::create(path).map(Some),
-        _ => Err(io::Error::other("usage: onyxpick-benchlink [--trace FILE]")),
+        _ => Err(io::Error::other("usage: simulator-adapter [--trace FILE]")),
     };
     let trace = match trace {
         Ok(trace) => trace,
         Err(error) => {
-            eprintln!("onyxpick-benchlink: {error}");
+            eprintln!("simulator-adapter: {error}");
             return ExitCode::from(2);
         }
     };
@@ -66,11 +66,11 @@
     ) {
         Ok(()) => ExitCode::SUCCESS,
         Err(Stop::Wire(error)) => {
-            eprintln!("onyxpick-benchlink: line {}: {error}", input.number);
+            eprintln!("simulator-adapter: line {}: {error}", input.number);
             ExitCode::from(2)
         }
         Err(Stop::Io(error)) => {
-            eprintln!("onyxpick-benchlink: {error}");
+            eprintln!("simulator-adapter: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/onyxpick-benchlink/src/trace.rs
+++ b/crates/simulator-adapter/src/trace.rs
@@ -1,7 +1,7 @@
 //! What all routers of one process believe and do, a line a second, for finding out how a jam begins and what keeps
 //! it. Counts are of the second before; beliefs are means over the routers.
 
-use onyxpick::{Action, CacheNote, Event, Micros, Outcome, Verdict, View};
+use load_balancer::{Action, CacheNote, Event, Micros, Outcome, Verdict, View};
 use std::fs::File;
 use std::io::{self, BufWriter, Write};
 
--- a/crates/onyxpick-benchlink/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,8 +1,8 @@
 //! The wire's events and actions.
 
 use crate::Action;
-use onyxpick::params::{Names, ParamsError};
-use onyxpick::*;
+use load_balancer::params::{Names, ParamsError};
+use load_balancer::*;
 use std::fmt;
 use std::io::{self, Write};
 
--- a/crates/onyxpick-benchlink/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -18,7 +18,7 @@
 }
 
 fn run_with(arguments: &[&str], input: &str) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_onyxpick-benchlink"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .args(arguments)
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
--- a/crates/asterport-testkit/examples/ordinary_path.rs
+++ b/crates/test-support/examples/ordinary_path.rs
@@ -1,13 +1,13 @@
 //! What a request costs the router: CPU, and with `strace` at hand its system calls. Reads, unpipelined, all hits.
 //!
 //! ```text
-//! ASTERPORT_PROGRAM=target/release/asterport cargo run --release -p asterport-testkit --example ordinary_path
+//! ASTERPORT_PROGRAM=target/release/cache-router cargo run --release -p test-support --example ordinary_path
 //! ```
 //! A first argument sets how many requests each of the 16 clients sends (500), a second one `strace` counts calls.
 
-use asterport_testkit::{Client, Server, router_of};
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
+use test_support::{Client, Server, router_of};
 
 const CLIENTS: usize = 16;
 /// Each client sends one request in this time.
--- a/crates/asterport-testkit/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -495,7 +495,7 @@
         .parent()
         .and_then(std::path::Path::parent)
         .expect("cargo's folder for binaries");
-    folder.join("asterport")
+    folder.join("cache-router")
 }
 
 /// Starts the binary with a configuration, in a shell that first runs `before`.
--- a/crates/asterport-load/src/lib.rs
+++ b/crates/traffic-replay/src/lib.rs
@@ -4,7 +4,7 @@
 //! any size. `docs/design/load.md` tells what is to come.
 //!
 //! ```
-//! use asterport_load::*;
+//! use traffic_replay::*;
 //!
 //! let mut writer = CaptureWriter::new(Header { begins_us: 1_750_000_000_000_000, sources: vec!["a.log".into()] })?;
 //! writer.push(&Item { at_us: 250, class: "ambil-soal".into(), key: "7f3a".into(), ..Item::default() })?;
--- a/crates/asterport-load/src/log_format.rs
+++ b/crates/traffic-replay/src/log_format.rs
@@ -2,13 +2,13 @@
 //! (ngx_http_log_module) or Apache's `LogFormat` (mod_log_config). A line is cut into fields without a copy.
 //!
 //! ```
-//! use asterport_load::{FieldName, LogFormat};
+//! use traffic_replay::{FieldName, LogFormat};
 //!
 //! let format = LogFormat::nginx(r#"$remote_addr [$time_local] "$request" $status"#)?;
 //! let line = br#"127.0.0.1 [10/Oct/2000:13:55:36 -0700] "GET /soal/7f3a HTTP/1.1" 200"#;
 //! let fields = format.cut(line).expect("a line of this form");
 //! assert_eq!(fields.get(FieldName::Status), Some(&b"200"[..]));
-//! # Ok::<(), asterport_load::FormatError>(())
+//! # Ok::<(), traffic_replay::FormatError>(())
 //! ```
 
 use std::fmt;
--- a/crates/asterport-load/tests/capture.rs
+++ b/crates/traffic-replay/tests/capture.rs
@@ -1,7 +1,7 @@
 //! The capture form: what is written is read again, and what is damaged says where.
 
-use asterport_load::*;
 use proptest::prelude::*;
+use traffic_replay::*;
 
 fn header() -> Header {
     Header {
--- a/crates/asterport-load/tests/log_format.rs
+++ b/crates/traffic-replay/tests/log_format.rs
@@ -1,7 +1,7 @@
 //! Formats of access logs as servers' own configurations write them.
 
-use asterport_load::*;
 use proptest::prelude::*;
+use traffic_replay::*;
 
 fn text(fields: &Fields<'_>, name: FieldName<'_>) -> String {
     String::from_utf8_lossy(fields.get(name).unwrap_or(b"(none)")).into_owned()
--- a/tests/all.sh
+++ b/tests/all.sh
@@ -10,10 +10,17 @@
 RUSTDOCFLAGS="-D warnings" cargo doc --locked --workspace --no-deps --quiet
 tests/cargo_test.py
 cargo build --release --locked
-cargo run --release --locked --quiet -p onyxpick --example two_routers
+cargo run --release --locked --quiet -p load-balancer --example two_routers
 
 # Simulated days: a fixed set of seeds, and every planted bug caught. The feature that holds the bugs is built apart.
-target/release/asterport-sim run --seeds 0..1050
-target/release/asterport-sim run --joining --seeds 0..1000
-cargo run --release --locked --quiet -p asterport-sim --features planted --target-dir target/planted -- mutants
-cargo test --release --locked --quiet -p asterport-sim --features planted --target-dir target/planted --test days --test rare_scenes
+target/release/router-simulation run --seeds 0..1050
+target/release/router-simulation run --joining --seeds 0..1000
+cargo run --release --locked --quiet -p router-simulation --features planted --target-dir target/planted -- mutants
+cargo test --release --locked --quiet -p router-simulation --features planted --target-dir target/planted --test days --test rare_scenes
+
+# Package names that were replaced do not come back. The changelog, the roadmap's landings and the journal keep them.
+removed='onyxpick|asterport[-_](engine|joining|life|handover|admin|load|sim|testkit)\b'
+if git grep -nE "$removed" -- . ':!CHANGELOG.md' ':!docs/ROADMAP.md' ':!docs/GLOSSARY.md' ':!journal' ':!tests/all.sh'; then
+    echo "a removed package name came back" >&2
+    exit 1
+fi
