--- a/crates/admin-api/src/call.rs
+++ b/crates/admin-api/src/call.rs
@@ -10,7 +10,7 @@
 //! Another path is 404, another method 405, a body over [`MOST_BODY`] 413. A no has changed nothing, and is one line of
 //! JSON: `{"error":"..."}`.
 
-use crate::{Operated, figures};
+use crate::{Operated, metrics};
 use hyper::{Method, StatusCode};
 use serde::Deserialize;
 
@@ -150,15 +150,15 @@
     match call {
         Call::Ready if router.is_ready() => Ok("ready\n".into()),
         Call::Ready => Err(CallError::NotReady),
-        Call::Telemetry => Ok(figures::text(router.figures())),
-        Call::Exclude(id) => done(router.exclude(&id), id),
-        Call::Include(id) => done(router.include(&id), id),
+        Call::Telemetry => Ok(metrics::text(router.metrics())),
+        Call::Exclude(id) => done(router.disable_server(&id), id),
+        Call::Include(id) => done(router.enable_server(&id), id),
         Call::Evacuate => {
-            router.evacuate();
+            router.drain_router();
             Ok(String::new())
         }
         Call::Rejoin => {
-            router.rejoin();
+            router.resume_router();
             Ok(String::new())
         }
     }
--- a/crates/admin-api/src/server.rs
+++ b/crates/admin-api/src/server.rs
@@ -1,7 +1,7 @@
 //! Callers: one call to a connection, a bounded number of them, none of which can keep the others waiting.
 
 use crate::call::{self, CallError, MOST_BODY};
-use crate::{Operated, figures};
+use crate::{Operated, metrics};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::{Bytes, Incoming};
 use hyper::service::service_fn;
@@ -71,7 +71,7 @@
         call::carry_out(call::read(&head.method, path, &body)?, router)
     };
     let (status, kind, text) = match said.await {
-        Ok(text) if path == "/api/telemetry" => (StatusCode::OK, figures::CONTENT_TYPE, text),
+        Ok(text) if path == "/api/telemetry" => (StatusCode::OK, metrics::CONTENT_TYPE, text),
         Ok(text) => (StatusCode::OK, "text/plain; charset=utf-8", text),
         Err(error) => (error.status(), "application/json", error.line()),
     };
--- a/crates/cache-router/src/desk.rs
+++ b/crates/cache-router/src/admin_state.rs
@@ -2,30 +2,34 @@
 //! router while there is one.
 
 use admin_api::Operated;
-use hot_restart::form::{Message, Said, State};
-use hot_restart::store::Store;
-use load_balancer::{Micros, ServerId, Word};
-use router_runtime::service::Service;
-use router_runtime::{Engine, Figures};
+use hot_restart::message::{HandoverState, Message, StoredOverride};
+use hot_restart::store::StateStore;
+use load_balancer::{AdminOverride, Micros, ServerId};
+use router_runtime::tokio_environment::TokioEnvironment;
+use router_runtime::{Metrics, RouterRuntime};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use tokio::sync::mpsc;
 
 /// See the module.
-pub struct Desk {
-    engine: Rc<Engine<Service>>,
+pub struct AdminState {
+    engine: Rc<RouterRuntime<TokioEnvironment>>,
     /// Where words are kept; `None`: nowhere.
-    store: Option<Store>,
+    store: Option<StateStore>,
     /// Other processes of this router that are to hear of them.
     others: RefCell<Vec<mpsc::UnboundedSender<Message>>>,
     /// The process before this one, if there is one, knows that this one serves.
     relieves: Cell<bool>,
 }
 
-impl Desk {
+impl AdminState {
     /// A desk in front of this engine. `relieves`: no other process serves.
-    pub fn new(engine: Rc<Engine<Service>>, store: Option<Store>, relieves: bool) -> Rc<Desk> {
-        Rc::new(Desk {
+    pub fn new(
+        engine: Rc<RouterRuntime<TokioEnvironment>>,
+        store: Option<StateStore>,
+        relieves: bool,
+    ) -> Rc<AdminState> {
+        Rc::new(AdminState {
             engine,
             store,
             others: RefCell::default(),
@@ -51,20 +55,20 @@
     /// Takes what operators told another process.
     pub fn heard(&self, message: Message) {
         match message {
-            Message::Word(server, said) => {
+            Message::Override(server, said) => {
                 self.engine
-                    .told([(ServerId::from(server.as_str()), word(said))]);
+                    .apply_admin_overrides([(ServerId::from(server.as_str()), word(said))]);
                 self.keep();
             }
-            Message::Drained(true) => self.engine.evacuate(),
-            Message::Drained(false) => self.engine.rejoin(),
+            Message::Drained(true) => self.engine.drain_router(),
+            Message::Drained(false) => self.engine.resume_router(),
             _ => {}
         }
     }
 
     /// The operators' words, as they are handed over.
-    pub fn words(&self) -> Vec<(String, Said)> {
-        let words = self.engine.words().into_iter();
+    pub fn admin_overrides(&self) -> Vec<(String, StoredOverride)> {
+        let words = self.engine.admin_overrides().into_iter();
         words
             .map(|(server, word)| (server.to_string(), said(word)))
             .collect()
@@ -79,9 +83,9 @@
     /// A drain is not kept: a process that was killed starts in service, as its front expects.
     fn keep(&self) {
         let Some(store) = &self.store else { return };
-        if let Err(problem) = store.save(State {
-            words: self.words(),
-            ..State::default()
+        if let Err(problem) = store.save(HandoverState {
+            words: self.admin_overrides(),
+            ..HandoverState::default()
         }) {
             eprintln!("asterport: {}: {problem}", store.path().display());
         }
@@ -91,56 +95,58 @@
     fn spread(&self, server: &str, is_known: bool) -> bool {
         if is_known {
             self.keep();
-            if let Some((server, said)) =
-                self.words().into_iter().find(|(named, _)| named == server)
+            if let Some((server, said)) = self
+                .admin_overrides()
+                .into_iter()
+                .find(|(named, _)| named == server)
             {
-                self.say(&Message::Word(server, said));
+                self.say(&Message::Override(server, said));
             }
         }
         is_known
     }
 }
 
-impl Operated for Desk {
+impl Operated for AdminState {
     fn is_ready(&self) -> bool {
-        self.has_relieved() && self.engine.life().is_ready()
+        self.has_relieved() && self.engine.lifecycle().is_ready()
     }
 
-    fn figures(&self) -> Figures {
-        self.engine.figures()
+    fn metrics(&self) -> Metrics {
+        self.engine.metrics()
     }
 
-    fn exclude(&self, server: &str) -> bool {
-        self.spread(server, self.engine.exclude(server))
+    fn disable_server(&self, server: &str) -> bool {
+        self.spread(server, self.engine.disable_server(server))
     }
 
-    fn include(&self, server: &str) -> bool {
-        self.spread(server, self.engine.include(server))
+    fn enable_server(&self, server: &str) -> bool {
+        self.spread(server, self.engine.enable_server(server))
     }
 
-    fn evacuate(&self) {
-        self.engine.evacuate();
+    fn drain_router(&self) {
+        self.engine.drain_router();
         self.say(&Message::Drained(true));
     }
 
-    fn rejoin(&self) {
-        self.engine.rejoin();
+    fn resume_router(&self) {
+        self.engine.resume_router();
         self.say(&Message::Drained(false));
     }
 }
 
 /// A word as it is handed over.
-fn said(word: Word) -> Said {
+fn said(word: AdminOverride) -> StoredOverride {
     match word {
-        Word::Out => Said::Out,
-        Word::Back(at) => Said::Back(at.0),
+        AdminOverride::Disabled => StoredOverride::Disabled,
+        AdminOverride::EnabledAt(at) => StoredOverride::EnabledAt(at.0),
     }
 }
 
 /// A word as the engine takes it.
-pub fn word(said: Said) -> Word {
+pub fn word(said: StoredOverride) -> AdminOverride {
     match said {
-        Said::Out => Word::Out,
-        Said::Back(at) => Word::Back(Micros(at)),
+        StoredOverride::Disabled => AdminOverride::Disabled,
+        StoredOverride::EnabledAt(at) => AdminOverride::EnabledAt(Micros(at)),
     }
 }
--- a/crates/cache-router/src/main.rs
+++ b/crates/cache-router/src/main.rs
@@ -2,21 +2,21 @@
 //!
 //! The decisions are those of the library; this program translates them to connections.
 
-mod desk;
+mod admin_state;
 mod operator;
-mod succession;
 mod summary;
+mod takeover;
 
-use desk::Desk;
-use hot_restart::form::State;
+use admin_state::AdminState;
+use hot_restart::channel::RendezvousSocket;
 use hot_restart::inherited_listener;
-use hot_restart::link::Meeting;
-use hot_restart::store::Store;
+use hot_restart::message::HandoverState;
+use hot_restart::store::StateStore;
 use load_balancer::ServerId;
-use load_balancer::params::{self, Deployment};
+use load_balancer::deployment::{self, Deployment};
 use operator::OperatorFile;
-use router_runtime::service::{self, Service};
-use router_runtime::{Engine, List, Start, Stopped};
+use router_runtime::tokio_environment::{self, TokioEnvironment};
+use router_runtime::{EndpointList, RouterConfig, RouterRuntime, ShutdownReport};
 use serde::Deserialize;
 use serde_json::Value;
 use std::fmt::Display;
@@ -37,7 +37,7 @@
     admin: Option<SocketAddr>,
     seed: String,
     limits: ConfigLimits,
-    known: Option<List>,
+    known: Option<EndpointList>,
     settings: Value,
 }
 
@@ -112,7 +112,7 @@
         let pairs = pairs
             .iter()
             .map(|(path, value)| (path.as_str(), value.as_str()));
-        let deployment = params::read(pairs).map_err(|e| e.to_string())?;
+        let deployment = deployment::read(pairs).map_err(|e| e.to_string())?;
         deployment.settings.validate().map_err(|e| e.to_string())?;
         Ok(deployment)
     }
@@ -120,7 +120,7 @@
 
 /// Takes the file anew at each SIGHUP, for as long as the program runs. What the environment said at the start no
 /// longer counts then: the file was changed since. Of a running router only `discovery` can change.
-async fn reload(mut hangup: Signal, settings: Value, engine: Rc<Engine<Service>>) {
+async fn reload(mut hangup: Signal, settings: Value, engine: Rc<RouterRuntime<TokioEnvironment>>) {
     while hangup.recv().await.is_some() {
         match read_file().and_then(|config| config.deployment().map(|_| config)) {
             Ok(config) => {
@@ -133,7 +133,7 @@
                     "asterport: new configuration: discovery {}{rest}",
                     config.discovery
                 );
-                engine.watch_at(config.discovery);
+                engine.move_watch_to(config.discovery);
             }
             Err(problem) => eprintln!("asterport: the old configuration holds: {problem}"),
         }
@@ -141,12 +141,15 @@
 }
 
 /// What joining came to so far, where it is on.
-fn say_joined(engine: &Engine<Service>) {
-    let Some((counters, oldest)) = engine.joined() else {
+fn say_joined(engine: &RouterRuntime<TokioEnvironment>) {
+    let Some((counters, oldest)) = engine.coalescing_counters() else {
         return;
     };
-    let (now, oldest) = (engine.holdings(), oldest.map_or(0, |age| age.0 / 1_000));
-    let (waiters, flights) = (now.waiters, now.flights);
+    let (now, oldest) = (
+        engine.resource_usage(),
+        oldest.map_or(0, |age| age.0 / 1_000),
+    );
+    let (waiters, flights) = (now.coalesced_waiters, now.coalesced_flights);
     eprintln!(
         "asterport: joining: {counters}; now {waiters} waiters on {flights} flights, the oldest {oldest} ms old"
     );
@@ -199,7 +202,7 @@
 /// Where clients connect: the socket that the platform holds, where it names one, else one of this process's own.
 fn listener(addr: SocketAddr) -> Result<TcpListener, String> {
     let Ok(text) = std::env::var("GW_FD") else {
-        return service::listen(addr).map_err(|e| plainly(&addr.to_string(), e));
+        return tokio_environment::listen(addr).map_err(|e| plainly(&addr.to_string(), e));
     };
     let descriptor = text
         .parse()
@@ -210,7 +213,7 @@
 }
 
 /// What the last process of this router left on disk; a file that cannot be used is one line, and nothing.
-fn left_behind(store: &Store) -> State {
+fn left_behind(store: &StateStore) -> HandoverState {
     store
         .load()
         .unwrap_or_else(|problem| {
@@ -221,14 +224,14 @@
 }
 
 /// The list of the process before this one, if it came from the same discovery.
-fn newest(list: Option<(SocketAddr, Vec<u8>)>, discovery: SocketAddr) -> Option<List> {
+fn newest(list: Option<(SocketAddr, Vec<u8>)>, discovery: SocketAddr) -> Option<EndpointList> {
     let (_, text) = list.filter(|(from, _)| *from == discovery)?;
     serde_json::from_slice(&text).ok()
 }
 
 /// How the process ended, for the log.
-fn ended(stopped: Stopped) -> String {
-    let Stopped {
+fn ended(stopped: ShutdownReport) -> String {
+    let ShutdownReport {
         failed, unanswered, ..
     } = stopped;
     match (failed, unanswered) {
@@ -257,12 +260,12 @@
         .rules(&deployment)
         .map_err(|e| plainly(&operator_path, e))?;
     let store =
-        std::env::var_os("TMPDIR").map(|folder| Store::new(Path::new(&folder), &config.name));
+        std::env::var_os("TMPDIR").map(|folder| StateStore::new(Path::new(&folder), &config.name));
     // Another process of this router can serve only where the platform holds the listener for both.
     let meeting = std::env::var_os("TMPDIR").filter(|_| std::env::var_os("GW_FD").is_some());
-    let meeting = meeting.map(|folder| Meeting::new(Path::new(&folder), &config.name));
+    let meeting = meeting.map(|folder| RendezvousSocket::new(Path::new(&folder), &config.name));
     let before = match &meeting {
-        Some(meeting) => succession::meet(meeting, &config.name).await,
+        Some(meeting) => takeover::meet(meeting, &config.name).await,
         None => None,
     };
     let (before, left) = match before {
@@ -274,35 +277,36 @@
         .unwrap_or_default();
     let (count, discovery, sockets) = (known.servers(), config.discovery, config.limits.sockets);
     let memory = config.limits.memory_mb.saturating_mul(1 << 20);
-    let engine = Rc::new(Engine::new(
-        Service,
-        Start {
+    let engine = Rc::new(RouterRuntime::new(
+        TokioEnvironment,
+        RouterConfig {
             deployment,
             seed,
             discovery,
-            known,
-            memory,
-            sockets,
-            joining,
+            initial_endpoints: known,
+            memory_bytes: memory,
+            descriptor_limit: sockets,
+            coalescing: joining,
         },
     )?);
-    engine.told(
+    engine.apply_admin_overrides(
         left.words
             .into_iter()
-            .map(|(server, said)| (ServerId::from(&server[..]), desk::word(said))),
+            .map(|(server, said)| (ServerId::from(&server[..]), admin_state::word(said))),
     );
     // What does not fit is left out, and all of it where it cannot be read: it is learnt anew.
     if let Ok(learnt) = postcard::from_bytes(&left.learnt) {
-        engine.recall(learnt);
+        engine.restore_warm_state(learnt);
     }
     if left.drained {
-        engine.evacuate();
+        engine.drain_router();
     }
     let listener = listener(config.listen)?;
     let addr = listener.local_addr().map_err(|e| plainly("listener", e))?;
-    let desk = Desk::new(engine.clone(), store, before.is_none());
+    let desk = AdminState::new(engine.clone(), store, before.is_none());
     if let Some(admin) = config.admin {
-        let listener = service::listen(admin).map_err(|e| plainly(&admin.to_string(), e))?;
+        let listener =
+            tokio_environment::listen(admin).map_err(|e| plainly(&admin.to_string(), e))?;
         spawn_local(admin_api::server::serve(listener, desk.clone()));
     }
     eprintln!(
@@ -310,11 +314,11 @@
         config.name
     );
     if let Some(link) = before {
-        spawn_local(succession::take_over(link, engine.clone(), desk.clone()));
+        spawn_local(takeover::take_over(link, engine.clone(), desk.clone()));
     }
     let given_way = meeting.map(|meeting| {
         let (engine, desk) = (engine.clone(), desk.clone());
-        spawn_local(succession::give_way(meeting, config.name, engine, desk))
+        spawn_local(takeover::give_way(meeting, config.name, engine, desk))
     });
     spawn_local(reload(hangup, config.settings, engine.clone()));
     let telling = engine.clone();
@@ -330,9 +334,9 @@
         stop.recv().await;
     };
     let stopped = engine.run(listener, stopped).await;
-    if let Some(given_way) = given_way.filter(|_| engine.life().is_succeeded()) {
+    if let Some(given_way) = given_way.filter(|_| engine.lifecycle().is_handed_over()) {
         // What came to rest is still on its way to the successor, however much that is.
-        let _ = tokio::time::timeout_at(stopped.until.into(), given_way).await;
+        let _ = tokio::time::timeout_at(stopped.exit_deadline.into(), given_way).await;
     }
     say_joined(&engine);
     eprintln!("asterport: stopped, {}", ended(stopped));
--- a/crates/cache-router/src/operator.rs
+++ b/crates/cache-router/src/operator.rs
@@ -1,7 +1,7 @@
 //! The operator file: what is this project's own and not the platform's. Without one all of it is off.
 
 use crate::summary::SummaryFile;
-use request_coalescing::JoiningFile;
+use request_coalescing::CoalescingFile;
 use serde::Deserialize;
 use std::fs::File;
 use std::io::Read;
@@ -16,7 +16,7 @@
 #[serde(deny_unknown_fields, default)]
 pub struct OperatorFile {
     /// Which reads are joined.
-    pub joining: JoiningFile,
+    pub joining: CoalescingFile,
     /// Whether a line a second tells what this router does.
     pub summary: SummaryFile,
 }
@@ -82,7 +82,7 @@
         let text = include_str!("../../../deploy/operator.toml");
         assert_eq!(
             OperatorFile::parse(text).expect("readable").joining,
-            JoiningFile::default()
+            CoalescingFile::default()
         );
     }
 }
--- a/crates/hot-restart/src/link.rs
+++ b/crates/hot-restart/src/channel.rs
@@ -1,6 +1,6 @@
 //! Messages and descriptors between two processes of a router, over a Unix socket.
 
-use crate::form::{FormError, HEAD, Message};
+use crate::message::{HEAD, Message, MessageError};
 use rustix::net::{
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
     SendAncillaryMessage, SendFlags, recvmsg, sendmsg,
@@ -15,42 +15,42 @@
 
 /// Why a link is of no further use.
 #[derive(Debug)]
-pub enum LinkError {
+pub enum ChannelError {
     /// The socket failed, or the other process has ended.
     Io(io::Error),
     /// What came is not used.
-    Form(FormError),
+    Form(MessageError),
 }
 
-impl fmt::Display for LinkError {
+impl fmt::Display for ChannelError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            LinkError::Io(error) => write!(f, "{error}"),
-            LinkError::Form(error) => write!(f, "{error}"),
+            ChannelError::Io(error) => write!(f, "{error}"),
+            ChannelError::Form(error) => write!(f, "{error}"),
         }
     }
 }
 
-impl From<io::Error> for LinkError {
+impl From<io::Error> for ChannelError {
     fn from(error: io::Error) -> Self {
-        LinkError::Io(error)
+        ChannelError::Io(error)
     }
 }
 
-impl From<FormError> for LinkError {
-    fn from(error: FormError) -> Self {
-        LinkError::Form(error)
+impl From<MessageError> for ChannelError {
+    fn from(error: MessageError) -> Self {
+        ChannelError::Form(error)
     }
 }
 
 /// One end.
 #[derive(Debug)]
-pub struct Link(UnixStream);
+pub struct HandoverChannel(UnixStream);
 
-impl Link {
+impl HandoverChannel {
     /// A link over this socket.
-    pub fn new(stream: UnixStream) -> Link {
-        Link(stream)
+    pub fn new(stream: UnixStream) -> HandoverChannel {
+        HandoverChannel(stream)
     }
 
     /// Sends a message, with a descriptor that stays the caller's own too. Left off halfway, the link is of no further
@@ -62,7 +62,7 @@
         &self,
         message: &Message,
         descriptor: Option<BorrowedFd<'_>>,
-    ) -> Result<(), LinkError> {
+    ) -> Result<(), ChannelError> {
         let bytes = message.encode()?;
         let mut written = 0;
         while written < bytes.len() {
@@ -87,7 +87,7 @@
     ///
     /// # Errors
     /// When the other process has ended, or what came is no message.
-    pub async fn receive(&self) -> Result<(Message, Option<OwnedFd>), LinkError> {
+    pub async fn receive(&self) -> Result<(Message, Option<OwnedFd>), ChannelError> {
         let mut head = [0; HEAD];
         let mut descriptor = None;
         self.fill(&mut head, &mut descriptor).await?;
@@ -101,7 +101,7 @@
         &self,
         buffer: &mut [u8],
         descriptor: &mut Option<OwnedFd>,
-    ) -> Result<(), LinkError> {
+    ) -> Result<(), ChannelError> {
         let mut filled = 0;
         while filled < buffer.len() {
             let rest = &mut buffer[filled..];
@@ -128,15 +128,15 @@
 
 /// Where processes of one router meet: a path that the one that came last has bound.
 #[derive(Clone, Debug)]
-pub struct Meeting {
+pub struct RendezvousSocket {
     folder: PathBuf,
     name: String,
 }
 
-impl Meeting {
+impl RendezvousSocket {
     /// Under this folder, for a router of this name.
-    pub fn new(folder: &Path, router: &str) -> Meeting {
-        Meeting {
+    pub fn new(folder: &Path, router: &str) -> RendezvousSocket {
+        RendezvousSocket {
             folder: folder.to_path_buf(),
             name: crate::store::file_name(router, "sock"),
         }
@@ -150,12 +150,12 @@
     }
 
     /// The process that serves now; `None` if there is none.
-    pub async fn join(&self) -> Option<Link> {
+    pub async fn join(&self) -> Option<HandoverChannel> {
         let (_folder, path) = self.short().ok()?;
         UnixStream::connect(path.join(&self.name))
             .await
             .ok()
-            .map(Link)
+            .map(HandoverChannel)
     }
 
     /// From here on the next process meets this one.
--- a/crates/hot-restart/src/form.rs
+++ b/crates/hot-restart/src/message.rs
@@ -17,18 +17,18 @@
 
 /// The operators' last word on a cache server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Said {
-    /// Nothing more to it.
-    Out,
-    /// Put back at this time, in microseconds since the Unix epoch.
-    Back(u64),
+pub enum StoredOverride {
+    /// Nothing new is sent to it.
+    Disabled,
+    /// Put back into service at this time, in microseconds since the Unix epoch.
+    EnabledAt(u64),
 }
 
 /// What a process knows that its successor cannot learn elsewhere.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct State {
+pub struct HandoverState {
     /// The operators' word, by cache server.
-    pub words: Vec<(String, Said)>,
+    pub words: Vec<(String, StoredOverride)>,
     /// Operators have drained the router.
     pub drained: bool,
     /// Where the list came from, and the list in discovery's own form.
@@ -54,26 +54,26 @@
         /// The router's name.
         name: String,
         /// What it knows.
-        state: State,
+        state: HandoverState,
     },
     /// The new process serves: the old one accepts no more, and gives up what comes to rest.
-    Serves,
+    SuccessorServes,
     /// A client's connection, whose descriptor comes with it.
     Connection {
         /// What was read of a command that is not whole yet.
         unread: Vec<u8>,
         /// It has sent a whole command before.
-        has_asked: bool,
+        has_sent_command: bool,
     },
     /// Operators told the sender this.
-    Word(String, Said),
+    Override(String, StoredOverride),
     /// Operators drain the router, or end that.
     Drained(bool),
 }
 
 /// Why bytes are not used.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum FormError {
+pub enum MessageError {
     /// They end within a message.
     CutOff,
     /// The message would be longer than [`MOST`].
@@ -90,31 +90,31 @@
     Unexpected,
 }
 
-impl fmt::Display for FormError {
+impl fmt::Display for MessageError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            FormError::CutOff => f.write_str("cut off"),
-            FormError::TooLong(length) => write!(f, "a message of {length} bytes"),
-            FormError::Spoilt => f.write_str("the checksum differs"),
-            FormError::Malformed => f.write_str("no message"),
-            FormError::Version(version) => write!(f, "of version {version}, not {VERSION}"),
-            FormError::Name(name) => write!(f, "of the router '{}'", name.escape_default()),
-            FormError::Unexpected => f.write_str("another message was due"),
+            MessageError::CutOff => f.write_str("cut off"),
+            MessageError::TooLong(length) => write!(f, "a message of {length} bytes"),
+            MessageError::Spoilt => f.write_str("the checksum differs"),
+            MessageError::Malformed => f.write_str("no message"),
+            MessageError::Version(version) => write!(f, "of version {version}, not {VERSION}"),
+            MessageError::Name(name) => write!(f, "of the router '{}'", name.escape_default()),
+            MessageError::Unexpected => f.write_str("another message was due"),
         }
     }
 }
 
-impl std::error::Error for FormError {}
+impl std::error::Error for MessageError {}
 
 impl Message {
     /// The framed message.
     ///
     /// # Errors
     /// When it is longer than [`MOST`].
-    pub fn encode(&self) -> Result<Vec<u8>, FormError> {
-        let body = postcard::to_stdvec(self).map_err(|_| FormError::Malformed)?;
+    pub fn encode(&self) -> Result<Vec<u8>, MessageError> {
+        let body = postcard::to_stdvec(self).map_err(|_| MessageError::Malformed)?;
         if body.len() > MOST {
-            return Err(FormError::TooLong(body.len()));
+            return Err(MessageError::TooLong(body.len()));
         }
         let mut out = Vec::with_capacity(HEAD + body.len());
         out.extend_from_slice(&(body.len() as u32).to_le_bytes());
@@ -127,11 +127,11 @@
     ///
     /// # Errors
     /// When it would be longer than [`MOST`].
-    pub fn head(head: [u8; HEAD]) -> Result<(usize, u32), FormError> {
+    pub fn head(head: [u8; HEAD]) -> Result<(usize, u32), MessageError> {
         let [a, b, c, d, e, f, g, h] = head;
         let length = u32::from_le_bytes([a, b, c, d]) as usize;
         if length > MOST {
-            return Err(FormError::TooLong(length));
+            return Err(MessageError::TooLong(length));
         }
         Ok((length, u32::from_le_bytes([e, f, g, h])))
     }
@@ -140,21 +140,23 @@
     ///
     /// # Errors
     /// When it is spoilt or none.
-    pub fn body(body: &[u8], checksum: u32) -> Result<Message, FormError> {
+    pub fn body(body: &[u8], checksum: u32) -> Result<Message, MessageError> {
         if crc32c::crc32c(body) != checksum {
-            return Err(FormError::Spoilt);
+            return Err(MessageError::Spoilt);
         }
-        postcard::from_bytes(body).map_err(|_| FormError::Malformed)
+        postcard::from_bytes(body).map_err(|_| MessageError::Malformed)
     }
 
     /// One whole framed message.
     ///
     /// # Errors
     /// When the bytes are anything else.
-    pub fn decode(bytes: &[u8]) -> Result<Message, FormError> {
-        let (head, body) = bytes.split_first_chunk::<HEAD>().ok_or(FormError::CutOff)?;
+    pub fn decode(bytes: &[u8]) -> Result<Message, MessageError> {
+        let (head, body) = bytes
+            .split_first_chunk::<HEAD>()
+            .ok_or(MessageError::CutOff)?;
         let (length, checksum) = Message::head(*head)?;
-        let body = body.get(..length).ok_or(FormError::CutOff)?;
+        let body = body.get(..length).ok_or(MessageError::CutOff)?;
         Message::body(body, checksum)
     }
 
@@ -162,14 +164,14 @@
     ///
     /// # Errors
     /// When it is another's, or another message.
-    pub fn state(self, router: &str) -> Result<State, FormError> {
+    pub fn state(self, router: &str) -> Result<HandoverState, MessageError> {
         match self {
             Message::State { version, .. } if version != VERSION => {
-                Err(FormError::Version(version))
+                Err(MessageError::Version(version))
             }
-            Message::State { name, .. } if name != router => Err(FormError::Name(name)),
+            Message::State { name, .. } if name != router => Err(MessageError::Name(name)),
             Message::State { state, .. } => Ok(state),
-            _ => Err(FormError::Unexpected),
+            _ => Err(MessageError::Unexpected),
         }
     }
 
@@ -177,14 +179,14 @@
     ///
     /// # Errors
     /// When it is of another version, another router's, or another message.
-    pub fn greets(&self, router: &str) -> Result<(), FormError> {
+    pub fn greets(&self, router: &str) -> Result<(), MessageError> {
         match self {
             Message::Hello { version, .. } if *version != VERSION => {
-                Err(FormError::Version(*version))
+                Err(MessageError::Version(*version))
             }
-            Message::Hello { name, .. } if name != router => Err(FormError::Name(name.clone())),
+            Message::Hello { name, .. } if name != router => Err(MessageError::Name(name.clone())),
             Message::Hello { .. } => Ok(()),
-            _ => Err(FormError::Unexpected),
+            _ => Err(MessageError::Unexpected),
         }
     }
 }
--- a/crates/hot-restart/src/store.rs
+++ b/crates/hot-restart/src/store.rs
@@ -2,7 +2,7 @@
 //!
 //! One file a router, written whole to a temporary file and renamed over the old one: a reader finds the old or the new.
 
-use crate::form::{FormError, Message, State, VERSION};
+use crate::message::{HandoverState, Message, MessageError, VERSION};
 use std::fmt;
 use std::io::{self, Read};
 use std::path::{Path, PathBuf};
@@ -16,7 +16,7 @@
     /// It cannot be read or written.
     Io(io::Error),
     /// What it holds is not used.
-    Form(FormError),
+    Form(MessageError),
 }
 
 impl fmt::Display for StoreError {
@@ -30,7 +30,7 @@
 
 /// The file of one router.
 #[derive(Clone, Debug)]
-pub struct Store {
+pub struct StateStore {
     path: PathBuf,
     router: String,
 }
@@ -48,10 +48,10 @@
     format!("{name}.{kind}")
 }
 
-impl Store {
+impl StateStore {
     /// Under this folder, for a router of this name.
-    pub fn new(folder: &Path, router: &str) -> Store {
-        Store {
+    pub fn new(folder: &Path, router: &str) -> StateStore {
+        StateStore {
             path: folder.join(file_name(router, "state")),
             router: router.to_string(),
         }
@@ -66,7 +66,7 @@
     ///
     /// # Errors
     /// When the file cannot be read, is cut off, spoilt, of another version or another router's.
-    pub fn load(&self) -> Result<Option<State>, StoreError> {
+    pub fn load(&self) -> Result<Option<HandoverState>, StoreError> {
         let file = match std::fs::File::open(&self.path) {
             Ok(file) => file,
             Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
@@ -84,7 +84,7 @@
     ///
     /// # Errors
     /// When the file cannot be written; the old one stands.
-    pub fn save(&self, state: State) -> Result<(), StoreError> {
+    pub fn save(&self, state: HandoverState) -> Result<(), StoreError> {
         let message = Message::State {
             version: VERSION,
             name: self.router.clone(),
--- a/crates/hot-restart/tests/form.rs
+++ b/crates/hot-restart/tests/message.rs
@@ -1,17 +1,22 @@
 //! What is handed over comes out as it went in, or not at all.
 
-use hot_restart::form::{FormError, HEAD, MOST, Message, Said, State, VERSION};
-use hot_restart::link::Link;
-use hot_restart::store::{Store, StoreError};
+use hot_restart::channel::HandoverChannel;
+use hot_restart::message::{
+    HEAD, HandoverState, MOST, Message, MessageError, StoredOverride, VERSION,
+};
+use hot_restart::store::{StateStore, StoreError};
 use proptest::collection::vec;
 use proptest::prelude::*;
 use std::os::fd::AsFd;
 
-fn state() -> State {
-    State {
+fn state() -> HandoverState {
+    HandoverState {
         words: vec![
-            ("s-a".into(), Said::Out),
-            ("s-b".into(), Said::Back(1_700_000_000_000_000)),
+            ("s-a".into(), StoredOverride::Disabled),
+            (
+                "s-b".into(),
+                StoredOverride::EnabledAt(1_700_000_000_000_000),
+            ),
         ],
         drained: true,
         list: Some((([127, 0, 0, 1], 8500).into(), br#"{"seq":41}"#.to_vec())),
@@ -34,7 +39,7 @@
     for length in 0..bytes.len() {
         assert_eq!(
             Message::decode(&bytes[..length]),
-            Err(FormError::CutOff),
+            Err(MessageError::CutOff),
             "{length}"
         );
     }
@@ -50,13 +55,16 @@
     assert_eq!(other(VERSION, "n1").state("n1"), Ok(state()));
     assert_eq!(
         other(VERSION + 1, "n1").state("n1"),
-        Err(FormError::Version(VERSION + 1))
+        Err(MessageError::Version(VERSION + 1))
     );
     assert_eq!(
         other(VERSION, "n2").state("n1"),
-        Err(FormError::Name("n2".into()))
+        Err(MessageError::Name("n2".into()))
+    );
+    assert_eq!(
+        Message::SuccessorServes.state("n1"),
+        Err(MessageError::Unexpected)
     );
-    assert_eq!(Message::Serves.state("n1"), Err(FormError::Unexpected));
     let hello = |version, name: &str| {
         Message::Hello {
             version,
@@ -65,21 +73,24 @@
         .greets("n1")
     };
     assert_eq!(hello(VERSION, "n1"), Ok(()));
-    assert_eq!(hello(0, "n1"), Err(FormError::Version(0)));
-    assert_eq!(hello(VERSION, "n\n"), Err(FormError::Name("n\n".into())));
-    assert_eq!(FormError::Name("n\n".into()).to_string().lines().count(), 1);
+    assert_eq!(hello(0, "n1"), Err(MessageError::Version(0)));
+    assert_eq!(hello(VERSION, "n\n"), Err(MessageError::Name("n\n".into())));
+    assert_eq!(
+        MessageError::Name("n\n".into()).to_string().lines().count(),
+        1
+    );
 }
 
 #[test]
 fn a_message_past_the_bound_is_neither_sent_nor_waited_for() {
     let long = Message::Connection {
         unread: vec![0; MOST],
-        has_asked: true,
+        has_sent_command: true,
     };
-    assert!(matches!(long.encode(), Err(FormError::TooLong(_))));
+    assert!(matches!(long.encode(), Err(MessageError::TooLong(_))));
     let mut head = [0; HEAD];
     head[..4].copy_from_slice(&(MOST as u32 + 1).to_le_bytes());
-    assert_eq!(Message::head(head), Err(FormError::TooLong(MOST + 1)));
+    assert_eq!(Message::head(head), Err(MessageError::TooLong(MOST + 1)));
 }
 
 proptest! {
@@ -89,7 +100,7 @@
         let mut bytes = message().encode().expect("short enough");
         let place = HEAD + place % (bytes.len() - HEAD);
         bytes[place] ^= 1 << bit;
-        prop_assert_eq!(Message::decode(&bytes), Err(FormError::Spoilt));
+        prop_assert_eq!(Message::decode(&bytes), Err(MessageError::Spoilt));
         prop_assert!(Message::decode(&noise).is_err());
     }
 }
@@ -98,7 +109,7 @@
 fn a_file_is_the_old_or_the_new_one_and_another_routers_is_refused() {
     let folder = std::env::temp_dir().join(format!("asterport-store-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
-    let store = Store::new(&folder, "n/../1");
+    let store = StateStore::new(&folder, "n/../1");
     assert!(matches!(store.load(), Ok(None)));
     store.save(state()).expect("saved");
     assert!(matches!(store.load(), Ok(Some(found)) if found == state()));
@@ -107,11 +118,11 @@
         Some(&*folder),
         "no name leads elsewhere"
     );
-    let other = Store::new(&folder, "n2");
+    let other = StateStore::new(&folder, "n2");
     std::fs::copy(store.path(), other.path()).expect("copied");
     assert!(matches!(
         other.load(),
-        Err(StoreError::Form(FormError::Name(_)))
+        Err(StoreError::Form(MessageError::Name(_)))
     ));
     std::fs::remove_dir_all(&folder).expect("removed");
 }
@@ -119,11 +130,11 @@
 #[tokio::test(flavor = "current_thread")]
 async fn descriptors_and_long_messages_come_over_a_link_in_order() {
     let (one, other) = tokio::net::UnixStream::pair().expect("a pair");
-    let (one, other) = (Link::new(one), Link::new(other));
+    let (one, other) = (HandoverChannel::new(one), HandoverChannel::new(other));
     let messages: Vec<Message> = [0, 1, 70_000, 4 << 20]
         .map(|length| Message::Connection {
             unread: vec![7; length],
-            has_asked: length > 1,
+            has_sent_command: length > 1,
         })
         .into();
     let file = std::fs::File::open("/dev/null").expect("opened");
--- a/crates/load-balancer/benches/decision.rs
+++ b/crates/load-balancer/benches/decision.rs
@@ -20,13 +20,13 @@
 
 impl Fleet {
     fn new(servers: usize) -> Fleet {
-        let aim = Micros::from_millis(300);
+        let latency_objective = Micros::from_millis(300);
         let class = Class {
-            aim,
-            deadline: aim.scaled(4.0),
-            worth: 1.0,
-            late_worth: 0.0,
-            effect: Effect::Safe,
+            latency_objective,
+            deadline: latency_objective.scaled(4.0),
+            priority_weight: 1.0,
+            late_weight: 0.0,
+            idempotency: Idempotency::Idempotent,
         };
         let settings = Settings {
             routers: 4,
@@ -34,15 +34,15 @@
             ..Settings::default()
         };
         let mut router = Router::new(settings, 7).expect("usable settings");
-        let members = (0..servers)
-            .map(|i| Member::ready(format!("10.0.{}.{}:80", i / 250, i % 250).as_str().into()));
+        let endpoints = (0..servers)
+            .map(|i| Endpoint::ready(format!("10.0.{}.{}:80", i / 250, i % 250).as_str().into()));
         let (now, mut actions) = (Micros::from_millis(100_000), Vec::new());
-        let members = members.collect();
+        let endpoints = endpoints.collect();
         router.handle(
             now,
-            Event::Membership {
-                kind: MembershipKind::Full,
-                members,
+            Event::EndpointsChanged {
+                update: EndpointUpdate::Snapshot,
+                endpoints,
             },
             &mut actions,
         );
@@ -93,17 +93,17 @@
         let id = self.open.remove(0);
         let end = AttemptEnd::new(
             id,
-            AttemptNo(0),
+            AttemptNumber(0),
             Outcome::Success,
             Micros::from_millis(u64::from(HELD)),
         );
         let end = AttemptEnd {
             complete: true,
-            note: Some(CacheNote::Hit),
+            cache_status: Some(CacheStatus::Hit),
             ..end
         };
         self.router
-            .handle(self.now, Event::Ended(end), &mut self.actions);
+            .handle(self.now, Event::AttemptEnded(end), &mut self.actions);
         self.actions.clear();
     }
 }
--- a/crates/load-balancer/examples/two_routers.rs
+++ b/crates/load-balancer/examples/two_routers.rs
@@ -5,11 +5,11 @@
 
 fn main() -> Result<(), SettingsError> {
     let class = Class {
-        aim: Micros::from_millis(300),
+        latency_objective: Micros::from_millis(300),
         deadline: Micros::from_millis(1_000),
-        worth: 1.0,
-        late_worth: 0.0,
-        effect: Effect::Safe,
+        priority_weight: 1.0,
+        late_weight: 0.0,
+        idempotency: Idempotency::Idempotent,
     };
     let settings = Settings {
         routers: 2,
@@ -18,14 +18,14 @@
     };
     let mut routers = [Router::new(settings.clone(), 1)?, Router::new(settings, 2)?];
     let now = Micros::from_millis(1_000);
-    let members: Vec<Member> = (1..=4)
-        .map(|i| Member::ready(format!("10.0.0.{i}:80").as_str().into()))
+    let endpoints: Vec<Endpoint> = (1..=4)
+        .map(|i| Endpoint::ready(format!("10.0.0.{i}:80").as_str().into()))
         .collect();
     let mut actions = Vec::new();
     for router in &mut routers {
-        let event = Event::Membership {
-            kind: MembershipKind::Full,
-            members: members.clone(),
+        let event = Event::EndpointsChanged {
+            update: EndpointUpdate::Snapshot,
+            endpoints: endpoints.clone(),
         };
         router.handle(now, event, &mut actions);
     }
--- a/crates/load-balancer/src/words.rs
+++ b/crates/load-balancer/src/admin_overrides.rs
@@ -10,26 +10,26 @@
 
 /// The operators' last word on a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
-    /// Nothing more to it.
-    Out,
-    /// Put back at this time; it may have been started anew since, so that it is cold from then on.
-    Back(Micros),
+pub enum AdminOverride {
+    /// Nothing new is sent to it.
+    Disabled,
+    /// Put back into service at this time; it may have restarted since, so slow start begins then.
+    EnabledAt(Micros),
 }
 
 /// What the operators said, by server. It outlives the list's entries.
 #[derive(Debug, Default)]
-pub(crate) struct Words(BTreeMap<ServerId, Word>);
+pub(crate) struct Words(BTreeMap<ServerId, AdminOverride>);
 
 impl Words {
     /// Called out, and not back yet.
     pub fn is_out(&self, server: &ServerId) -> bool {
-        self.0.get(server) == Some(&Word::Out)
+        self.0.get(server) == Some(&AdminOverride::Disabled)
     }
 
     /// When it was put back; 0 if never.
     pub fn back_at(&self, server: &ServerId) -> Micros {
-        if let Some(Word::Back(at)) = self.0.get(server) {
+        if let Some(AdminOverride::EnabledAt(at)) = self.0.get(server) {
             *at
         } else {
             Micros(0)
@@ -37,11 +37,11 @@
     }
 
     /// The operators said this.
-    pub fn set(&mut self, server: ServerId, word: Word) {
+    pub fn set(&mut self, server: ServerId, word: AdminOverride) {
         if self.0.len() >= WORDS && !self.0.contains_key(&server) {
             let oldest = self.0.iter().min_by_key(|(_, word)| match word {
-                Word::Back(at) => *at,
-                Word::Out => Micros::MAX,
+                AdminOverride::EnabledAt(at) => *at,
+                AdminOverride::Disabled => Micros::MAX,
             });
             if let Some(name) = oldest.map(|(name, _)| name.clone()) {
                 self.0.remove(&name);
@@ -53,7 +53,7 @@
 
 impl Router {
     /// What the operators said of each server that they spoke of, for a successor or for a file.
-    pub fn words(&self) -> impl Iterator<Item = (&ServerId, Word)> {
+    pub fn admin_overrides(&self) -> impl Iterator<Item = (&ServerId, AdminOverride)> {
         self.words.0.iter().map(|(server, word)| (server, *word))
     }
 }
--- a/crates/load-balancer/src/api.rs
+++ b/crates/load-balancer/src/api.rs
@@ -3,7 +3,7 @@
 //! Nothing here decides anything. An embedding router fills in [`Settings`], feeds [`Event`]s with the time at
 //! which they happened, and carries out the [`Action`]s it gets back.
 
-use crate::load::Load;
+use crate::load_report::LoadReport;
 use std::fmt;
 use std::sync::Arc;
 
@@ -57,7 +57,7 @@
 
 /// Attempts of one request are numbered from 0 in the order of their [`Action::Send`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct AttemptNo(pub u32);
+pub struct AttemptNumber(pub u32);
 
 /// A cache server's stable name; its bytes place it on the ring.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -102,25 +102,25 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct CellId(pub u64);
 
-/// Whether an attempt may be repeated.
+/// Whether a request may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
-    /// Repeating does no harm.
-    Safe,
-    /// Servers of one group drop repeats that come within `memory` of the first attempt.
+pub enum Idempotency {
+    /// A repeat does no harm.
+    Idempotent,
+    /// Carries an idempotency key: the servers of one scope drop repeats within the window.
     Keyed {
-        /// Which servers share the memory.
-        group: Group,
-        /// How long repeats are dropped.
-        memory: Micros,
+        /// Which servers share the record of keys.
+        scope: DeduplicationScope,
+        /// How long after the first attempt repeats are dropped.
+        deduplication_window: Micros,
     },
     /// Must never run twice.
-    Unsafe,
+    NotIdempotent,
 }
 
 /// The servers that drop each other's repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DeduplicationScope {
     /// All servers.
     All,
     /// Those of one zone.
@@ -133,15 +133,15 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// Answers within this time earn the full worth.
-    pub aim: Micros,
+    pub latency_objective: Micros,
     /// The client's whole patience, over all its tries.
     pub deadline: Micros,
     /// Worth of one request.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Share of the worth that an answer after the aim still earns.
-    pub late_worth: f64,
+    pub late_weight: f64,
     /// Whether it may be repeated.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
 }
 
 /// A tenant and its quota.
@@ -165,7 +165,7 @@
     },
 }
 
-/// What a [`Member::weight`] tells.
+/// What a [`Endpoint::weight`] tells.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Weights {
     /// Nothing, or something that varies from list to list.
@@ -186,7 +186,7 @@
     /// times that after a failed call) counts as told of the list as it stood that long ago.
     Subscribe {
         /// See above.
-        ask_within: Micros,
+        poll_within: Micros,
     },
 }
 
@@ -198,13 +198,13 @@
     /// New work to a draining or gone server must end this soon after the router was told.
     pub drain_grace: Micros,
     /// A server starts with at least this share of its capacity.
-    pub cold_share: f64,
+    pub initial_capacity_ratio: f64,
     /// A started server is warm after this at most.
-    pub cold_time: Micros,
+    pub slow_start_duration: Micros,
     /// A cold server sent more than this multiple of its present capacity ...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ... for this long falls over.
-    pub fall_time: Micros,
+    pub overload_duration: Micros,
     /// Idle connections to a draining server must be closed this soon after the notice or the last use; `None`
     /// where no such rule holds.
     pub drain_close: Option<Micros>,
@@ -218,7 +218,7 @@
     /// Attempts may be cancelled.
     pub cancel: bool,
     /// Two attempts of a request may be out together.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// Clients hear advice on when to retry.
     pub retry_after: bool,
     /// The longest such advice that is followed.
@@ -237,7 +237,7 @@
     /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
     /// What a request beyond its tenant's quota is worth, as a share.
-    pub over_quota_worth: f64,
+    pub over_quota_weight: f64,
     /// Who asks the origin.
     pub mode: CacheMode,
     /// How the list arrives.
@@ -251,14 +251,14 @@
     /// Idle connections are closed after this long.
     pub connection_idle: Micros,
     /// What connections cost.
-    pub prices: Prices,
+    pub connection_costs: ConnectionCosts,
     /// An origin that is sent too much for too long stops for some seconds.
-    pub origin_falls: bool,
+    pub origin_collapses_under_overload: bool,
 }
 
 /// What connections cost a deployment, as shares of the worth of all requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Prices {
+pub struct ConnectionCosts {
     /// A hundred open connections to each server, all the time; 0 where they cost nothing.
     pub connection: f64,
     /// A new connection for each request.
@@ -285,17 +285,18 @@
 impl AttemptEnd {
     /// An end of which no more is known: the client still has no answer, no note came, nothing had begun to come back, and
     /// the connection is unknown.
-    pub fn new(id: RequestId, attempt: AttemptNo, outcome: Outcome, elapsed: Micros) -> Self {
-        let (complete, note, begun, link, load) = (false, None, false, Link::Unknown, None);
+    pub fn new(id: RequestId, attempt: AttemptNumber, outcome: Outcome, elapsed: Micros) -> Self {
+        let (complete, cache_status, response_started, connection_use, load) =
+            (false, None, false, ConnectionUse::Unknown, None);
         AttemptEnd {
             id,
             attempt,
             outcome,
             complete,
             elapsed,
-            note,
-            begun,
-            link,
+            cache_status,
+            response_started,
+            connection_use,
             load,
         }
     }
@@ -313,19 +314,19 @@
             return fail("classes".into(), "at least one class is needed");
         }
         for (i, class) in self.classes.iter().enumerate() {
-            if class.aim == Micros(0) {
+            if class.latency_objective == Micros(0) {
                 return fail(format!("classes.{i}.aim"), "must be above zero");
             }
             if class.deadline == Micros(0) {
                 return fail(format!("classes.{i}.deadline"), "must be above zero");
             }
-            if !finite(class.worth) {
+            if !finite(class.priority_weight) {
                 return fail(
                     format!("classes.{i}.worth"),
                     "must be a number of at least zero",
                 );
             }
-            if !finite(class.late_worth) {
+            if !finite(class.late_weight) {
                 return fail(
                     format!("classes.{i}.late_worth"),
                     "must be a number of at least zero",
@@ -346,16 +347,16 @@
                 );
             }
         }
-        if !finite(self.over_quota_worth) {
+        if !finite(self.over_quota_weight) {
             return fail(
                 "over_quota_worth".into(),
                 "must be a number of at least zero",
             );
         }
-        if !(0.0..=1.0).contains(&self.rules.cold_share) {
+        if !(0.0..=1.0).contains(&self.rules.initial_capacity_ratio) {
             return fail("rules.cold_share".into(), "must lie between 0 and 1");
         }
-        if !finite(self.rules.fall_multiple) {
+        if !finite(self.rules.overload_multiple) {
             return fail(
                 "rules.fall_multiple".into(),
                 "must be a number of at least zero",
@@ -370,22 +371,22 @@
 
 /// The state of a listed server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ServerState {
+pub enum EndpointState {
     /// Takes new work.
     Ready,
     /// Finishes its work and takes nothing new.
     Draining,
-    /// Removed.
-    Gone,
+    /// Removed from the list.
+    Removed,
 }
 
 /// One entry of the list of servers.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Member {
+pub struct Endpoint {
     /// Its name.
     pub server: ServerId,
     /// Its state.
-    pub state: ServerState,
+    pub state: EndpointState,
     /// Its zone.
     pub zone: Option<ZoneId>,
     /// Its cell.
@@ -398,17 +399,17 @@
     pub weight: f64,
 }
 
-/// What a membership event brings.
+/// Which part of the endpoint list an event carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum MembershipKind {
+pub enum EndpointUpdate {
     /// Changed entries only.
-    Changes,
+    Delta,
     /// The whole list.
-    Full,
+    Snapshot,
     /// The whole list as this router last held it; possibly stale.
-    Cached,
-    /// A call failed or the subscription broke; no entries.
-    Lost,
+    Restored,
+    /// A poll failed or the watch broke; no entries.
+    WatchLost,
 }
 
 /// A new request.
@@ -446,11 +447,11 @@
     /// No connection; it never ran.
     Unreachable,
     /// The connection broke; it may have run.
-    Broken,
+    ConnectionLost,
     /// Cancelled by the router; it may have run.
     Cancelled,
     /// Never sent.
-    Void,
+    NotSent,
     /// Nothing is kept there for this key; it never ran.
     Miss,
 }
@@ -460,14 +461,14 @@
     pub fn never_ran(self) -> bool {
         matches!(
             self,
-            Outcome::Overloaded | Outcome::Unreachable | Outcome::Void | Outcome::Miss
+            Outcome::Overloaded | Outcome::Unreachable | Outcome::NotSent | Outcome::Miss
         )
     }
 }
 
 /// How a server came by its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CacheNote {
+pub enum CacheStatus {
     /// It had the object.
     Hit,
     /// It lacked the object.
@@ -478,14 +479,14 @@
 
 /// The connection that an attempt went out on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Link {
+pub enum ConnectionUse {
     /// The embedding program cannot tell.
     #[default]
     Unknown,
     /// It was opened for this attempt, whose time holds the handshake.
     New,
     /// It had carried others, and had been idle for so long since the last.
-    Kept(Micros),
+    Reused(Micros),
 }
 
 /// The end of an attempt; each gets exactly one.
@@ -494,7 +495,7 @@
     /// The request.
     pub id: RequestId,
     /// Its attempt.
-    pub attempt: AttemptNo,
+    pub attempt: AttemptNumber,
     /// How it ended.
     pub outcome: Outcome,
     /// Whether the client has its final answer by now.
@@ -502,33 +503,33 @@
     /// Time since the attempt was sent.
     pub elapsed: Micros,
     /// How the server came by the answer.
-    pub note: Option<CacheNote>,
+    pub cache_status: Option<CacheStatus>,
     /// Something of an answer came back: whatever the outcome, the connection was alive. False where that is not
     /// known.
-    pub begun: bool,
+    pub response_started: bool,
     /// The connection that it went out on.
-    pub link: Link,
+    pub connection_use: ConnectionUse,
     /// What the server said of itself, where answers bring that.
-    pub load: Option<Load>,
+    pub load: Option<LoadReport>,
 }
 
 /// What happens to the router.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// News of the servers.
-    Membership {
-        /// What it brings.
-        kind: MembershipKind,
+    /// The endpoint list changed.
+    EndpointsChanged {
+        /// Which part of the list the entries are.
+        update: EndpointUpdate,
         /// The entries.
-        members: Vec<Member>,
+        endpoints: Vec<Endpoint>,
     },
     /// An operator took a server out of use: nothing new to it, whatever the list says. Twice is once.
-    Excluded {
+    ServerDisabled {
         /// The server; one that the list does not name yet is out as soon as it does.
         server: ServerId,
     },
     /// An operator put a server back: one call back ends any number of calls out, and it is met as cold.
-    Included {
+    ServerEnabled {
         /// The server.
         server: ServerId,
         /// When that was: before now where it is told by another process.
@@ -541,18 +542,18 @@
         /// The request.
         id: RequestId,
         /// Its attempt.
-        attempt: AttemptNo,
+        attempt: AttemptNumber,
     },
     /// An attempt ended.
-    Ended(AttemptEnd),
+    AttemptEnded(AttemptEnd),
     /// The client left; nothing more is owed.
-    Gone {
+    ClientDisconnected {
         /// The request.
         id: RequestId,
     },
     /// One more client waits for the answer of this request, and is owed it elsewhere: the embedding program joins
     /// reads that ask for the same.
-    Joined {
+    Coalesced {
         /// The request.
         id: RequestId,
         /// Who joins it: it counts as having asked, and the most entitled of all decides how the request fares.
@@ -561,7 +562,7 @@
         expires: Micros,
     },
     /// Of those who wait for this request's answer the one with the most time has left.
-    Shortened {
+    DeadlineShortened {
         /// The request.
         id: RequestId,
         /// When the time of all others is up.
@@ -585,7 +586,7 @@
         server: ServerId,
         /// Give up on the attempt after this time; `None` is the client's own limit.
         timeout: Option<Micros>,
-        /// Its last byte must be written within this time, or it is not to be sent at all ([`Outcome::Void`]): a
+        /// Its last byte must be written within this time, or it is not to be sent at all ([`Outcome::NotSent`]): a
         /// repeat that waits for its connection may outlast the memory that makes it harmless. `None`: no such end.
         start_within: Option<Micros>,
     },
@@ -594,10 +595,10 @@
         /// The request.
         id: RequestId,
         /// Its attempt.
-        attempt: AttemptNo,
+        attempt: AttemptNumber,
     },
     /// Final answer: declined; trying again does no harm.
-    Refuse {
+    Reject {
         /// The request.
         id: RequestId,
         /// Advice on how long to stay away.
@@ -634,39 +635,39 @@
             zone: None,
             classes: Vec::new(),
             tenants: Vec::new(),
-            over_quota_worth: 1.0,
+            over_quota_weight: 1.0,
             mode: CacheMode::Through,
             discovery: Discovery::Push,
             weights: Weights::Unknown,
             rules: Rules {
                 answer_grace: Micros::from_millis(20),
                 drain_grace: Micros::from_millis(250),
-                cold_share: 0.1,
-                cold_time: Micros::from_millis(30_000),
-                fall_multiple: 2.0,
-                fall_time: Micros::from_millis(1_000),
+                initial_capacity_ratio: 0.1,
+                slow_start_duration: Micros::from_millis(30_000),
+                overload_multiple: 2.0,
+                overload_duration: Micros::from_millis(1_000),
                 drain_close: None,
             },
             limits: Limits {
                 max_attempts: 3,
                 cancel: false,
-                second_copies: false,
+                hedging: false,
                 retry_after: false,
                 max_retry_after: Micros::from_millis(1_000),
             },
             connection_idle: Micros::from_millis(15_000),
-            prices: Prices::default(),
-            origin_falls: true,
+            connection_costs: ConnectionCosts::default(),
+            origin_collapses_under_overload: true,
         }
     }
 }
 
-impl Member {
+impl Endpoint {
     /// A ready server of usual size that started long ago.
     pub fn ready(server: ServerId) -> Self {
-        Member {
+        Endpoint {
             server,
-            state: ServerState::Ready,
+            state: EndpointState::Ready,
             zone: None,
             cell: CellId(0),
             kind: None,
--- a/crates/load-balancer/src/life.rs
+++ b/crates/load-balancer/src/availability.rs
@@ -5,49 +5,49 @@
 //! says. [`Server::standing`] is the one answer that both come to; the ring, the way out for attempts and the
 //! embedding program ask nothing else.
 
+use crate::admin_overrides::AdminOverride;
 use crate::api::*;
-use crate::belief::Gauge;
-use crate::points::{DIGESTS, digest_points};
+use crate::concurrency_limit::Gauge;
+use crate::ring_points::{DIGESTS, digest_points};
 use crate::state::{Router, Server};
-use crate::words::Word;
 
 /// What a server may be used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
-    /// Listed as up: it takes new work.
-    Takes,
-    /// Listed as draining: it finishes what it has.
-    Drains,
-    /// Called out by an operator: it finishes what it has, and takes nothing new until it is called back,
-    /// whatever the list says.
-    Out,
-    /// Not listed.
-    Gone,
+pub enum Availability {
+    /// Listed as ready: it takes new requests.
+    Accepting,
+    /// Listed as draining: it finishes the requests that it has.
+    Draining,
+    /// Disabled by an operator: it finishes what it has and takes nothing new until it is enabled again, whatever
+    /// the endpoint list says.
+    Disabled,
+    /// Not on the endpoint list.
+    Removed,
 }
 
 impl Server {
     /// What it may be used for.
-    pub fn standing(&self) -> Standing {
+    pub fn availability(&self) -> Availability {
         match self.member.state {
-            ServerState::Gone => Standing::Gone,
-            _ if self.is_out => Standing::Out,
-            ServerState::Draining => Standing::Drains,
-            ServerState::Ready => Standing::Takes,
+            EndpointState::Removed => Availability::Removed,
+            _ if self.is_out => Availability::Disabled,
+            EndpointState::Draining => Availability::Draining,
+            EndpointState::Ready => Availability::Accepting,
         }
     }
 
     pub fn is_gone(&self) -> bool {
-        self.standing() == Standing::Gone
+        self.availability() == Availability::Removed
     }
 
     pub fn is_ready(&self) -> bool {
-        self.standing() == Standing::Takes
+        self.availability() == Availability::Accepting
     }
 
-    /// How much of its warm-up it has behind it: 1 once `cold_time` has passed since its start.
+    /// How much of its warm-up it has behind it: 1 once `slow_start_duration` has passed since its start.
     pub fn warmth(&self, at: Micros, rules: &Rules) -> f64 {
         let since = self.member.started.max(self.down_at);
-        let part = at.since(since).as_secs_f64() / rules.cold_time.as_secs_f64();
+        let part = at.since(since).as_secs_f64() / rules.slow_start_duration.as_secs_f64();
         if since == Micros(0) || part.is_nan() {
             1.0
         } else {
@@ -57,20 +57,20 @@
 
     /// The part of its capacity that it has at least.
     pub fn capacity(&self, at: Micros, rules: &Rules) -> f64 {
-        rules.cold_share + (1.0 - rules.cold_share) * self.warmth(at, rules)
+        rules.initial_capacity_ratio + (1.0 - rules.initial_capacity_ratio) * self.warmth(at, rules)
     }
 }
 
 impl Router {
     /// What a server may be used for now; `None`: nobody has told this router of it.
-    pub fn standing(&self, server: &ServerId) -> Option<Standing> {
+    pub fn availability(&self, server: &ServerId) -> Option<Availability> {
         self.by_name
             .get(server)
-            .map(|&place| self.servers[place].standing())
+            .map(|&place| self.servers[place].availability())
     }
 
     /// A process that is new has no record, is sent little at first, and holds no keys.
-    pub(crate) fn on_member(&mut self, member: Member) {
+    pub(crate) fn on_member(&mut self, member: Endpoint) {
         let place = self.by_name.get(&member.server).copied();
         let same = |s: &&mut Server| s.member.started == member.started;
         if let Some(server) = place.map(|i| &mut self.servers[i]).filter(same) {
@@ -96,7 +96,7 @@
 
     /// Puts a process of which nothing is known yet in this place, which may have had another. What is out to
     /// that one still counts here until it ends.
-    fn renew(&mut self, place: usize, member: Member) {
+    fn renew(&mut self, place: usize, member: Endpoint) {
         let old = self.servers.get(place);
         let in_flight = old.map_or(0, |s| s.load.in_flight);
         let listed = old.is_some_and(|s| s.listed && s.member.server == member.server);
@@ -130,8 +130,8 @@
 
     /// Nothing new to this server until it is called back. What is out ends as it would; what is idle is
     /// closed, since the process may be replaced meanwhile.
-    pub(crate) fn on_excluded(&mut self, server: ServerId) {
-        self.words.set(server.clone(), Word::Out);
+    pub(crate) fn on_server_disabled(&mut self, server: ServerId) {
+        self.words.set(server.clone(), AdminOverride::Disabled);
         if let Some(&place) = self.by_name.get(&server) {
             self.servers[place].is_out = true;
             self.out.push(Action::CloseIdle { server });
@@ -141,12 +141,12 @@
 
     /// The server was put back at `at`: whatever the list says of its start, it may be new and is met as
     /// cold. Of one that is not out nothing changes, but for what another process was told before.
-    pub(crate) fn on_included(&mut self, server: ServerId, at: Micros) {
+    pub(crate) fn on_server_enabled(&mut self, server: ServerId, at: Micros) {
         let is_news = at < self.now && at > self.words.back_at(&server);
         if !self.words.is_out(&server) && !is_news {
             return;
         }
-        self.words.set(server.clone(), Word::Back(at));
+        self.words.set(server.clone(), AdminOverride::EnabledAt(at));
         if let Some(&place) = self.by_name.get(&server) {
             let member = self.servers[place].member.clone();
             self.out.push(Action::CloseIdle { server });
--- a/crates/load-balancer/src/balance.rs
+++ b/crates/load-balancer/src/balance.rs
@@ -5,9 +5,9 @@
 //! Departures skip a candidate, refuse or time an attempt. Attempts leave by `send`, answers by `answer`.
 
 use crate::api::*;
-use crate::belief::{CUT, Gauge};
-use crate::origin::{Claim, FAMILIAR, Origin};
-use crate::points::{DIGESTS, digest_points};
+use crate::concurrency_limit::{CUT, Gauge};
+use crate::origin_fetch_limit::{Claim, FAMILIAR, Origin};
+use crate::ring_points::{DIGESTS, digest_points};
 use crate::state::*;
 
 /// All routers together send a cold server of one core at most this share of what would push it over.
@@ -66,8 +66,8 @@
 
 impl Class {
     /// A further attempt that has less time than this is of no use.
-    pub fn further_attempt_needs(&self) -> Micros {
-        self.aim.scaled(LEAST_TIME)
+    pub fn minimum_retry_time(&self) -> Micros {
+        self.latency_objective.scaled(LEAST_TIME)
     }
 }
 
@@ -78,7 +78,7 @@
         let shortest_aim = settings
             .classes
             .iter()
-            .map(|c| c.aim)
+            .map(|c| c.latency_objective)
             .min()
             .unwrap_or_default();
         let routers = f64::from(settings.routers);
@@ -89,7 +89,10 @@
         router.corner = router.random.next();
         router.retry_tokens = router.retry_keep();
         router.usual = shortest_aim.scaled(SLOW_SHARE);
-        let of_use = |c: &Class| c.aim.plus(c.deadline.since(c.aim).scaled(c.late_worth));
+        let of_use = |c: &Class| {
+            c.latency_objective
+                .plus(c.deadline.since(c.latency_objective).scaled(c.late_weight))
+        };
         let longest = router
             .settings
             .classes
@@ -111,23 +114,25 @@
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
         match event {
-            Event::Membership { kind, members } => self.on_membership(kind, members),
-            Event::Excluded { server } => self.on_excluded(server),
-            Event::Included { server, at } => self.on_included(server, at),
+            Event::EndpointsChanged { update, endpoints } => {
+                self.on_endpoints_changed(update, endpoints)
+            }
+            Event::ServerDisabled { server } => self.on_server_disabled(server),
+            Event::ServerEnabled { server, at } => self.on_server_enabled(server, at),
             Event::Request(ask) => self.on_request(ask),
             Event::StreamStarted { id, .. } => {
                 _ = self.held.get_mut(&id).map(|h| h.streaming = true)
             }
-            Event::Ended(end) => self.on_end(end),
-            Event::Joined {
+            Event::AttemptEnded(end) => self.on_attempt_ended(end),
+            Event::Coalesced {
                 id,
                 tenant,
                 expires,
-            } => self.on_joined(id, tenant, expires),
-            Event::Shortened { id, expires } => {
+            } => self.on_coalesced(id, tenant, expires),
+            Event::DeadlineShortened { id, expires } => {
                 _ = self.held.get_mut(&id).map(|h| h.ask.expires = expires)
             }
-            Event::Gone { id } => self.on_gone(id),
+            Event::ClientDisconnected { id } => self.on_client_disconnected(id),
             Event::Timer { token } => match (token & 3, RequestId((token >> 2) as u32)) {
                 (TIMER_ASK, _) => self.ask(),
                 (TIMER_ADVANCE, id) => self.advance(id),
@@ -137,19 +142,19 @@
         out.append(&mut self.out);
     }
 
-    fn on_membership(&mut self, kind: MembershipKind, members: Vec<Member>) {
-        if matches!(kind, MembershipKind::Full | MembershipKind::Cached) {
+    fn on_endpoints_changed(&mut self, update: EndpointUpdate, endpoints: Vec<Endpoint>) {
+        if matches!(update, EndpointUpdate::Snapshot | EndpointUpdate::Restored) {
             // What a full list leaves out is gone.
             self.servers
                 .iter_mut()
-                .for_each(|s| s.member.state = ServerState::Gone);
+                .for_each(|s| s.member.state = EndpointState::Removed);
         }
-        members
+        endpoints
             .into_iter()
             .for_each(|member| self.on_member(member));
         self.on_standing();
-        if let Discovery::Subscribe { ask_within } = self.settings.discovery {
-            self.on_list_answer(kind, ask_within);
+        if let Discovery::Subscribe { poll_within } = self.settings.discovery {
+            self.on_list_answer(update, poll_within);
         }
     }
 
@@ -238,7 +243,7 @@
             .key
             .map_or_else(|| format!("request {}", id.0), |key| key.to_string());
         let points = digest_points(text.as_bytes());
-        let worth = self.settings.classes[ask.class.0].worth;
+        let worth = self.settings.classes[ask.class.0].priority_weight;
         self.demand.came_of(ask.tenant);
         let count = self.demand.came(self.now, (ask.class.0, worth), points[0]);
         let familiar = if ask.write {
@@ -264,7 +269,7 @@
     }
 
     /// The client has left: what it asked for may come again.
-    fn on_gone(&mut self, id: RequestId) {
+    fn on_client_disconnected(&mut self, id: RequestId) {
         let Some(mut held) = self.held.remove(&id) else {
             return;
         };
@@ -276,7 +281,7 @@
     }
 
     /// Counts the one that joins for its own tenant; the request goes on as that of whoever floods least.
-    fn on_joined(&mut self, id: RequestId, tenant: Option<TenantId>, expires: Micros) {
+    fn on_coalesced(&mut self, id: RequestId, tenant: Option<TenantId>, expires: Micros) {
         self.demand.came_of(tenant);
         let Some(mut held) = self.held.remove(&id) else {
             return;
@@ -315,7 +320,7 @@
         match self.choose(held) {
             Some(server) if self.send(held, server) => {}
             None if self.ready == 0 && held.ask.expires > self.now => {
-                let after = self.class(held).aim.scaled(LEAST_TIME);
+                let after = self.class(held).latency_objective.scaled(LEAST_TIME);
                 self.set_timer(after, held.ask.id, TIMER_ADVANCE);
             }
             _ => self.answer(held),
@@ -385,16 +390,19 @@
             earlier: None,
         };
         let mut seen = std::mem::take(&mut self.verdicts);
-        let mut reason = Verdict::Tried;
+        let mut reason = CandidateVerdict::AlreadyAttempted;
         let found = self.first_candidate(held.place, |index| {
             let verdict = self.verdict(held, index, &mut walk);
             seen[verdict as usize] += 1;
             // The first that was fit but for room or a fetch, else what the last was left out for.
-            let fit = matches!(reason, Verdict::Full | Verdict::NoFetch);
+            let fit = matches!(
+                reason,
+                CandidateVerdict::AtCapacity | CandidateVerdict::FetchLimited
+            );
             reason = if fit { reason } else { verdict };
             verdict
                 .is_taken()
-                .then_some((index, verdict == Verdict::MovedPaid))
+                .then_some((index, verdict == CandidateVerdict::DivertedWithRetryToken))
         });
         self.verdicts = seen;
         self.unplaced[reason as usize] += u64::from(found.is_none() && walk.earlier.is_none());
@@ -408,20 +416,20 @@
     }
 
     /// What one candidate is to a request, in the order of the ring; the first that is fit takes it.
-    fn verdict(&self, held: &Held, index: usize, walk: &mut Walk) -> Verdict {
+    fn verdict(&self, held: &Held, index: usize, walk: &mut Walk) -> CandidateVerdict {
         let (server, now, rules) = (&self.servers[index], self.now, &self.settings.rules);
         let owner = std::mem::take(&mut walk.owner);
         let size = self.size(server);
         let trial_gap = self.shortest_aim.scaled(TRIAL_GAP);
         // A server slower or colder than the best takes its arcs in part, a cold one within its budget.
         let left_out = if held.attempts.iter().any(|a| a.server == index && !a.unmet) {
-            Some(Verdict::Tried)
+            Some(CandidateVerdict::AlreadyAttempted)
         } else if held.slice * walk.most > self.part(server) {
-            Some(Verdict::InPart)
+            Some(CandidateVerdict::OutsidePartialArc)
         } else if server.warmth(now, rules) < 1.0 && !self.has_budget(server, held.ask.cost_hint) {
-            Some(Verdict::Cold)
+            Some(CandidateVerdict::SlowStartLimited)
         } else if self.is_silent(server) && now.since(server.last_sent) < trial_gap {
-            Some(Verdict::Silent)
+            Some(CandidateVerdict::Unresponsive)
         } else {
             None
         };
@@ -434,7 +442,7 @@
             walk.passed_on -= size;
             let fit = self.has_place(server, 1.0, walk) && (free || walk.fetch);
             walk.earlier = walk.earlier.or(Some(index).filter(|_| fit));
-            return Verdict::Hot;
+            return CandidateVerdict::HotKeyReplicaElsewhere;
         }
         // The first that is fit keeps the key; past it a fetch is paid for, unless known there.
         let near = std::mem::take(&mut walk.near);
@@ -443,21 +451,21 @@
         }
         let paid = !near && !free && !held.ask.write;
         if !self.has_place(server, if paid { MOVE_ROOM } else { 1.0 }, walk) {
-            return Verdict::Full;
+            return CandidateVerdict::AtCapacity;
         }
         match near {
             _ if free || (near && walk.fetch) => {
                 if owner {
-                    Verdict::Home
+                    CandidateVerdict::Owner
                 } else {
-                    Verdict::Moved
+                    CandidateVerdict::Diverted
                 }
             }
-            true => Verdict::NoFetch,
-            false if !walk.may_move => Verdict::Stays,
-            false if !walk.move_off => Verdict::NoFetch,
-            false if paid => Verdict::MovedPaid,
-            false => Verdict::Moved,
+            true => CandidateVerdict::FetchLimited,
+            false if !walk.may_move => CandidateVerdict::RetainedByOwner,
+            false if !walk.move_off => CandidateVerdict::FetchLimited,
+            false if paid => CandidateVerdict::DivertedWithRetryToken,
+            false => CandidateVerdict::Diverted,
         }
     }
 
@@ -552,9 +560,9 @@
     /// How a request ranks by worth among those asked for lately: the share that is worth less, and half of
     /// what is worth the same. The order of refusals is the same at any size of fleet.
     fn rank(&self, held: &Held) -> f64 {
-        let worth = self.class(held).worth * self.stretch(held).min(1.0);
+        let worth = self.class(held).priority_weight * self.stretch(held).min(1.0);
         let classes = self.settings.classes.iter().zip(&self.demand.asked);
-        let under = |(class, share): (&Class, &f64)| match class.worth.total_cmp(&worth) {
+        let under = |(class, share): (&Class, &f64)| match class.priority_weight.total_cmp(&worth) {
             std::cmp::Ordering::Less => *share,
             std::cmp::Ordering::Equal => share / 2.0,
             std::cmp::Ordering::Greater => 0.0,
@@ -565,14 +573,14 @@
     /// How much of a limit a request may use: more if it is worth much, less if its tenant floods.
     fn stretch(&self, held: &Held) -> f64 {
         let class = self.class(held);
-        let worthy = if class.worth >= 2.0 * self.demand.mean_worth {
+        let worthy = if class.priority_weight >= 2.0 * self.demand.mean_worth {
             WORTHY_STRETCH
         } else {
             1.0
         };
-        let late = held.came.plus(class.aim) < self.now.plus(self.usual);
+        let late = held.came.plus(class.latency_objective) < self.now.plus(self.usual);
         let worthy = if late {
-            worthy * class.late_worth.max(MOVE_ROOM)
+            worthy * class.late_weight.max(MOVE_ROOM)
         } else {
             worthy
         };
@@ -598,10 +606,11 @@
             &self.settings.rules,
             server.last_sent.plus(self.now).scaled(0.5),
         );
-        let stands = COLD_WORK * rules.fall_multiple * server.capacity(middle, rules);
+        let stands = COLD_WORK * rules.overload_multiple * server.capacity(middle, rules);
         let budget = stands / f64::from(self.settings.routers);
         let at_once = cost.unwrap_or_default().scaled(FIRST_TOTAL);
-        f64::from(self.settings.routers) <= FIRST_TOTAL && at_once <= rules.fall_time.scaled(stands)
+        f64::from(self.settings.routers) <= FIRST_TOTAL
+            && at_once <= rules.overload_duration.scaled(stands)
             || self.now.since(server.last_sent).scaled(budget) >= self.usual.scaled(server.due)
     }
 
@@ -613,7 +622,7 @@
             && self.now < held.ask.expires
             && held.attempts.len() < limits.max_attempts as usize
             && self.servers[index].is_ready()
-            && (!held.is_out() || limits.second_copies)
+            && (!held.is_out() || limits.hedging)
             && self.effect_allows(held, index);
         if !allowed {
             return false;
@@ -664,43 +673,51 @@
     /// So does giving up what is not overdue yet: the work goes on, and the next attempt costs as much again.
     fn patience(&self, held: &Held, index: usize) -> Option<Micros> {
         let (class, tried) = (self.class(held), held.attempts.len() as u32);
-        let left = held.came.plus(class.aim).since(self.now);
+        let left = held.came.plus(class.latency_objective).since(self.now);
         let part = left.scaled(PATIENCE);
         let overdue = part >= self.usual.max(self.servers[index].usual).scaled(OVERDUE);
-        let further = ((class.late_worth == 0.0 && overdue)
+        let further = ((class.late_weight == 0.0 && overdue)
             || self.is_silent(&self.servers[index]))
-            && class.effect != Effect::Unsafe
+            && class.idempotency != Idempotency::NotIdempotent
             && tried < self.settings.limits.max_attempts
             && self.retry_tokens >= 1.0
             && !self.servers[index].is_origin;
-        let useful = left > class.aim.scaled(LEAST_TIME) && self.now.plus(left) <= held.ask.expires;
+        let useful = left > class.latency_objective.scaled(LEAST_TIME)
+            && self.now.plus(left) <= held.ask.expires;
         (further && useful).then_some(part)
     }
 
     /// How long a repeat of a keyed request that may have run is still dropped.
     fn memory_left(&self, held: &Held) -> Option<Micros> {
-        let Effect::Keyed { memory, .. } = self.class(held).effect else {
+        let Idempotency::Keyed {
+            deduplication_window,
+            ..
+        } = self.class(held).idempotency
+        else {
             return None;
         };
         held.first_run()
-            .map(|first| first.sent.plus(memory).since(self.now))
+            .map(|first| first.sent.plus(deduplication_window).since(self.now))
     }
 
     fn effect_allows(&self, held: &Held, index: usize) -> bool {
         let Some(first) = held.first_run() else {
             return true;
         };
-        match self.class(held).effect {
-            Effect::Safe => true,
-            Effect::Unsafe => false,
-            Effect::Keyed { group, memory } => {
+        match self.class(held).idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NotIdempotent => false,
+            Idempotency::Keyed {
+                scope,
+                deduplication_window,
+            } => {
                 let (a, b) = (
                     &self.servers[first.server].member,
                     &self.servers[index].member,
                 );
-                let close = group == Group::Zone || a.cell == b.cell;
-                (group == Group::All || (a.zone == b.zone && close))
-                    && self.now.since(first.sent) < memory
+                let close = scope == DeduplicationScope::Zone || a.cell == b.cell;
+                (scope == DeduplicationScope::All || (a.zone == b.zone && close))
+                    && self.now.since(first.sent) < deduplication_window
             }
         }
     }
@@ -713,17 +730,17 @@
         held.answered = true;
         self.turned_away.remember(held.place, &held.ask, held.came);
         let safe = matches!(
-            self.class(held).effect,
-            Effect::Safe
-                | Effect::Keyed {
-                    group: Group::All,
+            self.class(held).idempotency,
+            Idempotency::Idempotent
+                | Idempotency::Keyed {
+                    scope: DeduplicationScope::All,
                     ..
                 }
         );
         let harmless = safe || held.first_run().is_none();
         let (id, retry_after) = (held.ask.id, self.advice());
         self.out.push(if harmless {
-            Action::Refuse { id, retry_after }
+            Action::Reject { id, retry_after }
         } else {
             Action::Fail { id }
         });
@@ -738,11 +755,11 @@
             .then(|| self.usual.scaled(1.0 + spread).min(limits.max_retry_after))
     }
 
-    fn on_end(&mut self, end: AttemptEnd) {
+    fn on_attempt_ended(&mut self, end: AttemptEnd) {
         let Some(mut held) = self.held.remove(&end.id) else {
             return;
         };
-        let aim = self.class(&held).aim;
+        let aim = self.class(&held).latency_objective;
         let tried = held
             .attempts
             .get_mut(end.attempt.0 as usize)
@@ -764,7 +781,8 @@
             self.kept.learn(self.now, idle, &end);
             self.links.learn(&end);
             // Where an answer was lost or late, the key is likelier to be hot than its share here tells.
-            let slow = end.elapsed > aim.scaled(SLOW_SHARE) && end.link != Link::New;
+            let slow =
+                end.elapsed > aim.scaled(SLOW_SHARE) && end.connection_use != ConnectionUse::New;
             if slow {
                 self.demand.seems_hot(held.place);
             }
@@ -779,7 +797,7 @@
                 .map(|a| a.server)
                 .find(|&i| !self.servers[i].is_origin);
             let home = home.unwrap_or(index);
-            let failed = end.note.is_some() || end.outcome == Outcome::TimedOut;
+            let failed = end.cache_status.is_some() || end.outcome == Outcome::TimedOut;
             if end.outcome == Outcome::Success {
                 self.retry_tokens = (self.retry_tokens + RETRY_EARN).min(self.retry_keep());
                 self.known.learn(held.place, home);
@@ -810,25 +828,30 @@
     /// fails sooner than it serves hits. What failed later than that was a fetch (a key thought to be kept is
     /// so no more), and while many are, so were the quick ones: a full origin turns fetches away at once.
     fn with_note(&mut self, end: AttemptEnd) -> AttemptEnd {
-        let untold = end.outcome == Outcome::Failure && end.note.is_none();
+        let untold = end.outcome == Outcome::Failure && end.cache_status.is_none();
         if !untold || self.settings.mode != CacheMode::Through {
             return end;
         }
         let late = end.elapsed > self.usual;
         self.late_failures += (f64::from(u8::from(late)) - self.late_failures) / MISS_SPAN;
-        let note = (late || self.late_failures > ORIGIN_SHARE).then_some(CacheNote::Miss);
-        AttemptEnd { note, ..end }
+        let cache_status = (late || self.late_failures > ORIGIN_SHARE).then_some(CacheStatus::Miss);
+        AttemptEnd {
+            cache_status,
+            ..end
+        }
     }
 
     /// Any word shows that a server is there. No word shows nothing where no attempt was written.
     fn learn_silence(&mut self, index: usize, end: &AttemptEnd) {
         let server = &mut self.servers[index];
         match end.outcome {
-            Outcome::Cancelled | Outcome::Void => {}
+            Outcome::Cancelled | Outcome::NotSent => {}
             // What had hardly any time tells nothing.
             Outcome::TimedOut
-                if !end.begun && end.elapsed < self.shortest_aim.scaled(SLOW_SHARE) => {}
-            Outcome::TimedOut if !end.begun => server.unheard = server.unheard.saturating_add(1),
+                if !end.response_started && end.elapsed < self.shortest_aim.scaled(SLOW_SHARE) => {}
+            Outcome::TimedOut if !end.response_started => {
+                server.unheard = server.unheard.saturating_add(1)
+            }
             Outcome::Unreachable => server.unheard = server.unheard.saturating_add(1),
             _ => (server.unheard, server.waiting_since) = (0, None),
         }
@@ -841,15 +864,21 @@
         fetch: bool,
         familiar: usize,
         end: &AttemptEnd,
-        aim: Micros,
+        latency_objective: Micros,
     ) {
         // Where routers are many, each sees too little of a server to learn in time.
         let little = f64::from(self.settings.routers) > FIRST_TOTAL;
         let least = (LEAST_TOTAL / f64::from(self.settings.routers)).min(1.0);
         let now = self.now;
         let server = &mut self.servers[index];
-        let missed = matches!(end.note, Some(CacheNote::Miss | CacheNote::MissPending));
-        let (half, beyond) = (aim.scaled(SLOW_SHARE), end.elapsed.since(server.usual));
+        let missed = matches!(
+            end.cache_status,
+            Some(CacheStatus::Miss | CacheStatus::MissPending)
+        );
+        let (half, beyond) = (
+            latency_objective.scaled(SLOW_SHARE),
+            end.elapsed.since(server.usual),
+        );
         // What hangs on a fetch is no server's fault; where little is seen, fetches must have failed first.
         let trusted = if little {
             1.0 - CUT
@@ -869,13 +898,14 @@
         // Guards against taking a handshake for the server's slowness: what is late on a new connection tells
         // nothing (TLS, a long way, a busy listener). A server that ends each connection after one answer is
         // judged by time-outs and full answers alone.
-        let handshake = end.link == Link::New && served;
+        let handshake = end.connection_use == ConnectionUse::New && served;
         let freed = quick && server.load.limit < server.load.first;
         match end.outcome {
-            Outcome::Cancelled | Outcome::Void => return,
+            Outcome::Cancelled | Outcome::NotSent => return,
             // Places for connections are short: that says nothing of the work that the server has.
-            Outcome::Overloaded if end.link == Link::New && self.links.are_scarce() => {}
-            // An origin's queue must not outlast the tightest aim among those that wait in it.
+            Outcome::Overloaded
+                if end.connection_use == ConnectionUse::New && self.links.are_scarce() => {}
+            // An origin's queue must not outlast the tightest latency_objective among those that wait in it.
             _ if server.is_origin => {
                 let late = end.elapsed > self.shortest_aim || !served;
                 server.load.learn(now, late, LEAST_LIMIT);
@@ -887,8 +917,9 @@
                 } else {
                     end.elapsed
                 });
-                // What comes after the aim counts whatever is said: a server may be slow for itself.
-                let waits = end.elapsed > aim || server.queue.is_there(now, aim);
+                // What comes after the latency_objective counts whatever is said: a server may be slow for itself.
+                let waits = end.elapsed > latency_objective
+                    || server.queue.is_there(now, latency_objective);
                 let slow = end.elapsed > half && waits;
                 server.load.learn(now, late || slow, least);
                 let part = if little { 1 } else { 8 };
@@ -913,15 +944,18 @@
         if hit && !handshake {
             self.usual = self.usual.toward(end.elapsed, 8);
         }
-        if fetch && served && end.note.is_some() {
+        if fetch && served && end.cache_status.is_some() {
             self.fetches.told(familiar, missed);
         }
         let sent = Micros(self.now.0.saturating_sub(end.elapsed.0));
         match end.outcome {
             Outcome::Success
-                if fetch && end.note != Some(CacheNote::Hit) && !(handshake && beyond > aim) =>
+                if fetch
+                    && end.cache_status != Some(CacheStatus::Hit)
+                    && !(handshake && beyond > latency_objective) =>
             {
-                self.fetches.fetched(sent, beyond, beyond <= aim)
+                self.fetches
+                    .fetched(sent, beyond, beyond <= latency_objective)
             }
             Outcome::TimedOut if fetch && hung => {
                 self.fetches
@@ -930,7 +964,9 @@
             Outcome::TimedOut if fetch && !silent => self.fetches.late(),
             // A quick error cost the origin nothing, unless too much of them stops it.
             Outcome::Failure
-                if fetch && missed && (beyond > half || self.settings.origin_falls) =>
+                if fetch
+                    && missed
+                    && (beyond > half || self.settings.origin_collapses_under_overload) =>
             {
                 self.fetches.failed(sent)
             }
@@ -940,9 +976,9 @@
 
     /// Whether a further attempt may help: in time, and within what requests have earned.
     fn try_again(&mut self, held: &Held, end: &AttemptEnd) -> bool {
-        let in_time = held.ask.expires.since(self.now) >= self.class(held).further_attempt_needs();
+        let in_time = held.ask.expires.since(self.now) >= self.class(held).minimum_retry_time();
         // Where a fetch failed, a further one elsewhere only feeds a failing origin.
-        let in_vain = end.outcome == Outcome::Failure && end.note.is_some();
+        let in_vain = end.outcome == Outcome::Failure && end.cache_status.is_some();
         let unmet = held
             .attempts
             .get(end.attempt.0 as usize)
--- a/crates/load-balancer/src/params.rs
+++ b/crates/load-balancer/src/deployment.rs
@@ -8,27 +8,27 @@
 //! `deductions.connection` and `deductions.handshake` 0. All else that is read here must be there.
 
 use crate::api::*;
-use crate::load::Columns;
+use crate::load_report::LoadReportFormat;
 use std::collections::HashMap;
 use std::fmt;
 
 /// A setting that is missing or cannot be read, in one plain sentence.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ParamsError(String);
+pub struct DeploymentError(String);
 
-impl ParamsError {
+impl DeploymentError {
     fn new(text: String) -> Self {
-        ParamsError(text)
+        DeploymentError(text)
     }
 }
 
-impl fmt::Display for ParamsError {
+impl fmt::Display for DeploymentError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-impl std::error::Error for ParamsError {}
+impl std::error::Error for DeploymentError {}
 
 /// The names that a deployment uses where the library takes numbers.
 #[derive(Clone, Debug)]
@@ -53,31 +53,31 @@
     /// A connection that is not up after this long never will be.
     pub dial_timeout: Micros,
     /// What the load reports in answers hold; empty where answers bring none.
-    pub reports: Columns,
+    pub reports: LoadReportFormat,
 }
 
 struct Params<'a>(HashMap<&'a str, &'a str>);
 
 impl<'a> Params<'a> {
-    fn text(&self, path: &str) -> Result<&'a str, ParamsError> {
+    fn text(&self, path: &str) -> Result<&'a str, DeploymentError> {
         self.0
             .get(path)
             .copied()
-            .ok_or_else(|| ParamsError::new(format!("setting {path} is missing")))
+            .ok_or_else(|| DeploymentError::new(format!("setting {path} is missing")))
     }
 
-    fn number(&self, path: &str) -> Result<f64, ParamsError> {
+    fn number(&self, path: &str) -> Result<f64, DeploymentError> {
         let text = self.text(path)?;
         match text.parse() {
             Ok(value) if f64::is_finite(value) && value >= 0.0 => Ok(value),
-            _ => Err(ParamsError::new(format!(
+            _ => Err(DeploymentError::new(format!(
                 "setting {path}: '{text}' is not a number of at least zero"
             ))),
         }
     }
 
     /// A number that a deployment may leave out.
-    fn number_or(&self, path: &str, default: f64) -> Result<f64, ParamsError> {
+    fn number_or(&self, path: &str, default: f64) -> Result<f64, DeploymentError> {
         if self.0.contains_key(path) {
             self.number(path)
         } else {
@@ -85,23 +85,23 @@
         }
     }
 
-    fn flag_or(&self, path: &str, default: bool) -> Result<bool, ParamsError> {
+    fn flag_or(&self, path: &str, default: bool) -> Result<bool, DeploymentError> {
         match self.0.get(path).copied() {
             None => Ok(default),
             Some("true" | "1") => Ok(true),
             Some("false" | "0") => Ok(false),
-            Some(text) => Err(ParamsError::new(format!(
+            Some(text) => Err(DeploymentError::new(format!(
                 "setting {path}: '{text}' is neither true nor false"
             ))),
         }
     }
 
-    fn time(&self, path: &str) -> Result<Micros, ParamsError> {
+    fn time(&self, path: &str) -> Result<Micros, DeploymentError> {
         Ok(Micros::from_secs_f64(self.number(path)?))
     }
 
     /// A time that a deployment may leave out.
-    fn optional_time(&self, path: &str) -> Result<Option<Micros>, ParamsError> {
+    fn optional_time(&self, path: &str) -> Result<Option<Micros>, DeploymentError> {
         if self.0.contains_key(path) {
             self.time(path).map(Some)
         } else {
@@ -121,7 +121,7 @@
 /// Reads the pairs.
 pub fn read<'a>(
     pairs: impl IntoIterator<Item = (&'a str, &'a str)>,
-) -> Result<Deployment, ParamsError> {
+) -> Result<Deployment, DeploymentError> {
     let params = Params(pairs.into_iter().collect());
     let zones = params.list("zones");
     let kinds = params.list("kinds");
@@ -137,7 +137,7 @@
         zone,
         classes,
         tenants,
-        over_quota_worth: params.number_or("over_share_worth", 1.0)?,
+        over_quota_weight: params.number_or("over_share_worth", 1.0)?,
         mode: mode(&params)?,
         discovery: discovery(&params)?,
         weights: match params.0.get("weight_kind").copied() {
@@ -148,16 +148,16 @@
         rules: Rules {
             answer_grace: params.time("invariants.grace_to_answer")?,
             drain_grace: params.time("invariants.drain_grace")?,
-            cold_share: params.number("invariants.cold_from")?,
-            cold_time: params.time("invariants.cold")?,
-            fall_multiple: params.number("invariants.overload_factor")?,
-            fall_time: params.time("invariants.fall")?,
+            initial_capacity_ratio: params.number("invariants.cold_from")?,
+            slow_start_duration: params.time("invariants.cold")?,
+            overload_multiple: params.number("invariants.overload_factor")?,
+            overload_duration: params.time("invariants.fall")?,
             drain_close: params.optional_time("invariants.drain_close")?,
         },
         limits: Limits {
             max_attempts: params.number_or("limits.max_attempts", 1.0)? as u32,
             cancel: params.flag_or("limits.cancel", false)?,
-            second_copies: params.flag_or("limits.may_duplicate", false)?,
+            hedging: params.flag_or("limits.may_duplicate", false)?,
             retry_after: params.flag_or("limits.retry_after", false)?,
             max_retry_after: Micros::from_secs_f64(
                 params.number_or("limits.max_retry_after", 0.0)?,
@@ -166,11 +166,12 @@
         connection_idle: params
             .optional_time("limits.conn_idle")?
             .unwrap_or(Micros::MAX),
-        prices: Prices {
+        connection_costs: ConnectionCosts {
             connection: params.number_or("deductions.connection", 0.0)?,
             handshake: params.number_or("deductions.handshake", 0.0)?,
         },
-        origin_falls: params.number_or("specifics.origin_fall_multiple", 1.0)? > 0.0,
+        origin_collapses_under_overload: params.number_or("specifics.origin_fall_multiple", 1.0)?
+            > 0.0,
     };
     let names = Names {
         classes: class_names,
@@ -189,48 +190,48 @@
     })
 }
 
-fn classes(params: &Params<'_>) -> Result<(Vec<Class>, Vec<String>), ParamsError> {
+fn classes(params: &Params<'_>) -> Result<(Vec<Class>, Vec<String>), DeploymentError> {
     let count = params.number("request_classes.count")? as usize;
     let mut classes = (Vec::new(), Vec::new());
     for i in 0..count {
         let path = |field: &str| format!("request_classes.{i}.{field}");
-        let effect = match params.text(&path("effect"))? {
-            "idempotent" => Effect::Safe,
-            "deduplicated" => Effect::Keyed {
-                group: match params.text(&path("group"))? {
-                    "all" => Group::All,
-                    "zone" => Group::Zone,
-                    "cell" => Group::Cell,
+        let idempotency = match params.text(&path("effect"))? {
+            "idempotent" => Idempotency::Idempotent,
+            "deduplicated" => Idempotency::Keyed {
+                scope: match params.text(&path("group"))? {
+                    "all" => DeduplicationScope::All,
+                    "zone" => DeduplicationScope::Zone,
+                    "cell" => DeduplicationScope::Cell,
                     other => {
-                        return Err(ParamsError::new(format!(
+                        return Err(DeploymentError::new(format!(
                             "setting {}: '{other}' is not known",
                             path("group")
                         )));
                     }
                 },
-                memory: params.time(&path("memory_span"))?,
+                deduplication_window: params.time(&path("memory_span"))?,
             },
-            "at_most_once" => Effect::Unsafe,
+            "at_most_once" => Idempotency::NotIdempotent,
             other => {
-                return Err(ParamsError::new(format!(
+                return Err(DeploymentError::new(format!(
                     "setting {}: '{other}' is not known",
                     path("effect")
                 )));
             }
         };
         classes.0.push(Class {
-            aim: params.time(&path("target"))?,
+            latency_objective: params.time(&path("target"))?,
             deadline: params.time(&path("give_up"))?,
-            worth: params.number_or(&path("credit"), 1.0)?,
-            late_worth: params.number_or(&path("late_value"), 0.0)?,
-            effect,
+            priority_weight: params.number_or(&path("credit"), 1.0)?,
+            late_weight: params.number_or(&path("late_value"), 0.0)?,
+            idempotency,
         });
         classes.1.push(params.text(&path("name"))?.to_string());
     }
     Ok(classes)
 }
 
-fn tenants(params: &Params<'_>) -> Result<(Vec<Tenant>, Vec<String>), ParamsError> {
+fn tenants(params: &Params<'_>) -> Result<(Vec<Tenant>, Vec<String>), DeploymentError> {
     let count = params.number_or("customers.count", 0.0)? as usize;
     let mut tenants = (Vec::new(), Vec::new());
     for i in 0..count {
@@ -244,28 +245,28 @@
     Ok(tenants)
 }
 
-fn mode(params: &Params<'_>) -> Result<CacheMode, ParamsError> {
+fn mode(params: &Params<'_>) -> Result<CacheMode, DeploymentError> {
     match params.0.get("specifics.mode").copied() {
         None | Some("through") => Ok(CacheMode::Through),
         Some("aside") => {
             let origin = KindId(params.number("specifics.origin_kind")? as usize);
             Ok(CacheMode::Aside { origin })
         }
-        Some(other) => Err(ParamsError::new(format!(
+        Some(other) => Err(DeploymentError::new(format!(
             "setting specifics.mode: '{other}' is not known"
         ))),
     }
 }
 
 /// Reports that come with probes alone are none: this router sends no probes.
-fn reports(params: &Params<'_>) -> Columns {
+fn reports(params: &Params<'_>) -> LoadReportFormat {
     let meaning = |path: &str| params.0.get(path).copied().unwrap_or("");
     let names = if meaning("stats.how") == "inline" {
         params.list("stats.columns")
     } else {
         Vec::new()
     };
-    Columns::new(
+    LoadReportFormat::new(
         &names,
         [
             meaning("specifics.report_x0"),
@@ -274,13 +275,13 @@
     )
 }
 
-fn discovery(params: &Params<'_>) -> Result<Discovery, ParamsError> {
+fn discovery(params: &Params<'_>) -> Result<Discovery, DeploymentError> {
     match params.0.get("discovery").copied() {
         None | Some("automatic") => Ok(Discovery::Push),
         Some("subscribe") => Ok(Discovery::Subscribe {
-            ask_within: params.time("invariants.ask_within")?,
+            poll_within: params.time("invariants.ask_within")?,
         }),
-        Some(other) => Err(ParamsError::new(format!(
+        Some(other) => Err(DeploymentError::new(format!(
             "setting discovery: '{other}' is not known"
         ))),
     }
--- a/crates/load-balancer/src/links.rs
+++ b/crates/load-balancer/src/idle_connection_lifetime.rs
@@ -7,7 +7,7 @@
 //! less there for the rest of the day. Hurts where servers have places to spare and handshakes are dear: what
 //! rests for longer than it is worth is opened anew.
 
-use crate::api::{Action, AttemptEnd, Link, Micros, Outcome, Prices};
+use crate::api::{Action, AttemptEnd, ConnectionCosts, ConnectionUse, Micros, Outcome};
 use crate::state::{Router, Server};
 
 /// Attempts over which shares of those turned away are averaged.
@@ -57,13 +57,13 @@
     /// An attempt ended.
     pub fn learn(&mut self, end: &AttemptEnd) {
         let turned_away = end.outcome == Outcome::Overloaded;
-        let share = match end.link {
-            Link::New if end.outcome != Outcome::Unreachable => &mut self.fresh,
-            Link::Kept(_) => &mut self.kept,
+        let share = match end.connection_use {
+            ConnectionUse::New if end.outcome != Outcome::Unreachable => &mut self.fresh,
+            ConnectionUse::Reused(_) => &mut self.kept,
             _ => return,
         };
         *share += (f64::from(u8::from(turned_away)) - *share) / SPAN;
-        if end.link == Link::New {
+        if end.connection_use == ConnectionUse::New {
             let part = if turned_away && self.are_scarce() {
                 self.part * (1.0 - CUT)
             } else {
@@ -80,13 +80,14 @@
 
     /// How long a connection may rest before it is closed. A rest until it has cost as much as opening anew would cost
     /// at most twice the best choice, whatever comes; it is a part of that, and less where places are short.
-    pub fn hold(&self, prices: Prices, fleet: &Fleet) -> Micros {
-        if prices.connection <= 0.0 || fleet.servers < 1.0 {
+    pub fn hold(&self, connection_costs: ConnectionCosts, fleet: &Fleet) -> Micros {
+        if connection_costs.connection <= 0.0 || fleet.servers < 1.0 {
             return Micros::MAX;
         }
         // A connection's price is for 100 of them to each server, a handshake's for one with each request.
         let per_server = fleet.pace.scaled(100.0 * fleet.servers / fleet.routers);
-        per_server.scaled(prices.handshake / prices.connection * WORTH * self.part)
+        per_server
+            .scaled(connection_costs.handshake / connection_costs.connection * WORTH * self.part)
     }
 }
 
@@ -128,6 +129,9 @@
     /// breaks all connections at once, by as many attempts as it had, within the limit on attempts.
     pub(crate) fn is_unmet(&self, end: &AttemptEnd) -> bool {
         let early = end.elapsed.scaled(2.0) <= self.usual;
-        end.outcome == Outcome::Broken && !end.begun && matches!(end.link, Link::Kept(_)) && early
+        end.outcome == Outcome::ConnectionLost
+            && !end.response_started
+            && matches!(end.connection_use, ConnectionUse::Reused(_))
+            && early
     }
 }
--- a/crates/load-balancer/src/lib.rs
+++ b/crates/load-balancer/src/lib.rs
@@ -9,19 +9,19 @@
 //!
 //! let settings = Settings {
 //!     classes: vec![Class {
-//!         aim: Micros::from_millis(300),
+//!         latency_objective: Micros::from_millis(300),
 //!         deadline: Micros::from_millis(1_000),
-//!         worth: 1.0,
-//!         late_worth: 0.3,
-//!         effect: Effect::Safe,
+//!         priority_weight: 1.0,
+//!         late_weight: 0.3,
+//!         idempotency: Idempotency::Idempotent,
 //!     }],
 //!     ..Settings::default()
 //! };
 //! let mut router = Router::new(settings, 42)?;
 //! let mut actions = Vec::new();
 //! let now = Micros::from_millis(5_000);
-//! let members = ["10.0.0.1:80", "10.0.0.2:80"].map(|name| Member::ready(name.into())).to_vec();
-//! router.handle(now, Event::Membership { kind: MembershipKind::Full, members }, &mut actions);
+//! let endpoints = ["10.0.0.1:80", "10.0.0.2:80"].map(|name| Endpoint::ready(name.into())).to_vec();
+//! router.handle(now, Event::EndpointsChanged { update: EndpointUpdate::Snapshot, endpoints }, &mut actions);
 //! router.handle(
 //!     now,
 //!     Event::Request(Request {
@@ -42,30 +42,30 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod admin_overrides;
 mod api;
-mod asking;
+mod availability;
 mod balance;
-mod belief;
-mod demand;
-mod kept;
-mod known;
-mod learnt;
-mod life;
-mod links;
-mod load;
-mod origin;
-pub mod params;
-mod points;
-mod queue;
+mod concurrency_limit;
+pub mod deployment;
+mod diagnostics;
+mod idle_connection_lifetime;
+mod key_locations;
+mod load_report;
+mod origin_fetch_limit;
+mod queue_estimate;
+mod rejected_requests;
+mod ring_points;
+mod stale_connections;
 mod state;
-mod turned_away;
-mod view;
-mod words;
+mod subscription;
+mod traffic_estimate;
+mod warm_state;
 
+pub use admin_overrides::AdminOverride;
 pub use api::*;
-pub use learnt::Learnt;
-pub use life::Standing;
-pub use load::{Columns, Load};
-pub use state::{Router, Verdict};
-pub use view::View;
-pub use words::Word;
+pub use availability::Availability;
+pub use diagnostics::Diagnostics;
+pub use load_report::{LoadReport, LoadReportFormat};
+pub use state::{CandidateVerdict, Router, TrackedCounts};
+pub use warm_state::WarmState;
--- a/crates/load-balancer/src/load.rs
+++ b/crates/load-balancer/src/load_report.rs
@@ -17,21 +17,21 @@
 
 /// One server's report; each figure only where it came and can be one.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Load {
+pub struct LoadReport {
     /// The busy share of its cores, 0 to 1 but for noise.
-    pub busy: Option<f64>,
+    pub cpu_utilization: Option<f64>,
     /// Requests that wait for a core.
-    pub queue: Option<f64>,
+    pub queue_length: Option<f64>,
     /// What a request takes there lately, without waiting.
-    pub service: Option<Micros>,
+    pub service_time: Option<Micros>,
     /// Fetches from the origin that it has out.
-    pub fetches: Option<f64>,
+    pub fetches_in_flight: Option<f64>,
 }
 
 /// A field that a report may have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Field {
-    Busy,
+    CpuUtilization,
     Queue,
     Service,
     Fetches,
@@ -39,20 +39,20 @@
     Other,
 }
 
-impl Load {
+impl LoadReport {
     fn set(&mut self, field: Field, text: &str) {
         let Ok(value) = text.trim().parse::<f64>() else {
             return;
         };
         let within = |most: f64| Some(value).filter(|v| (0.0..=most).contains(v));
         match field {
-            Field::Busy => self.busy = within(MOST_BUSY),
-            Field::Queue => self.queue = within(MOST_REQUESTS),
+            Field::CpuUtilization => self.cpu_utilization = within(MOST_BUSY),
+            Field::Queue => self.queue_length = within(MOST_REQUESTS),
             Field::Service => {
-                self.service =
+                self.service_time =
                     within(LONGEST_SERVICE).map(|millis| Micros::from_secs_f64(millis / 1e3));
             }
-            Field::Fetches => self.fetches = within(MOST_REQUESTS),
+            Field::Fetches => self.fetches_in_flight = within(MOST_REQUESTS),
             Field::Other => {}
         }
     }
@@ -60,11 +60,11 @@
 
 /// The fields of a deployment's reports, under the name that each has in a report's text and in their order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Columns(Vec<(String, Field)>);
+pub struct LoadReportFormat(Vec<(String, Field)>);
 
-impl Columns {
+impl LoadReportFormat {
     /// From the settings: the names in order, and what `x0` and `x1` are where they are named.
-    pub fn new(names: &[String], meanings: [&str; 2]) -> Columns {
+    pub fn new(names: &[String], meanings: [&str; 2]) -> LoadReportFormat {
         let own = |meaning: &str| {
             if meaning == "fetches_out" {
                 Field::Fetches
@@ -73,14 +73,14 @@
             }
         };
         let field = |name: &str| match name {
-            "utilization" | "util" => Field::Busy,
+            "utilization" | "util" => Field::CpuUtilization,
             "backlog" | "queue" => Field::Queue,
             "recent_ms" | "latency_ms" => Field::Service,
             "x0" => own(meanings[0]),
             "x1" => own(meanings[1]),
             _ => Field::Other,
         };
-        Columns(
+        LoadReportFormat(
             names
                 .iter()
                 .take(MOST_FIELDS)
@@ -95,19 +95,19 @@
     }
 
     /// A row of values set apart by commas, in the order of the fields.
-    pub fn read_row(&self, row: &str) -> Option<Load> {
-        let mut load = Load::default();
+    pub fn read_row(&self, row: &str) -> Option<LoadReport> {
+        let mut load = LoadReport::default();
         self.0
             .iter()
             .zip(row.split(','))
             .for_each(|((_, field), text)| load.set(*field, text));
-        Some(load).filter(|load| *load != Load::default())
+        Some(load).filter(|load| *load != LoadReport::default())
     }
 
     /// Names and values as on the sockets: `util=0.61,queue=2`. The settings may call a field otherwise than the
     /// reports do, so both names count.
-    pub fn read_pairs(&self, text: &str) -> Option<Load> {
-        let mut load = Load::default();
+    pub fn read_pairs(&self, text: &str) -> Option<LoadReport> {
+        let mut load = LoadReport::default();
         for (name, value) in text
             .split(',')
             .take(MOST_FIELDS)
@@ -120,7 +120,7 @@
                 .find(|(known, _)| known == name || also_called(known) == name);
             known.iter().for_each(|(_, field)| load.set(*field, value));
         }
-        Some(load).filter(|load| *load != Load::default())
+        Some(load).filter(|load| *load != LoadReport::default())
     }
 }
 
--- a/crates/load-balancer/src/queue.rs
+++ b/crates/load-balancer/src/queue_estimate.rs
@@ -7,7 +7,7 @@
 //! the least of it, has to do.
 
 use crate::api::Micros;
-use crate::load::Load;
+use crate::load_report::LoadReport;
 
 /// A report counts for so long after the answer that brought it: servers refresh it about once a second.
 const FRESH: Micros = Micros::from_millis(2_000);
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Queue {
     /// What the server said last, and when that came.
-    said: Option<(Micros, Load)>,
+    said: Option<(Micros, LoadReport)>,
     /// How long answers without a fetch take, smoothed; what was given up counts twice its time.
     time: Micros,
     /// The least of that, rising slowly.
@@ -36,7 +36,7 @@
 
 impl Queue {
     /// An answer brought this report.
-    pub fn said(&mut self, now: Micros, load: Load) {
+    pub fn said(&mut self, now: Micros, load: LoadReport) {
         self.said = Some((now, load));
     }
 
@@ -55,19 +55,19 @@
     }
 
     /// Requests wait there, or answers take longer than an aim whatever the reason.
-    pub fn is_there(&self, now: Micros, aim: Micros) -> bool {
+    pub fn is_there(&self, now: Micros, latency_objective: Micros) -> bool {
         match self.word(now) {
             Some(at_ease) => !at_ease,
-            None => self.takes(QUEUE) || self.time > aim,
+            None => self.takes(QUEUE) || self.time > latency_objective,
         }
     }
 
     /// What it said of itself; `None` where it said nothing lately, or what cannot be.
     fn word(&self, now: Micros) -> Option<bool> {
         let (_, load) = self.said.filter(|&(at, _)| now.since(at) < FRESH)?;
-        load.queue.or(load.busy)?;
-        let at_ease = load.queue.is_none_or(|queue| queue < NO_QUEUE)
-            && load.busy.is_none_or(|busy| busy < ROOM);
+        load.queue_length.or(load.cpu_utilization)?;
+        let at_ease = load.queue_length.is_none_or(|queue| queue < NO_QUEUE)
+            && load.cpu_utilization.is_none_or(|busy| busy < ROOM);
         (!at_ease || !self.takes(DISBELIEF)).then_some(at_ease)
     }
 
--- a/crates/load-balancer/src/kept.rs
+++ b/crates/load-balancer/src/stale_connections.rs
@@ -49,8 +49,8 @@
             return;
         };
         self.doubt = match end.outcome {
-            Outcome::TimedOut if !end.begun => (self.doubt + 1).min(DOUBT),
-            Outcome::Broken if !end.begun => DOUBT,
+            Outcome::TimedOut if !end.response_started => (self.doubt + 1).min(DOUBT),
+            Outcome::ConnectionLost if !end.response_started => DOUBT,
             _ => self.doubt.saturating_sub(1),
         };
         if self.doubt == DOUBT {
--- a/crates/load-balancer/src/state.rs
+++ b/crates/load-balancer/src/state.rs
@@ -1,64 +1,69 @@
 //! What a router remembers, as plain data. What is done with it is decided in `src/balance.rs`.
 
+use crate::admin_overrides::Words;
 use crate::api::*;
-use crate::asking::Asking;
-use crate::belief::Gauge;
-use crate::demand::Demand;
-use crate::kept::Kept;
-use crate::known::Known;
-use crate::links::{Fleet, Links};
-use crate::origin::Origin;
-use crate::queue::Queue;
-use crate::turned_away::TurnedAway;
-use crate::words::Words;
+use crate::concurrency_limit::Gauge;
+use crate::idle_connection_lifetime::{Fleet, Links};
+use crate::key_locations::Known;
+use crate::origin_fetch_limit::Origin;
+use crate::queue_estimate::Queue;
+use crate::rejected_requests::TurnedAway;
+use crate::stale_connections::Kept;
+use crate::subscription::Asking;
+use crate::traffic_estimate::Demand;
 use std::collections::HashMap;
 
-/// What one candidate was to a request; refusals, traces and tests name these reasons.
+/// What one candidate server was to a request: it took the request, or the reason why it was left out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    /// The owner, or the hot key's home at this router, takes it.
-    Home,
-    /// Another takes it: the owner is left out, or the key is known here.
-    Moved,
-    /// Another takes it, as a fetch that costs a token.
-    MovedPaid,
-    /// It has been tried.
-    Tried,
-    /// It takes its arc in part, being slow or cold, and this key is not in that part.
-    InPart,
-    /// It is cold, and its budget is used up.
-    Cold,
-    /// It says nothing.
-    Silent,
-    /// The key is hot, and this router's home for it lies further on.
-    Hot,
-    /// Its limit is used up.
-    Full,
-    /// It would be a fetch, and those are short.
-    NoFetch,
-    /// The key stays with its owner, full as that is.
-    Stays,
+pub enum CandidateVerdict {
+    /// Takes the request: the ring owner, or this router's replica of a hot key.
+    Owner,
+    /// Takes the request in place of an owner that is left out, or because the key is known to be cached there.
+    Diverted,
+    /// Takes the request as an extra origin fetch, paid for with one retry token.
+    DivertedWithRetryToken,
+    /// Left out: an earlier attempt of this request went there.
+    AlreadyAttempted,
+    /// Left out: it serves only part of its arc, being slow or warming up, and this key lies outside that part.
+    OutsidePartialArc,
+    /// Left out: it is warming up, and its slow-start allowance is used up.
+    SlowStartLimited,
+    /// Left out: it does not respond.
+    Unresponsive,
+    /// Left out: the key is hot, and this router's replica of it lies further along the ring.
+    HotKeyReplicaElsewhere,
+    /// Left out: its concurrency limit is used up.
+    AtCapacity,
+    /// Left out: the request would most likely be an origin fetch, and those are limited.
+    FetchLimited,
+    /// Left out: the key stays with its owner although that one is at capacity.
+    RetainedByOwner,
 }
 
-impl Verdict {
-    /// All of them, in the order of [`crate::View::verdicts`].
-    pub const ALL: [Verdict; 11] = [
-        Verdict::Home,
-        Verdict::Moved,
-        Verdict::MovedPaid,
-        Verdict::Tried,
-        Verdict::InPart,
-        Verdict::Cold,
-        Verdict::Silent,
-        Verdict::Hot,
-        Verdict::Full,
-        Verdict::NoFetch,
-        Verdict::Stays,
+impl CandidateVerdict {
+    /// All of them, in the order of [`crate::Diagnostics::verdicts`].
+    pub const ALL: [CandidateVerdict; 11] = [
+        CandidateVerdict::Owner,
+        CandidateVerdict::Diverted,
+        CandidateVerdict::DivertedWithRetryToken,
+        CandidateVerdict::AlreadyAttempted,
+        CandidateVerdict::OutsidePartialArc,
+        CandidateVerdict::SlowStartLimited,
+        CandidateVerdict::Unresponsive,
+        CandidateVerdict::HotKeyReplicaElsewhere,
+        CandidateVerdict::AtCapacity,
+        CandidateVerdict::FetchLimited,
+        CandidateVerdict::RetainedByOwner,
     ];
 
     /// Whether the request went there.
     pub fn is_taken(self) -> bool {
-        matches!(self, Verdict::Home | Verdict::Moved | Verdict::MovedPaid)
+        matches!(
+            self,
+            CandidateVerdict::Owner
+                | CandidateVerdict::Diverted
+                | CandidateVerdict::DivertedWithRetryToken
+        )
     }
 }
 
@@ -102,7 +107,7 @@
     pub fate: Fate,
     /// Counted as a fetch from the origin.
     pub fetch: bool,
-    /// How often its key was asked for: [`crate::origin::FAMILIAR`].
+    /// How often its key was asked for: [`crate::origin_fetch_limit::FAMILIAR`].
     pub familiar: usize,
     /// How long the connection it went out on had been idle; `None` for a new or a busy one.
     pub idle: Option<Micros>,
@@ -160,7 +165,7 @@
 
 #[derive(Debug)]
 pub(crate) struct Server {
-    pub member: Member,
+    pub member: Endpoint,
     /// Its points on the ring; none for an origin.
     pub points: Vec<u32>,
     pub is_origin: bool,
@@ -188,7 +193,7 @@
 
 impl Server {
     /// A process of which nothing is known yet.
-    pub fn new(member: Member, points: Vec<u32>, is_origin: bool, load: Gauge) -> Server {
+    pub fn new(member: Endpoint, points: Vec<u32>, is_origin: bool, load: Gauge) -> Server {
         Server {
             member,
             points,
@@ -208,6 +213,15 @@
     }
 }
 
+/// How much a [`Router`] keeps state for; for metrics and tests.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct TrackedCounts {
+    /// Requests without a final answer, or with an attempt in flight.
+    pub requests: usize,
+    /// Servers, those included that left the list a short time ago.
+    pub servers: usize,
+}
+
 /// The decisions of one router.
 pub struct Router {
     pub(crate) settings: Settings,
@@ -230,9 +244,9 @@
     pub(crate) late_failures: f64,
     pub(crate) idle: Gauge,
     /// Verdicts so far, by kind.
-    pub(crate) verdicts: [u64; Verdict::ALL.len()],
+    pub(crate) verdicts: [u64; CandidateVerdict::ALL.len()],
     /// Requests that found no server, by the verdict that stood in their way.
-    pub(crate) unplaced: [u64; Verdict::ALL.len()],
+    pub(crate) unplaced: [u64; CandidateVerdict::ALL.len()],
     /// Which server last served a key.
     pub(crate) known: Known,
     /// What is asked for lately.
@@ -270,8 +284,8 @@
             fetches: Origin::new(gauge.first, Micros(0)),
             late_failures: 0.0,
             idle: gauge,
-            verdicts: [0; Verdict::ALL.len()],
-            unplaced: [0; Verdict::ALL.len()],
+            verdicts: [0; CandidateVerdict::ALL.len()],
+            unplaced: [0; CandidateVerdict::ALL.len()],
             known: Known::new(),
             demand: Demand::new(&settings),
             mean_weight: 0.0,
@@ -285,10 +299,10 @@
     }
 
     /// How long a connection to a server may rest before it is closed.
-    pub fn hold(&self) -> Micros {
+    pub fn idle_connection_lifetime(&self) -> Micros {
         let (routers, servers) = (f64::from(self.settings.routers), self.ready as f64);
         self.links.hold(
-            self.settings.prices,
+            self.settings.connection_costs,
             &Fleet {
                 routers,
                 servers,
@@ -297,9 +311,12 @@
         )
     }
 
-    /// How many requests and how many servers the router remembers, for an embedding program's metrics.
-    pub fn remembered(&self) -> (usize, usize) {
-        (self.held.len(), self.servers.len())
+    /// How many requests and servers the router keeps state for.
+    pub fn tracked_counts(&self) -> TrackedCounts {
+        TrackedCounts {
+            requests: self.held.len(),
+            servers: self.servers.len(),
+        }
     }
 }
 
--- a/crates/load-balancer/src/asking.rs
+++ b/crates/load-balancer/src/subscription.rs
@@ -18,17 +18,17 @@
 impl Router {
     /// Subscribes at the start and when that is lost, with jitter and ever later, so that routers do not ask
     /// together; always well before the router would be deemed told.
-    pub(crate) fn on_list_answer(&mut self, kind: MembershipKind, ask_within: Micros) {
-        match kind {
-            MembershipKind::Cached => self.ask(),
-            MembershipKind::Lost => {
+    pub(crate) fn on_list_answer(&mut self, update: EndpointUpdate, poll_within: Micros) {
+        match update {
+            EndpointUpdate::Restored => self.ask(),
+            EndpointUpdate::WatchLost => {
                 let failures = self.asking.failures.saturating_add(1);
                 self.asking = Asking {
                     failures,
                     ..Asking::default()
                 };
                 let share = (ASK_AGAIN * f64::from(1u32 << failures.min(4))).min(0.5);
-                let after = ask_within.scaled(share * (0.5 + 0.5 * self.random.next()));
+                let after = poll_within.scaled(share * (0.5 + 0.5 * self.random.next()));
                 self.set_timer(after, RequestId(0), TIMER_ASK);
             }
             _ => {
--- a/crates/load-balancer/src/demand.rs
+++ b/crates/load-balancer/src/traffic_estimate.rs
@@ -37,7 +37,7 @@
             mean_worth: settings
                 .classes
                 .iter()
-                .map(|c| c.worth)
+                .map(|c| c.priority_weight)
                 .fold(f64::INFINITY, f64::min),
             asked: vec![1.0 / classes.max(1) as f64; classes],
             mix: settings.tenants.iter().map(|t| t.share).collect(),
--- a/crates/load-balancer/src/learnt.rs
+++ b/crates/load-balancer/src/warm_state.rs
@@ -27,7 +27,7 @@
 
 /// See the module. Times are on the clock of the events that a router was given.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Learnt {
+pub struct WarmState {
     servers: Vec<LearntServer>,
     /// A key's place, and the number of its server above.
     known: Vec<(u32, u32)>,
@@ -49,7 +49,7 @@
 
 impl Router {
     /// What this router learnt so far.
-    pub fn learnt(&self) -> Learnt {
+    pub fn warm_state(&self) -> WarmState {
         let server = |s: &crate::state::Server| LearntServer {
             name: s.member.server.to_string(),
             started: s.member.started.0,
@@ -70,7 +70,7 @@
             .known
             .iter()
             .filter(|(_, index)| *index < self.servers.len());
-        Learnt {
+        WarmState {
             servers: self.servers.iter().map(server).collect(),
             known: known.map(|(place, index)| (place, index as u32)).collect(),
             popular,
@@ -87,7 +87,7 @@
 
     /// Takes what another process of this router learnt, after its list and the operators' word. A server that has been
     /// started anew since is met as new.
-    pub fn recall(&mut self, now: Micros, learnt: Learnt) {
+    pub fn restore_warm_state(&mut self, now: Micros, learnt: WarmState) {
         self.now = self.now.max(now);
         let mut places = Vec::new();
         for old in learnt.servers.into_iter().take(SERVERS) {
@@ -129,7 +129,7 @@
         if is_sound(learnt.fetches) && learnt.fetches > 0.0 {
             self.fetches.limit = learnt.fetches;
         }
-        if let Ok(misses) = <[f64; crate::origin::FAMILIAR]>::try_from(learnt.misses)
+        if let Ok(misses) = <[f64; crate::origin_fetch_limit::FAMILIAR]>::try_from(learnt.misses)
             && misses.iter().all(|share| (0.0..=1.0).contains(share))
         {
             self.fetches.misses = misses;
--- a/crates/load-balancer/tests/operators.rs
+++ b/crates/load-balancer/tests/admin_overrides.rs
@@ -6,12 +6,12 @@
 use load_balancer::*;
 
 fn exclude(rig: &mut Rig, server: ServerId) -> Vec<Action> {
-    rig.event(Event::Excluded { server })
+    rig.event(Event::ServerDisabled { server })
 }
 
 fn include(rig: &mut Rig, server: ServerId) -> Vec<Action> {
     let at = rig.now;
-    rig.event(Event::Included { server, at })
+    rig.event(Event::ServerEnabled { server, at })
 }
 
 /// How many of a hundred keys go to the first server.
@@ -31,29 +31,29 @@
         "{actions:?}"
     );
     assert_eq!(
-        (share(&mut rig), rig.router.standing(&name(1))),
-        (0, Some(Standing::Out))
+        (share(&mut rig), rig.router.availability(&name(1))),
+        (0, Some(Availability::Disabled))
     );
-    assert_eq!(rig.router.avoided(), 1);
+    assert_eq!(rig.router.avoided_endpoints(), 1);
 }
 
 #[test]
 fn the_list_does_not_lift_a_ban() {
     let mut rig = Rig::new(settings(), ready(3));
     exclude(&mut rig, name(1));
-    let fresh = Member {
+    let fresh = Endpoint {
         started: ms(99_000),
-        ..Member::ready(name(1))
+        ..Endpoint::ready(name(1))
     };
-    let gone = Member {
-        state: ServerState::Gone,
-        ..Member::ready(name(1))
+    let gone = Endpoint {
+        state: EndpointState::Removed,
+        ..Endpoint::ready(name(1))
     };
-    for members in [vec![Member::ready(name(1))], vec![gone], vec![fresh]] {
-        rig.list(MembershipKind::Changes, members);
+    for endpoints in [vec![Endpoint::ready(name(1))], vec![gone], vec![fresh]] {
+        rig.list(EndpointUpdate::Delta, endpoints);
         assert_eq!(share(&mut rig), 0);
     }
-    rig.list(MembershipKind::Full, ready(3));
+    rig.list(EndpointUpdate::Snapshot, ready(3));
     assert_eq!(share(&mut rig), 0);
 }
 
@@ -75,7 +75,10 @@
     exclude(&mut rig, name(1));
     exclude(&mut rig, name(1));
     include(&mut rig, name(1));
-    assert_eq!(rig.router.standing(&name(1)), Some(Standing::Takes));
+    assert_eq!(
+        rig.router.availability(&name(1)),
+        Some(Availability::Accepting)
+    );
 }
 
 #[test]
@@ -95,10 +98,10 @@
     let mut rig = Rig::new(settings(), ready(3));
     let usual = share(&mut rig);
     rig.list(
-        MembershipKind::Changes,
-        vec![Member {
+        EndpointUpdate::Delta,
+        vec![Endpoint {
             started: rig.now,
-            ..Member::ready(name(1))
+            ..Endpoint::ready(name(1))
         }],
     );
     rig.now = rig.now.plus(ms(29_000));
@@ -113,15 +116,21 @@
     let usual = share(&mut rig);
     include(&mut rig, name(1));
     include(&mut rig, name(1));
-    assert_eq!((share(&mut rig), rig.router.words().count()), (usual, 0));
+    assert_eq!(
+        (share(&mut rig), rig.router.admin_overrides().count()),
+        (usual, 0)
+    );
 }
 
 #[test]
 fn a_word_given_before_the_list_names_the_server_holds_once_it_does() {
     let mut rig = Rig::new(settings(), ready(2));
     exclude(&mut rig, name(3));
-    rig.list(MembershipKind::Changes, vec![Member::ready(name(3))]);
-    assert_eq!(rig.router.standing(&name(3)), Some(Standing::Out));
+    rig.list(EndpointUpdate::Delta, vec![Endpoint::ready(name(3))]);
+    assert_eq!(
+        rig.router.availability(&name(3)),
+        Some(Availability::Disabled)
+    );
 }
 
 #[test]
@@ -132,15 +141,15 @@
     include(&mut old, name(1));
     let words: Vec<_> = old
         .router
-        .words()
+        .admin_overrides()
         .map(|(server, word)| (server.clone(), word))
         .collect();
     let mut new = Rig::new(settings(), ready(3));
     new.now = old.now.plus(ms(1_000));
     for (server, word) in words {
         let event = match word {
-            Word::Out => Event::Excluded { server },
-            Word::Back(at) => Event::Included { server, at },
+            AdminOverride::Disabled => Event::ServerDisabled { server },
+            AdminOverride::EnabledAt(at) => Event::ServerEnabled { server, at },
         };
         new.event(event);
     }
@@ -170,11 +179,11 @@
 fn a_successor_knows_what_is_kept_where_and_what_each_server_bears() {
     let mut old = Rig::new(settings(), ready(3));
     let homes: Vec<_> = (0..100).map(|key| old.served_by(key)).collect();
-    let learnt = old.router.learnt();
+    let learnt = old.router.warm_state();
     let mut new = Rig::new(settings(), ready(3));
     let now = old.now;
-    new.router.recall(now, learnt.clone());
-    assert_eq!(new.router.learnt(), learnt);
+    new.router.restore_warm_state(now, learnt.clone());
+    assert_eq!(new.router.warm_state(), learnt);
     assert_eq!(
         (0..100).map(|key| new.served_by(key)).collect::<Vec<_>>(),
         homes
@@ -185,12 +194,12 @@
 fn of_a_server_that_was_started_anew_nothing_is_recalled() {
     let mut old = Rig::new(settings(), ready(2));
     let usual = share(&mut old);
-    let fresh = Member {
+    let fresh = Endpoint {
         started: ms(99_000),
-        ..Member::ready(name(1))
+        ..Endpoint::ready(name(1))
     };
-    let mut new = Rig::new(settings(), vec![fresh, Member::ready(name(2))]);
+    let mut new = Rig::new(settings(), vec![fresh, Endpoint::ready(name(2))]);
     let now = new.now;
-    new.router.recall(now, old.router.learnt());
+    new.router.restore_warm_state(now, old.router.warm_state());
     assert!(share(&mut new) * 5 < usual, "it is cold");
 }
--- a/crates/load-balancer/tests/common/mod.rs
+++ b/crates/load-balancer/tests/common/mod.rs
@@ -7,36 +7,40 @@
     Micros::from_millis(millis)
 }
 
-pub fn class(effect: Effect) -> Class {
+pub fn class(idempotency: Idempotency) -> Class {
     Class {
-        aim: ms(300),
+        latency_objective: ms(300),
         deadline: ms(1_000),
-        worth: 1.0,
-        late_worth: 0.3,
-        effect,
+        priority_weight: 1.0,
+        late_weight: 0.3,
+        idempotency,
     }
 }
 
 /// One of four routers. Class 0 is safe, 1 unsafe, 2 keyed (all servers, 400 ms).
 pub fn settings() -> Settings {
-    let keyed = Effect::Keyed {
-        group: Group::All,
-        memory: ms(400),
+    let keyed = Idempotency::Keyed {
+        scope: DeduplicationScope::All,
+        deduplication_window: ms(400),
     };
     Settings {
         routers: 4,
-        classes: vec![class(Effect::Safe), class(Effect::Unsafe), class(keyed)],
+        classes: vec![
+            class(Idempotency::Idempotent),
+            class(Idempotency::NotIdempotent),
+            class(keyed),
+        ],
         ..Settings::default()
     }
 }
 
 /// The same, where an answer past the aim is worth this share.
-pub fn settings_with_late_worth(late_worth: f64) -> Settings {
+pub fn settings_with_late_worth(late_weight: f64) -> Settings {
     let mut settings = settings();
     settings
         .classes
         .iter_mut()
-        .for_each(|class| class.late_worth = late_worth);
+        .for_each(|class| class.late_weight = late_weight);
     settings
 }
 
@@ -44,8 +48,8 @@
     ServerId::from(format!("10.0.0.{i}:80").as_str())
 }
 
-pub fn ready(count: usize) -> Vec<Member> {
-    (1..=count).map(|i| Member::ready(name(i))).collect()
+pub fn ready(count: usize) -> Vec<Endpoint> {
+    (1..=count).map(|i| Endpoint::ready(name(i))).collect()
 }
 
 pub struct Rig {
@@ -55,14 +59,14 @@
 }
 
 impl Rig {
-    pub fn new(settings: Settings, members: Vec<Member>) -> Rig {
+    pub fn new(settings: Settings, endpoints: Vec<Endpoint>) -> Rig {
         let router = Router::new(settings, 1).expect("usable settings");
         let mut rig = Rig {
             router,
             now: ms(100_000),
             next_id: 0,
         };
-        rig.list(MembershipKind::Full, members);
+        rig.list(EndpointUpdate::Snapshot, endpoints);
         rig
     }
 
@@ -72,8 +76,8 @@
         actions
     }
 
-    pub fn list(&mut self, kind: MembershipKind, members: Vec<Member>) -> Vec<Action> {
-        self.event(Event::Membership { kind, members })
+    pub fn list(&mut self, update: EndpointUpdate, endpoints: Vec<Endpoint>) -> Vec<Action> {
+        self.event(Event::EndpointsChanged { update, endpoints })
     }
 
     /// A request with 800 ms to live.
@@ -104,7 +108,7 @@
     }
 
     pub fn end(&mut self, id: RequestId, attempt: u32, outcome: Outcome, took: u64) -> Vec<Action> {
-        self.event(Event::Ended(ended(id, attempt, outcome, took)))
+        self.event(Event::AttemptEnded(ended(id, attempt, outcome, took)))
     }
 
     /// Asks for a key, has it served, and tells by whom.
@@ -121,7 +125,7 @@
     let complete = outcome == Outcome::Success;
     AttemptEnd {
         complete,
-        ..AttemptEnd::new(id, AttemptNo(attempt), outcome, ms(took))
+        ..AttemptEnd::new(id, AttemptNumber(attempt), outcome, ms(took))
     }
 }
 
@@ -133,7 +137,7 @@
 }
 
 pub fn refused(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
+    actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
 pub fn failed(actions: &[Action]) -> bool {
--- a/crates/load-balancer/tests/links.rs
+++ b/crates/load-balancer/tests/connections.rs
@@ -9,14 +9,14 @@
 
 /// One of a hundred routers, with prices as a deployment has them.
 fn one_of_many() -> Rig {
-    let prices = Prices {
+    let connection_costs = ConnectionCosts {
         connection: 0.08,
         handshake: 0.12,
     };
     Rig::new(
         Settings {
             routers: 100,
-            prices,
+            connection_costs,
             ..settings()
         },
         ready(10),
@@ -24,56 +24,59 @@
 }
 
 /// One request every 100 ms, each on this connection and ended this way.
-fn ask(rig: &mut Rig, keys: Range<u64>, link: Link, outcome: Outcome) {
+fn ask(rig: &mut Rig, keys: Range<u64>, connection_use: ConnectionUse, outcome: Outcome) {
     for key in keys {
         let (id, actions) = rig.ask(0, key);
         rig.now = rig.now.plus(ms(5));
         if sent(&actions).is_some() {
-            let note = (outcome == Outcome::Success).then_some(CacheNote::Hit);
-            rig.event(Event::Ended(AttemptEnd {
-                link,
-                note,
+            let cache_status = (outcome == Outcome::Success).then_some(CacheStatus::Hit);
+            rig.event(Event::AttemptEnded(AttemptEnd {
+                connection_use,
+                cache_status,
                 ..ended(id, 0, outcome, 5)
             }));
         }
-        rig.event(Event::Gone { id });
+        rig.event(Event::ClientDisconnected { id });
         rig.now = rig.now.plus(ms(95));
     }
 }
 
-const KEPT: Link = Link::Kept(Micros(50_000));
+const KEPT: ConnectionUse = ConnectionUse::Reused(Micros(50_000));
 
 #[test]
 fn a_connection_rests_until_that_costs_half_of_a_new_one() {
     let mut rig = one_of_many();
     ask(&mut rig, 0..200, KEPT, Outcome::Success);
     // A hundred routers ask ten servers a hundred times a second each: a handshake costs as much as 1.5 s of rest.
-    let hold = rig.router.hold().as_secs_f64();
+    let hold = rig.router.idle_connection_lifetime().as_secs_f64();
     assert!((0.7..0.8).contains(&hold), "{hold}");
 }
 
 #[test]
 fn connections_that_cost_nothing_are_not_closed_for_their_price() {
     let rig = Rig::new(settings(), ready(10));
-    assert_eq!(rig.router.hold(), Micros::MAX);
+    assert_eq!(rig.router.idle_connection_lifetime(), Micros::MAX);
 }
 
 #[test]
 fn new_connections_turned_away_shorten_rests_and_cut_no_limit() {
     let mut rig = one_of_many();
     ask(&mut rig, 0..100, KEPT, Outcome::Success);
-    let (hold, limits) = (rig.router.hold(), rig.router.view().limits.1);
-    ask(&mut rig, 0..40, Link::New, Outcome::Overloaded);
+    let (hold, limits) = (
+        rig.router.idle_connection_lifetime(),
+        rig.router.diagnostics().limit_mean,
+    );
+    ask(&mut rig, 0..40, ConnectionUse::New, Outcome::Overloaded);
     assert!(
-        rig.router.hold() < hold.scaled(0.5),
+        rig.router.idle_connection_lifetime() < hold.scaled(0.5),
         "{:?} of {hold:?}",
-        rig.router.hold()
+        rig.router.idle_connection_lifetime()
     );
     // The first ones are not known for what they are.
     assert!(
-        rig.router.view().limits.1 > 0.8 * limits,
+        rig.router.diagnostics().limit_mean > 0.8 * limits,
         "{} of {limits}",
-        rig.router.view().limits.1
+        rig.router.diagnostics().limit_mean
     );
 }
 
@@ -81,19 +84,27 @@
 fn servers_that_turn_kept_connections_away_too_have_too_much_work() {
     let mut rig = one_of_many();
     ask(&mut rig, 0..100, KEPT, Outcome::Success);
-    let (hold, limits) = (rig.router.hold(), rig.router.view().limits.1);
+    let (hold, limits) = (
+        rig.router.idle_connection_lifetime(),
+        rig.router.diagnostics().limit_mean,
+    );
     for key in 0..20 {
         ask(&mut rig, key..key + 1, KEPT, Outcome::Overloaded);
-        ask(&mut rig, key + 20..key + 21, Link::New, Outcome::Overloaded);
+        ask(
+            &mut rig,
+            key + 20..key + 21,
+            ConnectionUse::New,
+            Outcome::Overloaded,
+        );
     }
     assert!(
-        rig.router.hold() > hold.scaled(0.9),
+        rig.router.idle_connection_lifetime() > hold.scaled(0.9),
         "{:?} of {hold:?}",
-        rig.router.hold()
+        rig.router.idle_connection_lifetime()
     );
     assert!(
-        rig.router.view().limits.1 < 0.8 * limits,
+        rig.router.diagnostics().limit_mean < 0.8 * limits,
         "{} of {limits}",
-        rig.router.view().limits.1
+        rig.router.diagnostics().limit_mean
     );
 }
--- a/crates/load-balancer/tests/departures.rs
+++ b/crates/load-balancer/tests/departures.rs
@@ -25,9 +25,9 @@
 }
 
 /// The end of a first attempt, and how the server came by its answer.
-fn noted(id: RequestId, outcome: Outcome, took: u64, note: Option<CacheNote>) -> Event {
-    Event::Ended(AttemptEnd {
-        note,
+fn noted(id: RequestId, outcome: Outcome, took: u64, cache_status: Option<CacheStatus>) -> Event {
+    Event::AttemptEnded(AttemptEnd {
+        cache_status,
         ..ended(id, 0, outcome, took)
     })
 }
@@ -83,7 +83,7 @@
         if sent(&actions).is_none() {
             continue;
         }
-        let actions = rig.event(noted(id, Outcome::Failure, 20, Some(CacheNote::Miss)));
+        let actions = rig.event(noted(id, Outcome::Failure, 20, Some(CacheStatus::Miss)));
         assert_eq!(
             sent(&actions),
             None,
@@ -108,7 +108,7 @@
     for key in 10_000..10_200 {
         let (id, actions) = rig.ask(0, key);
         if sent(&actions).is_some() {
-            rig.event(noted(id, Outcome::Failure, 30, Some(CacheNote::Miss)));
+            rig.event(noted(id, Outcome::Failure, 30, Some(CacheStatus::Miss)));
         }
     }
     let try_fetches = |rig: &mut Rig, from: u64, count: u64| {
@@ -117,7 +117,7 @@
             let (id, actions) = rig.ask(0, key);
             if sent(&actions).is_some() {
                 sends += 1;
-                rig.event(noted(id, Outcome::Success, 30, Some(CacheNote::Miss)));
+                rig.event(noted(id, Outcome::Success, 30, Some(CacheStatus::Miss)));
             }
             rig.now = rig.now.plus(ms(10));
         }
@@ -143,7 +143,7 @@
             .filter(|(_, actions)| sent(actions).is_some())
             .collect();
         for (id, _) in &out {
-            rig.event(noted(*id, Outcome::Success, took, Some(CacheNote::Hit)));
+            rig.event(noted(*id, Outcome::Success, took, Some(CacheStatus::Hit)));
         }
         out.len()
     };
@@ -175,7 +175,7 @@
         .collect();
     assert!(homes.len() >= 2, "{homes:?}");
     for (id, _) in out {
-        rig.event(noted(id, Outcome::Success, 10, Some(CacheNote::Hit)));
+        rig.event(noted(id, Outcome::Success, 10, Some(CacheStatus::Hit)));
     }
     for other in 1_000..1_200 {
         rig.served_by(other);
@@ -213,8 +213,8 @@
 /// answer comes too late to be worth anything, it leaves the places to those for whom it is not.
 #[test]
 fn a_retry_past_its_aim_leaves_the_places_to_others() {
-    let room = |wait: u64, late_worth: f64| {
-        let mut rig = Rig::new(settings_with_late_worth(late_worth), ready(1));
+    let room = |wait: u64, late_weight: f64| {
+        let mut rig = Rig::new(settings_with_late_worth(late_weight), ready(1));
         let keys = 100..130;
         keys.clone().for_each(|key| _ = rig.served_by(key));
         let taken = take_all_places(&mut rig);
@@ -268,7 +268,7 @@
 #[test]
 fn a_write_is_worth_more_room_than_a_read() {
     let mut settings = settings();
-    settings.classes[1].worth = 8.0;
+    settings.classes[1].priority_weight = 8.0;
     let mut rig = Rig::new(settings, ready(1));
     let room = |rig: &mut Rig, class| {
         (0..30)
@@ -344,11 +344,11 @@
 fn an_aside_miss_goes_to_the_origin_and_writes_go_straight_there() {
     let mut settings = settings();
     settings.mode = CacheMode::Aside { origin: KindId(9) };
-    let mut members = ready(3);
-    let mut origin = Member::ready(ServerId::from("10.9.9.9:80"));
+    let mut endpoints = ready(3);
+    let mut origin = Endpoint::ready(ServerId::from("10.9.9.9:80"));
     origin.kind = Some(KindId(9));
-    members.push(origin.clone());
-    let mut rig = Rig::new(settings, members);
+    endpoints.push(origin.clone());
+    let mut rig = Rig::new(settings, endpoints);
     for key in 0..300 {
         assert_ne!(
             rig.served_by(key),
@@ -367,13 +367,17 @@
 
 #[test]
 fn a_lost_list_is_asked_for_again_later_each_time() {
-    let ask_within = ms(10_000);
+    let poll_within = ms(10_000);
     let mut settings = settings();
-    settings.discovery = Discovery::Subscribe { ask_within };
+    settings.discovery = Discovery::Subscribe { poll_within };
     let mut router = Router::new(settings, 3).expect("usable settings");
     let mut actions = Vec::new();
-    let list = |kind, members| Event::Membership { kind, members };
-    router.handle(ms(1), list(MembershipKind::Cached, ready(3)), &mut actions);
+    let list = |update, endpoints| Event::EndpointsChanged { update, endpoints };
+    router.handle(
+        ms(1),
+        list(EndpointUpdate::Restored, ready(3)),
+        &mut actions,
+    );
     assert_eq!(
         actions,
         vec![Action::Subscribe],
@@ -382,7 +386,7 @@
     let mut waits = Vec::new();
     for _ in 0..6 {
         actions.clear();
-        router.handle(ms(2), list(MembershipKind::Lost, vec![]), &mut actions);
+        router.handle(ms(2), list(EndpointUpdate::WatchLost, vec![]), &mut actions);
         let [Action::SetTimer { after, token }] = actions[..] else {
             panic!("{actions:?}")
         };
@@ -397,8 +401,8 @@
         "never so late that the router is deemed told: {waits:?}"
     );
     actions.clear();
-    router.handle(ms(3), list(MembershipKind::Changes, vec![]), &mut actions);
-    router.handle(ms(3), list(MembershipKind::Lost, vec![]), &mut actions);
+    router.handle(ms(3), list(EndpointUpdate::Delta, vec![]), &mut actions);
+    router.handle(ms(3), list(EndpointUpdate::WatchLost, vec![]), &mut actions);
     let [Action::SetTimer { after, .. }] = actions[..] else {
         panic!("{actions:?}")
     };
@@ -411,15 +415,15 @@
     let mut rig = Rig::new(settings(), ready(3));
     for i in 10..2_000 {
         rig.list(
-            MembershipKind::Full,
-            vec![Member::ready(name(1)), Member::ready(name(i))],
+            EndpointUpdate::Snapshot,
+            vec![Endpoint::ready(name(1)), Endpoint::ready(name(i))],
         );
         rig.now = rig.now.plus(ms(3_000));
         let served: std::collections::BTreeSet<_> =
             (0..40).filter_map(|key| rig.served_by(key)).collect();
         assert!(served.contains(&name(1)) && served.iter().all(|s| *s == name(1) || *s == name(i)));
     }
-    let (requests, servers) = rig.router.remembered();
+    let TrackedCounts { requests, servers } = rig.router.tracked_counts();
     assert_eq!(requests, 0);
     assert!(servers <= 5, "{servers} servers remembered");
 }
@@ -437,7 +441,7 @@
             let (id, actions) = rig.ask(0, 7);
             if sent(&actions).is_some() {
                 count += 1;
-                rig.event(noted(id, Outcome::Success, took, Some(CacheNote::Hit)));
+                rig.event(noted(id, Outcome::Success, took, Some(CacheStatus::Hit)));
             }
             rig.now = rig.now.plus(ms(20));
         }
@@ -475,7 +479,7 @@
     for key in std::iter::once(sharing).chain(others) {
         let (id, actions) = rig.ask(0, key);
         if sent(&actions).is_some() {
-            rig.event(noted(id, Outcome::Failure, 30, Some(CacheNote::Miss)));
+            rig.event(noted(id, Outcome::Failure, 30, Some(CacheStatus::Miss)));
         }
     }
     for _ in 0..10 {
@@ -499,14 +503,14 @@
     );
     for key in 0..5 {
         let (id, _) = rig.ask(0, key);
-        rig.event(noted(id, Outcome::Failure, 20, Some(CacheNote::Miss)));
+        rig.event(noted(id, Outcome::Failure, 20, Some(CacheStatus::Miss)));
         rig.now = rig.now.plus(ms(500));
     }
     let mut let_through = 0;
     for key in 100..200 {
         let (id, actions) = rig.ask(0, key);
         let_through += usize::from(sent(&actions).is_some());
-        rig.event(noted(id, Outcome::Failure, 20, Some(CacheNote::Miss)));
+        rig.event(noted(id, Outcome::Failure, 20, Some(CacheStatus::Miss)));
         rig.now = rig.now.plus(ms(500));
     }
     assert!(let_through < 20, "{let_through} of 100 fetches");
@@ -607,7 +611,7 @@
         for (i, &key) in keys[40..].iter().enumerate() {
             let (id, actions) = rig.ask(0, key);
             last += usize::from(i >= 340 && sent(&actions) == Some(name(1)));
-            rig.event(noted(id, Outcome::Success, 60, Some(CacheNote::Miss)));
+            rig.event(noted(id, Outcome::Success, 60, Some(CacheStatus::Miss)));
             rig.now = rig.now.plus(ms(2_000));
         }
         assert_eq!(
@@ -649,9 +653,11 @@
 /// Guards the bounded walk: servers that are skipped for being new do not count, so that one warm server is found.
 #[test]
 fn the_one_warm_server_is_found_among_many_cold_ones() {
-    let mut members = ready(60);
-    members[1..].iter_mut().for_each(|m| m.started = ms(99_990));
-    let mut rig = Rig::new(settings(), members);
+    let mut endpoints = ready(60);
+    endpoints[1..]
+        .iter_mut()
+        .for_each(|m| m.started = ms(99_990));
+    let mut rig = Rig::new(settings(), endpoints);
     let found = (0..200).filter(|&key| {
         let served = rig.served_by(key).is_some();
         rig.now = rig.now.plus(ms(1));
@@ -664,16 +670,16 @@
 /// Guards small machines: one of half the mean listed size takes about half of its arcs, the same at every router.
 #[test]
 fn a_small_server_takes_its_arcs_in_part() {
-    let mut members = ready(4);
-    members.iter_mut().for_each(|m| m.weight = 4.0);
-    members[0].weight = 1.5;
+    let mut endpoints = ready(4);
+    endpoints.iter_mut().for_each(|m| m.weight = 4.0);
+    endpoints[0].weight = 1.5;
     let share = |weights| {
         let mut rig = Rig::new(
             Settings {
                 weights,
                 ..settings()
             },
-            members.clone(),
+            endpoints.clone(),
         );
         (0..2_000)
             .filter(|&key| rig.served_by(key) == Some(name(1)))
@@ -702,7 +708,7 @@
                 seed,
             )
             .expect("usable settings");
-            rig.list(MembershipKind::Full, ready(40));
+            rig.list(EndpointUpdate::Snapshot, ready(40));
             for key in 0..60 {
                 rig.served_by(if key % 6 == 0 { 7 } else { 1_000 + key });
             }
@@ -724,8 +730,8 @@
 /// answers usually take a good part of that time: most would be given up shortly before they come.
 #[test]
 fn an_attempt_that_is_overdue_while_another_can_follow_is_given_up() {
-    let timeout = |class: usize, late_worth: f64, usual: u64| {
-        let mut rig = Rig::new(settings_with_late_worth(late_worth), ready(3));
+    let timeout = |class: usize, late_weight: f64, usual: u64| {
+        let mut rig = Rig::new(settings_with_late_worth(late_weight), ready(3));
         for key in 0..60 {
             let (id, _) = rig.ask(0, key);
             rig.now = rig.now.plus(ms(usual));
@@ -766,7 +772,7 @@
         closes(&actions)
     };
     assert!(!round(&mut rig, 0, Outcome::Success));
-    assert!(!round(&mut rig, 4_000, Outcome::Broken));
+    assert!(!round(&mut rig, 4_000, Outcome::ConnectionLost));
     assert!(round(&mut rig, 3_000, Outcome::Success), "idle for long");
     assert!(!round(&mut rig, 100, Outcome::Success), "in steady use");
     assert!(
@@ -781,12 +787,12 @@
     for seed in 0..20 {
         let mut settings = settings();
         (settings.mode, settings.routers) = (CacheMode::Aside { origin: KindId(9) }, 600);
-        let mut origin = Member::ready(ServerId::from("10.9.9.9:80"));
+        let mut origin = Endpoint::ready(ServerId::from("10.9.9.9:80"));
         origin.kind = Some(KindId(9));
         let mut rig = Rig::new(settings.clone(), vec![]);
         rig.router = Router::new(settings, seed).expect("usable settings");
         rig.list(
-            MembershipKind::Full,
+            EndpointUpdate::Snapshot,
             [ready(3), vec![origin.clone()]].concat(),
         );
         let (id, _) = rig.ask(0, 7);
@@ -808,7 +814,7 @@
             seed,
         )
         .expect("usable settings");
-        rig.list(MembershipKind::Full, ready(count));
+        rig.list(EndpointUpdate::Snapshot, ready(count));
         let (id, _) = rig.ask(0, 7);
         sent(&rig.end(id, 0, Outcome::TimedOut, 200))
     };
--- a/crates/load-balancer/tests/embed.rs
+++ b/crates/load-balancer/tests/embed.rs
@@ -34,7 +34,7 @@
                     let attempt = self.sent.get(&id).map_or(0, |s| s.1 + 1);
                     self.sent.insert(id, (server, attempt));
                 }
-                Action::Refuse { id, .. } => assert!(self.answers.insert(id, "refused").is_none()),
+                Action::Reject { id, .. } => assert!(self.answers.insert(id, "refused").is_none()),
                 Action::Fail { id } => assert!(self.answers.insert(id, "failed").is_none()),
                 Action::SetTimer { after, token } => {
                     self.timers_set += 1;
@@ -50,25 +50,25 @@
     }
 
     fn served(&mut self, now: Micros, id: RequestId) {
-        let attempt = AttemptNo(self.sent[&id].1);
+        let attempt = AttemptNumber(self.sent[&id].1);
         self.answers.insert(id, "served");
         let end = AttemptEnd::new(id, attempt, Outcome::Success, Micros::from_millis(12));
         let end = AttemptEnd {
             complete: true,
-            note: Some(CacheNote::Hit),
+            cache_status: Some(CacheStatus::Hit),
             ..end
         };
-        self.tell(now, Event::Ended(end));
+        self.tell(now, Event::AttemptEnded(end));
     }
 }
 
 fn settings() -> Settings {
     let class = Class {
-        aim: Micros::from_millis(300),
+        latency_objective: Micros::from_millis(300),
         deadline: Micros::from_millis(900),
-        worth: 1.0,
-        late_worth: 0.0,
-        effect: Effect::Safe,
+        priority_weight: 1.0,
+        late_weight: 0.0,
+        idempotency: Idempotency::Idempotent,
     };
     Settings {
         routers: 3,
@@ -97,17 +97,17 @@
         Embedded::new(settings(), 2)?,
         Embedded::new(settings(), 3)?,
     ];
-    let members: Vec<Member> = (0..6)
-        .map(|i| Member::ready(format!("cache-{i}:11211").as_str().into()))
+    let endpoints: Vec<Endpoint> = (0..6)
+        .map(|i| Endpoint::ready(format!("cache-{i}:11211").as_str().into()))
         .collect();
     let mut now = Micros::from_millis(1_000);
     for router in &mut routers {
-        let members = members.clone();
+        let endpoints = endpoints.clone();
         router.tell(
             now,
-            Event::Membership {
-                kind: MembershipKind::Full,
-                members,
+            Event::EndpointsChanged {
+                update: EndpointUpdate::Snapshot,
+                endpoints,
             },
         );
     }
@@ -126,10 +126,13 @@
         routers[0].tell(now, request(id, 0, now));
         let (server, attempt) = routers[0].sent[&RequestId(id)].clone();
         if server == home {
-            let (id, attempt, elapsed) =
-                (RequestId(id), AttemptNo(attempt), Micros::from_millis(2));
+            let (id, attempt, elapsed) = (
+                RequestId(id),
+                AttemptNumber(attempt),
+                Micros::from_millis(2),
+            );
             let end = AttemptEnd::new(id, attempt, Outcome::Overloaded, elapsed);
-            routers[0].tell(now, Event::Ended(end));
+            routers[0].tell(now, Event::AttemptEnded(end));
         }
         if routers[0].sent[&RequestId(id)].0 != home {
             routers[0].served(now, RequestId(id));
@@ -150,12 +153,12 @@
 fn every_request_is_over_when_its_timers_have_run() -> Result<(), SettingsError> {
     let mut embedded = Embedded::new(settings(), 9)?;
     let now = Micros::from_millis(1_000);
-    let members = vec![Member::ready("cache-1:11211".into())];
+    let endpoints = vec![Endpoint::ready("cache-1:11211".into())];
     embedded.tell(
         now,
-        Event::Membership {
-            kind: MembershipKind::Full,
-            members,
+        Event::EndpointsChanged {
+            update: EndpointUpdate::Snapshot,
+            endpoints,
         },
     );
     (0..200).for_each(|id| embedded.tell(now, request(id, u64::from(id), now)));
@@ -164,8 +167,11 @@
     }
     assert_eq!(embedded.answers.len(), 200);
     assert_eq!(
-        embedded.router.remembered(),
-        (0, 1),
+        embedded.router.tracked_counts(),
+        TrackedCounts {
+            requests: 0,
+            servers: 1
+        },
         "nothing is kept of requests that are over"
     );
     Ok(())
--- a/crates/load-balancer/tests/reports.rs
+++ b/crates/load-balancer/tests/load_reports.rs
@@ -5,32 +5,32 @@
 use common::*;
 use load_balancer::*;
 
-fn columns() -> Columns {
+fn columns() -> LoadReportFormat {
     let names = ["utilization", "backlog", "recent_ms", "x1"].map(String::from);
-    Columns::new(&names, ["", "fetches_out"])
+    LoadReportFormat::new(&names, ["", "fetches_out"])
 }
 
-fn at_ease() -> Option<Load> {
+fn at_ease() -> Option<LoadReport> {
     columns().read_row("0.4,0,80,1")
 }
 
-fn full() -> Option<Load> {
+fn full() -> Option<LoadReport> {
     columns().read_row("1.0,12,80,1")
 }
 
 /// A hit that took so long, with this report.
-fn hit(rig: &mut Rig, id: RequestId, took: u64, load: Option<Load>) {
-    let note = Some(CacheNote::Hit);
-    rig.event(Event::Ended(AttemptEnd {
-        note,
+fn hit(rig: &mut Rig, id: RequestId, took: u64, load: Option<LoadReport>) {
+    let cache_status = Some(CacheStatus::Hit);
+    rig.event(Event::AttemptEnded(AttemptEnd {
+        cache_status,
         load,
         ..ended(id, 0, Outcome::Success, took)
     }));
 }
 
 /// Forty hits in turn, each of so many milliseconds; the mean limit of the servers after each other.
-fn limits_after(rig: &mut Rig, took: impl Fn(u64) -> u64, load: Option<Load>) -> (f64, f64) {
-    let before = rig.router.view().limits.1;
+fn limits_after(rig: &mut Rig, took: impl Fn(u64) -> u64, load: Option<LoadReport>) -> (f64, f64) {
+    let before = rig.router.diagnostics().limit_mean;
     for turn in 0..40 {
         let (id, actions) = rig.ask(0, 7);
         rig.now = rig.now.plus(ms(took(turn)));
@@ -39,14 +39,19 @@
         }
         rig.now = rig.now.plus(ms(1_000));
     }
-    (before, rig.router.view().limits.1)
+    (before, rig.router.diagnostics().limit_mean)
 }
 
 #[test]
 fn a_report_is_read_by_its_place_or_by_its_name() {
     let row = columns().read_row("0.61,2,83.5,7").expect("a report");
     assert_eq!(
-        (row.busy, row.queue, row.service, row.fetches),
+        (
+            row.cpu_utilization,
+            row.queue_length,
+            row.service_time,
+            row.fetches_in_flight
+        ),
         (Some(0.61), Some(2.0), Some(Micros(83_500)), Some(7.0))
     );
     assert_eq!(
@@ -70,7 +75,12 @@
     ] {
         let load = columns().read_row(row).expect(row);
         assert_eq!(
-            (load.busy, load.service, load.queue, load.fetches),
+            (
+                load.cpu_utilization,
+                load.service_time,
+                load.queue_length,
+                load.fetches_in_flight
+            ),
             (None, None, Some(2.0), Some(7.0)),
             "{row}"
         );
@@ -80,7 +90,7 @@
         assert_eq!(columns().read_pairs(nothing), None, "{nothing}");
     }
     assert_eq!(
-        Columns::default().read_pairs("util=0.5"),
+        LoadReportFormat::default().read_pairs("util=0.5"),
         None,
         "a deployment without reports"
     );
@@ -112,7 +122,7 @@
     let mut rig = Rig::new(settings(), ready(1));
     let (before, after) = limits_after(&mut rig, |turn| if turn < 8 { 50 } else { 250 }, at_ease());
     assert!(after < before / 2.0, "{before} to {after}");
-    assert_eq!(rig.router.view().at_ease, 0);
+    assert_eq!(rig.router.diagnostics().spare_capacity_reported, 0);
 }
 
 /// Guards routers of many: a limit under one spaces requests out, but not at a server that waits for work. A word
@@ -129,14 +139,14 @@
         );
         for _ in 0..4 {
             let (id, _) = rig.ask(0, 7);
-            rig.event(Event::Ended(AttemptEnd {
+            rig.event(Event::AttemptEnded(AttemptEnd {
                 load,
                 ..ended(id, 0, Outcome::Overloaded, 2)
             }));
             rig.now = rig.now.plus(ms(20_000));
         }
         let (id, _) = rig.ask(0, 7);
-        rig.event(Event::Ended(AttemptEnd {
+        rig.event(Event::AttemptEnded(AttemptEnd {
             load,
             ..ended(id, 0, Outcome::Overloaded, 2)
         }));
@@ -151,8 +161,12 @@
     assert!(!goes(&mut busy(full()), 100));
     let mut stale = busy(at_ease());
     stale.now = stale.now.plus(ms(2_000));
-    stale.list(MembershipKind::Changes, Vec::new());
-    assert_eq!(stale.router.view().at_ease, 0, "an old word");
+    stale.list(EndpointUpdate::Delta, Vec::new());
+    assert_eq!(
+        stale.router.diagnostics().spare_capacity_reported,
+        0,
+        "an old word"
+    );
 }
 
 /// Nine requests for keys of one server are more than it takes, while one of four others has none and three have some:
@@ -209,17 +223,17 @@
 #[test]
 fn an_origin_slower_than_the_aim_by_nature_is_no_jam() {
     let mut rig = Rig::new(settings_with_late_worth(0.5), ready(10));
-    let before = rig.router.view().fetches.1;
+    let before = rig.router.diagnostics().fetch_limit;
     for key in 0..200 {
         let (id, actions) = rig.ask(0, key);
         assert!(sent(&actions).is_some(), "request {key} of 200");
         rig.now = rig.now.plus(ms(400));
         let end = ended(id, 0, Outcome::Success, 400);
-        rig.event(Event::Ended(AttemptEnd {
-            note: Some(CacheNote::Miss),
+        rig.event(Event::AttemptEnded(AttemptEnd {
+            cache_status: Some(CacheStatus::Miss),
             ..end
         }));
     }
-    let after = rig.router.view().fetches.1;
+    let after = rig.router.diagnostics().fetch_limit;
     assert!(after >= before, "{before} to {after}");
 }
--- a/crates/load-balancer/tests/many_routers.rs
+++ b/crates/load-balancer/tests/many_routers.rs
@@ -8,12 +8,12 @@
 /// One router of a hundred: class 0 is worth one, class 1 five; both safe.
 fn one_of_many() -> Settings {
     let worthy = Class {
-        worth: 5.0,
-        ..class(Effect::Safe)
+        priority_weight: 5.0,
+        ..class(Idempotency::Idempotent)
     };
     Settings {
         routers: 100,
-        classes: vec![class(Effect::Safe), worthy],
+        classes: vec![class(Idempotency::Idempotent), worthy],
         ..Settings::default()
     }
 }
@@ -50,7 +50,7 @@
             } else {
                 60
             };
-            rig.event(noted(id, Outcome::Success, took, Some(CacheNote::Hit)));
+            rig.event(noted(id, Outcome::Success, took, Some(CacheStatus::Hit)));
         }
         rig.now = rig.now.plus(gap);
     }
@@ -64,9 +64,9 @@
     })
 }
 
-fn noted(id: RequestId, outcome: Outcome, took: u64, note: Option<CacheNote>) -> Event {
-    Event::Ended(AttemptEnd {
-        note,
+fn noted(id: RequestId, outcome: Outcome, took: u64, cache_status: Option<CacheStatus>) -> Event {
+    Event::AttemptEnded(AttemptEnd {
+        cache_status,
         ..ended(id, 0, outcome, took)
     })
 }
@@ -90,7 +90,10 @@
 /// Where all is worth the same, neither class gives way to the other.
 #[test]
 fn no_class_gives_way_where_all_worths_are_alike() {
-    let alike = vec![class(Effect::Safe), class(Effect::Safe)];
+    let alike = vec![
+        class(Idempotency::Idempotent),
+        class(Idempotency::Idempotent),
+    ];
     let mut rig = Rig::new(
         Settings {
             classes: alike,
@@ -113,7 +116,7 @@
     let keys: Vec<u64> = keys_of(1, 4).take(12).collect();
     for &key in &keys[..2] {
         let (id, _) = rig.ask(0, key);
-        rig.event(noted(id, Outcome::Success, 400, Some(CacheNote::Hit)));
+        rig.event(noted(id, Outcome::Success, 400, Some(CacheStatus::Hit)));
     }
     let asked = |rig: &mut Rig, key: u64| sent(&rig.ask(0, key).1);
     assert_eq!(asked(&mut rig, keys[2]), None, "a pause right after");
@@ -159,7 +162,7 @@
             Some(_) => elsewhere += 1,
             None => {}
         }
-        rig.event(noted(id, Outcome::Success, 400, Some(CacheNote::Hit)));
+        rig.event(noted(id, Outcome::Success, 400, Some(CacheStatus::Hit)));
         rig.now = rig.now.plus(ms(15_000));
     }
     assert!(home >= 4, "{home} to the owner");
@@ -177,7 +180,7 @@
         let (id, actions) = rig.ask(0, key);
         let ok = sent(&actions).is_some();
         if ok {
-            rig.event(noted(id, Outcome::Success, took, Some(CacheNote::Hit)));
+            rig.event(noted(id, Outcome::Success, took, Some(CacheStatus::Hit)));
         }
         rig.now = rig.now.plus(ms(gap));
         ok
@@ -193,13 +196,13 @@
 /// A write costs no cached key, so that a hunch is enough for it to go where there is room.
 #[test]
 fn a_write_leaves_a_server_on_a_hunch() {
-    let keyed = class(Effect::Keyed {
-        group: Group::All,
-        memory: ms(400),
+    let keyed = class(Idempotency::Keyed {
+        scope: DeduplicationScope::All,
+        deduplication_window: ms(400),
     });
     let mut rig = Rig::new(
         Settings {
-            classes: vec![class(Effect::Safe), keyed],
+            classes: vec![class(Idempotency::Idempotent), keyed],
             ..one_of_many()
         },
         ready(4),
@@ -207,7 +210,7 @@
     let keys: Vec<u64> = keys_of(1, 4).take(3).collect();
     for &key in &keys[..2] {
         let (id, _) = rig.ask(0, key);
-        rig.event(noted(id, Outcome::Success, 400, Some(CacheNote::Hit)));
+        rig.event(noted(id, Outcome::Success, 400, Some(CacheStatus::Hit)));
     }
     assert_eq!(
         sent(&rig.ask(0, keys[2]).1),
@@ -235,7 +238,7 @@
         if let Some(server) = sent(&actions) {
             count.1 += 1;
             let took = if server == name(1) { 400 } else { 60 };
-            rig.event(noted(id, Outcome::Success, took, Some(CacheNote::Hit)));
+            rig.event(noted(id, Outcome::Success, took, Some(CacheStatus::Hit)));
         }
         rig.now = rig.now.plus(ms(667));
     }
--- a/crates/load-balancer/tests/origin.rs
+++ b/crates/load-balancer/tests/origin.rs
@@ -5,9 +5,9 @@
 use common::*;
 use load_balancer::*;
 
-fn noted(id: RequestId, outcome: Outcome, took: u64, note: CacheNote) -> Event {
-    Event::Ended(AttemptEnd {
-        note: Some(note),
+fn noted(id: RequestId, outcome: Outcome, took: u64, cache_status: CacheStatus) -> Event {
+    Event::AttemptEnded(AttemptEnd {
+        cache_status: Some(cache_status),
         ..ended(id, 0, outcome, took)
     })
 }
@@ -34,7 +34,7 @@
     assert!(out.len() > 10, "{} at once", out.len());
     rig.now = rig.now.plus(ms(400));
     out.iter()
-        .for_each(|&id| _ = rig.event(Event::Ended(ended(id, 0, Outcome::TimedOut, 400))));
+        .for_each(|&id| _ = rig.event(Event::AttemptEnded(ended(id, 0, Outcome::TimedOut, 400))));
     assert!(
         fill(&mut rig, 5_000).is_empty(),
         "all of them still are at work at the origin"
@@ -47,15 +47,15 @@
 #[test]
 fn a_few_long_fetches_among_quick_ones_cut_nothing() {
     let mut rig = Rig::new(settings(), ready(20));
-    let before = rig.router.view().fetches.1;
+    let before = rig.router.diagnostics().fetch_limit;
     for key in 0..200 {
         let (id, actions) = rig.ask(0, key);
         assert!(sent(&actions).is_some(), "request {key}");
         let took = if key % 7 == 6 { 310 } else { 60 };
-        rig.event(noted(id, Outcome::Success, took, CacheNote::Miss));
+        rig.event(noted(id, Outcome::Success, took, CacheStatus::Miss));
         rig.now = rig.now.plus(ms(20));
     }
-    let after = rig.router.view().fetches.1;
+    let after = rig.router.diagnostics().fetch_limit;
     assert!(
         after >= before,
         "{before} to {after}, with one in seven late"
@@ -70,10 +70,10 @@
         let (id, actions) = rig.ask(0, key);
         rig.now = rig.now.plus(ms(50));
         if sent(&actions).is_some() {
-            rig.event(noted(id, Outcome::Success, 790, CacheNote::Miss));
+            rig.event(noted(id, Outcome::Success, 790, CacheStatus::Miss));
         }
     }
-    let jammed = rig.router.view().fetches.1;
+    let jammed = rig.router.diagnostics().fetch_limit;
     assert!(jammed < 1.0, "limit {jammed} while all fetches are late");
     let mut served = 0;
     for key in 1_000..1_100 {
@@ -81,7 +81,7 @@
         rig.now = rig.now.plus(ms(50));
         if sent(&actions).is_some() {
             served += u32::from(key >= 1_060);
-            rig.event(noted(id, Outcome::Success, 40, CacheNote::Miss));
+            rig.event(noted(id, Outcome::Success, 40, CacheStatus::Miss));
         }
     }
     assert!(
@@ -101,27 +101,27 @@
         },
         ready(20),
     );
-    let before = rig.router.view();
+    let before = rig.router.diagnostics();
     for key in 0..60 {
         let (id, actions) = rig.ask(0, key);
         if sent(&actions).is_some() {
             rig.now = rig.now.plus(ms(700));
-            rig.event(Event::Ended(ended(id, 0, Outcome::TimedOut, 700)));
+            rig.event(Event::AttemptEnded(ended(id, 0, Outcome::TimedOut, 700)));
         }
         rig.now = rig.now.plus(ms(300));
     }
-    let after = rig.router.view();
+    let after = rig.router.diagnostics();
     assert!(
-        after.fetches.1 < before.fetches.1 / 2.0,
+        after.fetch_limit < before.fetch_limit / 2.0,
         "{} to {}",
-        before.fetches.1,
-        after.fetches.1
+        before.fetch_limit,
+        after.fetch_limit
     );
     assert!(
-        after.limits.1 > before.limits.1 / 2.0,
+        after.limit_mean > before.limit_mean / 2.0,
         "servers {} to {}",
-        before.limits.1,
-        after.limits.1
+        before.limit_mean,
+        after.limit_mean
     );
 }
 
@@ -135,14 +135,14 @@
         keys[..8].iter().for_each(|&key| _ = rig.served_by(key));
         let mut fetch = |key, took| {
             let (id, _) = rig.ask(0, key);
-            rig.event(noted(id, Outcome::Success, took, CacheNote::Miss));
+            rig.event(noted(id, Outcome::Success, took, CacheStatus::Miss));
         };
         (20_000..20_010).for_each(|key| fetch(key, 30));
         if short {
             (30_000..30_020).for_each(|key| fetch(key, 200));
-            let limit = rig.router.view().fetches.1;
+            let limit = rig.router.diagnostics().fetch_limit;
             let mut others = 50_000..;
-            while f64::from(rig.router.view().fetches.0) < limit * 0.6 {
+            while f64::from(rig.router.diagnostics().fetches_in_flight) < limit * 0.6 {
                 rig.ask(0, others.next().expect("endless"));
             }
         }
--- a/crates/load-balancer/tests/random_events.rs
+++ b/crates/load-balancer/tests/random_events.rs
@@ -21,7 +21,7 @@
     End {
         nth: usize,
         outcome: usize,
-        note: usize,
+        cache_status: usize,
     },
     StrayEnd {
         id: u32,
@@ -31,7 +31,7 @@
     Stream(usize),
     StrayTimer(u64),
     List {
-        kind: usize,
+        update: usize,
         states: Vec<(usize, usize, u64, u32)>,
     },
 }
@@ -42,9 +42,9 @@
     Outcome::Overloaded,
     Outcome::TimedOut,
     Outcome::Unreachable,
-    Outcome::Broken,
+    Outcome::ConnectionLost,
     Outcome::Cancelled,
-    Outcome::Void,
+    Outcome::NotSent,
     Outcome::Miss,
 ];
 
@@ -56,13 +56,13 @@
             .prop_map(|(class, key, life, write, tenant)| Step::Ask { class, key, life, write, tenant }),
         1 => (0..60u32).prop_map(Step::AskAgain),
         8 => (0..6usize, 0..9usize, 0..4usize)
-            .prop_map(|(nth, outcome, note)| Step::End { nth, outcome, note }),
+            .prop_map(|(nth, outcome, cache_status)| Step::End { nth, outcome, cache_status }),
         1 => (0..60u32, 0..5u32).prop_map(|(id, attempt)| Step::StrayEnd { id, attempt }),
         1 => (0..9usize).prop_map(Step::Gone),
         1 => (0..9usize).prop_map(Step::Stream),
         1 => any::<u64>().prop_map(Step::StrayTimer),
         2 => (0..4usize, proptest::collection::vec(member, 0..9))
-            .prop_map(|(kind, states)| Step::List { kind, states }),
+            .prop_map(|(update, states)| Step::List { update, states }),
     ]
 }
 
@@ -91,7 +91,7 @@
     cases: HashMap<RequestId, Case>,
     ids: Vec<RequestId>,
     timers: Vec<(Micros, u64)>,
-    states: HashMap<ServerId, ServerState>,
+    states: HashMap<ServerId, EndpointState>,
 }
 
 impl World {
@@ -116,7 +116,7 @@
         for action in actions {
             match action {
                 Action::Send { id, server, .. } => self.check_send(id, server),
-                Action::Refuse { id, .. } => self.check_answer(id, true),
+                Action::Reject { id, .. } => self.check_answer(id, true),
                 Action::Fail { id } => self.check_answer(id, false),
                 Action::SetTimer { after, token } => {
                     self.timers.push((self.now.plus(after), token))
@@ -136,20 +136,25 @@
         assert!(self.now < case.expires, "a send after the client's time");
         assert_eq!(
             self.states.get(&server),
-            Some(&ServerState::Ready),
+            Some(&EndpointState::Ready),
             "a send to {server}"
         );
         assert!(case.sent.len() < limits.max_attempts as usize);
         let ran = |s: &&Sent| !s.end.is_some_and(Outcome::never_ran);
         if let Some(first) = case.sent.iter().find(ran) {
-            match self.settings.classes[case.class].effect {
-                Effect::Safe => {}
-                Effect::Unsafe => panic!("an unsafe request may run twice"),
-                Effect::Keyed { memory, .. } => assert!(self.now.since(first.at) < memory),
+            match self.settings.classes[case.class].idempotency {
+                Idempotency::Idempotent => {}
+                Idempotency::NotIdempotent => panic!("an unsafe request may run twice"),
+                Idempotency::Keyed {
+                    deduplication_window,
+                    ..
+                } => {
+                    assert!(self.now.since(first.at) < deduplication_window)
+                }
             }
         }
         assert!(
-            limits.second_copies || case.sent.iter().all(|s| s.end.is_some()),
+            limits.hedging || case.sent.iter().all(|s| s.end.is_some()),
             "two attempts out"
         );
         case.sent.push(Sent {
@@ -175,8 +180,8 @@
             .any(|s| !s.end.is_some_and(Outcome::never_ran));
         if refused && may_have_run {
             assert_ne!(
-                self.settings.classes[case.class].effect,
-                Effect::Unsafe,
+                self.settings.classes[case.class].idempotency,
+                Idempotency::NotIdempotent,
                 "an unsafe one refused"
             );
         }
@@ -214,52 +219,63 @@
         self.now = self.now.max(until);
     }
 
-    fn end(&mut self, id: RequestId, out: usize, outcome: Outcome, note: Option<CacheNote>) {
+    fn end(
+        &mut self,
+        id: RequestId,
+        out: usize,
+        outcome: Outcome,
+        cache_status: Option<CacheStatus>,
+    ) {
         let case = self.cases.get_mut(&id).expect("a known request");
         case.sent[out].end = Some(outcome);
-        let ends = outcome == Outcome::Success || (case.streaming && outcome == Outcome::Broken);
+        let ends =
+            outcome == Outcome::Success || (case.streaming && outcome == Outcome::ConnectionLost);
         case.answers += u32::from(ends && !case.over);
         case.over |= ends;
         let (complete, elapsed) = (case.over, self.now.since(case.sent[out].at));
-        let attempt = AttemptNo(out as u32);
+        let attempt = AttemptNumber(out as u32);
         let end = AttemptEnd {
             complete,
-            note,
+            cache_status,
             ..AttemptEnd::new(id, attempt, outcome, elapsed)
         };
-        self.event(Event::Ended(end));
+        self.event(Event::AttemptEnded(end));
     }
 
-    fn list(&mut self, kind: usize, states: &[(usize, usize, u64, u32)]) {
-        let kind = [
-            MembershipKind::Changes,
-            MembershipKind::Full,
-            MembershipKind::Cached,
-            MembershipKind::Lost,
-        ][kind];
-        let states = if kind == MembershipKind::Lost {
+    fn list(&mut self, update: usize, states: &[(usize, usize, u64, u32)]) {
+        let update = [
+            EndpointUpdate::Delta,
+            EndpointUpdate::Snapshot,
+            EndpointUpdate::Restored,
+            EndpointUpdate::WatchLost,
+        ][update];
+        let states = if update == EndpointUpdate::WatchLost {
             &[]
         } else {
             states
         };
-        if matches!(kind, MembershipKind::Full | MembershipKind::Cached) {
+        if matches!(update, EndpointUpdate::Snapshot | EndpointUpdate::Restored) {
             self.states
                 .values_mut()
-                .for_each(|s| *s = ServerState::Gone);
+                .for_each(|s| *s = EndpointState::Removed);
         }
-        let member = |&(server, state, started, weight): &(usize, usize, u64, u32)| Member {
-            state: [ServerState::Ready, ServerState::Draining, ServerState::Gone][state],
+        let member = |&(server, state, started, weight): &(usize, usize, u64, u32)| Endpoint {
+            state: [
+                EndpointState::Ready,
+                EndpointState::Draining,
+                EndpointState::Removed,
+            ][state],
             started: ms(started),
             weight: [0.0, 1.0, f64::MAX, 0.5][weight as usize],
             kind: (server == 0).then_some(KindId(9)),
             zone: Some(ZoneId(server % 3)),
-            ..Member::ready(name(server))
+            ..Endpoint::ready(name(server))
         };
-        let members: Vec<Member> = states.iter().map(member).collect();
-        for member in &members {
+        let endpoints: Vec<Endpoint> = states.iter().map(member).collect();
+        for member in &endpoints {
             self.states.insert(member.server.clone(), member.state);
         }
-        self.event(Event::Membership { kind, members });
+        self.event(Event::EndpointsChanged { update, endpoints });
     }
 
     fn step(&mut self, step: &Step) {
@@ -281,7 +297,11 @@
                     }
                 }
             }
-            Step::End { nth, outcome, note } => {
+            Step::End {
+                nth,
+                outcome,
+                cache_status,
+            } => {
                 let out = self.ids.iter().flat_map(|id| {
                     let sent = self.cases[id].sent.iter().enumerate();
                     sent.filter(|s| s.1.end.is_none()).map(move |s| (*id, s.0))
@@ -289,13 +309,13 @@
                 let Some((id, out)) = out.collect::<Vec<_>>().get(*nth).copied() else {
                     return;
                 };
-                let notes = [
+                let statuses = [
                     None,
-                    Some(CacheNote::Hit),
-                    Some(CacheNote::Miss),
-                    Some(CacheNote::MissPending),
+                    Some(CacheStatus::Hit),
+                    Some(CacheStatus::Miss),
+                    Some(CacheStatus::MissPending),
                 ];
-                self.end(id, out, OUTCOMES[*outcome], notes[*note]);
+                self.end(id, out, OUTCOMES[*outcome], statuses[*cache_status]);
             }
             Step::StrayEnd { id, attempt } => {
                 let known = self.cases.get(&RequestId(*id));
@@ -306,8 +326,8 @@
                 }) {
                     return;
                 }
-                let (id, attempt) = (RequestId(*id), AttemptNo(*attempt));
-                self.event(Event::Ended(AttemptEnd::new(
+                let (id, attempt) = (RequestId(*id), AttemptNumber(*attempt));
+                self.event(Event::AttemptEnded(AttemptEnd::new(
                     id,
                     attempt,
                     Outcome::Failure,
@@ -321,7 +341,7 @@
                 let case = self.cases.get_mut(&id).expect("a known request");
                 case.answers += u32::from(!case.over);
                 case.over = true;
-                self.event(Event::Gone { id });
+                self.event(Event::ClientDisconnected { id });
             }
             Step::Stream(nth) => {
                 let Some(&id) = self.ids.iter().rev().nth(*nth) else {
@@ -335,11 +355,11 @@
                 case.streaming = true;
                 self.event(Event::StreamStarted {
                     id,
-                    attempt: AttemptNo(out as u32),
+                    attempt: AttemptNumber(out as u32),
                 });
             }
             Step::StrayTimer(token) => self.event(Event::Timer { token: *token }),
-            Step::List { kind, states } => self.list(*kind, states),
+            Step::List { update, states } => self.list(*update, states),
         }
     }
 
@@ -395,7 +415,7 @@
     }
     if mode & 2 == 2 {
         settings.discovery = Discovery::Subscribe {
-            ask_within: ms(10_000),
+            poll_within: ms(10_000),
         };
         settings.tenants = vec![
             Tenant {
@@ -408,11 +428,11 @@
             },
         ];
     }
-    settings.limits.second_copies = mode & 4 == 4;
+    settings.limits.hedging = mode & 4 == 4;
     if mode & 8 == 8 {
         settings.limits.max_attempts = 1;
-        settings.rules.cold_time = Micros(0);
-        settings.rules.fall_multiple = 0.0;
+        settings.rules.slow_start_duration = Micros(0);
+        settings.rules.overload_multiple = 0.0;
     }
     settings
 }
--- a/crates/load-balancer/tests/ring.rs
+++ b/crates/load-balancer/tests/ring.rs
@@ -57,14 +57,14 @@
     let mut rig = Rig::new(settings(), ready(8));
     let before = owners(&mut rig, 0..2_000);
     let mut drained = ready(8);
-    drained[3].state = ServerState::Draining;
-    rig.list(MembershipKind::Changes, vec![drained[3].clone()]);
+    drained[3].state = EndpointState::Draining;
+    rig.list(EndpointUpdate::Delta, vec![drained[3].clone()]);
     let after = owners(&mut rig, 0..2_000);
     for (was, is) in before.iter().zip(&after) {
         assert_ne!(*is, name(4), "a draining server is off the ring");
         assert!(was == is || *was == name(4), "a key of {was} moved to {is}");
     }
-    rig.list(MembershipKind::Changes, vec![ready(8)[3].clone()]);
+    rig.list(EndpointUpdate::Delta, vec![ready(8)[3].clone()]);
     assert_eq!(owners(&mut rig, 0..2_000), before);
 }
 
@@ -96,10 +96,10 @@
     owners(&mut rig, 0..200);
     rig.now = rig.now.plus(ms(60_000));
     // 10.0.0.9 comes first in the list, 10.0.0.1 has left, the rest stays.
-    let mut members = vec![Member::ready(name(9))];
-    members.extend(ready(4).split_off(1));
-    rig.list(MembershipKind::Full, members.clone());
-    let mut anew = Rig::new(settings(), members);
+    let mut endpoints = vec![Endpoint::ready(name(9))];
+    endpoints.extend(ready(4).split_off(1));
+    rig.list(EndpointUpdate::Snapshot, endpoints.clone());
+    let mut anew = Rig::new(settings(), endpoints);
     let owners_now = owners(&mut rig, 0..500);
     assert!(owners_now.contains(&name(9)) && !owners_now.contains(&name(1)));
     assert_eq!(owners_now, owners(&mut anew, 0..500));
--- a/crates/load-balancer/tests/rules.rs
+++ b/crates/load-balancer/tests/rules.rs
@@ -23,7 +23,7 @@
     assert_eq!(
         rig.event(Event::Timer { token })
             .iter()
-            .filter(|a| matches!(a, Action::Refuse { .. }))
+            .filter(|a| matches!(a, Action::Reject { .. }))
             .count(),
         0
     );
@@ -33,7 +33,7 @@
 fn nothing_is_sent_after_the_client_left() {
     let mut rig = Rig::new(settings(), ready(3));
     let (id, _) = rig.ask(0, 5);
-    rig.event(Event::Gone { id });
+    rig.event(Event::ClientDisconnected { id });
     assert_eq!(rig.end(id, 0, Outcome::Unreachable, 20), vec![]);
 }
 
@@ -43,7 +43,7 @@
         (Outcome::Overloaded, true),
         (Outcome::Unreachable, true),
         (Outcome::Failure, false),
-        (Outcome::Broken, false),
+        (Outcome::ConnectionLost, false),
         (Outcome::TimedOut, false),
     ] {
         let mut rig = Rig::new(settings(), ready(3));
@@ -74,12 +74,12 @@
     let mut rig = Rig::new(settings(), ready(3));
     let (id, _) = rig.ask(2, 5);
     rig.now = rig.now.plus(ms(100));
-    assert!(sent(&rig.end(id, 0, Outcome::Broken, 100)).is_some());
+    assert!(sent(&rig.end(id, 0, Outcome::ConnectionLost, 100)).is_some());
 
     let mut rig = Rig::new(settings(), ready(3));
     let (id, _) = rig.ask(2, 5);
     rig.now = rig.now.plus(ms(400));
-    let actions = rig.end(id, 0, Outcome::Broken, 400);
+    let actions = rig.end(id, 0, Outcome::ConnectionLost, 400);
     assert_eq!(sent(&actions), None, "its memory is over");
     assert!(
         refused(&actions),
@@ -104,7 +104,7 @@
         "nothing can have run before the first attempt"
     );
     rig.now = rig.now.plus(ms(390));
-    let actions = rig.end(id, 0, Outcome::Broken, 390);
+    let actions = rig.end(id, 0, Outcome::ConnectionLost, 390);
     assert_eq!(
         within(&actions),
         Some(Some(ms(10))),
@@ -115,17 +115,17 @@
 #[test]
 fn a_keyed_request_stays_in_its_zone() {
     let mut settings = settings();
-    settings.classes[2].effect = Effect::Keyed {
-        group: Group::Zone,
-        memory: ms(400),
+    settings.classes[2].idempotency = Idempotency::Keyed {
+        scope: DeduplicationScope::Zone,
+        deduplication_window: ms(400),
     };
-    let mut members = ready(3);
-    for (i, member) in members.iter_mut().enumerate() {
+    let mut endpoints = ready(3);
+    for (i, member) in endpoints.iter_mut().enumerate() {
         member.zone = Some(ZoneId(i));
     }
-    let mut rig = Rig::new(settings, members);
+    let mut rig = Rig::new(settings, endpoints);
     let (id, _) = rig.ask(2, 5);
-    let actions = rig.end(id, 0, Outcome::Broken, 10);
+    let actions = rig.end(id, 0, Outcome::ConnectionLost, 10);
     assert_eq!(sent(&actions), None);
     assert!(failed(&actions) && !refused(&actions));
 }
@@ -146,9 +146,9 @@
     let mut rig = Rig::new(settings(), ready(2));
     let (id, actions) = rig.ask(0, 5);
     let first = sent(&actions).expect("sent");
-    let mut gone: Vec<Member> = ready(2).into_iter().filter(|m| m.server != first).collect();
-    gone[0].state = ServerState::Draining;
-    rig.list(MembershipKind::Changes, gone);
+    let mut gone: Vec<Endpoint> = ready(2).into_iter().filter(|m| m.server != first).collect();
+    gone[0].state = EndpointState::Draining;
+    rig.list(EndpointUpdate::Delta, gone);
     let actions = rig.end(id, 0, Outcome::Unreachable, 5);
     assert_eq!(sent(&actions), None);
     assert!(refused(&actions));
@@ -165,7 +165,7 @@
         _ => None,
     });
     let token = look_again.max().expect("a timer to look again");
-    rig.list(MembershipKind::Full, ready(1));
+    rig.list(EndpointUpdate::Snapshot, ready(1));
     rig.now = rig.now.plus(ms(30));
     assert_eq!(sent(&rig.event(Event::Timer { token })), Some(name(1)));
 }
@@ -175,9 +175,9 @@
 #[test]
 fn a_cold_server_takes_a_growing_part_of_its_arcs() {
     let share_at = |age: u64| {
-        let mut members = ready(4);
-        members[0].started = ms(100_000 - age);
-        let mut rig = Rig::new(settings(), members);
+        let mut endpoints = ready(4);
+        endpoints[0].started = ms(100_000 - age);
+        let mut rig = Rig::new(settings(), endpoints);
         (0..4_000)
             .filter(|&key| rig.served_by(key) == Some(name(1)))
             .count()
@@ -222,9 +222,9 @@
 /// Guards against refusing everything while the whole fleet is new: slices are measured against the warmest server.
 #[test]
 fn a_fleet_that_is_cold_as_a_whole_serves_all_keys() {
-    let mut members = ready(4);
-    members.iter_mut().for_each(|m| m.started = ms(99_000));
-    let mut rig = Rig::new(settings(), members);
+    let mut endpoints = ready(4);
+    endpoints.iter_mut().for_each(|m| m.started = ms(99_000));
+    let mut rig = Rig::new(settings(), endpoints);
     let mut served = 0;
     for key in 0..200 {
         served += usize::from(rig.served_by(key).is_some());
@@ -237,9 +237,9 @@
 /// from each of them once before any hears that the server is slow.
 #[test]
 fn many_routers_together_stay_within_a_cold_servers_budget() {
-    let mut members = ready(4);
-    members[0].started = ms(85_000);
-    let mut few = Rig::new(settings(), members.clone());
+    let mut endpoints = ready(4);
+    endpoints[0].started = ms(85_000);
+    let mut few = Rig::new(settings(), endpoints.clone());
     let key = (0..)
         .find(|&key| few.served_by(key) == Some(name(1)))
         .expect("a key of the cold server");
@@ -255,7 +255,7 @@
             seed.into(),
         )
         .expect("usable settings");
-        rig.list(MembershipKind::Full, members.clone());
+        rig.list(EndpointUpdate::Snapshot, endpoints.clone());
         for _ in 0..4 {
             let (id, actions) = rig.ask(0, key);
             to_cold += usize::from(sent(&actions) == Some(name(1)));
@@ -284,8 +284,8 @@
     let mut drained = ready(3);
     drained
         .iter_mut()
-        .for_each(|m| m.state = ServerState::Draining);
-    let actions = rig.list(MembershipKind::Changes, drained);
+        .for_each(|m| m.state = EndpointState::Draining);
+    let actions = rig.list(EndpointUpdate::Delta, drained);
     assert!(
         (1..=3).all(|i| closes(&actions, &name(i))),
         "several drains at once: {actions:?}"
@@ -297,7 +297,7 @@
     );
 
     let mut rig = Rig::new(settings.clone(), ready(3));
-    let actions = rig.list(MembershipKind::Full, ready(2));
+    let actions = rig.list(EndpointUpdate::Snapshot, ready(2));
     assert!(closes(&actions, &name(3)), "left out of a full list");
     assert!(!closes(&actions, &name(1)));
 
@@ -305,13 +305,13 @@
     let (id, actions) = rig.ask(0, 5);
     let server = sent(&actions).expect("sent");
     rig.list(
-        MembershipKind::Full,
+        EndpointUpdate::Snapshot,
         ready(3)
             .into_iter()
             .filter(|m| m.server != server)
             .collect(),
     );
-    rig.event(Event::Gone { id });
+    rig.event(Event::ClientDisconnected { id });
     assert!(
         closes(&rig.end(id, 0, Outcome::TimedOut, 20), &server),
         "a last outcome after the client left"
@@ -341,7 +341,7 @@
             .end(id, 0, Outcome::Overloaded, 20)
             .into_iter()
             .find_map(|action| match action {
-                Action::Refuse { retry_after, .. } => Some(retry_after),
+                Action::Reject { retry_after, .. } => Some(retry_after),
                 _ => None,
             });
         given.expect("an answer at the outcome, not at the deadline")
@@ -353,7 +353,7 @@
 }
 
 fn joined(id: RequestId, tenant: Option<usize>, expires: Micros) -> Event {
-    Event::Joined {
+    Event::Coalesced {
         id,
         tenant: tenant.map(TenantId),
         expires,
@@ -387,7 +387,7 @@
     );
     let (id, _) = rig.ask(0, 7);
     rig.event(joined(id, None, rig.now.plus(ms(2_000))));
-    rig.event(Event::Shortened {
+    rig.event(Event::DeadlineShortened {
         id,
         expires: rig.now.plus(ms(50)),
     });
--- a/crates/process-lifecycle/src/lib.rs
+++ b/crates/process-lifecycle/src/lib.rs
@@ -7,12 +7,12 @@
 //!
 //! | event | starting | serving | handing over | ending |
 //! | --- | --- | --- | --- | --- |
-//! | `Equipped` | serving | - | - | - |
+//! | `EndpointsKnown` | serving | - | - | - |
 //! | `SuccessorServes` | handing over | handing over | - | ending, to the successor |
 //! | `SuccessorLost` | - | - | serving | ending, alone |
 //! | `Terminate` | ending, alone | ending, alone | ending, to the successor | - |
 //!
-//! `Evacuate` and `Rejoin` are kept in every state, and are idempotent.
+//! `DrainRouter` and `ResumeRouter` are kept in every state, and are idempotent.
 
 use load_balancer::Micros;
 
@@ -26,13 +26,13 @@
 
 /// What happens to a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Event {
+pub enum LifecycleEvent {
     /// It knows servers, so that it can serve.
-    Equipped,
+    EndpointsKnown,
     /// Operators drain the router.
-    Evacuate,
+    DrainRouter,
     /// The drain's end.
-    Rejoin,
+    ResumeRouter,
     /// Another process has taken over the listener.
     SuccessorServes,
     /// That other process has gone.
@@ -51,61 +51,61 @@
 
 /// What a connection gets that is at rest: nothing is owed on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AtRest {
+pub enum IdleConnectionPolicy {
     /// It stays open.
-    Stays,
+    Keep,
     /// It is closed; one that has never asked only after [`NEWCOMER`].
-    Closes,
+    Close,
     /// The same, and one that has never asked at once.
-    ClosesNow,
+    CloseNow,
     /// It is given to the successor.
-    PassesOn,
+    HandOver,
 }
 
 /// One process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Life {
+pub struct Lifecycle {
     phase: Phase,
     /// Since when it is drained.
     drained: Option<Micros>,
 }
 
-impl Default for Life {
+impl Default for Lifecycle {
     fn default() -> Self {
-        Life {
+        Lifecycle {
             phase: Phase::Starting,
             drained: None,
         }
     }
 }
 
-impl Life {
+impl Lifecycle {
     /// The state after an event at `now`.
     #[must_use]
-    pub fn after(self, now: Micros, event: Event) -> Life {
+    pub fn after(self, now: Micros, event: LifecycleEvent) -> Lifecycle {
         use Phase::{Ending, HandingOver, Serving, Starting};
         let phase = match (self.phase, event) {
-            (Starting, Event::Equipped) => Serving,
-            (Starting | Serving, Event::SuccessorServes) => HandingOver,
-            (Ending { .. }, Event::SuccessorServes) => Ending { succeeded: true },
-            (HandingOver, Event::SuccessorLost) => Serving,
-            (Ending { .. }, Event::SuccessorLost) => Ending { succeeded: false },
-            (phase @ Ending { .. }, Event::Terminate) => phase,
-            (phase, Event::Terminate) => Ending {
+            (Starting, LifecycleEvent::EndpointsKnown) => Serving,
+            (Starting | Serving, LifecycleEvent::SuccessorServes) => HandingOver,
+            (Ending { .. }, LifecycleEvent::SuccessorServes) => Ending { succeeded: true },
+            (HandingOver, LifecycleEvent::SuccessorLost) => Serving,
+            (Ending { .. }, LifecycleEvent::SuccessorLost) => Ending { succeeded: false },
+            (phase @ Ending { .. }, LifecycleEvent::Terminate) => phase,
+            (phase, LifecycleEvent::Terminate) => Ending {
                 succeeded: phase == HandingOver,
             },
             (phase, _) => phase,
         };
         let drained = match event {
-            Event::Evacuate => self.drained.or(Some(now)),
-            Event::Rejoin => None,
+            LifecycleEvent::DrainRouter => self.drained.or(Some(now)),
+            LifecycleEvent::ResumeRouter => None,
             _ => self.drained,
         };
-        Life { phase, drained }
+        Lifecycle { phase, drained }
     }
 
     /// Whether `PING` is answered with yes.
-    pub fn pongs(&self) -> bool {
+    pub fn reports_healthy(&self) -> bool {
         self.drained.is_none()
     }
 
@@ -125,7 +125,7 @@
     }
 
     /// Whether a successor takes what comes to rest.
-    pub fn is_succeeded(&self) -> bool {
+    pub fn is_handed_over(&self) -> bool {
         matches!(
             self.phase,
             Phase::HandingOver | Phase::Ending { succeeded: true }
@@ -133,19 +133,19 @@
     }
 
     /// What a connection at rest gets.
-    pub fn at_rest(&self) -> AtRest {
+    pub fn idle_connection_policy(&self) -> IdleConnectionPolicy {
         match (self.phase, self.drained) {
-            _ if self.is_succeeded() => AtRest::PassesOn,
-            (Phase::Ending { .. }, _) => AtRest::ClosesNow,
-            (_, Some(_)) => AtRest::Closes,
-            _ => AtRest::Stays,
+            _ if self.is_handed_over() => IdleConnectionPolicy::HandOver,
+            (Phase::Ending { .. }, _) => IdleConnectionPolicy::CloseNow,
+            (_, Some(_)) => IdleConnectionPolicy::Close,
+            _ => IdleConnectionPolicy::Keep,
         }
     }
 
     /// Whether a connection that is owed answers is read on, or is to come to rest.
-    pub fn reads_on(&self, now: Micros) -> bool {
+    pub fn may_read_more(&self, now: Micros) -> bool {
         match self.drained {
-            _ if self.is_succeeded() => false,
+            _ if self.is_handed_over() => false,
             Some(since) => now.since(since) < READ_ON,
             None => true,
         }
--- a/crates/request-coalescing/benches/waiters.rs
+++ b/crates/request-coalescing/benches/waiters.rs
@@ -6,7 +6,7 @@
 use request_coalescing::*;
 use std::hint::black_box;
 
-fn round(joining: &mut Joining, first: u32, waiters: u32, actions: &mut Vec<Action>) {
+fn round(joining: &mut Coalescer, first: u32, waiters: u32, actions: &mut Vec<Action>) {
     let now = Micros::from_millis(10_000 + u64::from(first));
     for id in first..first + waiters {
         let expires = now.plus(Micros::from_millis(1_000 + u64::from(id % 7)));
@@ -26,7 +26,7 @@
         now.plus(Micros::from_millis(5)),
         Event::Ended {
             flight,
-            how: How::Served,
+            how: FlightOutcome::Served,
         },
         actions,
     );
@@ -42,12 +42,12 @@
             BenchmarkId::from_parameter(waiters),
             &waiters,
             |bencher, &waiters| {
-                let aim = Micros::from_millis(100);
-                let mut joining = Joining::new(
+                let latency_objective = Micros::from_millis(100);
+                let mut joining = Coalescer::new(
                     Bounds::default(),
                     &[ClassSettings {
-                        aim,
-                        needs: aim.scaled(0.2),
+                        latency_objective,
+                        needs: latency_objective.scaled(0.2),
                     }],
                 );
                 let (mut first, mut actions) = (0, Vec::new());
