--- a/crates/request-coalescing/src/joining.rs
+++ b/crates/request-coalescing/src/coalescer.rs
@@ -4,7 +4,7 @@
 //! open one; past a bound -> alone. A write on a key closes the key's flights to newcomers. An answer goes to all who
 //! wait for it, in flights for the same begun earlier too.
 
-use crate::pace::Pace;
+use crate::latency_tracker::LatencyTracker;
 use crate::settings::{Bounds, ClassSettings};
 use load_balancer::{ClassId, Micros, RequestId, TenantId};
 use rustc_hash::FxHashMap;
@@ -34,11 +34,11 @@
 
 /// How a flight ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum How {
+pub enum FlightOutcome {
     /// With an answer.
     Served,
     /// Declined, with advice on when to come back.
-    Refused(Option<Micros>),
+    Rejected(Option<Micros>),
     /// With nothing promised.
     Failed,
 }
@@ -54,12 +54,12 @@
         key: &'a [u8],
     },
     /// A waiter's client left.
-    Gone {
+    ClientDisconnected {
         /// The waiter.
         id: RequestId,
     },
     /// A further attempt has gone out for the flight, since the one before failed.
-    Again {
+    Retried {
         /// The flight.
         flight: FlightId,
     },
@@ -68,9 +68,9 @@
         /// The flight.
         flight: FlightId,
         /// How.
-        how: How,
+        how: FlightOutcome,
     },
-    /// The time that [`Joining::next_due`] named has come.
+    /// The time that [`Coalescer::next_due`] named has come.
     Due,
 }
 
@@ -101,7 +101,7 @@
         /// The waiter.
         id: RequestId,
         /// What it is told.
-        how: How,
+        how: FlightOutcome,
     },
     /// The waiter with the most time has left: the flight may take no longer than this. The decision library hears of it.
     Shorten {
@@ -182,11 +182,11 @@
 
 /// See the module.
 #[derive(Debug)]
-pub struct Joining {
+pub struct Coalescer {
     bounds: Bounds,
     /// The longest advice; `None`: none is given.
     advice: Option<Micros>,
-    paces: Vec<Pace>,
+    paces: Vec<LatencyTracker>,
     /// What a further attempt needs, by class.
     needs: Vec<Micros>,
     /// These two by names that no client chooses, so that a quick hash will do.
@@ -198,13 +198,16 @@
     counters: Counters,
 }
 
-impl Joining {
+impl Coalescer {
     /// Nothing is joined yet. `classes` are those of the deployment, in the order of their numbers.
-    pub fn new(bounds: Bounds, classes: &[ClassSettings]) -> Joining {
-        Joining {
+    pub fn new(bounds: Bounds, classes: &[ClassSettings]) -> Coalescer {
+        Coalescer {
             bounds,
             advice: None,
-            paces: classes.iter().map(|class| Pace::new(class.aim)).collect(),
+            paces: classes
+                .iter()
+                .map(|class| LatencyTracker::new(class.latency_objective))
+                .collect(),
             needs: classes.iter().map(|class| class.needs).collect(),
             flights: FxHashMap::default(),
             keys: HashMap::new(),
@@ -215,8 +218,8 @@
     }
 
     /// Refusals may say when to come back, at the latest after so long.
-    pub fn advising(self, most: Option<Micros>) -> Joining {
-        Joining {
+    pub fn advising(self, most: Option<Micros>) -> Coalescer {
+        Coalescer {
             advice: most,
             ..self
         }
@@ -227,8 +230,8 @@
         match event {
             Event::Read(read) => self.on_read(now, &read, out),
             Event::Write { key } => self.on_write(key),
-            Event::Gone { id } => self.leave(now, id, out),
-            Event::Again { flight } => self.on_again(now, flight, out),
+            Event::ClientDisconnected { id } => self.leave(now, id, out),
+            Event::Retried { flight } => self.on_again(now, flight, out),
             Event::Ended { flight, how } => self.on_ended(now, flight, how, out),
             Event::Due => self.on_due(now, out),
         }
@@ -424,7 +427,7 @@
             let usual = self.usual_of(id);
             out.push(Action::Answer {
                 id,
-                how: How::Refused(self.advice_for(id, usual)),
+                how: FlightOutcome::Rejected(self.advice_for(id, usual)),
             });
             self.leave(now, id, out);
         }
@@ -446,7 +449,7 @@
             self.counters.outrun += 1;
             out.push(Action::Answer {
                 id,
-                how: How::Refused(self.advice_for(id, Some(needs))),
+                how: FlightOutcome::Rejected(self.advice_for(id, Some(needs))),
             });
             self.leave(now, id, out);
         }
@@ -454,11 +457,11 @@
 
     /// The answer goes to all who wait for it. Served, it is as good for those of earlier flights for the same, which
     /// are still out: it was made after they asked.
-    fn on_ended(&mut self, now: Micros, id: FlightId, how: How, out: &mut Vec<Action>) {
+    fn on_ended(&mut self, now: Micros, id: FlightId, how: FlightOutcome, out: &mut Vec<Action>) {
         let Some(flight) = self.forget(id) else {
             return;
         };
-        let served = how == How::Served;
+        let served = how == FlightOutcome::Served;
         self.learn(now, &flight, served);
         self.tell(&flight, how, out);
         if !served {
@@ -488,13 +491,15 @@
         }
     }
 
-    fn tell(&mut self, flight: &Flight, how: How, out: &mut Vec<Action>) {
+    fn tell(&mut self, flight: &Flight, how: FlightOutcome, out: &mut Vec<Action>) {
         for &id in &flight.waiters {
             if let Some(waiter) = self.waiters.remove(&id) {
                 self.due.remove(&(waiter.expires, id));
             }
             let how = match how {
-                How::Refused(Some(after)) => How::Refused(self.advice_for(id, Some(after))),
+                FlightOutcome::Rejected(Some(after)) => {
+                    FlightOutcome::Rejected(self.advice_for(id, Some(after)))
+                }
                 how => how,
             };
             out.push(Action::Answer { id, how });
--- a/crates/request-coalescing/src/pace.rs
+++ b/crates/request-coalescing/src/latency_tracker.rs
@@ -18,24 +18,24 @@
 
 /// Answer times of a class.
 #[derive(Debug)]
-pub(crate) struct Pace {
+pub(crate) struct LatencyTracker {
     answers: Vec<Micros>,
     next: usize,
     /// Of the answers so far: the middle one and the long one.
     learnt: Option<(Micros, Micros)>,
     /// The share of flights that hung to their end, smoothed.
     lost: f64,
-    aim: Micros,
+    latency_objective: Micros,
 }
 
-impl Pace {
-    pub fn new(aim: Micros) -> Pace {
-        Pace {
+impl LatencyTracker {
+    pub fn new(latency_objective: Micros) -> LatencyTracker {
+        LatencyTracker {
             answers: Vec::new(),
             next: 0,
             learnt: None,
             lost: 0.0,
-            aim,
+            latency_objective,
         }
     }
 
@@ -66,7 +66,7 @@
     /// From this age on a flight counts as hanging.
     pub fn hangs_at(&self) -> Micros {
         self.learnt
-            .map_or(self.aim, |(_, long)| long.scaled(HANGS))
+            .map_or(self.latency_objective, |(_, long)| long.scaled(HANGS))
             .max(LEAST)
     }
 
@@ -91,7 +91,7 @@
 
     #[test]
     fn the_aim_counts_until_enough_is_known() {
-        let mut pace = Pace::new(ms(100));
+        let mut pace = LatencyTracker::new(ms(100));
         (1..ENOUGH).for_each(|_| pace.answered(ms(15)));
         assert_eq!(pace.hangs_at(), ms(100));
         pace.answered(ms(15));
@@ -101,7 +101,7 @@
     /// Of a hundred answers one is a fetch: a fetch must not look like a hang.
     #[test]
     fn few_long_answers_are_remembered_and_a_single_one_is_not() {
-        let mut pace = Pace::new(ms(100));
+        let mut pace = LatencyTracker::new(ms(100));
         (0..ANSWERS).for_each(|i| pace.answered(ms(if i == 17 { 2_000 } else { 1 })));
         assert_eq!(pace.hangs_at(), LEAST);
         (0..ANSWERS).for_each(|i| pace.answered(ms(if i % 100 == 0 { 300 } else { 1 })));
@@ -110,7 +110,7 @@
 
     #[test]
     fn a_few_lost_flights_change_nothing_and_many_show_a_slow_class() {
-        let mut pace = Pace::new(ms(100));
+        let mut pace = LatencyTracker::new(ms(100));
         let mut play = |every: usize| {
             for i in 0..200 {
                 if i % every == 0 {
@@ -128,7 +128,7 @@
 
     #[test]
     fn what_ends_young_without_an_answer_tells_nothing() {
-        let mut pace = Pace::new(ms(100));
+        let mut pace = LatencyTracker::new(ms(100));
         (0..200).for_each(|_| pace.unanswered(ms(99)));
         assert!(!pace.is_slow());
     }
--- a/crates/request-coalescing/src/lib.rs
+++ b/crates/request-coalescing/src/lib.rs
@@ -9,8 +9,8 @@
 //! use request_coalescing::*;
 //! use load_balancer::{ClassId, Micros, RequestId};
 //!
-//! let classes = [ClassSettings { aim: Micros::from_millis(100), needs: Micros::from_millis(20) }];
-//! let mut joining = Joining::new(Bounds::default(), &classes);
+//! let classes = [ClassSettings { latency_objective: Micros::from_millis(100), needs: Micros::from_millis(20) }];
+//! let mut coalescer = Coalescer::new(Bounds::default(), &classes);
 //! let read = |id| Event::Read(Read {
 //!     id: RequestId(id),
 //!     class: ClassId(0),
@@ -20,19 +20,19 @@
 //!     expires: Micros::from_millis(1_000),
 //! });
 //! let (mut actions, now) = (Vec::new(), Micros::from_millis(500));
-//! joining.handle(now, read(1), &mut actions);
-//! joining.handle(now, read(2), &mut actions);
+//! coalescer.handle(now, read(1), &mut actions);
+//! coalescer.handle(now, read(2), &mut actions);
 //! let flight = FlightId(RequestId(1));
 //! assert_eq!(actions[0], Action::Open { flight });
 //! assert!(matches!(actions[1], Action::Join { flight: f, .. } if f == flight));
 //! actions.clear();
-//! joining.handle(now, Event::Ended { flight, how: How::Served }, &mut actions);
+//! coalescer.handle(now, Event::Ended { flight, how: FlightOutcome::Served }, &mut actions);
 //! assert_eq!(actions.len(), 2);
 //! ```
 
-mod joining;
-mod pace;
+mod coalescer;
+mod latency_tracker;
 mod settings;
 
-pub use joining::{Action, Counters, Event, FlightId, How, Joining, Read};
-pub use settings::{Bounds, ClassSettings, JoiningFile, Rules, SettingsError};
+pub use coalescer::{Action, Coalescer, Counters, Event, FlightId, FlightOutcome, Read};
+pub use settings::{Bounds, ClassSettings, CoalescingFile, CoalescingRules, SettingsError};
--- a/crates/request-coalescing/src/settings.rs
+++ b/crates/request-coalescing/src/settings.rs
@@ -1,6 +1,6 @@
 //! What operators set, and its checks.
 
-use load_balancer::{Class, Effect, Micros, params::Deployment};
+use load_balancer::{Class, Idempotency, Micros, deployment::Deployment};
 use serde::Deserialize;
 use std::fmt;
 
@@ -32,7 +32,7 @@
 /// The `[joining]` table of an operator file.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct JoiningFile {
+pub struct CoalescingFile {
     /// Names of the classes whose reads are joined; none: joining is off.
     pub classes: Vec<String>,
     /// Names of command fields that do not change the answer, beside those of the protocol.
@@ -47,7 +47,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClassSettings {
     /// Its aim: until answer times are known a flight of this age counts as hanging.
-    pub aim: Micros,
+    pub latency_objective: Micros,
     /// A further attempt with less time than this is of no use, as the decision library has it.
     pub needs: Micros,
 }
@@ -55,22 +55,22 @@
 impl ClassSettings {
     fn of(class: &Class) -> ClassSettings {
         ClassSettings {
-            aim: class.aim,
-            needs: class.further_attempt_needs(),
+            latency_objective: class.latency_objective,
+            needs: class.minimum_retry_time(),
         }
     }
 }
 
 /// A checked `[joining]` table, in the terms of a deployment.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Rules {
+pub struct CoalescingRules {
     /// By class: whether its reads are joined.
     pub joined: Vec<bool>,
     /// By class.
     pub classes: Vec<ClassSettings>,
-    /// See [`JoiningFile::ignore`].
+    /// See [`CoalescingFile::ignore`].
     pub ignore: Vec<String>,
-    /// See [`JoiningFile::per_tenant`].
+    /// See [`CoalescingFile::per_tenant`].
     pub per_tenant: bool,
     /// See there.
     pub bounds: Bounds,
@@ -93,12 +93,12 @@
 /// No deployment needs more; more is a slip of the pen.
 const MOST: usize = 1_000_000;
 
-impl JoiningFile {
+impl CoalescingFile {
     /// The rules for this deployment; `None` where joining is off.
     ///
     /// # Errors
     /// A class that does not exist or may never be joined, a bound of nothing or beyond reason; the first one is named.
-    pub fn rules(&self, deployment: &Deployment) -> Result<Option<Rules>, SettingsError> {
+    pub fn rules(&self, deployment: &Deployment) -> Result<Option<CoalescingRules>, SettingsError> {
         let fail = |text: String| Err(SettingsError(text));
         let classes = &deployment.settings.classes;
         let mut joined = vec![false; classes.len()];
@@ -111,13 +111,13 @@
             else {
                 return fail(format!("joining.classes: there is no class '{name}'"));
             };
-            let what = match classes[class].effect {
-                Effect::Safe => {
+            let what = match classes[class].idempotency {
+                Idempotency::Idempotent => {
                     joined[class] = true;
                     continue;
                 }
-                Effect::Keyed { .. } => "its effect is keyed",
-                Effect::Unsafe => "its effect is unsafe",
+                Idempotency::Keyed { .. } => "its effect is keyed",
+                Idempotency::NotIdempotent => "its effect is unsafe",
             };
             return fail(format!(
                 "joining.classes: '{name}' can never be joined: {what}"
@@ -152,7 +152,7 @@
             ));
         }
         let limits = &deployment.settings.limits;
-        Ok(joined.contains(&true).then(|| Rules {
+        Ok(joined.contains(&true).then(|| CoalescingRules {
             joined,
             classes: classes.iter().map(ClassSettings::of).collect(),
             ignore: self.ignore.clone(),
--- a/crates/request-coalescing/tests/joining.rs
+++ b/crates/request-coalescing/tests/coalescer.rs
@@ -12,7 +12,7 @@
 }
 
 struct Rig {
-    joining: Joining,
+    joining: Coalescer,
     now: Micros,
 }
 
@@ -22,10 +22,10 @@
     }
 
     fn with(bounds: Bounds) -> Rig {
-        let joining = Joining::new(
+        let joining = Coalescer::new(
             bounds,
             &[ClassSettings {
-                aim: ms(100),
+                latency_objective: ms(100),
                 needs: ms(20),
             }],
         )
@@ -66,7 +66,7 @@
         assert_eq!(self.event(Event::Write { key: b"key" }), []);
     }
 
-    fn ended(&mut self, id: u32, how: How) -> Vec<Action> {
+    fn ended(&mut self, id: u32, how: FlightOutcome) -> Vec<Action> {
         self.event(Event::Ended {
             flight: flight(id),
             how,
@@ -85,7 +85,7 @@
                 Action::Open { flight: flight(id) }
             );
             self.pass(millis);
-            assert_eq!(self.ended(id, How::Served).len(), 1);
+            assert_eq!(self.ended(id, FlightOutcome::Served).len(), 1);
         }
     }
 }
@@ -97,7 +97,7 @@
     }
 }
 
-fn told(actions: &[Action]) -> Vec<(u32, How)> {
+fn told(actions: &[Action]) -> Vec<(u32, FlightOutcome)> {
     actions
         .iter()
         .filter_map(|action| match action {
@@ -124,10 +124,12 @@
     for id in 2..=500 {
         assert_eq!(joins(rig.read(id)), Some(1));
     }
-    let actions = rig.ended(1, How::Served);
+    let actions = rig.ended(1, FlightOutcome::Served);
     assert_eq!(
         told(&actions),
-        (1..=500).map(|id| (id, How::Served)).collect::<Vec<_>>()
+        (1..=500)
+            .map(|id| (id, FlightOutcome::Served))
+            .collect::<Vec<_>>()
     );
     assert_eq!(rig.joining.held(), (0, 0));
     assert_eq!(rig.joining.next_due(), None);
@@ -173,8 +175,8 @@
         "after its end"
     );
     assert_eq!(
-        told(&rig.ended(1, How::Served)),
-        [(1, How::Served)],
+        told(&rig.ended(1, FlightOutcome::Served)),
+        [(1, FlightOutcome::Served)],
         "what it was opened for it still serves"
     );
 }
@@ -188,11 +190,14 @@
     rig.read(2);
     rig.write();
     rig.read(3);
-    let actions = rig.ended(2, How::Served);
-    assert_eq!(told(&actions), [(2, How::Served), (1, How::Served)]);
+    let actions = rig.ended(2, FlightOutcome::Served);
+    assert_eq!(
+        told(&actions),
+        [(2, FlightOutcome::Served), (1, FlightOutcome::Served)]
+    );
     assert_eq!(withdrawn(&actions), [1]);
     assert_eq!(rig.joining.held(), (1, 1), "the flight of 3 goes on");
-    assert_eq!(told(&rig.ended(1, How::Served)), [], "it is over");
+    assert_eq!(told(&rig.ended(1, FlightOutcome::Served)), [], "it is over");
 }
 
 #[test]
@@ -209,11 +214,14 @@
     rig.pass(1);
     let actions = rig.event(Event::Due);
     assert!(
-        matches!(told(&actions)[..], [(2, How::Refused(Some(_)))]),
+        matches!(told(&actions)[..], [(2, FlightOutcome::Rejected(Some(_)))]),
         "{actions:?}"
     );
     assert_eq!(withdrawn(&actions), []);
-    assert_eq!(told(&rig.ended(1, How::Served)), [(1, How::Served)]);
+    assert_eq!(
+        told(&rig.ended(1, FlightOutcome::Served)),
+        [(1, FlightOutcome::Served)]
+    );
 }
 
 #[test]
@@ -232,14 +240,26 @@
     rig.read(1);
     rig.read(2);
     rig.read(3);
-    assert_eq!(rig.event(Event::Gone { id: RequestId(1) }), []);
-    assert_eq!(rig.event(Event::Gone { id: RequestId(3) }), []);
+    assert_eq!(
+        rig.event(Event::ClientDisconnected { id: RequestId(1) }),
+        []
+    );
+    assert_eq!(
+        rig.event(Event::ClientDisconnected { id: RequestId(3) }),
+        []
+    );
     assert_eq!(joins(rig.read(4)), Some(1));
-    assert_eq!(rig.event(Event::Gone { id: RequestId(2) }), []);
-    assert_eq!(withdrawn(&rig.event(Event::Gone { id: RequestId(4) })), [1]);
+    assert_eq!(
+        rig.event(Event::ClientDisconnected { id: RequestId(2) }),
+        []
+    );
+    assert_eq!(
+        withdrawn(&rig.event(Event::ClientDisconnected { id: RequestId(4) })),
+        [1]
+    );
     assert_eq!(rig.joining.held(), (0, 0));
     assert_eq!(
-        rig.event(Event::Gone { id: RequestId(4) }),
+        rig.event(Event::ClientDisconnected { id: RequestId(4) }),
         [],
         "said twice"
     );
@@ -270,7 +290,7 @@
     assert_eq!(joins(rig.read(4)), Some(3));
     rig.pass(21);
     assert_eq!(joins(rig.read(5)), Some(3), "a third one would be too many");
-    let actions = rig.ended(3, How::Served);
+    let actions = rig.ended(3, FlightOutcome::Served);
     assert_eq!(
         told(&actions).len(),
         5,
@@ -284,12 +304,12 @@
 fn a_refusal_goes_to_all_at_once_and_calls_them_back_at_different_times() {
     let mut rig = Rig::new();
     (1..=500).for_each(|id| _ = rig.read(id));
-    let told = told(&rig.ended(1, How::Refused(Some(ms(100)))));
+    let told = told(&rig.ended(1, FlightOutcome::Rejected(Some(ms(100)))));
     assert_eq!(told.len(), 500);
     let mut back: Vec<u64> = told
         .iter()
         .map(|(_, how)| match how {
-            How::Refused(Some(after)) => after.0,
+            FlightOutcome::Rejected(Some(after)) => after.0,
             how => panic!("{how:?}"),
         })
         .collect();
@@ -312,8 +332,8 @@
     rig.read(1);
     rig.read(2);
     assert_eq!(
-        told(&rig.ended(1, How::Failed)),
-        [(1, How::Failed), (2, How::Failed)]
+        told(&rig.ended(1, FlightOutcome::Failed)),
+        [(1, FlightOutcome::Failed), (2, FlightOutcome::Failed)]
     );
 }
 
@@ -324,15 +344,15 @@
     rig.read_of(2, b"key", b"", 100);
     rig.read_of(3, b"key", b"", 101);
     rig.pass(81);
-    let actions = rig.event(Event::Again { flight: flight(1) });
+    let actions = rig.event(Event::Retried { flight: flight(1) });
     assert!(
-        matches!(told(&actions)[..], [(2, How::Refused(Some(_)))]),
+        matches!(told(&actions)[..], [(2, FlightOutcome::Rejected(Some(_)))]),
         "{actions:?}"
     );
     assert_eq!(withdrawn(&actions), []);
     assert_eq!(
-        told(&rig.ended(1, How::Served)),
-        [(1, How::Served), (3, How::Served)]
+        told(&rig.ended(1, FlightOutcome::Served)),
+        [(1, FlightOutcome::Served), (3, FlightOutcome::Served)]
     );
 }
 
@@ -342,7 +362,7 @@
     let mut rig = Rig::new();
     rig.read_of(1, b"key", b"", 100);
     rig.pass(81);
-    assert_eq!(rig.event(Event::Again { flight: flight(1) }), []);
+    assert_eq!(rig.event(Event::Retried { flight: flight(1) }), []);
 }
 
 #[test]
@@ -358,13 +378,22 @@
             expires: start.plus(ms(millis)),
         }]
     };
-    assert_eq!(rig.event(Event::Gone { id: RequestId(2) }), shorten(500));
-    assert_eq!(rig.event(Event::Gone { id: RequestId(1) }), []);
+    assert_eq!(
+        rig.event(Event::ClientDisconnected { id: RequestId(2) }),
+        shorten(500)
+    );
+    assert_eq!(
+        rig.event(Event::ClientDisconnected { id: RequestId(1) }),
+        []
+    );
     let Action::Join { expires, .. } = rig.read_of(4, b"key", b"", 400) else {
         panic!("joined")
     };
     assert_eq!(expires, start.plus(ms(500)));
-    assert_eq!(rig.event(Event::Gone { id: RequestId(3) }), shorten(400));
+    assert_eq!(
+        rig.event(Event::ClientDisconnected { id: RequestId(3) }),
+        shorten(400)
+    );
 }
 
 #[test]
@@ -398,7 +427,7 @@
         "enough wait in all"
     );
     assert_eq!(rig.joining.counters().alone, 3);
-    rig.ended(7, How::Served);
+    rig.ended(7, FlightOutcome::Served);
     assert_eq!(
         rig.read_of(9, b"third", b"", 1_000),
         Action::Open { flight: flight(9) },
@@ -416,7 +445,7 @@
         Read(u8, u8, u16),
         Write(u8),
         Gone(prop::sample::Index),
-        Again(prop::sample::Index),
+        Retried(prop::sample::Index),
         Ended(prop::sample::Index, u8),
         Pass(u16),
     }
@@ -426,7 +455,7 @@
             6 => (0..3_u8, 0..2_u8, 1..400_u16).prop_map(|(key, what, wait)| Step::Read(key, what, wait)),
             1 => (0..3_u8).prop_map(Step::Write),
             1 => any::<prop::sample::Index>().prop_map(Step::Gone),
-            1 => any::<prop::sample::Index>().prop_map(Step::Again),
+            1 => any::<prop::sample::Index>().prop_map(Step::Retried),
             2 => (any::<prop::sample::Index>(), 0..3_u8).prop_map(|(index, how)| Step::Ended(index, how)),
             3 => (0..150_u16).prop_map(Step::Pass),
         ]
@@ -467,17 +496,17 @@
                     Step::Gone(index) if !waiting.is_empty() => {
                         let id = *index.get(&waiting.iter().copied().collect::<Vec<_>>());
                         waiting.remove(&id);
-                        rig.event(Event::Gone { id: RequestId(id) })
+                        rig.event(Event::ClientDisconnected { id: RequestId(id) })
                     }
-                    Step::Again(index) if !flights.is_empty() => {
+                    Step::Retried(index) if !flights.is_empty() => {
                         let id = *index.get(&flights.iter().copied().collect::<Vec<_>>());
-                        rig.event(Event::Again { flight: flight(id) })
+                        rig.event(Event::Retried { flight: flight(id) })
                     }
                     Step::Ended(index, how) if !flights.is_empty() => {
                         let id = *index.get(&flights.iter().copied().collect::<Vec<_>>());
                         ended = Some(id);
                         flights.remove(&id);
-                        rig.ended(id, [How::Served, How::Refused(None), How::Failed][usize::from(*how)])
+                        rig.ended(id, [FlightOutcome::Served, FlightOutcome::Rejected(None), FlightOutcome::Failed][usize::from(*how)])
                     }
                     Step::Pass(millis) => {
                         let end = rig.now.plus(ms(u64::from(*millis)));
@@ -514,7 +543,7 @@
                             prop_assert!(waiting.remove(&id.0), "answered twice, or unasked");
                             let is_pass = matches!(step, Step::Pass(_));
                             prop_assert!(is_pass || rig.now <= asked[&id.0].expires);
-                            if how == How::Served {
+                            if how == FlightOutcome::Served {
                                 let (read, first) = (&asked[&id.0], &asked[&ended.expect("a flight")]);
                                 prop_assert_eq!((read.key, read.what), (first.key, first.what));
                             }
--- a/crates/router-runtime/src/clients.rs
+++ b/crates/router-runtime/src/clients.rs
@@ -3,15 +3,15 @@
 
 mod conversation;
 
-use crate::joiner::Joiner;
-use crate::large::LargeCommands;
-use crate::seam::World;
-use crate::tally::Tally;
+use crate::coalescing_stage::CoalescingStage;
+use crate::environment::Environment;
+use crate::metrics::Tally;
+use crate::write_memory_budget::LargeCommands;
 use bytes::BytesMut;
 use conversation::End;
-use load_balancer::params::Names;
+use load_balancer::deployment::Names;
 use load_balancer::*;
-use process_lifecycle::Life;
+use process_lifecycle::Lifecycle;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -35,21 +35,21 @@
 /// How long to leave the listener alone after it failed, out of descriptors for instance.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-pub struct Clients<W: World> {
+pub struct Clients<W: Environment> {
     world: W,
-    joiner: Rc<Joiner<W>>,
+    joiner: Rc<CoalescingStage<W>>,
     names: Rc<Names>,
     classes: Vec<Class>,
     most: usize,
     /// In the order in which they came, so that equal days go alike.
     open: RefCell<BTreeMap<u64, Rc<Client>>>,
     last: Cell<u64>,
-    life: Rc<Cell<Life>>,
+    life: Rc<Cell<Lifecycle>>,
     tally: Rc<Tally>,
     /// Taken off the listener and not begun, for want of a place.
     arrived: RefCell<Option<W::Stream>>,
     /// Who takes the connections that are passed on.
-    successor: RefCell<Option<mpsc::UnboundedSender<Resting<W::Stream>>>>,
+    successor: RefCell<Option<mpsc::UnboundedSender<IdleConnection<W::Stream>>>>,
     ended: Notify,
     /// The process ends: nothing more is read.
     finishing: Cell<bool>,
@@ -58,13 +58,13 @@
 
 /// A client's connection on which nothing is owed, to be served by another process.
 #[derive(Debug)]
-pub struct Resting<S> {
+pub struct IdleConnection<S> {
     /// The connection; what the client has sent since is still to be read.
     pub stream: S,
     /// What was read of a command that is not whole yet.
     pub unread: BytesMut,
     /// It has sent a whole command before.
-    pub has_asked: bool,
+    pub has_sent_command: bool,
 }
 
 /// What a connection's two halves and the listener share.
@@ -75,7 +75,7 @@
     /// Answers owed and not yet written.
     owed: Cell<usize>,
     /// Has sent a whole command.
-    has_asked: Cell<bool>,
+    has_sent_command: Cell<bool>,
     /// When a command began to arrive that is not whole yet.
     begun: Cell<Option<Instant>>,
     /// Commands so far that are not for a router.
@@ -89,13 +89,13 @@
     evicted: Cell<bool>,
 }
 
-impl<W: World> Clients<W> {
+impl<W: Environment> Clients<W> {
     pub fn new(
-        joiner: Rc<Joiner<W>>,
+        joiner: Rc<CoalescingStage<W>>,
         names: Rc<Names>,
         classes: Vec<Class>,
         most: usize,
-        (life, tally): (Rc<Cell<Life>>, Rc<Tally>),
+        (life, tally): (Rc<Cell<Lifecycle>>, Rc<Tally>),
         large: Rc<LargeCommands>,
         world: W,
     ) -> Rc<Self> {
@@ -157,10 +157,10 @@
             .timeout(AT_ONCE, self.world.accept(listener))
             .await
         {
-            self.start(Resting {
+            self.start(IdleConnection {
                 stream,
                 unread: BytesMut::new(),
-                has_asked: false,
+                has_sent_command: false,
             });
         }
     }
@@ -174,23 +174,23 @@
     /// Begins the one that was taken off the listener, if there is one.
     fn start_arrived(self: &Rc<Self>) {
         if let Some(stream) = self.arrived.take() {
-            self.start(Resting {
+            self.start(IdleConnection {
                 stream,
                 unread: BytesMut::new(),
-                has_asked: false,
+                has_sent_command: false,
             });
         }
     }
 
     /// Serves a connection that this process has accepted or another one has passed on.
-    pub fn start(self: &Rc<Self>, resting: Resting<W::Stream>) {
+    pub fn start(self: &Rc<Self>, idle_connection: IdleConnection<W::Stream>) {
         let id = self.last.get() + 1;
         self.last.set(id);
         let client = Rc::new(Client {
             closing: Cell::new(false),
             changed: Notify::new(),
             owed: Cell::new(0),
-            has_asked: Cell::new(resting.has_asked),
+            has_sent_command: Cell::new(idle_connection.has_sent_command),
             begun: Cell::new(None),
             unknown: Cell::new(0),
             used: Cell::new(self.world.now()),
@@ -201,7 +201,7 @@
         self.open.borrow_mut().insert(id, client.clone());
         let clients = self.clone();
         self.world.spawn(async move {
-            clients.serve(resting, &client).await;
+            clients.serve(idle_connection, &client).await;
             for id in client.waiting.take() {
                 clients.joiner.gone(id);
             }
@@ -219,7 +219,7 @@
         let now = self.world.now();
         let rank = |client: &Client| {
             let since = client.begun.get().unwrap_or(client.used.get());
-            let silent = !client.has_asked.get() || client.begun.get().is_some();
+            let silent = !client.has_sent_command.get() || client.begun.get().is_some();
             let class = match (silent, now.saturating_duration_since(since)) {
                 (true, age) if age > YOUNG => 0,
                 (false, age) if age > COMMAND_LIMIT => 1,
@@ -253,14 +253,14 @@
             let rests = |client: &&Rc<Client>| {
                 let idle =
                     client.owed.get() == 0 && client.begun.get().is_none() && !client.closing.get();
-                client.has_asked.get()
+                client.has_sent_command.get()
                     && idle
                     && now.saturating_duration_since(client.used.get()) > RESTING
             };
-            let mut resting: Vec<_> = open.values().filter(rests).collect();
-            resting.sort_by_key(|client| client.used.get());
-            let excess = resting.len().saturating_sub(self.most / 4);
-            resting
+            let mut idle_connection: Vec<_> = open.values().filter(rests).collect();
+            idle_connection.sort_by_key(|client| client.used.get());
+            let excess = idle_connection.len().saturating_sub(self.most / 4);
+            idle_connection
                 .iter()
                 .take(excess)
                 .for_each(|client| client.close());
@@ -276,16 +276,22 @@
     }
 
     /// Who takes what comes to rest, where the life of the process says that it is passed on.
-    pub fn pass_to(self: &Rc<Self>, successor: Option<mpsc::UnboundedSender<Resting<W::Stream>>>) {
+    pub fn pass_to(
+        self: &Rc<Self>,
+        successor: Option<mpsc::UnboundedSender<IdleConnection<W::Stream>>>,
+    ) {
         *self.successor.borrow_mut() = successor;
         self.start_arrived();
     }
 
     /// Gives a connection at rest to the successor; back if there is none.
-    fn pass_on(&self, resting: Resting<W::Stream>) -> Result<(), Resting<W::Stream>> {
+    fn pass_on(
+        &self,
+        idle_connection: IdleConnection<W::Stream>,
+    ) -> Result<(), IdleConnection<W::Stream>> {
         match &*self.successor.borrow() {
-            Some(successor) => successor.send(resting).map_err(|back| back.0),
-            None => Err(resting),
+            Some(successor) => successor.send(idle_connection).map_err(|back| back.0),
+            None => Err(idle_connection),
         }
     }
 
@@ -301,9 +307,9 @@
         }
     }
 
-    async fn serve(&self, mut resting: Resting<W::Stream>, client: &Client) {
+    async fn serve(&self, mut idle_connection: IdleConnection<W::Stream>, client: &Client) {
         loop {
-            let Resting { stream, unread, .. } = resting;
+            let IdleConnection { stream, unread, .. } = idle_connection;
             let (stream, end) = self.serve_until_rest(stream, unread, client).await;
             let unread = match end {
                 End::Left | End::Done => return,
@@ -311,13 +317,13 @@
                 End::Finished => return self.part(stream).await,
                 End::Rests(unread) => unread,
             };
-            match self.pass_on(Resting {
+            match self.pass_on(IdleConnection {
                 stream,
                 unread,
-                has_asked: client.has_asked.get(),
+                has_sent_command: client.has_sent_command.get(),
             }) {
                 Ok(()) => return,
-                Err(back) => resting = back,
+                Err(back) => idle_connection = back,
             }
             // The successor has gone in this moment, and the life of this process says so soon.
             self.world.sleep(ACCEPT_PAUSE).await;
--- a/crates/router-runtime/src/clients/conversation.rs
+++ b/crates/router-runtime/src/clients/conversation.rs
@@ -1,17 +1,17 @@
 //! What is said on one client's connection: commands in, and answers out in the order of the commands.
 
 use super::{COMMAND_LIMIT, Client, Clients};
-use crate::driver::{Answer, Ask, duration};
-use crate::large::Large;
-use crate::planted::{self, Bug};
+use crate::dispatcher::{Answer, ClientRequest, duration};
+use crate::environment::{Environment, ReadStream, Stream};
+use crate::metrics::{End as Fate, Tally};
+use crate::mutation::{self, Mutation};
 use crate::resp::{Command, CommandReader, READ_SIZE, RespError};
-use crate::seam::{Reads, Stream, World};
 use crate::servers::Piece;
-use crate::tally::{End as Fate, Tally};
+use crate::write_memory_budget::Large;
 use bytes::{Bytes, BytesMut};
 use load_balancer::*;
 use md5::{Digest, Md5};
-use process_lifecycle::{AtRest, NEWCOMER};
+use process_lifecycle::{IdleConnectionPolicy, NEWCOMER};
 use std::io;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -74,7 +74,7 @@
     Rests(BytesMut),
 }
 
-impl<W: World> Clients<W> {
+impl<W: Environment> Clients<W> {
     pub(super) async fn serve_until_rest(
         &self,
         mut stream: W::Stream,
@@ -126,7 +126,7 @@
         let mut progress: Option<Instant> = None;
         loop {
             // One that is to come to rest takes no further command, but the rest of one that has begun.
-            while self.reads_on(client) {
+            while self.may_read_more(client) {
                 let next = match reader.next(&mut buffer) {
                     Ok(Some(words)) => self.take(words, client, &mut large),
                     Ok(None) => break,
@@ -137,7 +137,7 @@
                         Owed::Last(Bytes::from_static(b"-ERR protocol error\r\n"))
                     }
                 };
-                client.has_asked.set(true);
+                client.has_sent_command.set(true);
                 client.begun.set(None);
                 progress = None;
                 client.owed.set(client.owed.get() + 1);
@@ -164,8 +164,8 @@
                 return End::Finished;
             }
             let life = self.life.get();
-            let (is_owed, reads_on) = (client.owed.get() > 0, self.reads_on(client));
-            if life.at_rest() == AtRest::PassesOn && !is_owed {
+            let (is_owed, may_read_more) = (client.owed.get() > 0, self.may_read_more(client));
+            if life.idle_connection_policy() == IdleConnectionPolicy::HandOver && !is_owed {
                 return End::Rests(buffer);
             }
             if client.stopped.get() && !is_owed {
@@ -181,12 +181,16 @@
                 progress = Some(self.world.now());
             }
             let has_room = large.as_ref().is_none_or(Large::may_read);
-            let is_new = !client.has_asked.get() && life.at_rest() == AtRest::Closes;
-            let closes =
-                client.closing.get() || !matches!(life.at_rest(), AtRest::Stays | AtRest::PassesOn);
+            let is_new = !client.has_sent_command.get()
+                && life.idle_connection_policy() == IdleConnectionPolicy::Close;
+            let closes = client.closing.get()
+                || !matches!(
+                    life.idle_connection_policy(),
+                    IdleConnectionPolicy::Keep | IdleConnectionPolicy::HandOver
+                );
             let may_close = closes && !is_new && !is_owed && buffer.is_empty();
-            let limit = match (client.begun.get(), client.has_asked.get()) {
-                _ if !has_room || !reads_on => None,
+            let limit = match (client.begun.get(), client.has_sent_command.get()) {
+                _ if !has_room || !may_read_more => None,
                 (Some(begun), _) => {
                     Some(progress.map_or(begun + HEAD_LIMIT, |at| at + VALUE_PAUSE))
                 }
@@ -194,8 +198,9 @@
                 (None, false) => Some(client.used.get() + COMMAND_LIMIT),
                 (None, true) => (client.owed.get() == 0).then(|| client.used.get() + IDLE_LIMIT),
             };
-            let drops = planted::has(Bug::DropsPipelined) && closes && client.owed.get() > 1;
-            let reads = reads_on && has_room;
+            let drops =
+                mutation::is_active(Mutation::DropsPipelined) && closes && client.owed.get() > 1;
+            let reads = may_read_more && has_room;
             let look = async {
                 if reads {
                     return (&mut *stream)
@@ -213,7 +218,7 @@
                     Ok(count) if count > 0 => {
                         large.iter_mut().for_each(|large| large.arrived(count));
                         progress = progress.map(|_| self.world.now());
-                        if client.has_asked.get() {
+                        if client.has_sent_command.get() {
                             client.used.set(self.world.now());
                         }
                     }
@@ -230,25 +235,25 @@
 
     /// Returns once the client has left, for where it is not read on. Guards against requests that are sent on for nobody,
     /// since the end stands behind commands that are not read yet.
-    async fn departed(&self, stream: &impl Reads) {
-        while !stream.has_left() || planted::has(Bug::OverlooksDepartures) {
+    async fn departed(&self, stream: &impl ReadStream) {
+        while !stream.has_peer_closed() || mutation::is_active(Mutation::OverlooksDepartures) {
             self.world.sleep(DEPARTED_ROUND).await;
         }
     }
 
     /// Whether this client's next command is taken. While the router is drained a command that has begun is, and one
     /// that comes while nothing is owed; a client that is never at rest is stopped after a while.
-    fn reads_on(&self, client: &Client) -> bool {
+    fn may_read_more(&self, client: &Client) -> bool {
         let life = self.life.get();
         if self.finishing.get() {
             return false;
         }
-        if life.is_succeeded() || !life.is_drained() {
+        if life.is_handed_over() || !life.is_drained() {
             client.stopped.set(false);
-            return !life.is_succeeded();
+            return !life.is_handed_over();
         }
         let rests = client.owed.get() == 0 || client.begun.get().is_some();
-        let stops = !rests && !life.reads_on(self.joiner.now());
+        let stops = !rests && !life.may_read_more(self.joiner.now());
         client.stopped.set(client.stopped.get() || stops);
         !client.stopped.get()
     }
@@ -276,7 +281,9 @@
                     Err(text) => Owed::Last(error(text)),
                 }
             }
-            b"PING" if self.life.get().pongs() => Owed::Now(Bytes::from_static(b"+PONG\r\n")),
+            b"PING" if self.life.get().reports_healthy() => {
+                Owed::Now(Bytes::from_static(b"+PONG\r\n"))
+            }
             b"PING" => Owed::Now(Bytes::from_static(b"-ERR drained\r\n")),
             b"CLIENT" | b"SELECT" => Owed::Now(Bytes::from_static(b"+OK\r\n")),
             _ => {
@@ -291,7 +298,7 @@
         }
     }
 
-    fn ask(&self, command: Command) -> Result<Ask, &'static str> {
+    fn ask(&self, command: Command) -> Result<ClientRequest, &'static str> {
         let among = |names: &[String], name: &str| names.iter().position(|n| n == name);
         let class = command
             .field("c")
@@ -303,13 +310,13 @@
             Some(millis) => Micros::from_millis(millis).min(self.classes[class].deadline),
             None => self.classes[class].deadline,
         };
-        if matches!(self.classes[class].effect, Effect::Keyed { .. })
+        if matches!(self.classes[class].idempotency, Idempotency::Keyed { .. })
             && command.field("k").is_none()
         {
             return Err("ERR a keyed class wants k");
         }
         let cost_hint = command.number("h").transpose()?.map(Micros);
-        Ok(Ask {
+        Ok(ClientRequest {
             class: ClassId(class),
             tenant: command
                 .field("t")
@@ -339,11 +346,11 @@
                     client.waiting.borrow_mut().remove(&asked.id);
                     let (fate, bytes) = match answer {
                         Answer::Served(bytes) => (Fate::Passed, bytes),
-                        Answer::Refused(Some(after)) => (
+                        Answer::Rejected(Some(after)) => (
                             Fate::Dropped,
                             Bytes::from(format!("-BUSY {}\r\n", after.0.div_ceil(1_000))),
                         ),
-                        Answer::Refused(None) => (Fate::Dropped, Bytes::from_static(b"-BUSY\r\n")),
+                        Answer::Rejected(None) => (Fate::Dropped, Bytes::from_static(b"-BUSY\r\n")),
                         Answer::Failed => {
                             (Fate::BadGateway, Bytes::from_static(b"-ERR failed\r\n"))
                         }
@@ -359,7 +366,7 @@
                     bytes
                 }
             };
-            let bytes = if planted::has(Bug::AnswersTwice) {
+            let bytes = if mutation::is_active(Mutation::AnswersTwice) {
                 [&bytes[..], &bytes[..]].concat().into()
             } else {
                 bytes
--- a/crates/router-runtime/src/joiner.rs
+++ b/crates/router-runtime/src/coalescing_stage.rs
@@ -3,11 +3,13 @@
 //!
 //! Where joining is off it passes requests on and nothing else.
 
-use crate::driver::{Answer, Ask, Driver, News};
-use crate::planted::{self, Bug};
-use crate::seam::World;
+use crate::dispatcher::{Answer, ClientRequest, CoalescingEvent, Dispatcher};
+use crate::environment::Environment;
+use crate::mutation::{self, Mutation};
 use load_balancer::{Micros, RequestId};
-use request_coalescing::{Action, Counters, Event, How, Joining, Read, Rules};
+use request_coalescing::{
+    Action, Coalescer, CoalescingRules, Counters, Event, FlightOutcome, Read,
+};
 use rustc_hash::FxHashMap;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -23,19 +25,19 @@
     reply: oneshot::Sender<Answer>,
     /// The client's id, claimed until then.
     name: Rc<[u8]>,
-    #[cfg(feature = "planted")]
-    ask: (Ask, Micros),
+    #[cfg(feature = "mutations")]
+    ask: (ClientRequest, Micros),
 }
 
 struct State {
-    joining: Joining,
+    joining: Coalescer,
     waiting: FxHashMap<RequestId, Waiting>,
     /// Kept for its room.
     actions: Vec<Action>,
 }
 
 struct On {
-    rules: Rules,
+    rules: CoalescingRules,
     may_cancel: bool,
     state: RefCell<State>,
     /// A waiter is due earlier than any before.
@@ -43,22 +45,22 @@
 }
 
 /// See the module.
-pub struct Joiner<W: World> {
+pub struct CoalescingStage<W: Environment> {
     world: W,
-    driver: Rc<Driver<W>>,
+    driver: Rc<Dispatcher<W>>,
     on: Option<On>,
 }
 
-impl<W: World> Joiner<W> {
+impl<W: Environment> CoalescingStage<W> {
     /// With rules, joining is on.
     pub fn new(
-        driver: Rc<Driver<W>>,
-        rules: Option<Rules>,
+        driver: Rc<Dispatcher<W>>,
+        rules: Option<CoalescingRules>,
         may_cancel: bool,
         world: W,
     ) -> Rc<Self> {
         let on = rules.map(|rules| {
-            let joining = Joining::new(rules.bounds, &rules.classes).advising(rules.advice);
+            let joining = Coalescer::new(rules.bounds, &rules.classes).advising(rules.advice);
             let state = State {
                 joining,
                 waiting: FxHashMap::default(),
@@ -71,7 +73,7 @@
                 due: Notify::new(),
             }
         });
-        let joiner = Rc::new(Joiner { world, driver, on });
+        let joiner = Rc::new(CoalescingStage { world, driver, on });
         if joiner.on.is_some() {
             let listener = Rc::downgrade(&joiner);
             joiner.driver.listen(move || {
@@ -88,7 +90,7 @@
     }
 
     /// Takes a request; its one final answer comes on the receiver. None if a request of that id waits already.
-    pub fn request(&self, ask: Ask) -> Option<(RequestId, oneshot::Receiver<Answer>)> {
+    pub fn request(&self, ask: ClientRequest) -> Option<(RequestId, oneshot::Receiver<Answer>)> {
         let Some(on) = &self.on else {
             return self.driver.request(ask);
         };
@@ -97,8 +99,8 @@
             .joined
             .get(ask.class.0)
             .is_some_and(|&joined| joined);
-        if ask.command.is_write() && !planted::has(Bug::JoinsWrites) {
-            if !planted::has(Bug::JoinsAcrossWrites) {
+        if ask.command.is_write() && !mutation::is_active(Mutation::JoinsWrites) {
+            if !mutation::is_active(Mutation::JoinsAcrossWrites) {
                 self.handle(
                     on,
                     Event::Write {
@@ -110,14 +112,14 @@
             }
             return self.driver.write(ask);
         }
-        if joins || planted::has(Bug::JoinsWrites) {
+        if joins || mutation::is_active(Mutation::JoinsWrites) {
             self.join(on, ask)
         } else {
             self.driver.request(ask)
         }
     }
 
-    fn join(&self, on: &On, ask: Ask) -> Option<(RequestId, oneshot::Receiver<Answer>)> {
+    fn join(&self, on: &On, ask: ClientRequest) -> Option<(RequestId, oneshot::Receiver<Answer>)> {
         let name = self.driver.claim(ask.command.id())?;
         let (reply, answer) = oneshot::channel();
         let id = self.driver.fresh_id();
@@ -127,13 +129,13 @@
                 || on.rules.ignore.iter().any(|ignored| ignored == field)
         });
         let expires = self.driver.now().plus(ask.wait);
-        #[cfg(feature = "planted")]
+        #[cfg(feature = "mutations")]
         let waiting = Waiting {
             reply,
             name,
             ask: (ask.clone(), expires),
         };
-        #[cfg(not(feature = "planted"))]
+        #[cfg(not(feature = "mutations"))]
         let waiting = Waiting { reply, name };
         on.state.borrow_mut().waiting.insert(id, waiting);
         let read = Read {
@@ -162,7 +164,7 @@
         match waiting {
             Some(waiting) => {
                 self.driver.release(&waiting.name);
-                self.handle(on, Event::Gone { id }, None, None);
+                self.handle(on, Event::ClientDisconnected { id }, None, None);
             }
             None => self.driver.gone(id),
         }
@@ -178,7 +180,7 @@
                 () = on.due.notified() => {}
                 () = self.world.sleep_until(due.unwrap_or_else(|| self.world.now())), if due.is_some() => {}
             }
-            if !planted::has(Bug::HoldsWaiters) {
+            if !mutation::is_active(Mutation::HoldsWaiters) {
                 self.handle(on, Event::Due, None, None);
             }
         }
@@ -190,7 +192,7 @@
             .borrow()
             .joining
             .next_due()
-            .filter(|_| !planted::has(Bug::HoldsWaiters))?;
+            .filter(|_| !mutation::is_active(Mutation::HoldsWaiters))?;
         Some(self.driver.instant(due))
     }
 
@@ -198,14 +200,18 @@
     fn settle(&self, on: &On) {
         while let Some(news) = self.driver.news() {
             match news {
-                News::Wrote(_) if planted::has(Bug::JoinsAcrossWrites) => {}
-                News::Wrote(key) => self.handle(on, Event::Write { key: &key }, None, None),
-                News::Again(flight) => self.handle(on, Event::Again { flight }, None, None),
-                News::Ended(flight, answer) => {
+                CoalescingEvent::Wrote(_) if mutation::is_active(Mutation::JoinsAcrossWrites) => {}
+                CoalescingEvent::Wrote(key) => {
+                    self.handle(on, Event::Write { key: &key }, None, None)
+                }
+                CoalescingEvent::Retried(flight) => {
+                    self.handle(on, Event::Retried { flight }, None, None)
+                }
+                CoalescingEvent::Ended(flight, answer) => {
                     let how = match answer {
-                        Answer::Served(_) | Answer::Long(_) => How::Served,
-                        Answer::Refused(after) => How::Refused(after),
-                        Answer::Failed => How::Failed,
+                        Answer::Served(_) | Answer::Long(_) => FlightOutcome::Served,
+                        Answer::Rejected(after) => FlightOutcome::Rejected(after),
+                        Answer::Failed => FlightOutcome::Failed,
                     };
                     self.handle(on, Event::Ended { flight, how }, None, Some(answer));
                 }
@@ -215,7 +221,13 @@
 
     /// Feeds the module one event and carries out what it wants done. `ask` is the read that has just come, `answer` that
     /// of the flight that has just ended.
-    fn handle(&self, on: &On, event: Event<'_>, mut ask: Option<Ask>, answer: Option<Answer>) {
+    fn handle(
+        &self,
+        on: &On,
+        event: Event<'_>,
+        mut ask: Option<ClientRequest>,
+        answer: Option<Answer>,
+    ) {
         let (mut actions, first) = {
             let mut state = on.state.borrow_mut();
             let mut actions = std::mem::take(&mut state.actions);
@@ -258,21 +270,26 @@
     }
 
     /// The one place where a waiter gets its final answer.
-    fn answer(&self, on: &On, id: RequestId, how: How, answer: Option<&Answer>) {
+    fn answer(&self, on: &On, id: RequestId, how: FlightOutcome, answer: Option<&Answer>) {
         let Some(waiting) = on.state.borrow_mut().waiting.remove(&id) else {
             return;
         };
-        #[cfg(feature = "planted")]
-        if planted::has(Bug::Stampedes) && answer.is_some() && how != How::Served {
+        #[cfg(feature = "mutations")]
+        if mutation::is_active(Mutation::Stampedes)
+            && answer.is_some()
+            && how != FlightOutcome::Served
+        {
             let (ask, expires) = waiting.ask;
             let (id, wait) = (self.driver.fresh_id(), expires.since(self.driver.now()));
-            return self.driver.alone(id, Ask { wait, ..ask }, waiting.reply);
+            return self
+                .driver
+                .alone(id, ClientRequest { wait, ..ask }, waiting.reply);
         }
         self.driver.release(&waiting.name);
         let answer = match (how, answer) {
             // A handle on the same bytes, however many wait for them.
-            (How::Served, Some(Answer::Served(bytes))) => Answer::Served(bytes.clone()),
-            (How::Refused(after), _) => Answer::Refused(after),
+            (FlightOutcome::Served, Some(Answer::Served(bytes))) => Answer::Served(bytes.clone()),
+            (FlightOutcome::Rejected(after), _) => Answer::Rejected(after),
             _ => Answer::Failed,
         };
         // The client may have left in this moment; its connection says so by itself.
--- a/crates/router-runtime/src/discovery.rs
+++ b/crates/router-runtime/src/discovery.rs
@@ -1,16 +1,16 @@
 //! Discovery: the list and the watch on it, as membership events.
 
-use crate::driver::Driver;
-use crate::listing::{Health, Host, List, ListError, Lists};
-use crate::planted::{self, Bug};
-use crate::seam::{Elapsed, World};
+use crate::dispatcher::Dispatcher;
+use crate::endpoint_list::{EndpointList, Health, Host, ListError, Lists};
+use crate::environment::{Elapsed, Environment};
+use crate::mutation::{self, Mutation};
 use crate::servers::Servers;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
 use hyper::client::conn::http1::SendRequest;
 use hyper::{Request, StatusCode, header};
 use hyper_util::rt::TokioIo;
-use load_balancer::params::Names;
+use load_balancer::deployment::Names;
 use load_balancer::*;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashSet};
@@ -71,13 +71,13 @@
     }
 }
 
-pub struct Discovery<W: World> {
+pub struct Discovery<W: Environment> {
     world: W,
     addr: Cell<SocketAddr>,
     names: Rc<Names>,
     /// Lists come unasked: the module does not subscribe.
     pushed: bool,
-    driver: Rc<Driver<W>>,
+    driver: Rc<Dispatcher<W>>,
     servers: Rc<Servers<W>>,
     /// The version of the list that the router has, as counted by the discovery at `addr`.
     seq: Cell<u64>,
@@ -110,12 +110,12 @@
     }
 }
 
-impl<W: World> Discovery<W> {
+impl<W: Environment> Discovery<W> {
     pub fn new(
         addr: SocketAddr,
         names: Rc<Names>,
         pushed: bool,
-        driver: Rc<Driver<W>>,
+        driver: Rc<Dispatcher<W>>,
         servers: Rc<Servers<W>>,
         world: W,
     ) -> Rc<Self> {
@@ -134,16 +134,16 @@
     }
 
     /// Feeds the list that the router had before its start.
-    pub fn known(&self, list: List) {
-        self.take(list, Some(MembershipKind::Cached));
+    pub fn known(&self, list: EndpointList) {
+        self.take(list, Some(EndpointUpdate::Restored));
     }
 
     /// Where the list comes from, and how it stands there.
-    pub fn list(&self) -> (SocketAddr, List) {
+    pub fn list(&self) -> (SocketAddr, EndpointList) {
         let hosts = self.hosts.borrow().values().cloned().collect();
         (
             self.addr.get(),
-            List {
+            EndpointList {
                 seq: self.seq.get(),
                 whole: true,
                 hosts,
@@ -209,7 +209,8 @@
             if next.is_none() {
                 urgent = None;
                 if self.follows.replace(false) {
-                    self.driver.membership(MembershipKind::Lost, Vec::new());
+                    self.driver
+                        .endpoints_changed(EndpointUpdate::WatchLost, Vec::new());
                 }
             }
         }
@@ -277,7 +278,7 @@
         let mut lists = Lists::default();
         let mut heard = self.world.now();
         loop {
-            let is_pushed_silence = planted::has(Bug::KeepsSilentPush) && self.pushed;
+            let is_pushed_silence = mutation::is_active(Mutation::KeepsSilentPush) && self.pushed;
             let limit = match told.get() {
                 _ if is_pushed_silence => self.world.now() + Duration::from_secs(3_600),
                 false => answered_by,
@@ -302,7 +303,8 @@
             }
             if !lists.is_midway() && !told.get() {
                 // Nothing has changed since the version that was named: that answers the call too.
-                self.driver.membership(MembershipKind::Changes, Vec::new());
+                self.driver
+                    .endpoints_changed(EndpointUpdate::Delta, Vec::new());
                 self.is_told(told);
             }
             // An empty line inside of a list is no word.
@@ -334,7 +336,7 @@
         }
     }
 
-    /// What a planted bug holds back.
+    /// What a mutation holds back.
     fn take_late(&self, hosts: Vec<Host>) {
         if hosts.is_empty() {
             return;
@@ -349,63 +351,68 @@
             let mut members = Vec::new();
             for host in hosts {
                 let state = if host.health == Health::Draining {
-                    ServerState::Draining
+                    EndpointState::Draining
                 } else {
-                    ServerState::Gone
+                    EndpointState::Removed
                 };
                 let server = ServerId::from(host.host.as_str());
                 servers.list(&server, host.dial, state, host.born_ms);
                 let started = Micros::from_millis(host.born_ms);
-                members.push(Member {
+                members.push(Endpoint {
                     state,
                     started,
                     cell: CellId(host.block),
-                    ..Member::ready(server)
+                    ..Endpoint::ready(server)
                 });
             }
-            driver.membership(MembershipKind::Changes, members);
+            driver.endpoints_changed(EndpointUpdate::Delta, members);
         });
     }
 
     /// Takes a list: first the addresses, so that the module's actions find them.
-    fn take(&self, list: List, kind: Option<MembershipKind>) {
-        let whole = list.whole || kind == Some(MembershipKind::Cached);
+    fn take(&self, list: EndpointList, kind: Option<EndpointUpdate>) {
+        let whole = list.whole || kind == Some(EndpointUpdate::Restored);
         self.remember(whole, &list.hosts);
         let mut members = Vec::with_capacity(list.hosts.len());
         let (mut late, hosts) = (Vec::new(), list.hosts);
         for mut host in hosts {
             let is_out = host.health != Health::Up;
-            if planted::has(Bug::DrainsLate) && is_out && kind != Some(MembershipKind::Cached) {
+            if mutation::is_active(Mutation::DrainsLate)
+                && is_out
+                && kind != Some(EndpointUpdate::Restored)
+            {
                 late.push(host);
                 continue;
             }
-            if planted::has(Bug::KeepsRemoved) && host.health == Health::Removed {
+            if mutation::is_active(Mutation::KeepsRemoved) && host.health == Health::Removed {
                 continue;
             }
-            if planted::has(Bug::ForgetsColdness)
-                || planted::has(Bug::MissesRestart) && host.born_ms != 0
+            if mutation::is_active(Mutation::ForgetsColdness)
+                || mutation::is_active(Mutation::MissesRestart) && host.born_ms != 0
             {
-                host.born_ms = if planted::has(Bug::ForgetsColdness) {
+                host.born_ms = if mutation::is_active(Mutation::ForgetsColdness) {
                     0
                 } else {
                     1
                 };
             }
             let state = match host.health {
-                Health::Up => ServerState::Ready,
-                Health::Draining => ServerState::Draining,
-                Health::Removed => ServerState::Gone,
+                Health::Up => EndpointState::Ready,
+                Health::Draining => EndpointState::Draining,
+                Health::Removed => EndpointState::Removed,
             };
             let server = ServerId::from(host.host.as_str());
             self.servers.list(&server, host.dial, state, host.born_ms);
-            if planted::has(Bug::ListLiftsBans) && state == ServerState::Ready {
-                self.driver
-                    .told(server.clone(), Word::Back(self.driver.now()));
+            if mutation::is_active(Mutation::ListLiftsBans) && state == EndpointState::Ready {
+                self.driver.apply_admin_override(
+                    server.clone(),
+                    AdminOverride::EnabledAt(self.driver.now()),
+                );
             }
             let among = |names: &[String], name: Option<String>| {
                 names.iter().position(|n| Some(n) == name.as_ref())
             };
-            members.push(Member {
+            members.push(Endpoint {
                 server,
                 state,
                 zone: among(&self.names.zones, host.site).map(ZoneId),
@@ -425,11 +432,11 @@
         }
         self.seq.set(list.seq);
         let told = if whole {
-            MembershipKind::Full
+            EndpointUpdate::Snapshot
         } else {
-            MembershipKind::Changes
+            EndpointUpdate::Delta
         };
-        self.driver.membership(kind.unwrap_or(told), members);
+        self.driver.endpoints_changed(kind.unwrap_or(told), members);
         self.take_late(late);
     }
 }
--- a/crates/router-runtime/src/driver.rs
+++ b/crates/router-runtime/src/dispatcher.rs
@@ -3,10 +3,10 @@
 //! It owns the timers, the open requests and their attempts, and sees to it that each attempt ends once and each
 //! request has one final answer. It decides nothing.
 
-use crate::engine::Holdings;
-use crate::planted::{self, Bug};
+use crate::environment::Environment;
+use crate::mutation::{self, Mutation};
 use crate::resp::Command;
-use crate::seam::World;
+use crate::runtime::ResourceUsage;
 use crate::servers::{Ended, Errand, Limit, Owner, Piece, Servers, Takes};
 use bytes::Bytes;
 use load_balancer::*;
@@ -26,7 +26,7 @@
     unix: Micros,
 }
 
-impl<W: World> Clock<W> {
+impl<W: Environment> Clock<W> {
     fn new(world: W) -> Self {
         let unix = Micros(world.unix_now().as_micros() as u64);
         Clock {
@@ -62,13 +62,13 @@
     Served(Bytes),
     /// Served with a long value, which is passed on as it comes. Never where several wait for it.
     Long(mpsc::Receiver<Piece>),
-    Refused(Option<Micros>),
+    Rejected(Option<Micros>),
     Failed,
 }
 
 /// What a client asks, without the id that the driver gives it.
 #[derive(Clone)]
-pub struct Ask {
+pub struct ClientRequest {
     pub class: ClassId,
     pub tenant: Option<TenantId>,
     pub key: u64,
@@ -89,11 +89,11 @@
 }
 
 /// News for whoever looks after joined reads, in the order in which they happened.
-pub enum News {
+pub enum CoalescingEvent {
     /// A write on this key has ended.
     Wrote(Bytes),
     /// A further attempt of this flight has gone out.
-    Again(FlightId),
+    Retried(FlightId),
     /// This flight has its final answer.
     Ended(FlightId, Answer),
 }
@@ -127,10 +127,10 @@
     /// An event is being handled: actions may bring further ones, which wait their turn.
     handling: bool,
     timers: BinaryHeap<Reverse<(Instant, u64)>>,
-    news: VecDeque<News>,
+    news: VecDeque<CoalescingEvent>,
 }
 
-pub struct Driver<W: World> {
+pub struct Dispatcher<W: Environment> {
     state: RefCell<State>,
     servers: Rc<Servers<W>>,
     clock: Clock<W>,
@@ -141,7 +141,7 @@
     listener: RefCell<Option<Rc<dyn Fn()>>>,
 }
 
-impl<W: World> Driver<W> {
+impl<W: Environment> Dispatcher<W> {
     pub fn new(router: Router, servers: Rc<Servers<W>>, world: W) -> Rc<Self> {
         let state = State {
             router,
@@ -153,7 +153,7 @@
             timers: BinaryHeap::new(),
             news: VecDeque::new(),
         };
-        Rc::new(Driver {
+        Rc::new(Dispatcher {
             state: RefCell::new(state),
             servers,
             clock: Clock::new(world),
@@ -174,18 +174,24 @@
     }
 
     /// Takes a request; its one final answer comes on the receiver. None if a request of that id waits already.
-    pub fn request(self: &Rc<Self>, ask: Ask) -> Option<(RequestId, oneshot::Receiver<Answer>)> {
+    pub fn request(
+        self: &Rc<Self>,
+        ask: ClientRequest,
+    ) -> Option<(RequestId, oneshot::Receiver<Answer>)> {
         self.ask(ask, Reply::Client)
     }
 
     /// The same for a write whose end is news.
-    pub fn write(self: &Rc<Self>, ask: Ask) -> Option<(RequestId, oneshot::Receiver<Answer>)> {
+    pub fn write(
+        self: &Rc<Self>,
+        ask: ClientRequest,
+    ) -> Option<(RequestId, oneshot::Receiver<Answer>)> {
         self.ask(ask, Reply::Write)
     }
 
     fn ask(
         self: &Rc<Self>,
-        ask: Ask,
+        ask: ClientRequest,
         reply: fn(oneshot::Sender<Answer>) -> Reply,
     ) -> Option<(RequestId, oneshot::Receiver<Answer>)> {
         self.claim(ask.command.id())?;
@@ -220,12 +226,17 @@
     }
 
     /// Takes a request whose answer is news for those who wait for it.
-    pub fn flight(self: &Rc<Self>, flight: FlightId, ask: Ask) {
+    pub fn flight(self: &Rc<Self>, flight: FlightId, ask: ClientRequest) {
         self.open(flight.0, ask, Reply::Flight);
     }
 
     /// Takes a request under a name and a client's id that were claimed for it before.
-    pub fn alone(self: &Rc<Self>, id: RequestId, ask: Ask, reply: oneshot::Sender<Answer>) {
+    pub fn alone(
+        self: &Rc<Self>,
+        id: RequestId,
+        ask: ClientRequest,
+        reply: oneshot::Sender<Answer>,
+    ) {
         self.open(id, ask, Reply::Client(reply));
     }
 
@@ -239,7 +250,7 @@
                 until.set(until.get().max(self.clock.instant(open.expires)));
             }
         }
-        self.handle(Event::Joined {
+        self.handle(Event::Coalesced {
             id,
             tenant,
             expires,
@@ -251,7 +262,7 @@
         if let Some(open) = self.state.borrow_mut().open.get_mut(&flight.0) {
             open.expires = expires;
         }
-        self.handle(Event::Shortened {
+        self.handle(Event::DeadlineShortened {
             id: flight.0,
             expires,
         });
@@ -277,12 +288,12 @@
     }
 
     /// What has happened to flights since it was last asked, one at a time.
-    pub fn news(&self) -> Option<News> {
+    pub fn news(&self) -> Option<CoalescingEvent> {
         self.state.borrow_mut().news.pop_front()
     }
 
-    fn open(self: &Rc<Self>, id: RequestId, ask: Ask, reply: Reply) {
-        let late = Micros::from_millis(if planted::has(Bug::DeadlinesLate) {
+    fn open(self: &Rc<Self>, id: RequestId, ask: ClientRequest, reply: Reply) {
+        let late = Micros::from_millis(if mutation::is_active(Mutation::DeadlinesLate) {
             100
         } else {
             0
@@ -316,7 +327,7 @@
     pub fn gone(self: &Rc<Self>, id: RequestId) {
         let owed = take_reply(&mut self.state.borrow_mut(), id).is_some();
         if owed {
-            self.handle(Event::Gone { id });
+            self.handle(Event::ClientDisconnected { id });
             self.forget(id);
         }
     }
@@ -335,64 +346,64 @@
         waiting.sort_unstable();
         for id in waiting {
             answer(&mut self.state.borrow_mut(), id, Answer::Failed);
-            self.handle(Event::Gone { id });
+            self.handle(Event::ClientDisconnected { id });
             self.forget(id);
         }
     }
 
     /// What a server may be used for; `None`: nobody has told of it.
-    pub fn standing(&self, server: &ServerId) -> Option<Standing> {
-        self.state.borrow().router.standing(server)
+    pub fn availability(&self, server: &ServerId) -> Option<Availability> {
+        self.state.borrow().router.availability(server)
     }
 
     /// An operator's word on a server.
-    pub fn told(self: &Rc<Self>, server: ServerId, word: Word) {
+    pub fn apply_admin_override(self: &Rc<Self>, server: ServerId, word: AdminOverride) {
         self.handle(match word {
-            Word::Out => Event::Excluded { server },
-            Word::Back(at) => Event::Included { server, at },
+            AdminOverride::Disabled => Event::ServerDisabled { server },
+            AdminOverride::EnabledAt(at) => Event::ServerEnabled { server, at },
         });
     }
 
     /// All that operators said.
-    pub fn words(&self) -> Vec<(ServerId, Word)> {
+    pub fn admin_overrides(&self) -> Vec<(ServerId, AdminOverride)> {
         self.state
             .borrow()
             .router
-            .words()
+            .admin_overrides()
             .map(|(server, word)| (server.clone(), word))
             .collect()
     }
 
     /// What the module learnt so far.
-    pub fn learnt(&self) -> Learnt {
-        self.state.borrow().router.learnt()
+    pub fn warm_state(&self) -> WarmState {
+        self.state.borrow().router.warm_state()
     }
 
     /// What another process of this router learnt.
-    pub fn recall(&self, learnt: Learnt) {
+    pub fn restore_warm_state(&self, learnt: WarmState) {
         self.state
             .borrow_mut()
             .router
-            .recall(self.clock.now(), learnt);
+            .restore_warm_state(self.clock.now(), learnt);
     }
 
     /// How long a connection to a server may rest.
-    pub fn hold(&self) -> Duration {
-        duration(self.state.borrow().router.hold())
+    pub fn idle_connection_lifetime(&self) -> Duration {
+        duration(self.state.borrow().router.idle_connection_lifetime())
     }
 
     /// What the module believes now.
-    pub fn view(&self) -> View {
-        self.state.borrow().router.view()
+    pub fn diagnostics(&self) -> Diagnostics {
+        self.state.borrow().router.diagnostics()
     }
 
     /// Listed servers that are avoided now.
-    pub fn avoided(&self) -> usize {
-        self.state.borrow().router.avoided()
+    pub fn avoided_endpoints(&self) -> usize {
+        self.state.borrow().router.avoided_endpoints()
     }
 
-    pub fn membership(self: &Rc<Self>, kind: MembershipKind, members: Vec<Member>) {
-        self.handle(Event::Membership { kind, members });
+    pub fn endpoints_changed(self: &Rc<Self>, update: EndpointUpdate, endpoints: Vec<Endpoint>) {
+        self.handle(Event::EndpointsChanged { update, endpoints });
     }
 
     /// Fires the timers, for as long as the program runs.
@@ -414,7 +425,7 @@
                 let Some(Reverse((_, token))) = state.timers.pop() else {
                     break;
                 };
-                if planted::has(Bug::LeaksTimers) {
+                if mutation::is_active(Mutation::LeaksTimers) {
                     state
                         .timers
                         .push(Reverse((world.now() + Duration::from_secs(3_600), token)));
@@ -466,9 +477,9 @@
                     let _ = cancel.send(());
                 }
             }
-            Action::Refuse { id, retry_after } => answer(state, id, Answer::Refused(retry_after)),
-            Action::Fail { id } if planted::has(Bug::RefusesWhatRan) => {
-                answer(state, id, Answer::Refused(None));
+            Action::Reject { id, retry_after } => answer(state, id, Answer::Rejected(retry_after)),
+            Action::Fail { id } if mutation::is_active(Mutation::RefusesWhatRan) => {
+                answer(state, id, Answer::Rejected(None));
             }
             Action::Fail { id } => answer(state, id, Answer::Failed),
             Action::SetTimer { after, token } => {
@@ -492,7 +503,7 @@
         let Some(open) = state.open.get_mut(&id) else {
             return;
         };
-        let attempt = AttemptNo(open.attempts.len() as u32);
+        let attempt = AttemptNumber(open.attempts.len() as u32);
         let now = self.clock.now();
         let until = timeout.map_or(open.expires, |timeout| now.plus(timeout).min(open.expires));
         if open.reply.is_none() || until <= now {
@@ -501,9 +512,9 @@
             let complete = open.reply.is_none();
             let end = AttemptEnd {
                 complete,
-                ..AttemptEnd::new(id, attempt, Outcome::Void, Micros(0))
+                ..AttemptEnd::new(id, attempt, Outcome::NotSent, Micros(0))
             };
-            state.events.push_back(Event::Ended(end));
+            state.events.push_back(Event::AttemptEnded(end));
             return;
         }
         let (cancel, cancelled) = oneshot::channel();
@@ -514,7 +525,7 @@
             lengthened: open.until.clone().filter(|_| timeout.is_none()),
         };
         if attempt.0 > 0 && matches!(open.reply, Some(Reply::Flight)) {
-            state.news.push_back(News::Again(FlightId(id)));
+            state.news.push_back(CoalescingEvent::Retried(FlightId(id)));
         }
         let is_out = Rc::new(Cell::new(false));
         let errand = Errand {
@@ -524,7 +535,7 @@
             limit,
             is_out: is_out.clone(),
         };
-        if planted::has(Bug::SendsAfterAnswer) {
+        if mutation::is_active(Mutation::SendsAfterAnswer) {
             let world = self.clock.world.clone();
             let (server, command, errand) = (server.clone(), open.command.clone(), errand.clone());
             let copy = self.servers.clone().attempt(server, command, errand);
@@ -545,7 +556,7 @@
                 // An attempt that its client holds up has ended before, and goes on.
                 Ok(()) = cancelled => match is_out.get() {
                     true => Outcome::Cancelled.into(),
-                    false => Outcome::Void.into(),
+                    false => Outcome::NotSent.into(),
                 },
             };
             let end = ended
@@ -556,7 +567,13 @@
     }
 
     /// The one place where an attempt ends. The first that serves is the request's final answer.
-    fn ended(self: &Rc<Self>, id: RequestId, attempt: AttemptNo, ended: Ended, elapsed: Micros) {
+    fn ended(
+        self: &Rc<Self>,
+        id: RequestId,
+        attempt: AttemptNumber,
+        ended: Ended,
+        elapsed: Micros,
+    ) {
         let complete = {
             let mut state = self.state.borrow_mut();
             if let Some(bytes) = ended.answer {
@@ -572,25 +589,27 @@
         };
         let Ended {
             mut outcome,
-            note,
-            begun,
-            link,
+            cache_status,
+            response_started,
+            connection_use,
             load,
             ..
         } = ended;
-        if planted::has(Bug::RepeatsUnsafe) && outcome == Outcome::Broken {
+        if mutation::is_active(Mutation::RepeatsUnsafe) && outcome == Outcome::ConnectionLost {
             outcome = Outcome::Unreachable;
         }
-        self.servers.tally().attempt_ended(outcome, link, note);
-        self.handle(Event::Ended(AttemptEnd {
+        self.servers
+            .tally()
+            .attempt_ended(outcome, connection_use, cache_status);
+        self.handle(Event::AttemptEnded(AttemptEnd {
             id,
             attempt,
             outcome,
             complete,
             elapsed,
-            note,
-            begun,
-            link,
+            cache_status,
+            response_started,
+            connection_use,
             load,
         }));
         self.forget(id);
@@ -598,48 +617,49 @@
 
     fn forget(&self, id: RequestId) {
         let mut state = self.state.borrow_mut();
-        if state.open.get(&id).is_some_and(Open::is_over) && !planted::has(Bug::LeaksRequests) {
+        if state.open.get(&id).is_some_and(Open::is_over)
+            && !mutation::is_active(Mutation::LeaksRequests)
+        {
             state.open.remove(&id);
         }
     }
 
     /// What is remembered of requests.
-    pub fn holdings(&self) -> Holdings {
+    pub fn resource_usage(&self) -> ResourceUsage {
         let state = self.state.borrow();
-        let (held, servers) = state.router.remembered();
-        let (open, timers) = (state.open.len(), state.timers.len());
-        Holdings {
-            owed: state.named.len(),
-            open,
-            timers,
-            held,
-            servers,
-            ..Holdings::default()
+        let tracked = state.router.tracked_counts();
+        ResourceUsage {
+            unanswered_requests: state.named.len(),
+            open_requests: state.open.len(),
+            timers: state.timers.len(),
+            tracked_requests: tracked.requests,
+            tracked_servers: tracked.servers,
+            ..ResourceUsage::default()
         }
     }
 }
 
-impl<W: World> Owner for Driver<W> {
+impl<W: Environment> Owner for Dispatcher<W> {
     fn may_send(&self, server: &ServerId) -> bool {
-        self.standing(server) == Some(Standing::Takes)
+        self.availability(server) == Some(Availability::Accepting)
     }
 
-    fn wants(&self, id: RequestId, attempt: AttemptNo) -> bool {
+    fn wants(&self, id: RequestId, attempt: AttemptNumber) -> bool {
         let state = self.state.borrow();
         let is_out = |open: &Open| {
             open.attempts
                 .get(attempt.0 as usize)
                 .is_some_and(Option::is_some)
         };
-        planted::has(Bug::SendsAfterAnswer)
-            || planted::has(Bug::SendsAfterDeparture)
+        mutation::is_active(Mutation::SendsAfterAnswer)
+            || mutation::is_active(Mutation::SendsAfterDeparture)
             || state
                 .open
                 .get(&id)
                 .is_some_and(|open| open.reply.is_some() && is_out(open))
     }
 
-    fn begins(self: Rc<Self>, id: RequestId, attempt: AttemptNo) -> Takes {
+    fn begins(self: Rc<Self>, id: RequestId, attempt: AttemptNumber) -> Takes {
         let pieces = {
             let mut state = self.state.borrow_mut();
             match state.open.get(&id).map(|open| &open.reply) {
@@ -656,9 +676,9 @@
         Takes::Pieces(pieces)
     }
 
-    fn held_up(self: Rc<Self>, id: RequestId, attempt: AttemptNo, took: Duration) {
+    fn held_up(self: Rc<Self>, id: RequestId, attempt: AttemptNumber, took: Duration) {
         let ended = Ended {
-            begun: true,
+            response_started: true,
             ..Outcome::Success.into()
         };
         self.ended(id, attempt, ended, Micros(took.as_micros() as u64));
@@ -675,7 +695,7 @@
     if matches!(reply, Reply::Write(_)) {
         state
             .news
-            .push_back(News::Wrote(open.command.key().clone()));
+            .push_back(CoalescingEvent::Wrote(open.command.key().clone()));
     }
     Some(reply)
 }
@@ -686,7 +706,9 @@
         // The client may have left in this moment; its connection says so by itself.
         Some(Reply::Client(reply) | Reply::Write(reply)) => _ = reply.send(answer),
         Some(Reply::Flight) => {
-            state.news.push_back(News::Ended(FlightId(id), answer));
+            state
+                .news
+                .push_back(CoalescingEvent::Ended(FlightId(id), answer));
         }
         None => {}
     }
--- a/crates/router-runtime/src/listing.rs
+++ b/crates/router-runtime/src/endpoint_list.rs
@@ -13,7 +13,7 @@
 
 /// A list, or the changes to one, as discovery writes it.
 #[derive(Debug, Default, Deserialize, Serialize)]
-pub struct List {
+pub struct EndpointList {
     pub(crate) seq: u64,
     #[serde(default)]
     pub(crate) whole: bool,
@@ -21,7 +21,7 @@
     pub(crate) hosts: Vec<Host>,
 }
 
-impl List {
+impl EndpointList {
     /// How many entries it has.
     pub fn servers(&self) -> usize {
         self.hosts.len()
@@ -99,7 +99,7 @@
     ///
     /// # Errors
     /// When what came is no list. Nothing more can be told apart then.
-    pub fn next(&mut self) -> Result<Option<List>, ListError> {
+    pub fn next(&mut self) -> Result<Option<EndpointList>, ListError> {
         let space = self
             .bytes
             .iter()
@@ -112,7 +112,8 @@
             None => return Ok(None),
         }
         if self.may_be_whole {
-            let mut objects = serde_json::Deserializer::from_slice(&self.bytes).into_iter::<List>();
+            let mut objects =
+                serde_json::Deserializer::from_slice(&self.bytes).into_iter::<EndpointList>();
             match objects.next() {
                 Some(Ok(list)) => {
                     let end = objects.byte_offset();
@@ -143,7 +144,7 @@
     use proptest::collection::vec;
     use proptest::prelude::*;
 
-    fn list(seq: u64, hosts: usize) -> List {
+    fn list(seq: u64, hosts: usize) -> EndpointList {
         let host = |number: usize| Host {
             host: format!("s-{number}}}\"{{"),
             dial: SocketAddr::from(([10, 0, 0, 1], number as u16)),
@@ -154,7 +155,7 @@
             share: 1.0,
             born_ms: 0,
         };
-        List {
+        EndpointList {
             seq,
             whole: true,
             hosts: (0..hosts).map(host).collect(),
--- a/crates/router-runtime/src/seam.rs
+++ b/crates/router-runtime/src/environment.rs
@@ -1,8 +1,8 @@
 //! The seam between the engine and the world: time, tasks, TCP and UDP.
 //!
-//! The engine is generic over a [`World`] and reads no clock, opens no socket and starts no task but through it. Its
+//! The engine is generic over a [`Environment`] and reads no clock, opens no socket and starts no task but through it. Its
 //! random numbers come from the seed that it is given at its start. In
-//! service that is [`crate::service::Service`], real sockets on tokio; in the rig a virtual clock and a simulated
+//! service that is [`crate::tokio_environment::TokioEnvironment`], real sockets on tokio; in the rig a virtual clock and a simulated
 //! network. Each is compiled into an engine of its own, so that the seam costs nothing in service.
 
 use std::fmt;
@@ -17,13 +17,13 @@
 pub struct Elapsed;
 
 /// Time, tasks and TCP as one process sees them. A clone is another handle to the same process.
-pub trait World: Clone + 'static {
+pub trait Environment: Clone + 'static {
     /// A TCP connection.
     type Stream: Stream;
     /// A listening socket.
     type Listener: 'static;
     /// A UDP socket.
-    type Datagrams: Datagrams;
+    type DatagramSocket: DatagramSocket;
 
     /// The monotonic clock. Instants mean something against others of the same world only.
     fn now(&self) -> Instant;
@@ -53,7 +53,7 @@
     ///
     /// # Errors
     /// When the address cannot be had.
-    fn bind(&self, at: SocketAddr) -> impl Future<Output = io::Result<Self::Datagrams>>;
+    fn bind(&self, at: SocketAddr) -> impl Future<Output = io::Result<Self::DatagramSocket>>;
 
     /// One line for the operators.
     fn log(&self, line: fmt::Arguments<'_>);
@@ -89,16 +89,16 @@
 }
 
 /// The half of a connection that reads.
-pub trait Reads: AsyncRead + Unpin {
+pub trait ReadStream: AsyncRead + Unpin {
     /// Whether the peer has ended its sending or reset the connection, also where bytes before that are still unread. Of
     /// an end that stands behind more than the machine holds unread, it knows nothing yet.
-    fn has_left(&self) -> bool;
+    fn has_peer_closed(&self) -> bool;
 }
 
 /// A TCP connection. Dropped, it is closed; with bytes unread it is reset.
 pub trait Stream: AsyncRead + AsyncWrite + Unpin + 'static {
     /// The half that reads.
-    type Reader<'a>: Reads;
+    type Reader<'a>: ReadStream;
     /// The half that writes.
     type Writer<'a>: AsyncWrite + Unpin;
 
@@ -112,14 +112,14 @@
     fn set_nodelay(&self) -> io::Result<()>;
 
     /// Whether nothing has come that was not read: neither a byte nor an end.
-    fn is_quiet(&self) -> bool;
+    fn has_no_pending_input(&self) -> bool;
 
     /// Acknowledges what came without the usual delay, where that can be had.
-    fn acknowledge(&self);
+    fn acknowledge_immediately(&self);
 }
 
 /// A UDP socket. What it sends may come late, twice, in another order or not at all.
-pub trait Datagrams: 'static {
+pub trait DatagramSocket: 'static {
     /// Sends one datagram.
     ///
     /// # Errors
--- a/crates/router-runtime/src/lib.rs
+++ b/crates/router-runtime/src/lib.rs
@@ -5,21 +5,21 @@
 //! engine decides nothing.
 
 mod clients;
+mod coalescing_stage;
 mod discovery;
-mod driver;
-mod engine;
-mod joiner;
-mod large;
-mod listing;
+mod dispatcher;
+mod endpoint_list;
+pub mod environment;
+mod metrics;
 #[doc(hidden)]
-pub mod planted;
+pub mod mutation;
 mod resp;
-pub mod seam;
+mod runtime;
 mod servers;
-pub mod service;
-mod tally;
+pub mod tokio_environment;
+mod write_memory_budget;
 
-pub use clients::Resting;
-pub use engine::{Engine, Figures, Holdings, Start, Stopped};
-pub use listing::List;
-pub use tally::{Attempts, Ends, OUTCOMES};
+pub use clients::IdleConnection;
+pub use endpoint_list::EndpointList;
+pub use metrics::{AttemptCounts, ClassCounts, OUTCOMES};
+pub use runtime::{Metrics, ResourceUsage, RouterConfig, RouterRuntime, ShutdownReport};
--- a/crates/router-runtime/src/tally.rs
+++ b/crates/router-runtime/src/metrics.rs
@@ -1,7 +1,7 @@
 //! What requests came to, counted where a client gets its answer and where an attempt is written whole, so that a figure
 //! cannot differ from what the peers saw.
 
-use load_balancer::{CacheNote, Link, Outcome};
+use load_balancer::{CacheStatus, ConnectionUse, Outcome};
 use std::cell::{Cell, RefCell};
 
 /// How a request ended for its client.
@@ -17,22 +17,22 @@
 
 /// Counts of one class since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Ends {
+pub struct ClassCounts {
     /// Requests served.
-    pub passed: u64,
+    pub served: u64,
     /// Requests refused.
-    pub dropped: u64,
+    pub rejected: u64,
     /// Requests failed.
-    pub bad_gateway: u64,
+    pub failed: u64,
 }
 
 /// The counts of one process.
 #[derive(Debug, Default)]
 pub struct Tally {
-    ends: RefCell<Vec<Ends>>,
-    tries: Cell<u64>,
+    ends: RefCell<Vec<ClassCounts>>,
+    attempts_written: Cell<u64>,
     in_progress: Cell<usize>,
-    attempts: Cell<Attempts>,
+    attempts: Cell<AttemptCounts>,
 }
 
 /// Outcomes of attempts under the names that operators read.
@@ -42,15 +42,15 @@
     (Outcome::Overloaded, "full"),
     (Outcome::TimedOut, "timed_out"),
     (Outcome::Unreachable, "unreachable"),
-    (Outcome::Broken, "broken"),
+    (Outcome::ConnectionLost, "broken"),
     (Outcome::Cancelled, "cancelled"),
-    (Outcome::Void, "void"),
+    (Outcome::NotSent, "void"),
     (Outcome::Miss, "absent"),
 ];
 
 /// What the attempts of one process came to since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Attempts {
+pub struct AttemptCounts {
     /// Connections opened to cache servers, and those that could not be.
     pub opened: u64,
     /// See above.
@@ -69,7 +69,7 @@
     /// With this many classes.
     pub fn new(classes: usize) -> Tally {
         Tally {
-            ends: RefCell::new(vec![Ends::default(); classes]),
+            ends: RefCell::new(vec![ClassCounts::default(); classes]),
             ..Tally::default()
         }
     }
@@ -87,19 +87,19 @@
             return;
         };
         match end {
-            Some(End::Passed) => ends.passed += 1,
-            Some(End::Dropped) => ends.dropped += 1,
-            Some(End::BadGateway) => ends.bad_gateway += 1,
+            Some(End::Passed) => ends.served += 1,
+            Some(End::Dropped) => ends.rejected += 1,
+            Some(End::BadGateway) => ends.failed += 1,
             None => {}
         }
     }
 
     /// An attempt was written whole to a cache server.
     pub fn tried(&self) {
-        self.tries.set(self.tries.get() + 1);
+        self.attempts_written.set(self.attempts_written.get() + 1);
     }
 
-    fn count(&self, change: impl FnOnce(&mut Attempts)) {
+    fn count(&self, change: impl FnOnce(&mut AttemptCounts)) {
         let mut attempts = self.attempts.get();
         change(&mut attempts);
         self.attempts.set(attempts);
@@ -122,29 +122,35 @@
     }
 
     /// An attempt ended.
-    pub fn attempt_ended(&self, outcome: Outcome, link: Link, note: Option<CacheNote>) {
+    pub fn attempt_ended(
+        &self,
+        outcome: Outcome,
+        connection_use: ConnectionUse,
+        cache_status: Option<CacheStatus>,
+    ) {
         self.count(|attempts| {
-            attempts.full_new += u64::from(outcome == Outcome::Overloaded && link == Link::New);
+            attempts.full_new +=
+                u64::from(outcome == Outcome::Overloaded && connection_use == ConnectionUse::New);
             if let Some(place) = OUTCOMES.iter().position(|(known, _)| *known == outcome) {
                 attempts.outcomes[place] += 1;
             }
             attempts.misses += u64::from(matches!(
-                note,
-                Some(CacheNote::Miss | CacheNote::MissPending)
+                cache_status,
+                Some(CacheStatus::Miss | CacheStatus::MissPending)
             ));
         });
     }
 
     /// What the attempts came to.
-    pub fn attempts(&self) -> Attempts {
+    pub fn attempts(&self) -> AttemptCounts {
         self.attempts.get()
     }
 
     /// By class, attempts, and requests taken and not ended.
-    pub fn read(&self) -> (Vec<Ends>, u64, usize) {
+    pub fn read(&self) -> (Vec<ClassCounts>, u64, usize) {
         (
             self.ends.borrow().clone(),
-            self.tries.get(),
+            self.attempts_written.get(),
             self.in_progress.get(),
         )
     }
--- a/crates/router-runtime/src/planted.rs
+++ b/crates/router-runtime/src/mutation.rs
@@ -1,9 +1,9 @@
-//! Bugs planted for the rig: it has to catch each of them. Without the feature `planted`, which service builds leave
-//! out, there are none and every question for one is answered at compile time.
+//! Deliberate defects for mutation testing: the simulation has to catch each of them. Without the feature `mutations`,
+//! which service builds leave out, there are none and every query is answered at compile time.
 
-/// A bug that can be planted.
+/// A defect that can be activated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bug {
+pub enum Mutation {
     /// Each answer is written twice.
     AnswersTwice,
     /// At SIGTERM, connections on which several answers are owed are dropped.
@@ -60,40 +60,40 @@
     Stampedes,
 }
 
-impl Bug {
+impl Mutation {
     /// Those that drawn days show. Orders that are too rare for that are scenes: a silent push watch that is kept, owed
     /// answers dropped at the end, a connection of the old process that is kept, a departure that is overlooked.
-    pub const ALL: [Bug; 23] = [
-        Bug::AnswersTwice,
-        Bug::DropsPipelined,
-        Bug::DeadlinesLate,
-        Bug::SendsAfterAnswer,
-        Bug::SendsAfterDeparture,
-        Bug::ReusesTimedOut,
-        Bug::RepeatsUnsafe,
-        Bug::RefusesWhatRan,
-        Bug::RepeatsPastMemory,
-        Bug::LeavesTheGroup,
-        Bug::DrainsLate,
-        Bug::KeepsRemoved,
-        Bug::ForgetsColdness,
-        Bug::MissesRestart,
-        Bug::LeaksTimers,
-        Bug::LeaksConnections,
-        Bug::LeaksRequests,
-        Bug::ListLiftsBans,
-        Bug::ForgetsBans,
-        Bug::JoinsWrites,
-        Bug::JoinsAcrossWrites,
-        Bug::HoldsWaiters,
-        Bug::Stampedes,
+    pub const ALL: [Mutation; 23] = [
+        Mutation::AnswersTwice,
+        Mutation::DropsPipelined,
+        Mutation::DeadlinesLate,
+        Mutation::SendsAfterAnswer,
+        Mutation::SendsAfterDeparture,
+        Mutation::ReusesTimedOut,
+        Mutation::RepeatsUnsafe,
+        Mutation::RefusesWhatRan,
+        Mutation::RepeatsPastMemory,
+        Mutation::LeavesTheGroup,
+        Mutation::DrainsLate,
+        Mutation::KeepsRemoved,
+        Mutation::ForgetsColdness,
+        Mutation::MissesRestart,
+        Mutation::LeaksTimers,
+        Mutation::LeaksConnections,
+        Mutation::LeaksRequests,
+        Mutation::ListLiftsBans,
+        Mutation::ForgetsBans,
+        Mutation::JoinsWrites,
+        Mutation::JoinsAcrossWrites,
+        Mutation::HoldsWaiters,
+        Mutation::Stampedes,
     ];
 }
 
-impl Bug {
+impl Mutation {
     /// Whether it shows only where reads are joined.
     pub fn is_of_joining(self) -> bool {
-        use Bug::{HoldsWaiters, JoinsAcrossWrites, JoinsWrites, Stampedes};
+        use Mutation::{HoldsWaiters, JoinsAcrossWrites, JoinsWrites, Stampedes};
         matches!(
             self,
             JoinsWrites | JoinsAcrossWrites | HoldsWaiters | Stampedes
@@ -101,25 +101,25 @@
     }
 }
 
-#[cfg(feature = "planted")]
+#[cfg(feature = "mutations")]
 std::thread_local! {
-    static PLANTED: std::cell::Cell<Option<Bug>> = const { std::cell::Cell::new(None) };
+    static ACTIVE: std::cell::Cell<Option<Mutation>> = const { std::cell::Cell::new(None) };
 }
 
-/// Plants a bug in all engines of this thread, or takes it out again.
-#[cfg(feature = "planted")]
-pub fn plant(bug: Option<Bug>) {
-    PLANTED.set(bug);
+/// Activates a mutation in all routers of this thread, or none.
+#[cfg(feature = "mutations")]
+pub fn activate(mutation: Option<Mutation>) {
+    ACTIVE.set(mutation);
 }
 
-/// Whether this bug is planted.
-#[cfg(feature = "planted")]
-pub(crate) fn has(bug: Bug) -> bool {
-    PLANTED.get() == Some(bug)
+/// Whether this mutation is active.
+#[cfg(feature = "mutations")]
+pub(crate) fn is_active(mutation: Mutation) -> bool {
+    ACTIVE.get() == Some(mutation)
 }
 
-/// Whether this bug is planted: never.
-#[cfg(not(feature = "planted"))]
-pub(crate) const fn has(_bug: Bug) -> bool {
+/// Whether this mutation is active: never.
+#[cfg(not(feature = "mutations"))]
+pub(crate) const fn is_active(_bug: Mutation) -> bool {
     false
 }
--- a/crates/router-runtime/src/resp.rs
+++ b/crates/router-runtime/src/resp.rs
@@ -1,7 +1,7 @@
 //! RESP2 as clients and cache servers speak it: whole frames from a buffer, and a client's command.
 
 use bytes::{Bytes, BytesMut};
-use load_balancer::CacheNote;
+use load_balancer::CacheStatus;
 use std::fmt;
 use std::io::Write;
 use std::ops::Range;
@@ -120,7 +120,7 @@
     /// The value or receipt as bytes for the client, and how the read went.
     Served {
         bytes: Bytes,
-        note: Option<CacheNote>,
+        cache_status: Option<CacheStatus>,
         report: Report,
     },
     /// `-ERR`.
@@ -143,7 +143,7 @@
     /// Where the items that have been read whole end.
     at: usize,
     items: usize,
-    note: Option<CacheNote>,
+    cache_status: Option<CacheStatus>,
 }
 
 impl ReplyReader {
@@ -168,7 +168,7 @@
         let tail = ReplyReader {
             at: 2,
             items: 2,
-            note: None,
+            cache_status: None,
         };
         Some((
             buffer.split_to(at + length).freeze(),
@@ -203,10 +203,10 @@
             let Some((word, end)) = bulk(buffer, self.at, MAX_NOTE)? else {
                 return Ok(None);
             };
-            self.note = match word {
-                Some(b"hit") => Some(CacheNote::Hit),
-                Some(b"miss") => Some(CacheNote::Miss),
-                Some(b"pending") => Some(CacheNote::MissPending),
+            self.cache_status = match word {
+                Some(b"hit") => Some(CacheStatus::Hit),
+                Some(b"miss") => Some(CacheStatus::Miss),
+                Some(b"pending") => Some(CacheStatus::MissPending),
                 Some(word) if !word.iter().all(u8::is_ascii_alphabetic) => {
                     return Err(RespError::Malformed);
                 }
@@ -222,7 +222,7 @@
                 let report = text.map(|text| bytes.slice(text));
                 Ok(Some(Reply::Served {
                     bytes,
-                    note: self.note,
+                    cache_status: self.cache_status,
                     report,
                 }))
             }
@@ -236,7 +236,7 @@
         let bytes = Bytes::from([&buffer[..self.at], b"$-1\r\n"].concat());
         Reply::Served {
             bytes,
-            note: self.note,
+            cache_status: self.cache_status,
             report: None,
         }
     }
--- a/crates/router-runtime/src/engine.rs
+++ b/crates/router-runtime/src/runtime.rs
@@ -1,21 +1,22 @@
 //! One router from its start to its end: what runs beside what, and what SIGTERM means.
 
-use crate::clients::{Clients, Resting};
+use crate::clients::{Clients, IdleConnection};
+use crate::coalescing_stage::CoalescingStage;
 use crate::discovery::Discovery;
-use crate::driver::{Driver, duration};
-use crate::joiner::Joiner;
-use crate::large::LargeCommands;
-use crate::listing::List;
-use crate::planted::{self, Bug};
-use crate::seam::World;
+use crate::dispatcher::{Dispatcher, duration};
+use crate::endpoint_list::EndpointList;
+use crate::environment::Environment;
+use crate::metrics::{AttemptCounts, ClassCounts, Tally};
+use crate::mutation::{self, Mutation};
 use crate::servers::{self, Servers};
-use crate::tally::{Attempts, Ends, Tally};
-use load_balancer::params::Deployment;
+use crate::write_memory_budget::LargeCommands;
+use load_balancer::deployment::Deployment;
 use load_balancer::{
-    Discovery as Listing, Effect, Group, Learnt, Micros, Router, ServerId, Standing, View, Word,
+    AdminOverride, Availability, DeduplicationScope, Diagnostics, Discovery as Listing,
+    Idempotency, Micros, Router, ServerId, WarmState,
 };
-use process_lifecycle::{Event as LifeEvent, Life};
-use request_coalescing::{Counters, Rules};
+use process_lifecycle::{Lifecycle, LifecycleEvent};
+use request_coalescing::{CoalescingRules, Counters};
 use std::cell::Cell;
 use std::future::Future;
 use std::net::SocketAddr;
@@ -39,7 +40,7 @@
 const EXIT_EARLY: Duration = Duration::from_millis(30);
 
 /// What a router is told at its start.
-pub struct Start {
+pub struct RouterConfig {
     /// Its settings, and the names behind their numbers.
     pub deployment: Deployment,
     /// For its random numbers; new with each start.
@@ -47,103 +48,110 @@
     /// Where the list of servers is watched.
     pub discovery: SocketAddr,
     /// The list as this router last had it.
-    pub known: List,
+    pub initial_endpoints: EndpointList,
     /// Memory that the process may use, in bytes.
-    pub memory: usize,
+    pub memory_bytes: usize,
     /// Descriptors that the process may hold.
-    pub sockets: usize,
+    pub descriptor_limit: usize,
     /// Which reads are joined; `None`: none are.
-    pub joining: Option<Rules>,
+    pub coalescing: Option<CoalescingRules>,
 }
 
 /// What a router holds at this moment; for tests and for operators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Holdings {
+pub struct ResourceUsage {
     /// Requests that wait for their final answer.
-    pub owed: usize,
+    pub unanswered_requests: usize,
     /// Requests and attempts that the engine remembers.
-    pub open: usize,
+    pub open_requests: usize,
     /// Timers that are not due yet.
     pub timers: usize,
     /// Requests that the decision library remembers.
-    pub held: usize,
+    pub tracked_requests: usize,
     /// Servers that the decision library remembers.
-    pub servers: usize,
+    pub tracked_servers: usize,
     /// Connections of clients.
-    pub clients: usize,
+    pub client_connections: usize,
     /// Idle connections to cache servers.
-    pub idle: usize,
+    pub idle_upstream_connections: usize,
     /// Reads that wait for a flight.
-    pub waiters: usize,
+    pub coalesced_waiters: usize,
     /// Flights that reads wait for.
-    pub flights: usize,
+    pub coalesced_flights: usize,
 }
 
 /// How a router ended.
 #[derive(Clone, Copy, Debug)]
-pub struct Stopped {
+pub struct ShutdownReport {
     /// Requests that were answered as failed since the time before SIGKILL was over.
     pub failed: usize,
     /// Requests that were left without an answer all the same.
     pub unanswered: usize,
     /// By when the process is to have ended.
-    pub until: Instant,
+    pub exit_deadline: Instant,
 }
 
 /// One router.
-pub struct Engine<W: World> {
+pub struct RouterRuntime<W: Environment> {
     world: W,
-    driver: Rc<Driver<W>>,
+    driver: Rc<Dispatcher<W>>,
     servers: Rc<Servers<W>>,
     discovery: Rc<Discovery<W>>,
-    joiner: Rc<Joiner<W>>,
+    joiner: Rc<CoalescingStage<W>>,
     clients: Rc<Clients<W>>,
     classes: Vec<String>,
-    life: Rc<Cell<Life>>,
-    life_changed: Notify,
+    life: Rc<Cell<Lifecycle>>,
+    lifecycle_changed: Notify,
     longest: Duration,
 }
 
 /// What a router shows operators. Counts begin at 0 with the process.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Figures {
+pub struct Metrics {
     /// By class, under its name.
-    pub ends: Vec<(String, Ends)>,
+    pub requests_by_class: Vec<(String, ClassCounts)>,
     /// Attempts that were written whole to cache servers.
-    pub tries: u64,
+    pub attempts_written: u64,
     /// Requests taken and not ended.
     pub in_progress: usize,
     /// Cache servers in the list.
-    pub listed: usize,
+    pub endpoints_listed: usize,
     /// Those of them that this router avoids now, by hand or since they say nothing.
-    pub avoided: usize,
+    pub endpoints_avoided: usize,
 }
 
-impl<W: World> Engine<W> {
+impl<W: Environment> RouterRuntime<W> {
     /// A router that has read its settings and its last list, and listens to nobody yet.
     ///
     /// # Errors
     /// One plain sentence on the setting that cannot be used.
-    pub fn new(world: W, start: Start) -> Result<Engine<W>, String> {
+    pub fn new(world: W, config: RouterConfig) -> Result<RouterRuntime<W>, String> {
         let Deployment {
             mut settings,
             names,
             dial_timeout,
             reports,
-        } = start.deployment;
+        } = config.deployment;
         for class in &mut settings.classes {
-            if let Effect::Keyed { group, memory } = &mut class.effect {
-                if planted::has(Bug::RepeatsPastMemory) {
-                    *memory = memory.scaled(1_000.0);
+            if let Idempotency::Keyed {
+                scope,
+                deduplication_window,
+            } = &mut class.idempotency
+            {
+                if mutation::is_active(Mutation::RepeatsPastMemory) {
+                    *deduplication_window = deduplication_window.scaled(1_000.0);
                 }
-                if planted::has(Bug::LeavesTheGroup) {
-                    *group = Group::All;
+                if mutation::is_active(Mutation::LeavesTheGroup) {
+                    *scope = DeduplicationScope::All;
                 }
             }
         }
-        let most = start.sockets.saturating_sub(RESERVED) / 2;
+        let most = config.descriptor_limit.saturating_sub(RESERVED) / 2;
         if most == 0 {
-            return Err(format!("limits.sockets: {} is too few", start.sockets));
+            return Err(format!(
+                "limits.sockets: {} is too few",
+                config.descriptor_limit
+            ));
         }
         let forever = Micros::from_millis(86_400_000);
         let limits = servers::Limits {
@@ -161,23 +169,24 @@
         );
         let may_cancel = settings.limits.cancel;
         let pushed = settings.discovery == Listing::Push;
-        let router = Router::new(settings, start.seed).map_err(|e| e.to_string())?;
+        let router = Router::new(settings, config.seed).map_err(|e| e.to_string())?;
         let names = Rc::new(names);
         let class_names = names.classes.clone();
         let tally = Rc::new(Tally::new(classes.len()));
-        let life: Rc<Cell<Life>> = Rc::default();
+        let life: Rc<Cell<Lifecycle>> = Rc::default();
         let servers = Servers::new(limits, reports, tally.clone(), world.clone());
-        let driver = Driver::new(router, servers.clone(), world.clone());
+        let driver = Dispatcher::new(router, servers.clone(), world.clone());
         let discovery = Discovery::new(
-            start.discovery,
+            config.discovery,
             names.clone(),
             pushed,
             driver.clone(),
             servers.clone(),
             world.clone(),
         );
-        let joiner = Joiner::new(driver.clone(), start.joining, may_cancel, world.clone());
-        let large = LargeCommands::of_memory(start.memory);
+        let joiner =
+            CoalescingStage::new(driver.clone(), config.coalescing, may_cancel, world.clone());
+        let large = LargeCommands::of_memory(config.memory_bytes);
         let shared = (life.clone(), tally);
         let clients = Clients::new(
             joiner.clone(),
@@ -189,10 +198,10 @@
             world.clone(),
         );
         // Before the first client is answered, so that no request finds an empty ring.
-        discovery.known(start.known);
-        let life_changed = Notify::new();
+        discovery.known(config.initial_endpoints);
+        let lifecycle_changed = Notify::new();
         let classes = class_names;
-        Ok(Engine {
+        Ok(RouterRuntime {
             world,
             driver,
             servers,
@@ -201,123 +210,124 @@
             clients,
             classes,
             life,
-            life_changed,
+            lifecycle_changed,
             longest,
         })
     }
 
     /// How this process stands.
-    pub fn life(&self) -> Life {
+    pub fn lifecycle(&self) -> Lifecycle {
         if self
             .life
             .get()
-            .after(self.driver.now(), LifeEvent::Equipped)
+            .after(self.driver.now(), LifecycleEvent::EndpointsKnown)
             != self.life.get()
             && self.servers.listed() > 0
         {
-            self.live(LifeEvent::Equipped);
+            self.live(LifecycleEvent::EndpointsKnown);
         }
         self.life.get()
     }
 
     /// Something happens to the process.
-    fn live(&self, event: LifeEvent) {
+    fn live(&self, event: LifecycleEvent) {
         self.life
             .set(self.life.get().after(self.driver.now(), event));
-        self.life_changed.notify_one();
+        self.lifecycle_changed.notify_one();
         self.clients.look_up();
     }
 
     /// Empties the router: `PING` says no, and connections are closed as they come to rest. Twice is once.
-    pub fn evacuate(&self) {
-        self.live(LifeEvent::Evacuate);
+    pub fn drain_router(&self) {
+        self.live(LifecycleEvent::DrainRouter);
     }
 
     /// The end of that; unasked it changes nothing.
-    pub fn rejoin(&self) {
-        self.live(LifeEvent::Rejoin);
+    pub fn resume_router(&self) {
+        self.live(LifecycleEvent::ResumeRouter);
     }
 
     /// Nothing more to this server, whatever the list says; false if nobody has told of it.
-    pub fn exclude(&self, server: &str) -> bool {
-        self.call(server, Word::Out)
+    pub fn disable_server(&self, server: &str) -> bool {
+        self.override_server(server, AdminOverride::Disabled)
     }
 
     /// Puts it back, cold; false if nobody has told of it.
-    pub fn include(&self, server: &str) -> bool {
-        self.call(server, Word::Back(self.driver.now()))
+    pub fn enable_server(&self, server: &str) -> bool {
+        self.override_server(server, AdminOverride::EnabledAt(self.driver.now()))
     }
 
     /// Takes a word on a server that is listed, or that operators spoke of while it was; false of another.
-    fn call(&self, server: &str, word: Word) -> bool {
+    fn override_server(&self, server: &str, word: AdminOverride) -> bool {
         let server = ServerId::from(server);
         let is_listed = self
             .driver
-            .standing(&server)
-            .is_some_and(|standing| standing != Standing::Gone);
+            .availability(&server)
+            .is_some_and(|standing| standing != Availability::Removed);
         let is_known = is_listed
             || self
                 .driver
-                .words()
+                .admin_overrides()
                 .iter()
                 .any(|(named, _)| *named == server);
         if is_known {
-            self.driver.told(server, word);
+            self.driver.apply_admin_override(server, word);
         }
         is_known
     }
 
     /// What operators told another process of this router.
-    pub fn told(&self, words: impl IntoIterator<Item = (ServerId, Word)>) {
-        if !planted::has(Bug::ForgetsBans) {
+    pub fn apply_admin_overrides(
+        &self,
+        words: impl IntoIterator<Item = (ServerId, AdminOverride)>,
+    ) {
+        if !mutation::is_active(Mutation::ForgetsBans) {
             words
                 .into_iter()
-                .for_each(|(server, word)| self.driver.told(server, word));
+                .for_each(|(server, word)| self.driver.apply_admin_override(server, word));
         }
     }
 
     /// All that operators said of servers.
-    pub fn words(&self) -> Vec<(ServerId, Word)> {
-        self.driver.words()
+    pub fn admin_overrides(&self) -> Vec<(ServerId, AdminOverride)> {
+        self.driver.admin_overrides()
     }
 
     /// What the decision module learnt so far.
-    pub fn learnt(&self) -> Learnt {
-        self.driver.learnt()
+    pub fn warm_state(&self) -> WarmState {
+        self.driver.warm_state()
     }
 
     /// What another process of this router learnt; after what operators told it.
-    pub fn recall(&self, learnt: Learnt) {
-        self.driver.recall(learnt);
+    pub fn restore_warm_state(&self, learnt: WarmState) {
+        self.driver.restore_warm_state(learnt);
     }
 
     /// Where the list comes from, and how it stands.
-    pub fn list(&self) -> (SocketAddr, List) {
+    pub fn list(&self) -> (SocketAddr, EndpointList) {
         self.discovery.list()
     }
 
     /// What operators are shown.
-    pub fn figures(&self) -> Figures {
-        let (ends, tries, in_progress) = self.clients.tally().read();
-        let ends = self.classes.iter().cloned().zip(ends).collect();
-        let (listed, avoided) = (self.servers.listed(), self.driver.avoided());
-        Figures {
-            ends,
-            tries,
+    pub fn metrics(&self) -> Metrics {
+        let (by_class, attempts_written, in_progress) = self.clients.tally().read();
+        Metrics {
+            requests_by_class: self.classes.iter().cloned().zip(by_class).collect(),
+            attempts_written,
             in_progress,
-            listed,
-            avoided,
+            endpoints_listed: self.servers.listed(),
+            endpoints_avoided: self.driver.avoided_endpoints(),
         }
     }
 
     /// What attempts came to since the start, and what the decision module believes now.
-    pub fn attempts(&self) -> (Attempts, View) {
-        (self.servers.tally().attempts(), self.driver.view())
+    pub fn attempts(&self) -> (AttemptCounts, Diagnostics) {
+        (self.servers.tally().attempts(), self.driver.diagnostics())
     }
 
     /// Leaves half of the places for connections to cache servers to another process of this router, or takes them
     /// back.
-    pub fn share_places(&self, shared: bool) {
+    pub fn share_connection_slots(&self, shared: bool) {
         if shared {
             self.servers.cede_half()
         } else {
@@ -326,42 +336,41 @@
     }
 
     /// Another process has taken over the listener: connections are given to it as they come to rest.
-    pub fn succeeded_by(&self, successor: mpsc::UnboundedSender<Resting<W::Stream>>) {
+    pub fn hand_over_to(&self, successor: mpsc::UnboundedSender<IdleConnection<W::Stream>>) {
         self.clients.pass_to(Some(successor));
-        self.live(LifeEvent::SuccessorServes);
+        self.live(LifecycleEvent::SuccessorServes);
     }
 
     /// That other process has gone: this one serves on.
     pub fn successor_lost(&self) {
         self.clients.pass_to(None);
-        self.live(LifeEvent::SuccessorLost);
+        self.live(LifecycleEvent::SuccessorLost);
     }
 
     /// Serves a connection that another process has given up.
-    pub fn adopt(&self, resting: Resting<W::Stream>) {
-        self.clients.start(resting);
+    pub fn adopt_connection(&self, idle_connection: IdleConnection<W::Stream>) {
+        self.clients.start(idle_connection);
     }
 
     /// Leaves the watch for one at this address.
-    pub fn watch_at(&self, discovery: SocketAddr) {
+    pub fn move_watch_to(&self, discovery: SocketAddr) {
         self.discovery.move_to(discovery);
     }
 
     /// What it holds now.
-    pub fn holdings(&self) -> Holdings {
-        let (clients, idle) = (self.clients.count(), self.servers.idle());
+    pub fn resource_usage(&self) -> ResourceUsage {
         let (_, waiters, flights) = self.joiner.counters().unwrap_or_default();
-        Holdings {
-            clients,
-            idle,
-            waiters,
-            flights,
-            ..self.driver.holdings()
+        ResourceUsage {
+            client_connections: self.clients.count(),
+            idle_upstream_connections: self.servers.idle(),
+            coalesced_waiters: waiters,
+            coalesced_flights: flights,
+            ..self.driver.resource_usage()
         }
     }
 
     /// What joining came to so far, and the age of the oldest flight that is out; `None` where joining is off.
-    pub fn joined(&self) -> Option<(Counters, Option<Micros>)> {
+    pub fn coalescing_counters(&self) -> Option<(Counters, Option<Micros>)> {
         self.joiner
             .counters()
             .map(|(counters, ..)| (counters, self.joiner.oldest()))
@@ -373,23 +382,31 @@
             if self.life.get().accepts() {
                 tokio::select! {
                     biased;
-                    () = self.life_changed.notified() => {}
+                    () = self.lifecycle_changed.notified() => {}
                     () = self.clients.accept(listener) => {}
                 }
             } else {
-                self.life_changed.notified().await;
+                self.lifecycle_changed.notified().await;
             }
         }
     }
 
     /// Serves until `stop` returns, and then until nothing is owed or the time for that is over.
-    pub async fn run(&self, listener: W::Listener, stop: impl Future<Output = ()>) -> Stopped {
+    pub async fn run(
+        &self,
+        listener: W::Listener,
+        stop: impl Future<Output = ()>,
+    ) -> ShutdownReport {
         let world = &self.world;
         world.spawn(self.discovery.clone().run());
         world.spawn(self.driver.clone().run_timers());
         world.spawn(self.joiner.clone().run());
         let driver = self.driver.clone();
-        world.spawn(self.servers.clone().retire_idle(move || driver.hold()));
+        world.spawn(
+            self.servers
+                .clone()
+                .retire_idle(move || driver.idle_connection_lifetime()),
+        );
         world.spawn(self.clients.clone().close_resting());
         tokio::select! {
             biased;
@@ -398,34 +415,34 @@
         }
         // Those that come now are served too: the front hears of the end only by and by.
         let start = world.now();
-        if !self.life.get().is_succeeded() {
+        if !self.life.get().is_handed_over() {
             let _ = world.timeout(STILL_ACCEPTING, self.accept(&listener)).await;
-            if !self.life.get().is_succeeded() {
+            if !self.life.get().is_handed_over() {
                 self.clients.accept_rest(&listener).await;
             }
         }
         drop(listener);
-        self.live(LifeEvent::Terminate);
+        self.live(LifecycleEvent::Terminate);
         let killed = start + self.longest.min(LONGEST_COUNTED) + KILL_MARGIN;
-        let mut stopped = Stopped {
+        let mut stopped = ShutdownReport {
             failed: 0,
             unanswered: 0,
-            until: killed - EXIT_EARLY,
+            exit_deadline: killed - EXIT_EARLY,
         };
         if world
             .timeout_at(killed - LAST_CALL, self.clients.all_ended())
             .await
             .is_err()
         {
-            stopped.failed = self.driver.holdings().owed;
-            if !planted::has(Bug::DropsOwedAtTheEnd) {
+            stopped.failed = self.driver.resource_usage().unanswered_requests;
+            if !mutation::is_active(Mutation::DropsOwedAtTheEnd) {
                 self.driver.fail_all();
             }
             self.clients.finish();
             let _ = world
-                .timeout_at(stopped.until, self.clients.all_ended())
+                .timeout_at(stopped.exit_deadline, self.clients.all_ended())
                 .await;
-            stopped.unanswered = self.driver.holdings().owed;
+            stopped.unanswered = self.driver.resource_usage().unanswered_requests;
         }
         // Nothing more is passed on.
         self.clients.pass_to(None);
--- a/crates/router-runtime/src/servers.rs
+++ b/crates/router-runtime/src/servers.rs
@@ -1,12 +1,13 @@
 //! Connections to the cache servers: pools, attempts, and what comes back as an [`Outcome`].
 
-use crate::planted::{self, Bug};
+use crate::environment::{Environment, Stream};
+use crate::metrics::Tally;
+use crate::mutation::{self, Mutation};
 use crate::resp::{Command, LongReader, Part, READ_SIZE, Reply, ReplyReader, Report};
-use crate::seam::{Stream, World};
-use crate::tally::Tally;
 use bytes::{Bytes, BytesMut};
 use load_balancer::{
-    AttemptNo, CacheNote, Columns, Link, Load, Micros, Outcome, RequestId, ServerId, ServerState,
+    AttemptNumber, CacheStatus, ConnectionUse, EndpointState, LoadReport, LoadReportFormat, Micros,
+    Outcome, RequestId, ServerId,
 };
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -75,14 +76,14 @@
 /// How an attempt ended, and the answer if it served the request.
 pub struct Ended {
     pub outcome: Outcome,
-    pub note: Option<CacheNote>,
+    pub cache_status: Option<CacheStatus>,
     pub answer: Option<Bytes>,
     /// Something came back: the connection was alive, whatever became of the answer.
-    pub begun: bool,
+    pub response_started: bool,
     /// The connection that it went out on.
-    pub link: Link,
+    pub connection_use: ConnectionUse,
     /// What the server said of itself.
-    pub load: Option<Load>,
+    pub load: Option<LoadReport>,
     /// When a value began to come that was passed on from then on: how long its rest took is its client's matter.
     pub began: Option<Instant>,
 }
@@ -91,10 +92,10 @@
     fn from(outcome: Outcome) -> Self {
         Ended {
             outcome,
-            note: None,
+            cache_status: None,
             answer: None,
-            begun: false,
-            link: Link::Unknown,
+            response_started: false,
+            connection_use: ConnectionUse::Unknown,
             load: None,
             began: None,
         }
@@ -125,12 +126,12 @@
     /// Whether something new may go to a server now.
     fn may_send(&self, server: &ServerId) -> bool;
     /// Whether this attempt is still wanted: its request waits for an answer, and the attempt was not called off.
-    fn wants(&self, id: RequestId, attempt: AttemptNo) -> bool;
+    fn wants(&self, id: RequestId, attempt: AttemptNumber) -> bool;
     /// A long value has begun to come: from here on the request has its answer.
-    fn begins(self: Rc<Self>, id: RequestId, attempt: AttemptNo) -> Takes;
+    fn begins(self: Rc<Self>, id: RequestId, attempt: AttemptNumber) -> Takes;
     /// The client takes the value so slowly that the server's work has ended long since: it had begun to come after
     /// `took`. The attempt counts as ended; how its read went stays unknown.
-    fn held_up(self: Rc<Self>, id: RequestId, attempt: AttemptNo, took: Duration);
+    fn held_up(self: Rc<Self>, id: RequestId, attempt: AttemptNumber, took: Duration);
 }
 
 /// One attempt: whose it is, and what it may take.
@@ -138,7 +139,7 @@
 pub struct Errand {
     pub owner: Rc<dyn Owner>,
     pub id: RequestId,
-    pub attempt: AttemptNo,
+    pub attempt: AttemptNumber,
     pub limit: Limit,
     /// Its last byte has been written: from then on it may run.
     pub is_out: Rc<Cell<bool>>,
@@ -157,29 +158,29 @@
 }
 
 /// The cache servers of the list, each with its idle connections.
-pub struct Servers<W: World> {
+pub struct Servers<W: Environment> {
     world: W,
     /// In the order of their names, so that equal days go alike.
     pools: RefCell<BTreeMap<ServerId, Pool<W>>>,
     limits: Limits,
     /// What load reports hold.
-    reports: Columns,
+    reports: LoadReportFormat,
     room: Arc<Semaphore>,
     /// Places that are left to another process.
     ceded: Cell<usize>,
     tally: Rc<Tally>,
-    /// Empty but for a planted bug.
+    /// Empty but for a mutation.
     leaked: RefCell<Vec<Connection<W>>>,
 }
 
-struct Pool<W: World> {
+struct Pool<W: Environment> {
     addr: SocketAddr,
     born_ms: u64,
     /// The most recently used last.
     idle: Vec<(Connection<W>, Instant)>,
 }
 
-struct Connection<W: World> {
+struct Connection<W: Environment> {
     stream: W::Stream,
     received: BytesMut,
     /// Where it leads, and to which process there: both may change while it is out.
@@ -192,17 +193,18 @@
     _room: OwnedSemaphorePermit,
 }
 
-impl<W: World> Pool<W> {
+impl<W: Environment> Pool<W> {
     /// Whether a connection leads to the process that the list names. An answer of the process before may come after the
     /// list has told of the new one: its connection ends with it.
     fn is_of(&self, connection: &Connection<W>) -> bool {
-        let is_old = self.born_ms != connection.born_ms && !planted::has(Bug::KeepsOldConnections);
+        let is_old = self.born_ms != connection.born_ms
+            && !mutation::is_active(Mutation::KeepsOldConnections);
         self.addr == connection.addr && !is_old
     }
 }
 
-impl<W: World> Servers<W> {
-    pub fn new(limits: Limits, reports: Columns, tally: Rc<Tally>, world: W) -> Rc<Self> {
+impl<W: Environment> Servers<W> {
+    pub fn new(limits: Limits, reports: LoadReportFormat, tally: Rc<Tally>, world: W) -> Rc<Self> {
         let room = Arc::new(Semaphore::new(limits.connections));
         Rc::new(Servers {
             world,
@@ -231,9 +233,9 @@
     }
 
     /// Takes one entry of the list. A new address or a new process leaves the old connections behind.
-    pub fn list(&self, server: &ServerId, addr: SocketAddr, state: ServerState, born_ms: u64) {
+    pub fn list(&self, server: &ServerId, addr: SocketAddr, state: EndpointState, born_ms: u64) {
         let mut pools = self.pools.borrow_mut();
-        if state == ServerState::Gone {
+        if state == EndpointState::Removed {
             pools.remove(server);
             return;
         }
@@ -290,7 +292,9 @@
             let hold = hold();
             for pool in self.pools.borrow_mut().values_mut() {
                 pool.idle.retain(|(connection, since)| {
-                    self.is_fresh(*since) && self.age(*since) < hold && connection.stream.is_quiet()
+                    self.is_fresh(*since)
+                        && self.age(*since) < hold
+                        && connection.stream.has_no_pending_input()
                 });
             }
         }
@@ -311,15 +315,18 @@
         command: Rc<Command>,
         errand: Errand,
     ) -> Ended {
-        let (connection, link) = match self.idle_connection(&server) {
-            Some((connection, idle)) => (connection, Link::Kept(Micros(idle.as_micros() as u64))),
+        let (connection, connection_use) = match self.idle_connection(&server) {
+            Some((connection, idle)) => (
+                connection,
+                ConnectionUse::Reused(Micros(idle.as_micros() as u64)),
+            ),
             None => match self.connect(&server, &errand).await {
-                Ok(connection) => (connection, Link::New),
+                Ok(connection) => (connection, ConnectionUse::New),
                 // Nothing was dialled: that tells nothing of new connections.
-                Err(Outcome::Void) => return Outcome::Void.into(),
+                Err(Outcome::NotSent) => return Outcome::NotSent.into(),
                 Err(outcome) => {
                     return Ended {
-                        link: Link::New,
+                        connection_use: ConnectionUse::New,
                         ..outcome.into()
                     };
                 }
@@ -328,10 +335,10 @@
         // Much may have happened while the connection came up.
         if !self.may_begin(&server, &connection, &errand) {
             self.put_back(&server, connection);
-            return Outcome::Void.into();
+            return Outcome::NotSent.into();
         }
         Ended {
-            link,
+            connection_use,
             ..self.exchange(&server, connection, &command, &errand).await
         }
     }
@@ -383,7 +390,7 @@
                 // Broken or given up before the last byte: a cache server begins nothing that is not whole.
                 match self.world.timeout_at(limit.start_by(), write).await {
                     Ok(Some(Ok(count))) if count > 0 => written += count,
-                    Ok(None) => return Outcome::Void.into(),
+                    Ok(None) => return Outcome::NotSent.into(),
                     _ => return Outcome::Unreachable.into(),
                 }
             }
@@ -403,10 +410,10 @@
     ) -> Ended {
         let (whole, start) = (&errand.limit, self.world.now());
         let mut reader = ReplyReader::default();
-        let (mut begun, mut may_pass) = (false, true);
-        let broken = |begun| Ended {
-            begun,
-            ..Outcome::Broken.into()
+        let (mut response_started, mut may_pass) = (false, true);
+        let broken = |response_started| Ended {
+            response_started,
+            ..Outcome::ConnectionLost.into()
         };
         loop {
             if may_pass && let Some((head, long)) = reader.long(&mut connection.received) {
@@ -455,7 +462,7 @@
                 self.limits.dial_timeout
             };
             let until = whole.until();
-            let limit = if begun {
+            let limit = if response_started {
                 until.min(self.world.now() + pause)
             } else {
                 until
@@ -470,29 +477,29 @@
                 .await
             {
                 Ok(Ok(count)) if count > 0 => {
-                    begun = true;
+                    response_started = true;
                     // A peer that writes in pieces may hold the next one back until then: the rest of an answer, or
                     // what does not belong to it, which must not come with the next answer.
-                    connection.stream.acknowledge();
+                    connection.stream.acknowledge_immediately();
                 }
                 Err(_) if limit == until && whole.until() > until => {}
                 _ if reader.has_value() => {
                     return self.ended(reader.served_without_report(received));
                 }
                 Err(_) if limit == until => {
-                    if planted::has(Bug::ReusesTimedOut) {
+                    if mutation::is_active(Mutation::ReusesTimedOut) {
                         self.put_back(server, connection);
                     }
                     return Ended {
-                        begun,
+                        response_started,
                         ..Outcome::TimedOut.into()
                     };
                 }
                 _ => {
-                    if planted::has(Bug::LeaksConnections) {
+                    if mutation::is_active(Mutation::LeaksConnections) {
                         self.leaked.borrow_mut().push(connection);
                     }
-                    return broken(begun);
+                    return broken(response_started);
                 }
             }
         }
@@ -509,8 +516,8 @@
     ) -> Ended {
         let mut is_held_up = false;
         let broken = || Ended {
-            begun: true,
-            ..Outcome::Broken.into()
+            response_started: true,
+            ..Outcome::ConnectionLost.into()
         };
         let mut next = head;
         let reply = loop {
@@ -545,7 +552,7 @@
                     } = &mut connection;
                     received.reserve(PIECE_SIZE);
                     match self.world.timeout(pause, stream.read_buf(received)).await {
-                        Ok(Ok(count)) if count > 0 => connection.stream.acknowledge(),
+                        Ok(Ok(count)) if count > 0 => connection.stream.acknowledge_immediately(),
                         _ if long.has_value() => break long.without_report(received),
                         _ => return broken(),
                     }
@@ -574,21 +581,21 @@
                 .ok()
                 .and_then(|text| self.reports.read_pairs(text))
         };
-        let (outcome, note, answer, report) = match reply {
+        let (outcome, cache_status, answer, report) = match reply {
             Reply::Served {
                 bytes,
-                note,
+                cache_status,
                 report,
-            } => (Outcome::Success, note, Some(bytes), report),
+            } => (Outcome::Success, cache_status, Some(bytes), report),
             Reply::Failed(report) => (Outcome::Failure, None, None, report),
             Reply::Busy(report) => (Outcome::Overloaded, None, None, report),
         };
         Ended {
             outcome,
-            note,
+            cache_status,
             answer,
-            begun: true,
-            link: Link::Unknown,
+            response_started: true,
+            connection_use: ConnectionUse::Unknown,
             load: read(report),
             began: None,
         }
@@ -604,7 +611,7 @@
         };
         while let Some(place) = idle.iter().rposition(is_settled) {
             let (connection, since) = idle.remove(place);
-            if self.is_fresh(since) && connection.stream.is_quiet() {
+            if self.is_fresh(since) && connection.stream.has_no_pending_input() {
                 return Some((connection, self.age(since)));
             }
         }
@@ -627,7 +634,7 @@
             .borrow()
             .get(server)
             .map(|pool| (pool.addr, pool.born_ms));
-        let (addr, born_ms) = place.ok_or(Outcome::Void)?;
+        let (addr, born_ms) = place.ok_or(Outcome::NotSent)?;
         let limit = self.world.now() + self.limits.dial_timeout;
         let dial = async {
             let room = match self.room.clone().try_acquire_owned() {
@@ -667,7 +674,7 @@
                 biased;
                 connection = &mut dial => {
                     // It waited for a place, and nobody wants it any more.
-                    let Some(connection) = connection.transpose() else { return Err(Outcome::Void) };
+                    let Some(connection) = connection.transpose() else { return Err(Outcome::NotSent) };
                     self.tally.opened(connection.is_ok());
                     return connection.map_err(|_| Outcome::Unreachable);
                 }
--- a/crates/router-runtime/src/service.rs
+++ b/crates/router-runtime/src/tokio_environment.rs
@@ -1,6 +1,6 @@
 //! The world in service: the machine's clocks, tokio's timers and tasks, real sockets.
 
-use crate::seam::{Datagrams, Reads, Stream, World};
+use crate::environment::{DatagramSocket, Environment, ReadStream, Stream};
 use std::fmt;
 use std::future::Future;
 use std::io;
@@ -17,12 +17,12 @@
 
 /// The process itself. To be used within a [`tokio::task::LocalSet`] on a runtime with its drivers enabled.
 #[derive(Clone, Copy, Debug)]
-pub struct Service;
+pub struct TokioEnvironment;
 
-impl World for Service {
+impl Environment for TokioEnvironment {
     type Stream = TcpStream;
     type Listener = TcpListener;
-    type Datagrams = UdpSocket;
+    type DatagramSocket = UdpSocket;
 
     fn now(&self) -> Instant {
         Instant::now()
@@ -59,7 +59,7 @@
     }
 }
 
-impl Datagrams for UdpSocket {
+impl DatagramSocket for UdpSocket {
     fn send_to(&self, bytes: &[u8], to: SocketAddr) -> impl Future<Output = io::Result<usize>> {
         UdpSocket::send_to(self, bytes, to)
     }
@@ -69,8 +69,8 @@
     }
 }
 
-impl Reads for ReadHalf<'_> {
-    fn has_left(&self) -> bool {
+impl ReadStream for ReadHalf<'_> {
+    fn has_peer_closed(&self) -> bool {
         // What has been seen of it so far; it waits for nothing.
         let ready =
             pin!(self.ready(Interest::READABLE)).poll(&mut Context::from_waker(Waker::noop()));
@@ -90,13 +90,13 @@
         TcpStream::set_nodelay(self, true)
     }
 
-    fn is_quiet(&self) -> bool {
+    fn has_no_pending_input(&self) -> bool {
         let mut byte = [std::mem::MaybeUninit::uninit()];
         let peeked = socket2::SockRef::from(self).peek(&mut byte);
         matches!(peeked, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    fn acknowledge(&self) {
+    fn acknowledge_immediately(&self) {
         // Where it can't be set, the kernel acknowledges a little later.
         let _ = self.set_quickack(true);
     }
--- a/crates/router-simulation/src/rounds.rs
+++ b/crates/router-simulation/src/campaign.rs
@@ -1,8 +1,8 @@
 //! Many days: over several threads, with a summary that does not depend on how many there are.
 
-use crate::judge::{Counts, Rule};
-use crate::plan::{CROWD, Kind, PAIRS, Plan};
-use crate::play::{Keep, Report, play};
+use crate::fault_plan::{CROWD, Kind, PAIRS, Plan};
+use crate::invariant_checker::{Counts, Rule};
+use crate::run::{Keep, Report, play};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use std::ops::Range;
@@ -191,7 +191,7 @@
                         return;
                     }
                     let plan = draw(seed, only);
-                    let report = play(&plan, Keep::Verdict);
+                    let report = play(&plan, Keep::CandidateVerdict);
                     let mut guard = waiting.lock().unwrap_or_else(PoisonError::into_inner);
                     let Waiting {
                         first,
@@ -219,7 +219,7 @@
 /// None if the day does not break it.
 pub fn shrink(plan: &Plan, rule: Rule) -> Option<Plan> {
     let breaks = |plan: &Plan| {
-        play(plan, Keep::Verdict)
+        play(plan, Keep::CandidateVerdict)
             .breaches
             .iter()
             .any(|breach| breach.rule == rule)
@@ -265,7 +265,7 @@
     Some(best)
 }
 
-/// What became of one planted bug.
+/// What became of one mutation.
 #[derive(Clone, Debug)]
 pub struct Caught {
     /// Its name.
@@ -276,9 +276,9 @@
 
 /// Plants each bug and plays days until one breaks a rule, on so many threads; `None` where this build leaves the bugs
 /// out. `played` is called after each bug.
-#[cfg(feature = "planted")]
+#[cfg(feature = "mutations")]
 pub fn mutants(seeds: Range<u64>, jobs: usize, played: impl Fn() + Sync) -> Option<Vec<Caught>> {
-    use router_runtime::planted::{Bug, plant};
+    use router_runtime::mutation::{Mutation, activate};
     let next = AtomicU64::new(0);
     let found: Mutex<BTreeMap<u64, Caught>> = Mutex::default();
     std::thread::scope(|scope| {
@@ -286,24 +286,24 @@
             scope.spawn(|| {
                 loop {
                     let place = next.fetch_add(1, Ordering::Relaxed);
-                    let Some(&bug) = Bug::ALL.get(place as usize) else {
+                    let Some(&bug) = Mutation::ALL.get(place as usize) else {
                         return;
                     };
-                    plant(Some(bug));
+                    activate(Some(bug));
                     let draw: Draw = if bug.is_of_joining() {
                         Plan::draw_joining
                     } else {
                         Plan::draw
                     };
                     let by = seeds.clone().find_map(|seed| {
-                        let report = play(&draw(seed, &[]), Keep::Verdict);
+                        let report = play(&draw(seed, &[]), Keep::CandidateVerdict);
                         report
                             .breaches
                             .into_iter()
                             .next()
                             .map(|breach| (seed, breach.rule, breach.text))
                     });
-                    plant(None);
+                    activate(None);
                     let caught = Caught {
                         bug: format!("{bug:?}"),
                         by,
@@ -322,7 +322,7 @@
 }
 
 /// See above: this build leaves the bugs out.
-#[cfg(not(feature = "planted"))]
+#[cfg(not(feature = "mutations"))]
 pub fn mutants(_seeds: Range<u64>, _jobs: usize, _played: impl Fn() + Sync) -> Option<Vec<Caught>> {
     None
 }
@@ -330,7 +330,7 @@
 /// Whether two plays of a seed and its plays on other threads agree; for tests.
 pub fn is_repeatable(seed: u64, only: &[Kind]) -> bool {
     let plan = Plan::draw(seed, only);
-    let first = play(&plan, Keep::Verdict).digest;
+    let first = play(&plan, Keep::CandidateVerdict).digest;
     let agrees = AtomicBool::new(true);
     std::thread::scope(|scope| {
         for _ in 0..2 {
--- a/crates/router-simulation/src/clients.rs
+++ b/crates/router-simulation/src/clients.rs
@@ -1,10 +1,10 @@
 //! Stand-ins for clients: they keep connections, wait as long as they said, and try again as the protocol lets them.
 
-use crate::exec::{Exec, Node, Time};
+use crate::executor::{Exec, Node, Time};
+use crate::fault_plan::{Ask, CLASSES, MILLI, Plan};
 use crate::net::{Net, SimStream};
-use crate::plan::{Ask, CLASSES, MILLI, Plan};
 use crate::wire::{Answer, Frames, command};
-use router_runtime::seam::World;
+use router_runtime::environment::Environment;
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/router-simulation/src/discovery.rs
+++ b/crates/router-simulation/src/discovery.rs
@@ -1,11 +1,11 @@
 //! A stand-in for discovery: the list over HTTP/1.1, whole or as a watch on its changes, with the troubles that a plan
 //! wants of it.
 
-use crate::exec::{Exec, Node, Time};
+use crate::executor::{Exec, Node, Time};
+use crate::fault_plan::{MILLI, SECOND};
 use crate::fleet::Server;
-use crate::judge::Judge;
+use crate::invariant_checker::Judge;
 use crate::net::{Net, SimStream};
-use crate::plan::{MILLI, SECOND};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/router-simulation/src/exec.rs
+++ b/crates/router-simulation/src/executor.rs
@@ -3,7 +3,7 @@
 //! Time stands still while a task runs and jumps to the next timer when none can. What falls due at one instant is
 //! taken in a drawn order, so that an answer and a time-out in one microsecond meet in both orders.
 
-use crate::dice::Dice;
+use crate::rng::Dice;
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
--- a/crates/router-simulation/src/plan.rs
+++ b/crates/router-simulation/src/fault_plan.rs
@@ -1,9 +1,9 @@
 //! A day drawn from its seed: the fleet, the settings, what clients ask and which faults overlap. A plan is plain
 //! data, so that a failing day can be shrunk.
 
-use crate::dice::Dice;
-use crate::exec::Time;
+use crate::executor::Time;
 use crate::net::{DatagramWeather, Weather};
+use crate::rng::Dice;
 use std::fmt;
 
 /// One second.
@@ -249,21 +249,21 @@
     /// The mean work of a read.
     pub mean_work: f64,
     /// An answer to a read is wanted within this time; its deadline is 2.5 times that.
-    pub aim: Time,
+    pub latency_objective: Time,
     /// How long servers remember a keyed request.
     pub memory: Time,
     /// The share of its capacity that a server starts with at least, as the settings have it.
-    pub cold_share: f64,
+    pub initial_capacity_ratio: f64,
     /// The share that servers do start with.
     pub cold_from: f64,
     /// When they are warm at the latest, and are.
-    pub cold_time: Time,
+    pub slow_start_duration: Time,
     /// See the rules.
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// See the rules.
-    pub fall_time: Time,
+    pub overload_duration: Time,
     /// Two attempts of one request may be out together.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// A connection that is not up after this long never will be.
     pub dial_timeout: Time,
     /// Servers close connections that have been idle for so long.
@@ -326,8 +326,8 @@
         let capacity: f64 = servers.iter().map(|server| server.speed).sum();
         let rate = dice.between(44.0, 64.0);
         let mean_work = dice.between(0.25, 0.55) * capacity / rate * SECOND as f64;
-        let aim = (mean_work * dice.between(6.0, 9.0)) as Time;
-        let cold_share = dice.between(0.12, 0.4);
+        let latency_objective = (mean_work * dice.between(6.0, 9.0)) as Time;
+        let initial_capacity_ratio = dice.between(0.12, 0.4);
         let mut plan = Plan {
             seed,
             weather: Weather {
@@ -348,14 +348,14 @@
                 },
             },
             mean_work,
-            aim,
-            memory: dice.range(aim / 2, 3 * aim),
-            cold_share,
-            cold_from: cold_share + dice.between(0.0, 0.1),
-            cold_time: dice.range(2 * SECOND, 5 * SECOND),
-            fall_multiple: dice.between(2.0, 3.0),
-            fall_time: dice.range(SECOND, 2 * SECOND),
-            second_copies: dice.chance(0.7),
+            latency_objective,
+            memory: dice.range(latency_objective / 2, 3 * latency_objective),
+            initial_capacity_ratio,
+            cold_from: initial_capacity_ratio + dice.between(0.0, 0.1),
+            slow_start_duration: dice.range(2 * SECOND, 5 * SECOND),
+            overload_multiple: dice.between(2.0, 3.0),
+            overload_duration: dice.range(SECOND, 2 * SECOND),
+            hedging: dice.chance(0.7),
             dial_timeout: dice.range(80 * MILLI, 400 * MILLI),
             conn_idle: dice.range(3 * SECOND, 15 * SECOND),
             sockets: 48 + 2 * dice.range(80, 160) as usize,
@@ -401,7 +401,11 @@
         let mut number = plan.asks.len() as u32;
         for (place, at) in moments.into_iter().enumerate() {
             let (router, key) = (dice.place(plan.routers.len()), dice.number());
-            let spread = if place == 1 { plan.aim } else { 0 };
+            let spread = if place == 1 {
+                plan.latency_objective
+            } else {
+                0
+            };
             let size = if dice.chance(0.1) {
                 60_000
             } else {
@@ -579,12 +583,12 @@
 
     /// The deadline of a class: reads wait less long.
     pub fn deadline(&self, class: usize) -> Time {
-        self.aim * if class == 0 { 5 } else { 6 } / 2
+        self.latency_objective * if class == 0 { 5 } else { 6 } / 2
     }
 
     /// The longest deadline of a class.
     pub fn longest_deadline(&self) -> Time {
-        self.aim * 3
+        self.latency_objective * 3
     }
 }
 
--- a/crates/router-simulation/src/fleet.rs
+++ b/crates/router-simulation/src/fleet.rs
@@ -1,11 +1,11 @@
 //! Stand-ins for the cache servers and their origin, as PROTOCOL has them: queues, cold starts, kept keys, a memory of
 //! keyed writes, and the troubles that a plan wants of them.
 
-use crate::dice::Dice;
-use crate::exec::{Exec, Node, Time};
-use crate::judge::{Judge, capacity};
+use crate::executor::{Exec, Node, Time};
+use crate::fault_plan::{MILLI, Plan, SECOND, ServerPlan};
+use crate::invariant_checker::{Judge, capacity};
 use crate::net::{Net, SimStream};
-use crate::plan::{MILLI, Plan, SECOND, ServerPlan};
+use crate::rng::Dice;
 use crate::wire::{Call, Frames, Spoken, value_for};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -213,7 +213,13 @@
         if born_ms > 0 {
             let plan = &self.fleet.plan;
             let mut judge = self.fleet.judge.borrow_mut();
-            judge.server_started(now, self.index, born_ms, plan.cold_from, plan.cold_time);
+            judge.server_started(
+                now,
+                self.index,
+                born_ms,
+                plan.cold_from,
+                plan.slow_start_duration,
+            );
         }
         let listener = self.fleet.net.listen(self.node, self.addr);
         let server = self.clone();
@@ -419,7 +425,7 @@
         let part = if self.born_ms.get() == 0 {
             1.0
         } else {
-            capacity(plan.cold_from, plan.cold_time, age)
+            capacity(plan.cold_from, plan.slow_start_duration, age)
         };
         *slot = start + (work * count / (self.plan.speed * part) * (1.0 + slow)) as Time;
         Some(*slot)
--- a/crates/router-simulation/src/judge.rs
+++ b/crates/router-simulation/src/invariant_checker.rs
@@ -4,7 +4,7 @@
 //! The rules' times are kept to the microsecond: the simulated sockets have none of the noise for which the protocol
 //! allows real ones 50 ms.
 
-use crate::exec::{Node, Time};
+use crate::executor::{Node, Time};
 use crate::net::{Leaving, Observer, Side};
 use crate::wire::{self, Answer, Call, Frames, Spoken};
 use std::collections::hash_map::DefaultHasher;
@@ -77,18 +77,18 @@
 
 /// Whether a request may run twice, as the protocol has it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Any number of times.
-    Safe,
+    Idempotent,
     /// Its repeats are dropped by a group of servers for so long.
-    Keyed(Group, Time),
+    Keyed(DeduplicationScope, Time),
     /// Never.
-    Unsafe,
+    NotIdempotent,
 }
 
 /// Which servers drop each other's repeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DeduplicationScope {
     /// All.
     All,
     /// Those of one zone.
@@ -99,7 +99,7 @@
 #[derive(Clone, Debug)]
 pub struct Figures {
     /// Each class by its name.
-    pub classes: BTreeMap<String, Effect>,
+    pub classes: BTreeMap<String, Idempotency>,
     /// A final answer may come this much after the client's time is up.
     pub answer_grace: Time,
     /// A send to a draining server may come this much after the router was told.
@@ -107,11 +107,11 @@
     /// Attempts of one request.
     pub max_attempts: usize,
     /// Two attempts of one request may be out together.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// A cold server falls over when sent more than this multiple of its present capacity ...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ... for this long.
-    pub fall_time: Time,
+    pub overload_duration: Time,
     /// Bytes that a connection takes without their being read.
     pub window: usize,
     /// Work beyond that which chance may bring, in microseconds.
@@ -152,7 +152,7 @@
 #[derive(Debug)]
 struct Asked {
     router: usize,
-    effect: Effect,
+    idempotency: Idempotency,
     /// Class and key, and whether it is a write.
     what: (String, Vec<u8>),
     is_write: bool,
@@ -264,7 +264,7 @@
     born: u64,
     started: Time,
     cold_from: f64,
-    cold_time: Time,
+    slow_start_duration: Time,
     /// Work that arrived while it was cold: when, how much, from whom.
     arrived: VecDeque<(Time, f64, usize)>,
     has_fallen: bool,
@@ -275,18 +275,18 @@
     fn capacity(&self, at: Time) -> f64 {
         capacity(
             self.cold_from,
-            self.cold_time,
+            self.slow_start_duration,
             at.saturating_sub(self.started),
         )
     }
 }
 
 /// The part of its capacity that a server has so long after its start: it rises evenly.
-pub fn capacity(cold_from: f64, cold_time: Time, age: Time) -> f64 {
-    if age >= cold_time {
+pub fn capacity(cold_from: f64, slow_start_duration: Time, age: Time) -> f64 {
+    if age >= slow_start_duration {
         1.0
     } else {
-        cold_from + (1.0 - cold_from) * age as f64 / cold_time as f64
+        cold_from + (1.0 - cold_from) * age as f64 / slow_start_duration as f64
     }
 }
 
@@ -511,14 +511,14 @@
         server: usize,
         born: u64,
         cold_from: f64,
-        cold_time: Time,
+        slow_start_duration: Time,
     ) {
         let (arrived, has_fallen) = (VecDeque::new(), false);
         self.processes[server] = Process {
             born,
             started: now,
             cold_from,
-            cold_time,
+            slow_start_duration,
             arrived,
             has_fallen,
         };
@@ -528,15 +528,15 @@
 
     /// Work arrived at a cache server, in microseconds of a warm server's whole capacity; whether that pushes it over.
     pub fn work_arrived(&mut self, now: Time, server: usize, router: usize, work: f64) -> bool {
-        let (fall_time, multiple, slack) = (
-            self.figures.fall_time,
-            self.figures.fall_multiple,
+        let (overload_duration, multiple, slack) = (
+            self.figures.overload_duration,
+            self.figures.overload_multiple,
             self.figures.fall_slack,
         );
         let process = &mut self.processes[server];
         if process.has_fallen
             || process.born == 0
-            || now.saturating_sub(process.started) >= process.cold_time
+            || now.saturating_sub(process.started) >= process.slow_start_duration
         {
             return false;
         }
@@ -544,13 +544,13 @@
         while process
             .arrived
             .front()
-            .is_some_and(|&(at, ..)| at + fall_time < now)
+            .is_some_and(|&(at, ..)| at + overload_duration < now)
         {
             process.arrived.pop_front();
         }
-        let since = process.started.max(now.saturating_sub(fall_time));
+        let since = process.started.max(now.saturating_sub(overload_duration));
         let middle = (process.capacity(since) + process.capacity(now)) / 2.0;
-        let allowed = multiple * middle * fall_time as f64 + slack;
+        let allowed = multiple * middle * overload_duration as f64 + slack;
         let sum: f64 = process.arrived.iter().map(|arrived| arrived.1).sum();
         if sum <= allowed {
             return false;
@@ -573,7 +573,7 @@
                 "server {server}, {} ms after its start: {:.0} ms of work within {} ms where {:.0} ms push it over, {:.0} ms of it from routers that knew",
                 now.saturating_sub(self.processes[server].started) / 1_000,
                 sum / 1e3,
-                fall_time / 1_000,
+                overload_duration / 1_000,
                 allowed / 1e3,
                 known / 1e3
             );
@@ -656,7 +656,7 @@
 
     /// A client has written a whole command.
     fn asked(&mut self, conn: u32, router: usize, call: &Call) -> Option<u64> {
-        let effect = *self.figures.classes.get(&call.class)?;
+        let idempotency = *self.figures.classes.get(&call.class)?;
         if self.requests.contains_key(&call.id) {
             return None;
         }
@@ -666,7 +666,7 @@
         let (first_sent, served_at, left_at) = (None, None, None);
         let asked = Asked {
             router,
-            effect,
+            idempotency,
             what,
             is_write,
             first_sent,
@@ -725,7 +725,7 @@
             .attempts
             .iter()
             .any(|attempt| attempt.fate != Fate::NeverRan);
-        let (effect, came) = (asked.effect, asked.deadline);
+        let (effect, came) = (asked.idempotency, asked.deadline);
         if let Some((since, taken, served)) = &mut self.calm
             && came >= *since
             && id < self.figures.crowds_from
@@ -755,7 +755,10 @@
             }
             Answer::Refused(_) => {
                 self.counts.refused += 1;
-                let promises = !matches!(effect, Effect::Unsafe | Effect::Keyed(Group::Zone, _));
+                let promises = !matches!(
+                    effect,
+                    Idempotency::NotIdempotent | Idempotency::Keyed(DeduplicationScope::Zone, _)
+                );
                 if may_have_run && !promises {
                     self.breach(
                         Rule::Effects,
@@ -926,15 +929,15 @@
             .iter()
             .find(|attempt| attempt.fate != Fate::NeverRan);
         let zone = |server: usize| self.server_zones[server];
-        match (asked.effect, ran) {
-            (Effect::Unsafe, Some(_)) => {
+        match (asked.idempotency, ran) {
+            (Idempotency::NotIdempotent, Some(_)) => {
                 found.push((
                     Rule::Effects,
                     "an unsafe request sent again that may have run".to_string(),
                 ));
             }
-            (Effect::Keyed(group, memory), Some(first)) => {
-                if group == Group::Zone && zone(first.server) != zone(server) {
+            (Idempotency::Keyed(group, memory), Some(first)) => {
+                if group == DeduplicationScope::Zone && zone(first.server) != zone(server) {
                     found.push((
                         Rule::Effects,
                         "a keyed request sent outside its group".to_string(),
@@ -973,7 +976,7 @@
             .attempts
             .iter()
             .any(|attempt| attempt.fate == Fate::Out && attempt.is_open);
-        if out && !self.figures.second_copies {
+        if out && !self.figures.hedging {
             found.push((
                 Rule::Effects,
                 "two attempts out together where that is not allowed".to_string(),
--- a/crates/router-simulation/src/lib.rs
+++ b/crates/router-simulation/src/lib.rs
@@ -1,20 +1,20 @@
 //! The whole asterport router on simulated time and network, with seeded faults and a judge of the four rules.
 //!
-//! [`plan::Plan::draw`] draws a day from a seed, [`play::play`] plays it: N routers that run the real engine, stand-ins
-//! for clients, cache servers, their origin and discovery, on the virtual clock of [`exec`] and the network of [`net`].
-//! The [`judge`] sees what passes on the wire and nothing of the routers. Equal seeds give equal days, step by step.
+//! [`fault_plan::Plan::draw`] draws a day from a seed, [`run::play`] plays it: N routers that run the real engine, stand-ins
+//! for clients, cache servers, their origin and discovery, on the virtual clock of [`executor`] and the network of [`net`].
+//! The [`invariant_checker`] sees what passes on the wire and nothing of the routers. Equal seeds give equal days, step by step.
 
+pub mod campaign;
 pub mod clients;
-pub mod dice;
 pub mod discovery;
-pub mod exec;
+pub mod executor;
+pub mod fault_plan;
 pub mod fleet;
-pub mod judge;
+pub mod invariant_checker;
 pub mod net;
-pub mod plan;
-pub mod play;
-pub mod rounds;
-pub mod scene;
+pub mod rng;
+pub mod run;
+pub mod scenario;
 pub mod wire;
 
 /// The Unix time at the start of every day, in microseconds.
--- a/crates/router-simulation/src/main.rs
+++ b/crates/router-simulation/src/main.rs
@@ -1,14 +1,14 @@
 //! router-simulation: plays days of overlapping faults on the virtual clock and judges them.
 //!
-//! Exit codes: 0 no breach, 1 a breach (or a planted bug that was not caught), 2 a word on the command line that
+//! Exit codes: 0 no breach, 1 a breach (or a mutation that was not caught), 2 a word on the command line that
 //! cannot be used.
 
 use clap::{Parser, Subcommand};
 use indicatif::{ProgressBar, ProgressStyle};
-use router_simulation::judge::Breach;
-use router_simulation::plan::{Kind, MILLI, Plan};
-use router_simulation::play::{Keep, play};
-use router_simulation::rounds::{self, Draw};
+use router_simulation::campaign::{self, Draw};
+use router_simulation::fault_plan::{Kind, MILLI, Plan};
+use router_simulation::invariant_checker::Breach;
+use router_simulation::run::{Keep, play};
 use std::ops::Range;
 use std::process::ExitCode;
 use std::time::Instant;
@@ -78,7 +78,7 @@
         #[arg(long, value_delimiter = ',', value_parser = fault)]
         faults: Vec<Kind>,
     },
-    /// Plant known bugs one by one and see each caught; wants a build with `--features planted`.
+    /// Activate each mutation in turn and see it caught; wants a build with `--features mutations`.
     Mutants {
         /// The seeds that may be played for each.
         #[arg(long, default_value = "0..500", value_parser = range)]
@@ -207,7 +207,7 @@
 
 fn run(draw: Draw, seeds: Range<u64>, jobs: Option<usize>, faults: &[Kind]) -> ExitCode {
     let (start, bar) = (Instant::now(), bar(seeds.end - seeds.start));
-    let summary = rounds::run(draw, seeds, faults, threads(jobs), || bar.inc(1));
+    let summary = campaign::run(draw, seeds, faults, threads(jobs), || bar.inc(1));
     bar.finish_and_clear();
     println!("{summary}");
     println!(
@@ -276,11 +276,15 @@
 }
 
 fn shrink(plan: &Plan) -> ExitCode {
-    let Some(first) = play(plan, Keep::Verdict).breaches.into_iter().next() else {
+    let Some(first) = play(plan, Keep::CandidateVerdict)
+        .breaches
+        .into_iter()
+        .next()
+    else {
         println!("seed {}: no breach", plan.seed);
         return ExitCode::SUCCESS;
     };
-    let Some(least) = rounds::shrink(plan, first.rule) else {
+    let Some(least) = campaign::shrink(plan, first.rule) else {
         return ExitCode::SUCCESS;
     };
     println!("seed {}: {}", plan.seed, first.rule);
@@ -336,9 +340,9 @@
 
 fn mutants(seeds: Range<u64>, jobs: Option<usize>) -> ExitCode {
     let start = Instant::now();
-    let Some(all) = rounds::mutants(seeds, threads(jobs), || ()) else {
+    let Some(all) = campaign::mutants(seeds, threads(jobs), || ()) else {
         eprintln!(
-            "router-simulation: this build leaves the planted bugs out; build it with --features planted"
+            "router-simulation: this build leaves the mutations out; build it with --features mutations"
         );
         return ExitCode::from(2);
     };
@@ -355,7 +359,7 @@
         }
     }
     println!(
-        "{} planted, {missed} not caught, {:.1} s",
+        "{} mutations, {missed} not caught, {:.1} s",
         all.len(),
         start.elapsed().as_secs_f64()
     );
--- a/crates/router-simulation/src/net.rs
+++ b/crates/router-simulation/src/net.rs
@@ -3,10 +3,10 @@
 //!
 //! What passes is shown to one [`Observer`]: the judge's only source.
 
-use crate::dice::Dice;
-use crate::exec::{Exec, Node, Time};
+use crate::executor::{Exec, Node, Time};
+use crate::rng::Dice;
 use bytes::{Buf, Bytes, BytesMut};
-use router_runtime::seam;
+use router_runtime::environment;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
@@ -258,8 +258,8 @@
     }
 
     /// The machine's view of the world.
-    pub fn world(&self, node: Node) -> SimWorld {
-        SimWorld {
+    pub fn world(&self, node: Node) -> SimulatedEnvironment {
+        SimulatedEnvironment {
             net: self.clone(),
             node,
         }
@@ -836,14 +836,14 @@
 as_socket!(SimStream, stream => stream);
 as_socket!(Half<'_>, half => half.0);
 
-impl seam::Reads for Half<'_> {
-    fn has_left(&self) -> bool {
+impl environment::ReadStream for Half<'_> {
+    fn has_peer_closed(&self) -> bool {
         let pipe = self.0.conn.pipes[index(self.0.side.other())].borrow();
         pipe.ended || pipe.reset
     }
 }
 
-impl seam::Stream for SimStream {
+impl environment::Stream for SimStream {
     type Reader<'a> = Half<'a>;
     type Writer<'a> = Half<'a>;
 
@@ -855,12 +855,12 @@
         Ok(())
     }
 
-    fn is_quiet(&self) -> bool {
+    fn has_no_pending_input(&self) -> bool {
         let pipe = self.conn.pipes[index(self.side.other())].borrow();
         pipe.buffer.is_empty() && !pipe.ended && !pipe.reset
     }
 
-    fn acknowledge(&self) {}
+    fn acknowledge_immediately(&self) {}
 }
 
 /// A UDP socket.
@@ -870,7 +870,7 @@
     mailbox: Rc<Mailbox>,
 }
 
-impl seam::Datagrams for SimDatagrams {
+impl environment::DatagramSocket for SimDatagrams {
     async fn send_to(&self, bytes: &[u8], to: SocketAddr) -> io::Result<usize> {
         if bytes.len() > LONGEST_DATAGRAM {
             return Err(io::Error::other("message too long"));
@@ -905,15 +905,15 @@
 
 /// The world as a process on one machine sees it.
 #[derive(Clone)]
-pub struct SimWorld {
+pub struct SimulatedEnvironment {
     net: Net,
     node: Node,
 }
 
-impl seam::World for SimWorld {
+impl environment::Environment for SimulatedEnvironment {
     type Stream = SimStream;
     type Listener = SimListener;
-    type Datagrams = SimDatagrams;
+    type DatagramSocket = SimDatagrams;
 
     fn now(&self) -> Instant {
         self.net.epoch + Duration::from_micros(self.net.exec.now())
--- a/crates/router-simulation/src/play.rs
+++ b/crates/router-simulation/src/run.rs
@@ -2,24 +2,25 @@
 
 use crate::UNIX_START;
 use crate::clients::{Clients, Manner};
-use crate::dice::Dice;
 use crate::discovery::{Discovery, Health};
-use crate::exec::{Exec, Node, Time};
-use crate::fleet::{Server, Shared, Trouble};
-use crate::judge::{
-    Breach, Counts, Effect as Judged, Figures, Group as JudgedGroup, Judge, Role, Rule, Shares,
-};
-use crate::net::{Net, Observer, SimWorld};
-use crate::plan::{
+use crate::executor::{Exec, Node, Time};
+use crate::fault_plan::{
     Act, Acted, Ask, Burst, CLASSES, CROWD, CROWD_CONNECTIONS, Fault, Kind, MILLI, Plan, SECOND,
 };
-use load_balancer::params::{Deployment, Names};
+use crate::fleet::{Server, Shared, Trouble};
+use crate::invariant_checker::{
+    Breach, Counts, DeduplicationScope as JudgedGroup, Figures, Idempotency as Judged, Judge, Role,
+    Rule, Shares,
+};
+use crate::net::{Net, Observer, SimulatedEnvironment};
+use crate::rng::Dice;
+use load_balancer::deployment::{Deployment, Names};
 use load_balancer::{
-    Class, Columns, Discovery as Listing, Effect, Group, Limits, Micros, ServerId, Settings,
-    Tenant, Weights, Word, ZoneId,
+    AdminOverride, Class, DeduplicationScope, Discovery as Listing, Idempotency, Limits,
+    LoadReportFormat, Micros, ServerId, Settings, Tenant, Weights, ZoneId,
 };
-use request_coalescing::{JoiningFile, Rules};
-use router_runtime::{Engine, List, Start};
+use request_coalescing::{CoalescingFile, CoalescingRules};
+use router_runtime::{EndpointList, RouterConfig, RouterRuntime};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -60,7 +61,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Keep {
     /// The verdict alone.
-    Verdict,
+    CandidateVerdict,
     /// Every step.
     Trace,
 }
@@ -135,10 +136,10 @@
 
 fn figures(plan: &Plan) -> Figures {
     let effects = [
-        Judged::Safe,
+        Judged::Idempotent,
         Judged::Keyed(JudgedGroup::All, plan.memory),
         Judged::Keyed(JudgedGroup::Zone, plan.memory),
-        Judged::Unsafe,
+        Judged::NotIdempotent,
     ];
     Figures {
         classes: CLASSES
@@ -149,9 +150,9 @@
         answer_grace: 20 * MILLI,
         drain_grace: 250 * MILLI,
         max_attempts: 5,
-        second_copies: plan.second_copies,
-        fall_multiple: plan.fall_multiple,
-        fall_time: plan.fall_time,
+        hedging: plan.hedging,
+        overload_multiple: plan.overload_multiple,
+        overload_duration: plan.overload_duration,
         window: plan.weather.window,
         fall_slack: 6.0 * plan.mean_work,
         joining: plan.joining.then(|| Shares {
@@ -169,34 +170,34 @@
 }
 
 fn deployment(plan: &Plan, zone: usize) -> Deployment {
-    let memory = Micros(plan.memory);
-    let class = |place: usize, effect: Effect| Class {
-        aim: Micros(plan.aim),
+    let deduplication_window = Micros(plan.memory);
+    let class = |place: usize, idempotency: Idempotency| Class {
+        latency_objective: Micros(plan.latency_objective),
         deadline: Micros(plan.deadline(place)),
-        worth: if place == 0 { 1.0 } else { 8.0 },
-        late_worth: 0.5,
-        effect,
+        priority_weight: if place == 0 { 1.0 } else { 8.0 },
+        late_weight: 0.5,
+        idempotency,
     };
     let settings = Settings {
         routers: plan.routers.len() as u32,
         zone: Some(ZoneId(zone)),
         classes: vec![
-            class(0, Effect::Safe),
+            class(0, Idempotency::Idempotent),
             class(
                 1,
-                Effect::Keyed {
-                    group: Group::All,
-                    memory,
+                Idempotency::Keyed {
+                    scope: DeduplicationScope::All,
+                    deduplication_window,
                 },
             ),
             class(
                 2,
-                Effect::Keyed {
-                    group: Group::Zone,
-                    memory,
+                Idempotency::Keyed {
+                    scope: DeduplicationScope::Zone,
+                    deduplication_window,
                 },
             ),
-            class(3, Effect::Unsafe),
+            class(3, Idempotency::NotIdempotent),
         ],
         tenants: vec![
             Tenant {
@@ -205,30 +206,30 @@
             };
             2
         ],
-        over_quota_worth: 0.2,
+        over_quota_weight: 0.2,
         discovery: Listing::Subscribe {
-            ask_within: Micros(10 * SECOND),
+            poll_within: Micros(10 * SECOND),
         },
         weights: Weights::Rough,
         rules: load_balancer::Rules {
             answer_grace: Micros(20 * MILLI),
             drain_grace: Micros(250 * MILLI),
-            cold_share: plan.cold_share,
-            cold_time: Micros(plan.cold_time),
-            fall_multiple: plan.fall_multiple,
-            fall_time: Micros(plan.fall_time),
+            initial_capacity_ratio: plan.initial_capacity_ratio,
+            slow_start_duration: Micros(plan.slow_start_duration),
+            overload_multiple: plan.overload_multiple,
+            overload_duration: Micros(plan.overload_duration),
             drain_close: None,
         },
         limits: Limits {
             max_attempts: 5,
             cancel: true,
-            second_copies: plan.second_copies,
+            hedging: plan.hedging,
             retry_after: true,
             max_retry_after: Micros(SECOND),
         },
         connection_idle: Micros(plan.conn_idle),
-        prices: Default::default(),
-        origin_falls: false,
+        connection_costs: Default::default(),
+        origin_collapses_under_overload: false,
         ..Settings::default()
     };
     let text = |names: &[&str]| names.iter().map(|name| (*name).to_string()).collect();
@@ -242,15 +243,15 @@
         settings,
         names,
         dial_timeout: Micros(plan.dial_timeout),
-        reports: Columns::default(),
+        reports: LoadReportFormat::default(),
     }
 }
 
 /// The rules of joining for all reads of a deployment like these.
-pub(crate) fn joins(deployment: &Deployment) -> Option<Rules> {
-    let file = JoiningFile {
+pub(crate) fn joins(deployment: &Deployment) -> Option<CoalescingRules> {
+    let file = CoalescingFile {
         classes: vec![CLASSES[0].to_string()],
-        ..JoiningFile::default()
+        ..CoalescingFile::default()
     };
     match file.rules(deployment) {
         Ok(rules) => rules,
@@ -266,12 +267,12 @@
     index: usize,
     node: Node,
     addr: SocketAddr,
-    engine: RefCell<Option<Rc<Engine<SimWorld>>>>,
+    engine: RefCell<Option<Rc<RouterRuntime<SimulatedEnvironment>>>>,
     stop: RefCell<Rc<Notify>>,
     /// Counts its starts.
     life: Cell<u64>,
     /// What operators said, as its file keeps it.
-    words: RefCell<BTreeMap<ServerId, Word>>,
+    words: RefCell<BTreeMap<ServerId, AdminOverride>>,
 }
 
 struct Day {
@@ -372,21 +373,21 @@
         self.judge
             .borrow_mut()
             .router_started(self.exec.now(), router.index, &known);
-        let known: List = serde_json::from_str(&known).unwrap_or_default();
+        let known: EndpointList = serde_json::from_str(&known).unwrap_or_default();
         let life = router.life.get() + 1;
         router.life.set(life);
         let deployment = deployment(&self.plan, self.plan.routers[router.index]);
         let joining = self.plan.joining.then(|| joins(&deployment)).flatten();
-        let start = Start {
+        let start = RouterConfig {
             deployment,
             seed: Dice::new(self.plan.seed, 1_000 + 100 * router.index as u64 + life).number(),
             discovery: self.discovery.addr,
-            known,
-            sockets: self.plan.sockets,
-            memory: 64 << 20,
-            joining,
+            initial_endpoints: known,
+            descriptor_limit: self.plan.sockets,
+            memory_bytes: 64 << 20,
+            coalescing: joining,
         };
-        let engine = match Engine::new(self.net.world(router.node), start) {
+        let engine = match RouterRuntime::new(self.net.world(router.node), start) {
             Ok(engine) => Rc::new(engine),
             Err(problem) => {
                 let mut judge = self.judge.borrow_mut();
@@ -399,7 +400,7 @@
                 return;
             }
         };
-        engine.told(router.words.borrow().clone());
+        engine.apply_admin_overrides(router.words.borrow().clone());
         *router.engine.borrow_mut() = Some(engine.clone());
         let stop = Rc::new(Notify::new());
         *router.stop.borrow_mut() = stop.clone();
@@ -518,19 +519,19 @@
         );
         for router in &self.routers {
             let said = if is_out {
-                Word::Out
+                AdminOverride::Disabled
             } else {
-                Word::Back(Micros(UNIX_START + now))
+                AdminOverride::EnabledAt(Micros(UNIX_START + now))
             };
             router.words.borrow_mut().insert(name.clone(), said);
             if let Some(engine) = &*router.engine.borrow() {
                 // One that was just called out and has never heard of it is told all the same when it does.
                 let _ = if is_out {
-                    engine.exclude(&name.0)
+                    engine.disable_server(&name.0)
                 } else {
-                    engine.include(&name.0)
+                    engine.enable_server(&name.0)
                 };
-                engine.told(router.words.borrow().clone());
+                engine.apply_admin_overrides(router.words.borrow().clone());
             }
             self.judge
                 .borrow_mut()
@@ -540,10 +541,10 @@
 
     fn drain(self: &Rc<Self>, router: usize, length: Time) {
         let engine = self.routers[router].engine.borrow().clone();
-        engine.iter().for_each(|engine| engine.evacuate());
+        engine.iter().for_each(|engine| engine.drain_router());
         self.after(length, move |day| {
             let engine = day.routers[router].engine.borrow().clone();
-            engine.iter().for_each(|engine| engine.rejoin());
+            engine.iter().for_each(|engine| engine.resume_router());
         });
     }
 
@@ -745,9 +746,13 @@
                 );
                 continue;
             };
-            let held = engine.holdings();
+            let held = engine.resource_usage();
             let open = self.net.open(router.node);
-            let left = held.owed + held.open + held.held + held.waiters + held.flights;
+            let left = held.unanswered_requests
+                + held.open_requests
+                + held.tracked_requests
+                + held.coalesced_waiters
+                + held.coalesced_flights;
             if left > 0 || held.timers > RESTING_TIMERS {
                 let text = format!(
                     "router {} still holds {held:?} when all is over",
@@ -756,7 +761,7 @@
                 judge.breach(Rule::Bounds, now, None, text);
             }
             // Its watch is one more.
-            if open > held.clients + held.idle + 1 {
+            if open > held.client_connections + held.idle_upstream_connections + 1 {
                 let text = format!(
                     "router {} holds {open} connections and knows of {held:?}",
                     router.index
--- a/crates/router-simulation/src/scene.rs
+++ b/crates/router-simulation/src/scenario.rs
@@ -4,20 +4,23 @@
 //! the judge watches as on a drawn day.
 
 use crate::UNIX_START;
-use crate::dice::Dice;
 use crate::discovery::{entry, list};
-use crate::exec::{Exec, Node, Time};
-use crate::judge::{Breach, Effect as Judged, Figures, Group as JudgedGroup, Judge, Role, Shares};
-use crate::net::{DatagramWeather, Net, Observer, SimStream, SimWorld, Weather};
-use crate::plan::{CLASSES, MILLI, SECOND};
-use crate::play::joins;
+use crate::executor::{Exec, Node, Time};
+use crate::fault_plan::{CLASSES, MILLI, SECOND};
+use crate::invariant_checker::{
+    Breach, DeduplicationScope as JudgedGroup, Figures, Idempotency as Judged, Judge, Role, Shares,
+};
+use crate::net::{DatagramWeather, Net, Observer, SimStream, SimulatedEnvironment, Weather};
+use crate::rng::Dice;
+use crate::run::joins;
 use crate::wire::{Call, Frames, Spoken, command, value_for};
-use load_balancer::params::{Deployment, Names};
+use load_balancer::deployment::{Deployment, Names};
 use load_balancer::{
-    Class, Columns, Discovery as Listing, Effect, Group, Limits, Micros, Rules, Settings, Tenant,
+    Class, DeduplicationScope, Discovery as Listing, Idempotency, Limits, LoadReportFormat, Micros,
+    Rules, Settings, Tenant,
 };
-use router_runtime::seam::World;
-use router_runtime::{Engine, List, Start};
+use router_runtime::environment::Environment;
+use router_runtime::{EndpointList, RouterConfig, RouterRuntime};
 use std::cell::{Cell, RefCell};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
@@ -73,7 +76,7 @@
     addr: SocketAddr,
     client: Node,
     /// The engine, while it runs.
-    pub engine: Rc<Engine<SimWorld>>,
+    pub engine: Rc<RouterRuntime<SimulatedEnvironment>>,
     stop: Rc<Notify>,
     has_ended: Rc<Cell<bool>>,
     lists: Rc<RefCell<Vec<(Time, String)>>>,
@@ -155,16 +158,16 @@
             deployment.settings.discovery = Listing::Push;
         }
         let joining = is_joining.then(|| joins(&deployment)).flatten();
-        let start = Start {
+        let start = RouterConfig {
             deployment,
             seed,
             discovery: addr(2, 0),
-            known: serde_json::from_str::<List>(&known).unwrap_or_default(),
-            sockets: 500,
-            memory: 64 << 20,
-            joining,
+            initial_endpoints: serde_json::from_str::<EndpointList>(&known).unwrap_or_default(),
+            descriptor_limit: 500,
+            memory_bytes: 64 << 20,
+            coalescing: joining,
         };
-        let engine = match Engine::new(net.world(router), start) {
+        let engine = match RouterRuntime::new(net.world(router), start) {
             Ok(engine) => Rc::new(engine),
             Err(problem) => panic!("the scene's settings are usable: {problem}"),
         };
@@ -561,10 +564,10 @@
 /// The figures that a scene's judge goes by.
 pub fn figures() -> Figures {
     let effects = [
-        Judged::Safe,
+        Judged::Idempotent,
         Judged::Keyed(JudgedGroup::All, MEMORY),
         Judged::Keyed(JudgedGroup::Zone, MEMORY),
-        Judged::Unsafe,
+        Judged::NotIdempotent,
     ];
     Figures {
         classes: CLASSES
@@ -575,9 +578,9 @@
         answer_grace: 20 * MILLI,
         drain_grace: 250 * MILLI,
         max_attempts: 5,
-        second_copies: true,
-        fall_multiple: 2.0,
-        fall_time: SECOND,
+        hedging: true,
+        overload_multiple: 2.0,
+        overload_duration: SECOND,
         window: calm().window,
         fall_slack: 0.0,
         joining: None,
@@ -586,49 +589,49 @@
 }
 
 fn deployment() -> Deployment {
-    let memory = Micros(MEMORY);
-    let class = |effect| Class {
-        aim: Micros(SECOND / 2),
+    let deduplication_window = Micros(MEMORY);
+    let class = |idempotency| Class {
+        latency_objective: Micros(SECOND / 2),
         deadline: Micros(DEADLINE),
-        worth: 1.0,
-        late_worth: 0.5,
-        effect,
+        priority_weight: 1.0,
+        late_weight: 0.5,
+        idempotency,
     };
     let settings = Settings {
         classes: vec![
-            class(Effect::Safe),
-            class(Effect::Keyed {
-                group: Group::All,
-                memory,
+            class(Idempotency::Idempotent),
+            class(Idempotency::Keyed {
+                scope: DeduplicationScope::All,
+                deduplication_window,
             }),
-            class(Effect::Keyed {
-                group: Group::Zone,
-                memory,
+            class(Idempotency::Keyed {
+                scope: DeduplicationScope::Zone,
+                deduplication_window,
             }),
-            class(Effect::Unsafe),
+            class(Idempotency::NotIdempotent),
         ],
         discovery: Listing::Subscribe {
-            ask_within: Micros(10 * SECOND),
+            poll_within: Micros(10 * SECOND),
         },
         rules: Rules {
             answer_grace: Micros(20 * MILLI),
             drain_grace: Micros(250 * MILLI),
-            cold_share: 0.3,
-            cold_time: Micros(4 * SECOND),
-            fall_multiple: 2.0,
-            fall_time: Micros(SECOND),
+            initial_capacity_ratio: 0.3,
+            slow_start_duration: Micros(4 * SECOND),
+            overload_multiple: 2.0,
+            overload_duration: Micros(SECOND),
             drain_close: None,
         },
         limits: Limits {
             max_attempts: 5,
             cancel: true,
-            second_copies: true,
+            hedging: true,
             retry_after: true,
             max_retry_after: Micros(SECOND),
         },
         connection_idle: Micros(15 * SECOND),
-        prices: Default::default(),
-        origin_falls: false,
+        connection_costs: Default::default(),
+        origin_collapses_under_overload: false,
         tenants: vec![
             Tenant {
                 quota_per_s: 30.0,
@@ -649,6 +652,6 @@
         settings,
         names,
         dial_timeout: Micros(300 * MILLI),
-        reports: Columns::default(),
+        reports: LoadReportFormat::default(),
     }
 }
--- a/crates/router-simulation/src/wire.rs
+++ b/crates/router-simulation/src/wire.rs
@@ -1,6 +1,6 @@
 //! RESP2 as the judge and the stand-ins read it: a reading of their own, with nothing of the router's.
 
-use crate::exec::Time;
+use crate::executor::Time;
 
 /// One whole frame.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/router-simulation/tests/joined_scenes.rs
+++ b/crates/router-simulation/tests/coalescing_scenarios.rs
@@ -1,8 +1,8 @@
 //! Joining's hard cases at an exact microsecond, with the real engine in between and the judge throughout.
 
-use router_simulation::exec::Time;
-use router_simulation::plan::{MILLI, SECOND};
-use router_simulation::scene::{DEADLINE, Does, LATENCY, Scene, Told};
+use router_simulation::executor::Time;
+use router_simulation::fault_plan::{MILLI, SECOND};
+use router_simulation::scenario::{DEADLINE, Does, LATENCY, Scene, Told};
 
 fn text(told: &Told) -> String {
     told.borrow()
@@ -35,9 +35,15 @@
 /// Nothing was broken, and nothing is held.
 fn ends_well(scene: &Scene) {
     assert_eq!(scene.breaches().len(), 0, "{:#?}", scene.breaches());
-    let held = scene.engine.holdings();
+    let held = scene.engine.resource_usage();
     assert_eq!(
-        (held.owed, held.open, held.held, held.waiters, held.flights),
+        (
+            held.unanswered_requests,
+            held.open_requests,
+            held.tracked_requests,
+            held.coalesced_waiters,
+            held.coalesced_flights
+        ),
         (0, 0, 0, 0, 0),
         "{held:?}"
     );
@@ -164,11 +170,11 @@
     scene.client(vec![(4 * SECOND, bytes)], Some(4 * SECOND + 100 * MILLI));
     scene.client(vec![(4 * SECOND, more)], Some(4 * SECOND + 200 * MILLI));
     scene.run_until(4 * SECOND + 199 * MILLI);
-    assert_eq!(scene.engine.holdings().flights, 1);
+    assert_eq!(scene.engine.resource_usage().coalesced_flights, 1);
     scene.run_until(4 * SECOND + 210 * MILLI);
     ends_well(&scene);
     assert_eq!(
-        scene.engine.holdings().idle,
+        scene.engine.resource_usage().idle_upstream_connections,
         0,
         "its connection went with it"
     );
@@ -380,7 +386,7 @@
         "{}",
         text(&again)
     );
-    assert_eq!(scene.engine.holdings().owed, 0);
+    assert_eq!(scene.engine.resource_usage().unanswered_requests, 0);
 }
 
 /// How many of 60 reads of the first tenant go out at once, after 150 of this one have shared one flight.
--- a/crates/router-simulation/tests/days.rs
+++ b/crates/router-simulation/tests/drawn_runs.rs
@@ -1,9 +1,9 @@
-//! Drawn days: they repeat to the step, keep the rules, and show what is planted.
+//! Drawn days: they repeat to the step, keep the rules, and catch what is mutated.
 
-use router_simulation::judge::Rule;
-use router_simulation::plan::{Kind, PAIRS, Plan};
-use router_simulation::play::{Keep, play};
-use router_simulation::rounds;
+use router_simulation::campaign;
+use router_simulation::fault_plan::{Kind, PAIRS, Plan};
+use router_simulation::invariant_checker::Rule;
+use router_simulation::run::{Keep, play};
 use std::process::{Command, Output};
 
 fn command(words: &[&str]) -> Output {
@@ -28,7 +28,7 @@
 #[test]
 fn a_seed_plays_alike_in_two_runs_and_on_two_threads() {
     for seed in [0, 7, 101] {
-        assert!(rounds::is_repeatable(seed, &[]), "seed {seed}");
+        assert!(campaign::is_repeatable(seed, &[]), "seed {seed}");
     }
 }
 
@@ -111,7 +111,7 @@
 #[test]
 fn days_that_once_broke_a_rule_break_none() {
     for seed in REGRESSIONS {
-        let report = play(&Plan::draw(seed, &[]), Keep::Verdict);
+        let report = play(&Plan::draw(seed, &[]), Keep::CandidateVerdict);
         assert!(
             report.breaches.is_empty(),
             "seed {seed}: {:?}",
@@ -125,7 +125,10 @@
     for seed in [3, 107] {
         let plan = Plan::draw_joining(seed, &[]);
         assert!(plan.bursts.iter().all(|burst| burst.asks.len() == 500));
-        let (first, again) = (play(&plan, Keep::Verdict), play(&plan, Keep::Verdict));
+        let (first, again) = (
+            play(&plan, Keep::CandidateVerdict),
+            play(&plan, Keep::CandidateVerdict),
+        );
         assert_eq!(first.digest, again.digest, "seed {seed}");
         assert!(
             first.breaches.is_empty(),
@@ -145,7 +148,7 @@
 #[test]
 fn days_with_crowds_that_once_failed_do_not() {
     for seed in [566, 1080, 2049] {
-        let report = play(&Plan::draw_joining(seed, &[]), Keep::Verdict);
+        let report = play(&Plan::draw_joining(seed, &[]), Keep::CandidateVerdict);
         assert!(
             report.breaches.is_empty(),
             "seed {seed}: {:?}",
@@ -191,30 +194,33 @@
     );
 }
 
-#[cfg(not(feature = "planted"))]
+#[cfg(not(feature = "mutations"))]
 #[test]
 fn without_the_feature_there_is_nothing_to_plant() {
     assert_eq!(command(&["mutants"]).status.code(), Some(2));
 }
 
 /// With the bugs built in: a failing day shrinks to less that fails still, and its replay fails alike.
-#[cfg(feature = "planted")]
+#[cfg(feature = "mutations")]
 #[test]
 fn a_failing_day_shrinks_and_replays_alike() {
-    use router_runtime::planted::{Bug, plant};
-    plant(Some(Bug::RepeatsUnsafe));
+    use router_runtime::mutation::{Mutation, activate};
+    activate(Some(Mutation::RepeatsUnsafe));
     let failing = (0..200)
         .map(|seed| Plan::draw(seed, &[]))
         .find(|plan| {
-            play(plan, Keep::Verdict)
+            play(plan, Keep::CandidateVerdict)
                 .breaches
                 .iter()
                 .any(|breach| breach.rule == Rule::Effects)
         })
         .expect("a day that shows the bug");
-    let least = rounds::shrink(&failing, Rule::Effects).expect("it fails");
-    let (first, again) = (play(&least, Keep::Verdict), play(&least, Keep::Trace));
-    plant(None);
+    let least = campaign::shrink(&failing, Rule::Effects).expect("it fails");
+    let (first, again) = (
+        play(&least, Keep::CandidateVerdict),
+        play(&least, Keep::Trace),
+    );
+    activate(None);
     assert!(
         least.asks.len() < failing.asks.len() / 10,
         "{} of {}",
@@ -230,15 +236,15 @@
             .any(|breach| breach.rule == Rule::Effects && !breach.steps.is_empty())
     );
     assert!(
-        play(&least, Keep::Verdict).breaches.is_empty(),
+        play(&least, Keep::CandidateVerdict).breaches.is_empty(),
         "without the bug the day is clean"
     );
 }
 
-#[cfg(not(feature = "planted"))]
+#[cfg(not(feature = "mutations"))]
 #[test]
 fn a_clean_day_does_not_shrink() {
-    assert_eq!(rounds::shrink(&Plan::draw(3, &[]), Rule::Effects), None);
+    assert_eq!(campaign::shrink(&Plan::draw(3, &[]), Rule::Effects), None);
 }
 
 /// A day's world holds itself by its timers: they have to be let go of, or 10,000 days fill any machine.
@@ -253,7 +259,8 @@
             .expect("resident pages");
         pages * 4
     };
-    let play_some = || (0..40).for_each(|seed| drop(play(&Plan::draw(seed, &[]), Keep::Verdict)));
+    let play_some =
+        || (0..40).for_each(|seed| drop(play(&Plan::draw(seed, &[]), Keep::CandidateVerdict)));
     play_some();
     let before = kilobytes();
     play_some();
--- a/crates/router-simulation/tests/judge.rs
+++ b/crates/router-simulation/tests/invariant_checker.rs
@@ -1,10 +1,10 @@
 //! The judge itself: wire traces that break each rule by the smallest margin, and ones that just keep it.
 
-use router_simulation::exec::{Node, Time};
-use router_simulation::judge::{Figures, Judge, Role, Rule, Shares};
+use router_simulation::executor::{Node, Time};
+use router_simulation::fault_plan::{CLASSES, MILLI, SECOND};
+use router_simulation::invariant_checker::{Figures, Judge, Role, Rule, Shares};
 use router_simulation::net::{Leaving, Observer, Side};
-use router_simulation::plan::{CLASSES, MILLI, SECOND};
-use router_simulation::scene::{MEMORY, figures};
+use router_simulation::scenario::{MEMORY, figures};
 use router_simulation::wire::{command, value_for};
 
 const ROUTER: Node = Node(0);
@@ -301,12 +301,12 @@
 
 #[test]
 fn two_attempts_out_together_break_rule_2_only_where_that_is_not_allowed() {
-    for second_copies in [true, false] {
+    for hedging in [true, false] {
         let mut wire = Wire::new();
         let names: Vec<(String, usize)> = (0..4).map(|i| (format!("s-{i:02}"), i % 2)).collect();
         let mut judge = Judge::new(
-            router_simulation::judge::Figures {
-                second_copies,
+            router_simulation::invariant_checker::Figures {
+                hedging,
                 ..figures()
             },
             &names,
@@ -324,7 +324,7 @@
         wire.sends(SECOND, a, 1, 0);
         wire.sends(SECOND + 1, b, 1, 0);
         wire.answers(SECOND + 2, client, &served(1));
-        assert_eq!(wire.rules(9 * SECOND) == [Rule::Effects], !second_copies);
+        assert_eq!(wire.rules(9 * SECOND) == [Rule::Effects], !hedging);
     }
 }
 
--- a/crates/router-simulation/tests/net.rs
+++ b/crates/router-simulation/tests/net.rs
@@ -1,10 +1,10 @@
 //! The simulated network and clock by themselves.
 
-use router_runtime::seam::{Datagrams, World};
-use router_simulation::dice::Dice;
-use router_simulation::exec::{Exec, Node, Time};
+use router_runtime::environment::{DatagramSocket, Environment};
+use router_simulation::executor::{Exec, Node, Time};
 use router_simulation::net::{DatagramWeather, Leaving, Net, Observer, Side, Weather};
-use router_simulation::scene::{LATENCY, calm};
+use router_simulation::rng::Dice;
+use router_simulation::scenario::{LATENCY, calm};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/router-simulation/tests/rare_scenes.rs
+++ b/crates/router-simulation/tests/rare_fault_scenarios.rs
@@ -1,9 +1,9 @@
 //! Rare orders of events at an exact microsecond, with the real engine in between; and the bugs that only they show.
 
-use router_simulation::exec::Time;
-use router_simulation::judge::Rule;
-use router_simulation::plan::{MILLI, SECOND};
-use router_simulation::scene::{Does, Scene};
+use router_simulation::executor::Time;
+use router_simulation::fault_plan::{MILLI, SECOND};
+use router_simulation::invariant_checker::Rule;
+use router_simulation::scenario::{Does, Scene};
 
 /// A client that leaves while the connection for its request hangs, which comes up 200 ms later.
 fn departure() -> Scene {
@@ -102,7 +102,7 @@
 fn nothing_of_a_client_that_left_reaches_a_server_and_its_connection_is_kept() {
     let scene = departure();
     assert_eq!((scene.all_seen(), scene.streams(0)), (0, 1));
-    assert_eq!(scene.engine.holdings().idle, 1);
+    assert_eq!(scene.engine.resource_usage().idle_upstream_connections, 1);
 }
 
 #[test]
@@ -131,25 +131,25 @@
 }
 
 /// With the bugs built in each is caught.
-#[cfg(feature = "planted")]
+#[cfg(feature = "mutations")]
 #[test]
 fn each_rare_bug_is_caught() {
-    use router_runtime::planted::{Bug, plant};
+    use router_runtime::mutation::{Mutation, activate};
     let bugs = [
-        Bug::SendsAfterDeparture,
-        Bug::OverlooksDepartures,
-        Bug::KeepsSilentPush,
-        Bug::DropsOwedAtTheEnd,
+        Mutation::SendsAfterDeparture,
+        Mutation::OverlooksDepartures,
+        Mutation::KeepsSilentPush,
+        Mutation::DropsOwedAtTheEnd,
     ];
     for ((play, rule), bug) in KINDS.into_iter().zip(bugs) {
-        plant(Some(bug));
+        activate(Some(bug));
         let scene = play();
-        plant(None);
+        activate(None);
         let is_caught = scene.breaches().iter().any(|breach| breach.rule == rule);
         assert!(is_caught, "{bug:?}: {:?}", scene.breaches());
     }
-    plant(Some(Bug::KeepsOldConnections));
+    activate(Some(Mutation::KeepsOldConnections));
     let streams = old_connection();
-    plant(None);
+    activate(None);
     assert_eq!(streams, 1, "the old one was used again");
 }
--- a/crates/router-simulation/tests/scenes.rs
+++ b/crates/router-simulation/tests/scenarios.rs
@@ -1,8 +1,8 @@
 //! Single events at an exact microsecond, with the real engine in between.
 
-use router_simulation::exec::Time;
-use router_simulation::plan::{MILLI, SECOND};
-use router_simulation::scene::{DEADLINE, Does, LATENCY, MEMORY, Scene, Told};
+use router_simulation::executor::Time;
+use router_simulation::fault_plan::{MILLI, SECOND};
+use router_simulation::scenario::{DEADLINE, Does, LATENCY, MEMORY, Scene, Told};
 
 /// A key that a scene's router sends to its first server: the ring is the same at every start.
 fn key_of(server: usize) -> u64 {
@@ -37,7 +37,7 @@
         "one answer, no value: {said}"
     );
     assert_eq!(scene.breaches().len(), 0, "{:?}", scene.breaches());
-    assert_eq!(scene.engine.holdings().open, 0);
+    assert_eq!(scene.engine.resource_usage().open_requests, 0);
 }
 
 /// The answer and the deadline in one microsecond; which is first is drawn. Both have to happen over some seeds, and
--- a/crates/router-simulation/tests/slow_origin.rs
+++ b/crates/router-simulation/tests/slow_origin.rs
@@ -1,8 +1,8 @@
 //! Metastable failures that a router must not fall into, as long scripted days: an origin that was slow, restarts into
 //! it, servers that fail quickly, many routers that each see little.
 
-use router_simulation::plan::{Ask, Fault, Kind, MILLI, Plan, SECOND};
-use router_simulation::play::{Keep, Report, play};
+use router_simulation::fault_plan::{Ask, Fault, Kind, MILLI, Plan, SECOND};
+use router_simulation::run::{Keep, Report, play};
 
 /// The origin is slow from here on ...
 const FROM: u64 = 5 * SECOND;
@@ -53,7 +53,7 @@
 }
 
 fn served_in_the_calm(plan: &Plan) -> u64 {
-    let Report { breaches, calm, .. } = play(plan, Keep::Verdict);
+    let Report { breaches, calm, .. } = play(plan, Keep::CandidateVerdict);
     assert!(breaches.is_empty(), "{breaches:?}");
     calm.1
 }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -5,8 +5,8 @@
 mod trace;
 mod wire;
 
-use load_balancer::params::{self, Deployment};
-use load_balancer::{Action, Columns, Router};
+use load_balancer::deployment::{self, Deployment};
+use load_balancer::{Action, LoadReportFormat, Router};
 use std::collections::HashMap;
 use std::io::{self, BufRead, BufWriter, Write};
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -17,8 +17,8 @@
 /// One instance: its router and the names of its settings.
 struct Instance {
     router: Router,
-    names: params::Names,
-    reports: Columns,
+    names: deployment::Names,
+    reports: LoadReportFormat,
 }
 
 /// Reads lines and counts them.
@@ -117,7 +117,7 @@
             match line.name() {
                 "commit" => {
                     if let Some(trace) = trace.as_mut().filter(|trace| trace.is_due(now)) {
-                        trace.line(now, instances.values().map(|i| i.router.view()))?;
+                        trace.line(now, instances.values().map(|i| i.router.diagnostics()))?;
                     }
                     break;
                 }
@@ -130,7 +130,7 @@
                         names,
                         reports,
                         ..
-                    } = params::read(pairs).map_err(WireError::from)?;
+                    } = deployment::read(pairs).map_err(WireError::from)?;
                     let router =
                         Router::new(settings, seed).map_err(|e| WireError::new(e.to_string()))?;
                     instances.insert(
--- a/crates/simulator-adapter/src/trace.rs
+++ b/crates/simulator-adapter/src/trace.rs
@@ -1,7 +1,7 @@
 //! What all routers of one process believe and do, a line a second, for finding out how a jam begins and what keeps
 //! it. Counts are of the second before; beliefs are means over the routers.
 
-use load_balancer::{Action, CacheNote, Event, Micros, Outcome, Verdict, View};
+use load_balancer::{Action, CacheStatus, CandidateVerdict, Diagnostics, Event, Micros, Outcome};
 use std::fs::File;
 use std::io::{self, BufWriter, Write};
 
@@ -27,13 +27,15 @@
     due: Micros,
     counts: Counts,
     /// Verdicts of all routers up to the last line.
-    verdicts: [u64; Verdict::ALL.len()],
+    verdicts: [u64; CandidateVerdict::ALL.len()],
 }
 
 impl Trace {
     pub fn create(path: &str) -> io::Result<Trace> {
         let mut to = BufWriter::new(File::create(path)?);
-        let verdicts = Verdict::ALL.map(|verdict| format!("{verdict:?}")).join(" ");
+        let verdicts = CandidateVerdict::ALL
+            .map(|verdict| format!("{verdict:?}"))
+            .join(" ");
         writeln!(
             to,
             "second asked again sent served missed errors full late refused | held fetches limit misses latefail \
@@ -54,10 +56,10 @@
                 counts.asked += 1;
                 counts.again += u32::from(ask.retry);
             }
-            Event::Ended(end) => {
+            Event::AttemptEnded(end) => {
                 counts.missed += u32::from(matches!(
-                    end.note,
-                    Some(CacheNote::Miss | CacheNote::MissPending)
+                    end.cache_status,
+                    Some(CacheStatus::Miss | CacheStatus::MissPending)
                 ));
                 match end.outcome {
                     Outcome::Success => counts.served += 1,
@@ -74,7 +76,7 @@
     pub fn action(&mut self, action: &Action) {
         match action {
             Action::Send { .. } => self.counts.sent += 1,
-            Action::Refuse { .. } | Action::Fail { .. } => self.counts.refused += 1,
+            Action::Reject { .. } | Action::Fail { .. } => self.counts.refused += 1,
             _ => {}
         }
     }
@@ -83,12 +85,17 @@
         now >= self.due
     }
 
-    pub fn line(&mut self, now: Micros, views: impl Iterator<Item = View>) -> io::Result<()> {
-        let views: Vec<View> = views.collect();
+    pub fn line(
+        &mut self,
+        now: Micros,
+        views: impl Iterator<Item = Diagnostics>,
+    ) -> io::Result<()> {
+        let views: Vec<Diagnostics> = views.collect();
         self.due = now.plus(STEP);
         let c = std::mem::take(&mut self.counts);
-        let mean =
-            |of: fn(&View) -> f64| views.iter().map(of).sum::<f64>() / views.len().max(1) as f64;
+        let mean = |of: fn(&Diagnostics) -> f64| {
+            views.iter().map(of).sum::<f64>() / views.len().max(1) as f64
+        };
         let before = std::mem::take(&mut self.verdicts);
         let sum = |i: usize| views.iter().map(|v| v.verdicts[i]).sum::<u64>();
         self.verdicts = std::array::from_fn(sum);
@@ -110,19 +117,19 @@
             c.full,
             c.late,
             c.refused,
-            mean(|v| v.held as f64),
-            mean(|v| f64::from(v.fetches.0)),
-            mean(|v| v.fetches.1),
-            mean(|v| v.misses),
-            mean(|v| v.late_failures),
-            mean(|v| v.tokens),
-            mean(|v| v.usual.as_secs_f64() * 1e3),
-            mean(|v| f64::from(v.at_work)),
-            mean(|v| v.limits.0),
-            mean(|v| v.limits.1),
-            mean(|v| v.limits.2),
-            mean(|v| v.ready as f64),
-            mean(|v| v.at_ease as f64),
+            mean(|v| v.pending_requests as f64),
+            mean(|v| f64::from(v.fetches_in_flight)),
+            mean(|v| v.fetch_limit),
+            mean(|v| v.miss_ratio),
+            mean(|v| v.late_failure_ratio),
+            mean(|v| v.retry_tokens),
+            mean(|v| v.typical_hit_latency.as_secs_f64() * 1e3),
+            mean(|v| f64::from(v.attempts_in_flight)),
+            mean(|v| v.limit_min),
+            mean(|v| v.limit_mean),
+            mean(|v| v.limit_max),
+            mean(|v| v.accepting as f64),
+            mean(|v| v.spare_capacity_reported as f64),
             verdicts,
         )?;
         self.to.flush()
