--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,7 +1,7 @@
 //! The wire's events and actions.
 
 use crate::Action;
-use load_balancer::params::{Names, ParamsError};
+use load_balancer::deployment::{DeploymentError, Names};
 use load_balancer::*;
 use std::fmt;
 use std::io::{self, Write};
@@ -22,8 +22,8 @@
     }
 }
 
-impl From<ParamsError> for WireError {
-    fn from(error: ParamsError) -> Self {
+impl From<DeploymentError> for WireError {
+    fn from(error: DeploymentError) -> Self {
         WireError(error.to_string())
     }
 }
@@ -182,15 +182,15 @@
 pub fn event(
     line: &mut Line<'_>,
     names: &Names,
-    reports: &Columns,
+    reports: &LoadReportFormat,
 ) -> Result<Option<Event>, WireError> {
     let event = match line.name() {
         "membership" => {
-            let kind = match line.text("mode")? {
-                "incr" => MembershipKind::Changes,
-                "total" => MembershipKind::Full,
-                "warm_copy" => MembershipKind::Cached,
-                "lost" => MembershipKind::Lost,
+            let update = match line.text("mode")? {
+                "incr" => EndpointUpdate::Delta,
+                "total" => EndpointUpdate::Snapshot,
+                "warm_copy" => EndpointUpdate::Restored,
+                "lost" => EndpointUpdate::WatchLost,
                 other => {
                     return Err(WireError(format!(
                         "membership: mode '{other}' is not known"
@@ -198,9 +198,9 @@
                 }
             };
             line.integer("stamp")?;
-            Event::Membership {
-                kind,
-                members: Vec::new(),
+            Event::EndpointsChanged {
+                update,
+                endpoints: Vec::new(),
             }
         }
         "arrival" => arrival(line, names)?,
@@ -209,7 +209,7 @@
             attempt: attempt(line)?,
         },
         "outcome" => outcome(line, reports)?,
-        "lapsed" => Event::Gone {
+        "lapsed" => Event::ClientDisconnected {
             id: line.request()?,
         },
         "due" => Event::Timer {
@@ -220,8 +220,8 @@
     Ok(Some(event))
 }
 
-fn attempt(line: &mut Line<'_>) -> Result<AttemptNo, WireError> {
-    Ok(AttemptNo(line.parsed("trial", "an attempt's number")?))
+fn attempt(line: &mut Line<'_>) -> Result<AttemptNumber, WireError> {
+    Ok(AttemptNumber(line.parsed("trial", "an attempt's number")?))
 }
 
 fn arrival(line: &mut Line<'_>, names: &Names) -> Result<Event, WireError> {
@@ -247,14 +247,14 @@
     }))
 }
 
-fn outcome(line: &mut Line<'_>, reports: &Columns) -> Result<Event, WireError> {
+fn outcome(line: &mut Line<'_>, reports: &LoadReportFormat) -> Result<Event, WireError> {
     let id = line.request()?;
     let complete = line.flag("complete")?;
     line.text("server")?;
-    let note = match line.optional::<u64>("detail", "a whole number")? {
-        Some(1) => Some(CacheNote::Hit),
-        Some(2) => Some(CacheNote::Miss),
-        Some(3) => Some(CacheNote::MissPending),
+    let cache_status = match line.optional::<u64>("detail", "a whole number")? {
+        Some(1) => Some(CacheStatus::Hit),
+        Some(2) => Some(CacheStatus::Miss),
+        Some(3) => Some(CacheStatus::MissPending),
         _ => None,
     };
     let outcome = match line.text("code")? {
@@ -263,18 +263,18 @@
         "overloaded" => Outcome::Overloaded,
         "timed_out" => Outcome::TimedOut,
         "unreachable" => Outcome::Unreachable,
-        "broken" => Outcome::Broken,
+        "broken" => Outcome::ConnectionLost,
         "withdrawn" => Outcome::Cancelled,
-        "void" => Outcome::Void,
+        "void" => Outcome::NotSent,
         "absent" => Outcome::Miss,
         other => return Err(WireError(format!("outcome: code '{other}' is not known"))),
     };
     let elapsed = line.time("elapsed")?;
     let attempt = attempt(line)?;
     let load = reports.read_row(line.text("load")?);
-    Ok(Event::Ended(AttemptEnd {
+    Ok(Event::AttemptEnded(AttemptEnd {
         complete,
-        note,
+        cache_status,
         load,
         ..AttemptEnd::new(id, attempt, outcome, elapsed)
     }))
@@ -288,17 +288,17 @@
     let cell = CellId(line.optional("bay", "a whole number")?.unwrap_or(0));
     let server = ServerId::from(line.text("server")?);
     let state = match line.text("state")? {
-        "Running" => ServerState::Ready,
-        "Stopping" => ServerState::Draining,
-        "Deleted" => ServerState::Gone,
+        "Running" => EndpointState::Ready,
+        "Stopping" => EndpointState::Draining,
+        "Deleted" => EndpointState::Removed,
         other => return Err(WireError(format!("item: state '{other}' is not known"))),
     };
     let zone = line.among("dc", &names.zones)?.map(ZoneId);
     let kind = line.among("class_of_host", &names.kinds)?.map(KindId);
     let started = line.optional_time("start_time")?.unwrap_or_default();
     let weight = line.optional("weight", "a number")?.unwrap_or(1.0);
-    if let Event::Membership { members, .. } = event {
-        members.push(Member {
+    if let Event::EndpointsChanged { endpoints, .. } = event {
+        endpoints.push(Endpoint {
             server,
             state,
             zone,
@@ -327,7 +327,7 @@
         Action::Cancel { id, attempt } => {
             writeln!(to, "retract\t{router}\t{}\t{}", id.0, attempt.0)
         }
-        Action::Refuse { id, retry_after } => {
+        Action::Reject { id, retry_after } => {
             let pause = retry_after.map_or(0.0, Micros::as_secs_f64);
             writeln!(to, "busy\t{router}\t{}\t{pause}", id.0)
         }
--- a/tests/all.sh
+++ b/tests/all.sh
@@ -12,11 +12,11 @@
 cargo build --release --locked
 cargo run --release --locked --quiet -p load-balancer --example two_routers
 
-# Simulated days: a fixed set of seeds, and every planted bug caught. The feature that holds the bugs is built apart.
+# Simulated days: a fixed set of seeds, and every mutation caught. The feature that holds the mutations is built apart.
 target/release/router-simulation run --seeds 0..1050
 target/release/router-simulation run --joining --seeds 0..1000
-cargo run --release --locked --quiet -p router-simulation --features planted --target-dir target/planted -- mutants
-cargo test --release --locked --quiet -p router-simulation --features planted --target-dir target/planted --test days --test rare_scenes
+cargo run --release --locked --quiet -p router-simulation --features mutations --target-dir target/mutations -- mutants
+cargo test --release --locked --quiet -p router-simulation --features mutations --target-dir target/mutations --test drawn_runs --test rare_fault_scenarios
 
 # Package names that were replaced do not come back. The changelog, the roadmap's landings and the journal keep them.
 removed='onyxpick|asterport[-_](engine|joining|life|handover|admin|load|sim|testkit)\b'
