--- a/crates/request-coalescing/src/coalescer.rs
+++ b/crates/request-coalescing/src/coalescer.rs
@@ -1,526 +1,314 @@
-//! The decisions: who shares what, for how long, and what each is told.
+//! The coalescing decisions: which reads share a flight, for how long, and what each waiter is answered.
 //!
-//! The path of a read: a flight for the same that is still open to newcomers -> join it; none, or one that hangs ->
-//! open one; past a bound -> alone. A write on a key closes the key's flights to newcomers. An answer goes to all who
-//! wait for it, in flights for the same begun earlier too.
+//! A read joins the youngest open flight for the same class, key and variant. Without one, or if that one hangs, it
+//! opens a flight; past a bound it bypasses coalescing. A write on a key closes the key's flights to newcomers. A
+//! served answer goes to the waiters of the flight and to those of earlier flights for the same read.
 
+use crate::counters::Counters;
+use crate::event::{Action, Event, FlightId, FlightOutcome, Read};
+use crate::flight_table::{Flight, FlightTable};
 use crate::latency_tracker::LatencyTracker;
+use crate::retry_after::RetryAfter;
 use crate::settings::{Bounds, ClassSettings};
-use load_balancer::{ClassId, Micros, RequestId, TenantId};
-use rustc_hash::FxHashMap;
-use std::collections::{BTreeSet, HashMap};
-use std::fmt;
-
-/// A flight, by the name of the request of the decision library that it is: the id of its first waiter.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct FlightId(pub RequestId);
-
-/// A read that may be joined.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Read<'a> {
-    /// Its name; never used twice.
-    pub id: RequestId,
-    /// Its class.
-    pub class: ClassId,
-    /// Who sends it.
-    pub tenant: Option<TenantId>,
-    /// The key, which writes name too.
-    pub key: &'a [u8],
-    /// What else changes the answer, in any form that is equal for equal reads.
-    pub what: &'a [u8],
-    /// When its client gives up.
-    pub expires: Micros,
-}
-
-/// How a flight ended.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FlightOutcome {
-    /// With an answer.
-    Served,
-    /// Declined, with advice on when to come back.
-    Rejected(Option<Micros>),
-    /// With nothing promised.
-    Failed,
-}
-
-/// What happens.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Event<'a> {
-    /// A read came that may be joined. Exactly one [`Action::Open`], [`Action::Join`] or [`Action::Alone`] follows.
-    Read(Read<'a>),
-    /// A write on this key was taken or has ended, however it did.
-    Write {
-        /// The key.
-        key: &'a [u8],
-    },
-    /// A waiter's client left.
-    ClientDisconnected {
-        /// The waiter.
-        id: RequestId,
-    },
-    /// A further attempt has gone out for the flight, since the one before failed.
-    Retried {
-        /// The flight.
-        flight: FlightId,
-    },
-    /// A flight has its final answer.
-    Ended {
-        /// The flight.
-        flight: FlightId,
-        /// How.
-        how: FlightOutcome,
-    },
-    /// The time that [`Coalescer::next_due`] named has come.
-    Due,
-}
-
-/// What is to be done, in order.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Action {
-    /// Open a flight as the request of the read that came, with all that it says.
-    Open {
-        /// The flight.
-        flight: FlightId,
-    },
-    /// The read that came waits for this flight; the decision library hears of it.
-    Join {
-        /// The flight.
-        flight: FlightId,
-        /// Who joins it.
-        tenant: Option<TenantId>,
-        /// Until when the flight may take.
-        expires: Micros,
-    },
-    /// The read that came goes its own way.
-    Alone {
-        /// The read.
-        id: RequestId,
-    },
-    /// A waiter's final answer: the one of the flight that [`Event::Ended`] has just named if it is served.
-    Answer {
-        /// The waiter.
-        id: RequestId,
-        /// What it is told.
-        how: FlightOutcome,
-    },
-    /// The waiter with the most time has left: the flight may take no longer than this. The decision library hears of it.
-    Shorten {
-        /// The flight.
-        flight: FlightId,
-        /// Until when it may take.
-        expires: Micros,
-    },
-    /// Nobody waits for this flight: it is to end, with its attempt. Its end is not to be told.
-    Withdraw {
-        /// The flight.
-        flight: FlightId,
-    },
-}
-
-/// What passed so far; for operators.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counters {
-    /// Flights opened.
-    pub flights: u64,
-    /// Reads that joined one.
-    pub joined: u64,
-    /// Reads that travelled alone past a bound.
-    pub alone: u64,
-    /// Of the flights, those opened since an earlier one hung.
-    pub second: u64,
-    /// Flights closed to newcomers by a write.
-    pub closed: u64,
-    /// Flights that nobody waited for any more.
-    pub withdrawn: u64,
-    /// Waiters whose own time was up first.
-    pub expired: u64,
-    /// Waiters refused since a further attempt of their flight could not have helped them in time.
-    pub outrun: u64,
-}
-
-impl fmt::Display for Counters {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Counters {
-            flights,
-            joined,
-            alone,
-            second,
-            closed,
-            withdrawn,
-            expired,
-            outrun,
-        } = self;
-        write!(
-            f,
-            "{flights} flights, {joined} joined, {alone} alone, {second} second, {closed} closed, {withdrawn} withdrawn, {expired} expired, {outrun} outrun"
-        )
-    }
-}
-
-#[derive(Debug)]
-struct Waiter {
-    flight: FlightId,
-    /// Its place among the flight's waiters.
-    place: u32,
-    expires: Micros,
+use load_balancer::{Micros, RequestId};
+
+/// How a read is forwarded.
+#[derive(Clone, Copy, Debug)]
+enum ReadDecision {
+    /// It waits for this flight.
+    Join(FlightId),
+    /// It opens the only flight for this read.
+    Open,
+    /// It opens a flight beside a hung one.
+    OpenReplacement,
+    /// It is forwarded as a request of its own.
+    Bypass,
 }
 
+/// What the coalescer knows of a request class.
 #[derive(Debug)]
-struct Flight {
-    key: Box<[u8]>,
-    what: Box<[u8]>,
-    class: ClassId,
-    /// Flights are numbered in the order in which they began.
-    number: u64,
-    began: Micros,
-    /// The latest of its waiters' ends.
-    expires: Micros,
-    /// Newcomers may join.
-    open: bool,
-    waiters: Vec<RequestId>,
+struct ClassState {
+    latency: LatencyTracker,
+    minimum_retry_time: Micros,
 }
 
-/// See the module.
+/// Decides which identical reads share one upstream request (singleflight).
+///
+/// It has no clock and no I/O: [`Coalescer::handle`] takes events with their time and returns actions.
 #[derive(Debug)]
 pub struct Coalescer {
     bounds: Bounds,
-    /// The longest advice; `None`: none is given.
-    advice: Option<Micros>,
-    paces: Vec<LatencyTracker>,
-    /// What a further attempt needs, by class.
-    needs: Vec<Micros>,
-    /// These two by names that no client chooses, so that a quick hash will do.
-    flights: FxHashMap<FlightId, Flight>,
-    /// Of each key with flights: those, the youngest last.
-    keys: HashMap<Box<[u8]>, Vec<FlightId>>,
-    waiters: FxHashMap<RequestId, Waiter>,
-    due: BTreeSet<(Micros, RequestId)>,
+    retry_after: RetryAfter,
+    classes: Vec<ClassState>,
+    table: FlightTable,
     counters: Counters,
 }
 
 impl Coalescer {
-    /// Nothing is joined yet. `classes` are those of the deployment, in the order of their numbers.
+    /// A coalescer without flights. `classes` has one entry for each class of the deployment, indexed by its id.
     pub fn new(bounds: Bounds, classes: &[ClassSettings]) -> Coalescer {
+        let classes = classes.iter().map(|class| ClassState {
+            latency: LatencyTracker::new(class.latency_objective),
+            minimum_retry_time: class.minimum_retry_time,
+        });
         Coalescer {
             bounds,
-            advice: None,
-            paces: classes
-                .iter()
-                .map(|class| LatencyTracker::new(class.latency_objective))
-                .collect(),
-            needs: classes.iter().map(|class| class.needs).collect(),
-            flights: FxHashMap::default(),
-            keys: HashMap::new(),
-            waiters: FxHashMap::default(),
-            due: BTreeSet::new(),
+            retry_after: RetryAfter { maximum: None },
+            classes: classes.collect(),
+            table: FlightTable::default(),
             counters: Counters::default(),
         }
     }
 
-    /// Refusals may say when to come back, at the latest after so long.
+    /// Gives rejected waiters a Retry-After of at most `most`; `None`: none is given.
     pub fn advising(self, most: Option<Micros>) -> Coalescer {
         Coalescer {
-            advice: most,
+            retry_after: RetryAfter { maximum: most },
             ..self
         }
     }
 
-    /// Takes one event that happened at `now` and appends what is to be done.
-    pub fn handle(&mut self, now: Micros, event: Event<'_>, out: &mut Vec<Action>) {
+    /// Takes one event that happens at `now` and appends the actions it causes.
+    pub fn handle(&mut self, now: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
         match event {
-            Event::Read(read) => self.on_read(now, &read, out),
+            Event::Read(read) => self.on_read(now, &read, actions),
             Event::Write { key } => self.on_write(key),
-            Event::ClientDisconnected { id } => self.leave(now, id, out),
-            Event::Retried { flight } => self.on_again(now, flight, out),
-            Event::Ended { flight, how } => self.on_ended(now, flight, how, out),
-            Event::Due => self.on_due(now, out),
+            Event::ClientDisconnected { id } => self.remove_waiter(now, id, actions),
+            Event::Retried { flight } => self.on_retried(now, flight, actions),
+            Event::Ended { flight, how } => self.on_ended(now, flight, how, actions),
+            Event::Due => self.on_due(now, actions),
         }
     }
 
-    /// When the next waiter's time is up.
+    /// The first deadline of all waiters: when [`Event::Due`] is expected.
     pub fn next_due(&self) -> Option<Micros> {
-        self.due.first().map(|due| due.0)
+        self.table.next_deadline()
     }
 
-    /// What passed.
+    /// Counts since the start of the process.
     pub fn counters(&self) -> Counters {
         self.counters
     }
 
     /// Waiters and flights at the moment.
     pub fn held(&self) -> (usize, usize) {
-        (self.waiters.len(), self.flights.len())
+        (self.table.waiter_count(), self.table.flight_count())
     }
 
     /// The age of the oldest flight, for operators who look for one that hangs.
     pub fn oldest(&self, now: Micros) -> Option<Micros> {
-        self.flights
-            .values()
-            .map(|flight| now.since(flight.began))
-            .max()
+        let opened_at = self.table.oldest_opened_at()?;
+        Some(now.since(opened_at))
     }
 
-    fn on_read(&mut self, now: Micros, read: &Read<'_>, out: &mut Vec<Action>) {
-        let class = read.class.0;
-        if self.waiters.len() >= self.bounds.waiters
-            || class >= self.paces.len()
-            || read.expires <= now
-        {
-            return self.alone(read, out);
-        }
-        let of_key: &[FlightId] = self.keys.get(read.key).map_or(&[], Vec::as_slice);
-        let same = of_key.iter().rev().filter(|id| {
-            let flight = &self.flights[id];
-            flight.open && flight.class == read.class && *flight.what == *read.what
-        });
-        let (mut youngest, mut open) = (None, 0);
-        for &flight in same {
-            youngest = youngest.or(Some(flight));
-            open += 1;
-        }
-        let pace = &self.paces[class];
-        let hangs =
-            |id: FlightId| !pace.is_slow() && now.since(self.flights[&id].began) > pace.hangs_at();
-        match youngest {
-            Some(flight) if open > self.bounds.second_flights || !hangs(flight) => {
-                self.join(flight, read, out)
+    fn on_read(&mut self, now: Micros, read: &Read<'_>, actions: &mut Vec<Action>) {
+        match self.decide(now, read) {
+            ReadDecision::Join(flight) => self.join(flight, read, actions),
+            ReadDecision::Open => self.open(now, read, actions),
+            ReadDecision::OpenReplacement => {
+                self.counters.replacements += 1;
+                self.open(now, read, actions);
             }
-            _ if of_key.len() >= self.bounds.flights_per_key => self.alone(read, out),
-            older => {
-                self.counters.second += u64::from(older.is_some());
-                self.open(now, read, out);
+            ReadDecision::Bypass => {
+                self.counters.bypassed += 1;
+                actions.push(Action::Alone { id: read.id });
             }
         }
     }
 
-    fn alone(&mut self, read: &Read<'_>, out: &mut Vec<Action>) {
-        self.counters.alone += 1;
-        out.push(Action::Alone { id: read.id });
-    }
-
-    fn join(&mut self, id: FlightId, read: &Read<'_>, out: &mut Vec<Action>) {
-        let Some(flight) = self.flights.get_mut(&id) else {
-            return;
+    fn decide(&self, now: Micros, read: &Read<'_>) -> ReadDecision {
+        let Some(class) = self.classes.get(read.class.0) else {
+            return ReadDecision::Bypass;
         };
-        if flight.waiters.len() >= self.bounds.waiters_per_flight {
-            return self.alone(read, out);
+        if self.table.waiter_count() >= self.bounds.waiters || read.expires <= now {
+            return ReadDecision::Bypass;
+        }
+        let is_hung = |flight: &Flight| {
+            let age = now.since(flight.opened_at);
+            !class.latency.is_slow() && age > class.latency.hung_after()
+        };
+        let mut joinable = self.table.joinable(read);
+        let youngest = joinable.next();
+        let older_count = joinable.count();
+        if let Some((id, flight)) = youngest
+            && (older_count >= self.bounds.replacement_flights || !is_hung(flight))
+        {
+            return if flight.waiters.len() >= self.bounds.waiters_per_flight {
+                ReadDecision::Bypass
+            } else {
+                ReadDecision::Join(id)
+            };
+        }
+        if self.table.flights_of_key(read.key).len() >= self.bounds.flights_per_key {
+            return ReadDecision::Bypass;
+        }
+        if youngest.is_some() {
+            ReadDecision::OpenReplacement
+        } else {
+            ReadDecision::Open
         }
-        self.counters.joined += 1;
-        flight.expires = flight.expires.max(read.expires);
-        let expires = flight.expires;
-        self.wait(id, read);
-        out.push(Action::Join {
-            flight: id,
-            tenant: read.tenant,
-            expires,
-        });
     }
 
-    fn open(&mut self, now: Micros, read: &Read<'_>, out: &mut Vec<Action>) {
-        let id = FlightId(read.id);
-        self.counters.flights += 1;
-        let flight = Flight {
-            key: read.key.into(),
-            what: read.what.into(),
-            class: read.class,
-            number: self.counters.flights,
-            began: now,
-            expires: read.expires,
-            open: true,
-            waiters: Vec::new(),
-        };
-        self.flights.insert(id, flight);
-        match self.keys.get_mut(read.key) {
-            Some(flights) => flights.push(id),
-            None => _ = self.keys.insert(read.key.into(), vec![id]),
+    fn join(&mut self, flight: FlightId, read: &Read<'_>, actions: &mut Vec<Action>) {
+        if let Some(expires) = self.table.add_waiter(flight, read) {
+            self.counters.joined += 1;
+            actions.push(Action::Join {
+                flight,
+                tenant: read.tenant,
+                expires,
+            });
         }
-        self.wait(id, read);
-        out.push(Action::Open { flight: id });
     }
 
-    fn wait(&mut self, id: FlightId, read: &Read<'_>) {
-        let Some(flight) = self.flights.get_mut(&id) else {
-            return;
-        };
-        let place = flight.waiters.len() as u32;
-        flight.waiters.push(read.id);
-        self.waiters.insert(
-            read.id,
-            Waiter {
-                flight: id,
-                place,
-                expires: read.expires,
-            },
-        );
-        self.due.insert((read.expires, read.id));
+    fn open(&mut self, now: Micros, read: &Read<'_>, actions: &mut Vec<Action>) {
+        self.counters.flights += 1;
+        let flight = self.table.open(now, read);
+        actions.push(Action::Open { flight });
     }
 
-    /// Guards reads that come after a write began: what an earlier flight brings may be from before it. Heard again at
-    /// the write's end, it guards those that come after its answer: flights begun meanwhile may have been quicker than
-    /// the write.
+    /// Closes the key's flights, so that no read sees a value from before a write that it follows.
+    ///
+    /// At the write's begin, open flights may bring the value from before it. At its end, flights opened meanwhile may
+    /// have reached the server first.
     fn on_write(&mut self, key: &[u8]) {
-        for id in self.keys.get(key).map_or(&[][..], Vec::as_slice) {
-            if let Some(flight) = self.flights.get_mut(id) {
-                self.counters.closed += u64::from(std::mem::replace(&mut flight.open, false));
-            }
-        }
+        self.counters.closed += self.table.close_to_newcomers(key);
     }
 
-    /// A waiter waits no more; its flight ends with the last one.
-    fn leave(&mut self, now: Micros, id: RequestId, out: &mut Vec<Action>) {
-        let Some(waiter) = self.waiters.remove(&id) else {
+    /// Removes a waiter; its flight ends with the last one, and is shortened if this one had the latest deadline.
+    fn remove_waiter(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(waiter) = self.table.remove_waiter(id) else {
             return;
         };
-        self.due.remove(&(waiter.expires, id));
-        let Some(flight) = self.flights.get_mut(&waiter.flight) else {
+        let Some(flight) = self.table.flight(waiter.flight) else {
             return;
         };
-        let place = waiter.place as usize;
-        flight.waiters.swap_remove(place);
-        if let Some(moved) = flight
-            .waiters
-            .get(place)
-            .and_then(|moved| self.waiters.get_mut(moved))
-        {
-            moved.place = waiter.place;
-        }
         if flight.waiters.is_empty() {
-            self.counters.withdrawn += 1;
-            if let Some(flight) = self.forget(waiter.flight) {
-                self.learn(now, &flight, false);
-            }
-            out.push(Action::Withdraw {
-                flight: waiter.flight,
-            });
+            self.withdraw(now, waiter.flight, actions);
         } else if waiter.expires == flight.expires {
-            // Seldom so unless it is meant: of those who leave one has the most time, and of those whose time is up none.
-            let longest = flight
-                .waiters
-                .iter()
-                .map(|id| self.waiters[id].expires)
-                .max()
-                .unwrap_or_default();
-            if longest < std::mem::replace(&mut flight.expires, longest) {
-                out.push(Action::Shorten {
+            // Only then does the scan of all waiters run: of those whose deadline is reached none has the latest.
+            if let Some(expires) = self.table.shorten_to_waiters(waiter.flight) {
+                actions.push(Action::Shorten {
                     flight: waiter.flight,
-                    expires: longest,
+                    expires,
                 });
             }
         }
     }
 
-    fn forget(&mut self, id: FlightId) -> Option<Flight> {
-        let flight = self.flights.remove(&id)?;
-        if let Some(of_key) = self.keys.get_mut(&flight.key) {
-            of_key.retain(|&other| other != id);
-            if of_key.is_empty() {
-                self.keys.remove(&flight.key);
-            }
+    fn withdraw(&mut self, now: Micros, id: FlightId, actions: &mut Vec<Action>) {
+        self.counters.withdrawn += 1;
+        if let Some(flight) = self.table.remove_flight(id) {
+            self.record_unserved(now, &flight);
         }
-        Some(flight)
+        actions.push(Action::Withdraw { flight: id });
     }
 
-    /// Waiters whose time is up. Reads are harmless to repeat, so that they are declined.
-    fn on_due(&mut self, now: Micros, out: &mut Vec<Action>) {
-        while let Some(&(_, id)) = self.due.first().filter(|due| due.0 <= now) {
+    /// Rejects waiters at their deadline: a read is idempotent, so that the client may send it again.
+    fn on_due(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        while let Some(id) = self.table.first_expired(now) {
             self.counters.expired += 1;
-            let usual = self.usual_of(id);
-            out.push(Action::Answer {
+            let retry_after = self.retry_after.spread(id, self.typical_latency(id));
+            actions.push(Action::Answer {
                 id,
-                how: FlightOutcome::Rejected(self.advice_for(id, usual)),
+                how: FlightOutcome::Rejected(retry_after),
             });
-            self.leave(now, id, out);
+            self.remove_waiter(now, id, actions);
         }
     }
 
-    /// One further attempt is out for all. Those whom it cannot help in time are told so now.
-    fn on_again(&mut self, now: Micros, flight: FlightId, out: &mut Vec<Action>) {
-        let Some(of) = self.flights.get(&flight) else {
+    /// Rejects the waiters for whom the retry comes too late. The one with the latest deadline stays: the decision
+    /// library has allowed the retry for it.
+    fn on_retried(&mut self, now: Micros, id: FlightId, actions: &mut Vec<Action>) {
+        let Some(flight) = self.table.flight(id) else {
             return;
         };
-        let needs = self.needs[of.class.0];
-        // The one with the most time has been found to have enough of it.
-        let in_vain = |id: &RequestId| {
-            let expires = self.waiters[id].expires;
-            expires.since(now) < needs && expires < of.expires
+        let minimum_retry_time = self.classes[flight.class.0].minimum_retry_time;
+        let is_too_late = |waiter: &RequestId| {
+            let Some(waiter) = self.table.waiter(*waiter) else {
+                return false;
+            };
+            waiter.expires.since(now) < minimum_retry_time && waiter.expires < flight.expires
         };
-        let outrun: Vec<RequestId> = of.waiters.iter().copied().filter(in_vain).collect();
-        for id in outrun {
-            self.counters.outrun += 1;
-            out.push(Action::Answer {
+        let rejected: Vec<RequestId> = flight.waiters.iter().copied().filter(is_too_late).collect();
+        for id in rejected {
+            self.counters.retry_too_late += 1;
+            let retry_after = self.retry_after.spread(id, Some(minimum_retry_time));
+            actions.push(Action::Answer {
                 id,
-                how: FlightOutcome::Rejected(self.advice_for(id, Some(needs))),
+                how: FlightOutcome::Rejected(retry_after),
             });
-            self.leave(now, id, out);
+            self.remove_waiter(now, id, actions);
         }
     }
 
-    /// The answer goes to all who wait for it. Served, it is as good for those of earlier flights for the same, which
-    /// are still out: it was made after they asked.
-    fn on_ended(&mut self, now: Micros, id: FlightId, how: FlightOutcome, out: &mut Vec<Action>) {
-        let Some(flight) = self.forget(id) else {
+    /// Answers all waiters of a flight. A served answer also ends the earlier flights for the same read: it was
+    /// produced after their waiters asked.
+    fn on_ended(
+        &mut self,
+        now: Micros,
+        id: FlightId,
+        outcome: FlightOutcome,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(flight) = self.table.remove_flight(id) else {
             return;
         };
-        let served = how == FlightOutcome::Served;
-        self.learn(now, &flight, served);
-        self.tell(&flight, how, out);
-        if !served {
+        let is_served = outcome == FlightOutcome::Served;
+        if is_served {
+            self.record_served(now, &flight);
+        } else {
+            self.record_unserved(now, &flight);
+        }
+        self.answer_waiters(&flight, outcome, actions);
+        if !is_served {
             return;
         }
-        let before = |other: &FlightId| {
-            let other = &self.flights[other];
-            other.number < flight.number && other.class == flight.class && other.what == flight.what
-        };
-        let of_key = self.keys.get(&flight.key).map_or(&[][..], Vec::as_slice);
-        let older: Vec<FlightId> = of_key.iter().copied().filter(before).collect();
-        for id in older {
-            if let Some(older) = self.forget(id) {
-                self.learn(now, &older, false);
-                self.tell(&older, how, out);
-                out.push(Action::Withdraw { flight: id });
+        for earlier_id in self.earlier_flights(&flight) {
+            if let Some(earlier) = self.table.remove_flight(earlier_id) {
+                self.record_unserved(now, &earlier);
+                self.answer_waiters(&earlier, outcome, actions);
+                actions.push(Action::Withdraw { flight: earlier_id });
             }
         }
     }
 
-    fn learn(&mut self, now: Micros, flight: &Flight, served: bool) {
-        let (pace, age) = (&mut self.paces[flight.class.0], now.since(flight.began));
-        if served {
-            pace.answered(age)
-        } else {
-            pace.unanswered(age)
-        }
+    /// Flights for the same read that were opened before this one.
+    fn earlier_flights(&self, flight: &Flight) -> Vec<FlightId> {
+        let is_earlier = |id: &FlightId| {
+            self.table
+                .flight(*id)
+                .is_some_and(|other| other.sequence < flight.sequence && other.is_same_read(flight))
+        };
+        let of_key = self.table.flights_of_key(&flight.key);
+        of_key.iter().copied().filter(is_earlier).collect()
     }
 
-    fn tell(&mut self, flight: &Flight, how: FlightOutcome, out: &mut Vec<Action>) {
+    fn answer_waiters(&self, flight: &Flight, outcome: FlightOutcome, actions: &mut Vec<Action>) {
         for &id in &flight.waiters {
-            if let Some(waiter) = self.waiters.remove(&id) {
-                self.due.remove(&(waiter.expires, id));
-            }
-            let how = match how {
-                FlightOutcome::Rejected(Some(after)) => {
-                    FlightOutcome::Rejected(self.advice_for(id, Some(after)))
+            let outcome = match outcome {
+                FlightOutcome::Rejected(Some(estimate)) => {
+                    FlightOutcome::Rejected(self.retry_after.spread(id, Some(estimate)))
                 }
-                how => how,
+                outcome => outcome,
             };
-            out.push(Action::Answer { id, how });
+            actions.push(Action::Answer { id, how: outcome });
         }
     }
 
-    fn usual_of(&self, waiter: RequestId) -> Option<Micros> {
-        let flight = self.flights.get(&self.waiters.get(&waiter)?.flight)?;
-        self.paces[flight.class.0].usual()
+    fn record_served(&mut self, now: Micros, flight: &Flight) {
+        let latency = now.since(flight.opened_at);
+        self.classes[flight.class.0].latency.record_served(latency);
+    }
+
+    fn record_unserved(&mut self, now: Micros, flight: &Flight) {
+        let age = now.since(flight.opened_at);
+        self.classes[flight.class.0].latency.record_unserved(age);
     }
 
-    /// When to come back: those who are declined together are not to return together, so that each is told another
-    /// time, evenly spread over as long again as the advice for one.
-    fn advice_for(&self, id: RequestId, after: Option<Micros>) -> Option<Micros> {
-        let most = self.advice?;
-        let after = after
-            .unwrap_or(most)
-            .min(most.scaled(0.5))
-            .max(Micros::from_millis(1));
-        // The golden ratio's multiples spread evenly however many there are.
-        let place = f64::from(id.0.wrapping_mul(0x9E37_79B9)) / f64::from(u32::MAX);
-        Some(after.scaled(1.0 + place))
+    /// The typical latency of the class of a waiter's flight.
+    fn typical_latency(&self, waiter: RequestId) -> Option<Micros> {
+        let waiter = self.table.waiter(waiter)?;
+        let flight = self.table.flight(waiter.flight)?;
+        self.classes[flight.class.0].latency.typical()
     }
 }
--- a/crates/request-coalescing/src/lib.rs
+++ b/crates/request-coalescing/src/lib.rs
@@ -1,15 +1,21 @@
-//! Which identical reads share one upstream request (request coalescing, "single flight"). Decisions alone: events with
-//! their time in, actions out, no I/O and no clock. It stands between the fronts and the decision library, which goes on
-//! to choose servers, further attempts and refusals.
+//! Request coalescing (singleflight): decides which identical reads share one upstream request.
 //!
-//! A *flight* is one request of the decision library that some *waiters* share. It is opened for its first waiter and
-//! ends with its answer or with its last waiter; nothing outlives it, and no value is kept.
+//! The crate has no I/O and no clock: events with their time go in, actions come out. It stands between the downstream
+//! connections and the decision library, which still chooses servers and decides on retries and rejections.
+//!
+//! A *flight* is one request of the decision library that one or more *waiters* share. It is opened for its first
+//! waiter and ends with its answer or with its last waiter. No value is cached beyond that.
+//!
+//! A read *bypasses* coalescing ([`Action::Alone`]) where a bound is reached: it is forwarded as a request of its own.
 //!
 //! ```
 //! use request_coalescing::*;
 //! use load_balancer::{ClassId, Micros, RequestId};
 //!
-//! let classes = [ClassSettings { latency_objective: Micros::from_millis(100), needs: Micros::from_millis(20) }];
+//! let classes = [ClassSettings {
+//!     latency_objective: Micros::from_millis(100),
+//!     minimum_retry_time: Micros::from_millis(20),
+//! }];
 //! let mut coalescer = Coalescer::new(Bounds::default(), &classes);
 //! let read = |id| Event::Read(Read {
 //!     id: RequestId(id),
@@ -19,7 +25,8 @@
 //!     what: b"",
 //!     expires: Micros::from_millis(1_000),
 //! });
-//! let (mut actions, now) = (Vec::new(), Micros::from_millis(500));
+//! let now = Micros::from_millis(500);
+//! let mut actions = Vec::new();
 //! coalescer.handle(now, read(1), &mut actions);
 //! coalescer.handle(now, read(2), &mut actions);
 //! let flight = FlightId(RequestId(1));
@@ -31,8 +38,15 @@
 //! ```
 
 mod coalescer;
+mod counters;
+mod event;
+mod flight_table;
 mod latency_tracker;
+mod retry_after;
 mod settings;
 
-pub use coalescer::{Action, Coalescer, Counters, Event, FlightId, FlightOutcome, Read};
+pub use coalescer::Coalescer;
+pub use counters::Counters;
+pub use event::{Action, Event, FlightId, FlightOutcome, Read};
+pub use latency_tracker::LatencyTracker;
 pub use settings::{Bounds, ClassSettings, CoalescingFile, CoalescingRules, SettingsError};
--- /dev/null
+++ b/crates/request-coalescing/src/retry_after.rs
@@ -0,0 +1,33 @@
+//! When a rejected waiter may send its read again (Retry-After).
+
+use load_balancer::{Micros, RequestId};
+
+/// The shortest Retry-After.
+const SHORTEST: Micros = Micros::from_millis(1);
+/// The longest estimate, as a part of the maximum: spreading at most doubles it.
+const LONGEST_ESTIMATE_RATIO: f64 = 0.5;
+/// 2^32 over the golden ratio: multiples of it, modulo 2^32, spread evenly whatever their count.
+const GOLDEN_RATIO_MULTIPLIER: u32 = 0x9E37_79B9;
+
+/// Computes the Retry-After of each rejected waiter.
+#[derive(Debug)]
+pub(crate) struct RetryAfter {
+    /// The longest one; `None`: none is given.
+    pub maximum: Option<Micros>,
+}
+
+impl RetryAfter {
+    /// The Retry-After for one waiter: between `estimate` and twice that, by its id.
+    ///
+    /// Waiters that are rejected together do not return together: consecutive ids spread evenly over the interval.
+    pub fn spread(&self, id: RequestId, estimate: Option<Micros>) -> Option<Micros> {
+        let maximum = self.maximum?;
+        let shortest = estimate
+            .unwrap_or(maximum)
+            .min(maximum.scaled(LONGEST_ESTIMATE_RATIO))
+            .max(SHORTEST);
+        let hash = id.0.wrapping_mul(GOLDEN_RATIO_MULTIPLIER);
+        let position = f64::from(hash) / f64::from(u32::MAX);
+        Some(shortest.scaled(1.0 + position))
+    }
+}
--- a/crates/request-coalescing/src/settings.rs
+++ b/crates/request-coalescing/src/settings.rs
@@ -1,10 +1,14 @@
-//! What operators set, and its checks.
+//! The `[joining]` table of the operator file: its form, its checks, and the rules it yields for a deployment.
 
 use load_balancer::{Class, Idempotency, Micros, deployment::Deployment};
 use serde::Deserialize;
-use std::fmt;
 
-/// Bounds on memory and on what one key may cause. Past each of the first three a read travels alone.
+/// The highest value of a bound; a higher one is taken for a slip of the pen.
+const BOUND_MAXIMUM: usize = 1_000_000;
+/// Fields that every read is told apart by, and that no file may ignore: class, tenant and idempotency key.
+const REQUIRED_FIELDS: [&str; 3] = ["c", "t", "k"];
+
+/// Bounds on memory and on the load of one key. Past each of the first three a read bypasses coalescing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Bounds {
@@ -12,10 +16,11 @@
     pub waiters: usize,
     /// Waiters of one flight.
     pub waiters_per_flight: usize,
-    /// Flights of one key together, whatever else its reads differ in.
+    /// Flights of one key together, over all variants and classes.
     pub flights_per_key: usize,
-    /// Flights for the same that newcomers may join: the first, and those begun since it hangs.
-    pub second_flights: usize,
+    /// Open flights for one read beside the first: each replaces a hung one. `second_flights` in the file.
+    #[serde(rename = "second_flights")]
+    pub replacement_flights: usize,
 }
 
 impl Default for Bounds {
@@ -24,39 +29,62 @@
             waiters: 20_000,
             waiters_per_flight: 5_000,
             flights_per_key: 32,
-            second_flights: 1,
+            replacement_flights: 1,
         }
     }
 }
 
-/// The `[joining]` table of an operator file.
+impl Bounds {
+    /// # Errors
+    /// [`SettingsError::BoundOutOfRange`] for the first bound that is zero where it must not be, or too high.
+    fn check(&self) -> Result<(), SettingsError> {
+        let rows = [
+            ("waiters", self.waiters, 1),
+            ("waiters_per_flight", self.waiters_per_flight, 1),
+            ("flights_per_key", self.flights_per_key, 1),
+            ("second_flights", self.replacement_flights, 0),
+        ];
+        for (key, value, minimum) in rows {
+            if !(minimum..=BOUND_MAXIMUM).contains(&value) {
+                return Err(SettingsError::BoundOutOfRange {
+                    key,
+                    value,
+                    minimum,
+                });
+            }
+        }
+        Ok(())
+    }
+}
+
+/// The `[joining]` table of the operator file, as written.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct CoalescingFile {
-    /// Names of the classes whose reads are joined; none: joining is off.
+    /// Names of the classes whose reads are coalesced; empty: coalescing is off.
     pub classes: Vec<String>,
-    /// Names of command fields that do not change the answer, beside those of the protocol.
+    /// Names of command fields that do not change the answer, beside those that the protocol defines so.
     pub ignore: Vec<String>,
-    /// Whether reads of different tenants are kept apart.
+    /// Whether reads of different tenants never share a flight.
     pub per_tenant: bool,
-    /// See there.
+    /// Bounds; each that is left out has its default.
     pub bounds: Bounds,
 }
 
-/// What the module has to know of a class.
+/// What the coalescer needs to know of a request class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClassSettings {
-    /// Its aim: until answer times are known a flight of this age counts as hanging.
+    /// Latency objective: until latencies are known, a flight older than this counts as hung.
     pub latency_objective: Micros,
-    /// A further attempt with less time than this is of no use, as the decision library has it.
-    pub needs: Micros,
+    /// A retry is not sent for a request with less time left than this.
+    pub minimum_retry_time: Micros,
 }
 
 impl ClassSettings {
     fn of(class: &Class) -> ClassSettings {
         ClassSettings {
             latency_objective: class.latency_objective,
-            needs: class.minimum_retry_time(),
+            minimum_retry_time: class.minimum_retry_time(),
         }
     }
 }
@@ -64,95 +92,74 @@
 /// A checked `[joining]` table, in the terms of a deployment.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CoalescingRules {
-    /// By class: whether its reads are joined.
+    /// Whether a class's reads are coalesced, indexed by class id.
     pub joined: Vec<bool>,
-    /// By class.
+    /// Class settings, indexed by class id.
     pub classes: Vec<ClassSettings>,
     /// See [`CoalescingFile::ignore`].
     pub ignore: Vec<String>,
     /// See [`CoalescingFile::per_tenant`].
     pub per_tenant: bool,
-    /// See there.
+    /// See [`Bounds`].
     pub bounds: Bounds,
-    /// The longest advice on when to come back; `None` where none may be given.
+    /// The longest Retry-After; `None` where the deployment allows none.
     pub advice: Option<Micros>,
 }
 
-/// A setting that cannot be used, in one plain sentence.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SettingsError(String);
-
-impl fmt::Display for SettingsError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(&self.0)
-    }
+/// Why a `[joining]` table cannot be used.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum SettingsError {
+    /// The deployment has no class of this name.
+    #[error("joining.classes: there is no class '{name}'")]
+    UnknownClass {
+        /// The name in the file.
+        name: String,
+    },
+    /// The class is idempotent only with an idempotency key.
+    #[error("joining.classes: '{name}' can never be joined: its effect is keyed")]
+    KeyedClass {
+        /// The class.
+        name: String,
+    },
+    /// The class is not idempotent.
+    #[error("joining.classes: '{name}' can never be joined: its effect is unsafe")]
+    NotIdempotentClass {
+        /// The class.
+        name: String,
+    },
+    /// A bound is zero where it must not be, or too high.
+    #[error("joining.bounds.{key}: {value} does not lie between {minimum} and {BOUND_MAXIMUM}")]
+    BoundOutOfRange {
+        /// Its key in the file.
+        key: &'static str,
+        /// Its value in the file.
+        value: usize,
+        /// The lowest value allowed.
+        minimum: usize,
+    },
+    /// The field always changes the answer, or the name is empty.
+    #[error("joining.ignore: '{name}' cannot be left out of account")]
+    RequiredField {
+        /// The name in the file.
+        name: String,
+    },
 }
 
-impl std::error::Error for SettingsError {}
-
-/// No deployment needs more; more is a slip of the pen.
-const MOST: usize = 1_000_000;
-
 impl CoalescingFile {
-    /// The rules for this deployment; `None` where joining is off.
+    /// The rules for this deployment; `None` where coalescing is off.
     ///
     /// # Errors
-    /// A class that does not exist or may never be joined, a bound of nothing or beyond reason; the first one is named.
+    /// The first problem, in the order classes, bounds, ignored fields.
     pub fn rules(&self, deployment: &Deployment) -> Result<Option<CoalescingRules>, SettingsError> {
-        let fail = |text: String| Err(SettingsError(text));
-        let classes = &deployment.settings.classes;
-        let mut joined = vec![false; classes.len()];
-        for name in &self.classes {
-            let Some(class) = deployment
-                .names
-                .classes
-                .iter()
-                .position(|known| known == name)
-            else {
-                return fail(format!("joining.classes: there is no class '{name}'"));
-            };
-            let what = match classes[class].idempotency {
-                Idempotency::Idempotent => {
-                    joined[class] = true;
-                    continue;
-                }
-                Idempotency::Keyed { .. } => "its effect is keyed",
-                Idempotency::NotIdempotent => "its effect is unsafe",
-            };
-            return fail(format!(
-                "joining.classes: '{name}' can never be joined: {what}"
-            ));
-        }
-        let Bounds {
-            waiters,
-            waiters_per_flight,
-            flights_per_key,
-            second_flights,
-        } = self.bounds;
-        for (name, value, least) in [
-            ("waiters", waiters, 1),
-            ("waiters_per_flight", waiters_per_flight, 1),
-            ("flights_per_key", flights_per_key, 1),
-            ("second_flights", second_flights, 0),
-        ] {
-            if !(least..=MOST).contains(&value) {
-                return fail(format!(
-                    "joining.bounds.{name}: {value} does not lie between {least} and {MOST}"
-                ));
-            }
-        }
-        let names = ["c", "t", "k"];
-        if let Some(name) = self
-            .ignore
-            .iter()
-            .find(|name| names.contains(&name.as_str()) || name.is_empty())
-        {
-            return fail(format!(
-                "joining.ignore: '{name}' cannot be left out of account"
-            ));
+        let joined = self.joined_classes(deployment)?;
+        self.bounds.check()?;
+        self.check_ignored_fields()?;
+        if !joined.contains(&true) {
+            return Ok(None);
         }
+        let classes = &deployment.settings.classes;
         let limits = &deployment.settings.limits;
-        Ok(joined.contains(&true).then(|| CoalescingRules {
+        Ok(Some(CoalescingRules {
             joined,
             classes: classes.iter().map(ClassSettings::of).collect(),
             ignore: self.ignore.clone(),
@@ -161,4 +168,35 @@
             advice: limits.retry_after.then_some(limits.max_retry_after),
         }))
     }
+
+    /// Whether each class of the deployment is named; an error for a name that is unknown or not idempotent.
+    fn joined_classes(&self, deployment: &Deployment) -> Result<Vec<bool>, SettingsError> {
+        let known = &deployment.names.classes;
+        let classes = &deployment.settings.classes;
+        let mut joined = vec![false; classes.len()];
+        for name in &self.classes {
+            let Some(class) = known.iter().position(|known| known == name) else {
+                return Err(SettingsError::UnknownClass { name: name.clone() });
+            };
+            match classes[class].idempotency {
+                Idempotency::Idempotent => joined[class] = true,
+                Idempotency::Keyed { .. } => {
+                    return Err(SettingsError::KeyedClass { name: name.clone() });
+                }
+                Idempotency::NotIdempotent => {
+                    return Err(SettingsError::NotIdempotentClass { name: name.clone() });
+                }
+            }
+        }
+        Ok(joined)
+    }
+
+    fn check_ignored_fields(&self) -> Result<(), SettingsError> {
+        let is_required =
+            |name: &&String| name.is_empty() || REQUIRED_FIELDS.contains(&name.as_str());
+        match self.ignore.iter().find(is_required) {
+            Some(name) => Err(SettingsError::RequiredField { name: name.clone() }),
+            None => Ok(()),
+        }
+    }
 }
--- /dev/null
+++ b/crates/request-coalescing/tests/coalescer/any_event_order.rs
@@ -0,0 +1,259 @@
+//! Invariants that hold in any order of events.
+
+use crate::rig::*;
+use load_balancer::{ClassId, Micros, RequestId};
+use proptest::prelude::*;
+use proptest::sample::Index;
+use proptest::test_runner::TestCaseResult;
+use request_coalescing::*;
+use std::collections::{BTreeMap, BTreeSet};
+
+#[derive(Clone, Debug)]
+enum Step {
+    Read { key: u8, variant: u8, wait_ms: u16 },
+    Write { key: u8 },
+    Disconnect(Index),
+    Retry(Index),
+    End(Index, FlightOutcome),
+    Advance { millis: u16 },
+}
+
+fn step() -> impl Strategy<Value = Step> {
+    let read = (0..3_u8, 0..2_u8, 1..400_u16).prop_map(|(key, variant, wait_ms)| Step::Read {
+        key,
+        variant,
+        wait_ms,
+    });
+    let outcome = (0..3_u8).prop_map(|index| {
+        [
+            FlightOutcome::Served,
+            FlightOutcome::Rejected(None),
+            FlightOutcome::Failed,
+        ][usize::from(index)]
+    });
+    prop_oneof![
+        6 => read,
+        1 => (0..3_u8).prop_map(|key| Step::Write { key }),
+        1 => any::<Index>().prop_map(Step::Disconnect),
+        1 => any::<Index>().prop_map(Step::Retry),
+        2 => (any::<Index>(), outcome).prop_map(|(index, outcome)| Step::End(index, outcome)),
+        3 => (0..150_u16).prop_map(|millis| Step::Advance { millis }),
+    ]
+}
+
+/// What the specification goes by of a read.
+struct ReadRecord {
+    key: u8,
+    variant: u8,
+    /// The step at which it arrives.
+    arrived_at: usize,
+    expires: Micros,
+}
+
+/// Plays steps on a coalescer and keeps what its answers have to agree with.
+struct Model {
+    rig: Rig,
+    reads: BTreeMap<u32, ReadRecord>,
+    waiting: BTreeSet<u32>,
+    flights: BTreeSet<u32>,
+    /// The step of the last write on each key; 0: none.
+    last_write: [usize; 3],
+}
+
+impl Model {
+    fn new() -> Model {
+        Model {
+            rig: Rig::with(Bounds {
+                waiters: 40,
+                waiters_per_flight: 10,
+                flights_per_key: 4,
+                replacement_flights: 1,
+            }),
+            reads: BTreeMap::new(),
+            waiting: BTreeSet::new(),
+            flights: BTreeSet::new(),
+            last_write: [0; 3],
+        }
+    }
+
+    /// Plays one step, numbered from 1, and checks all that it causes.
+    fn play(&mut self, number: usize, step: &Step) -> TestCaseResult {
+        let id = number as u32;
+        let mut ended = None;
+        let actions = match step {
+            Step::Read {
+                key,
+                variant,
+                wait_ms,
+            } => self.read(number, *key, *variant, *wait_ms),
+            Step::Write { key } => {
+                self.last_write[usize::from(*key)] = number;
+                self.rig.event(Event::Write { key: &[*key] })
+            }
+            Step::Disconnect(index) => match pick(&self.waiting, index) {
+                Some(waiter) => {
+                    self.waiting.remove(&waiter);
+                    self.rig.event(Event::ClientDisconnected {
+                        id: RequestId(waiter),
+                    })
+                }
+                None => Vec::new(),
+            },
+            Step::Retry(index) => match pick(&self.flights, index) {
+                Some(id) => self.rig.event(Event::Retried { flight: flight(id) }),
+                None => Vec::new(),
+            },
+            Step::End(index, outcome) => {
+                ended = pick(&self.flights, index);
+                match ended {
+                    Some(id) => {
+                        self.flights.remove(&id);
+                        self.rig.ended(id, *outcome)
+                    }
+                    None => Vec::new(),
+                }
+            }
+            Step::Advance { millis } => self.advance(*millis)?,
+        };
+        for action in actions {
+            self.check(id, step, ended, action)?;
+        }
+        let (waiters, flights) = self.rig.coalescer.held();
+        prop_assert_eq!((waiters, flights), (self.waiting.len(), self.flights.len()));
+        prop_assert!(flights <= waiters, "a flight without a waiter");
+        Ok(())
+    }
+
+    fn read(&mut self, number: usize, key: u8, variant: u8, wait_ms: u16) -> Vec<Action> {
+        let id = number as u32;
+        let expires = self.rig.now.plus(ms(u64::from(wait_ms)));
+        self.reads.insert(
+            id,
+            ReadRecord {
+                key,
+                variant,
+                arrived_at: number,
+                expires,
+            },
+        );
+        self.rig.event(Event::Read(Read {
+            id: RequestId(id),
+            class: ClassId(0),
+            tenant: None,
+            key: &[key],
+            what: &[variant],
+            expires,
+        }))
+    }
+
+    /// Passes time, stopping at each deadline; each waiter answered there has exactly that deadline.
+    fn advance(&mut self, millis: u16) -> Result<Vec<Action>, TestCaseError> {
+        let end = self.rig.now.plus(ms(u64::from(millis)));
+        let mut actions = Vec::new();
+        while let Some(due) = self.rig.coalescer.next_due().filter(|&due| due <= end) {
+            prop_assert!(due >= self.rig.now);
+            self.rig.now = due;
+            let due_actions = self.rig.event(Event::Due);
+            for (id, _) in answers(&due_actions) {
+                prop_assert_eq!(self.reads[&id].expires, due);
+            }
+            actions.extend(due_actions);
+        }
+        self.rig.now = end;
+        Ok(actions)
+    }
+
+    /// Checks one action of the step with this id, and takes note of it. `ended` is the flight that the step ended.
+    fn check(
+        &mut self,
+        step_id: u32,
+        step: &Step,
+        ended: Option<u32>,
+        action: Action,
+    ) -> TestCaseResult {
+        match action {
+            Action::Open { flight } => {
+                prop_assert_eq!(flight.0.0, step_id);
+                prop_assert!(self.flights.insert(step_id) && self.waiting.insert(step_id));
+            }
+            Action::Join {
+                flight, expires, ..
+            } => {
+                prop_assert!(self.flights.contains(&flight.0.0) && self.waiting.insert(step_id));
+                let read = &self.reads[&step_id];
+                let first = &self.reads[&flight.0.0];
+                prop_assert_eq!((read.key, read.variant), (first.key, first.variant));
+                prop_assert!(
+                    first.arrived_at > self.last_write[usize::from(read.key)],
+                    "from before a write"
+                );
+                prop_assert!(expires >= read.expires);
+            }
+            Action::Alone { id } => prop_assert_eq!(id.0, step_id),
+            Action::Answer { id, how } => {
+                prop_assert!(self.waiting.remove(&id.0), "answered twice, or unasked");
+                let read = &self.reads[&id.0];
+                let time_passes = matches!(step, Step::Advance { .. });
+                prop_assert!(time_passes || self.rig.now <= read.expires);
+                if how == FlightOutcome::Served {
+                    let first = &self.reads[&ended.expect("a flight")];
+                    prop_assert_eq!((read.key, read.variant), (first.key, first.variant));
+                }
+            }
+            Action::Shorten { flight, .. } => prop_assert!(self.flights.contains(&flight.0.0)),
+            Action::Withdraw { flight } => prop_assert!(self.flights.remove(&flight.0.0)),
+        }
+        Ok(())
+    }
+
+    /// Lets all deadlines pass; nothing is left then.
+    fn finish(mut self) -> TestCaseResult {
+        while let Some(due) = self.rig.coalescer.next_due() {
+            self.rig.now = due;
+            self.rig.event(Event::Due);
+        }
+        prop_assert_eq!(self.rig.coalescer.held(), (0, 0));
+        Ok(())
+    }
+}
+
+fn pick(ids: &BTreeSet<u32>, index: &Index) -> Option<u32> {
+    if ids.is_empty() {
+        return None;
+    }
+    Some(*index.get(&ids.iter().copied().collect::<Vec<_>>()))
+}
+
+proptest! {
+    /// Whatever happens: each read has one answer, none later than its deadline, none from a flight for another read
+    /// or from before a write that it follows; flights without waiters are withdrawn, and nothing is left.
+    #[test]
+    fn each_read_is_answered_once_in_time_and_from_no_older_flight(
+        steps in prop::collection::vec(step(), 1..200)
+    ) {
+        let mut model = Model::new();
+        for (index, step) in steps.iter().enumerate() {
+            model.play(index + 1, step)?;
+        }
+        model.finish()?;
+    }
+}
+
+/// The case that `proptest-regressions` holds, whatever the strategy makes of its seed.
+#[test]
+fn a_read_whose_deadline_passes_between_two_events_is_answered_at_its_deadline() {
+    let steps = [
+        Step::Read {
+            key: 0,
+            variant: 0,
+            wait_ms: 1,
+        },
+        Step::Advance { millis: 2 },
+    ];
+    let mut model = Model::new();
+    for (index, step) in steps.iter().enumerate() {
+        model.play(index + 1, step).expect("the invariants hold");
+    }
+    assert!(model.waiting.is_empty(), "answered");
+    model.finish().expect("nothing is left");
+}
--- /dev/null
+++ b/crates/request-coalescing/tests/coalescer/flight_outcomes.rs
@@ -0,0 +1,46 @@
+//! What the waiters of a rejected or failed flight are answered.
+
+use crate::rig::*;
+use request_coalescing::*;
+
+#[test]
+fn a_rejection_reaches_all_waiters_with_spread_retry_after() {
+    let mut rig = Rig::new();
+    for id in 1..=500 {
+        rig.read(id);
+    }
+    let answers = answers(&rig.ended(1, FlightOutcome::Rejected(Some(ms(100)))));
+    assert_eq!(answers.len(), 500);
+    let mut retry_after_us: Vec<u64> = answers
+        .iter()
+        .map(|(_, how)| match how {
+            FlightOutcome::Rejected(Some(after)) => after.0,
+            how => panic!("{how:?}"),
+        })
+        .collect();
+    retry_after_us.sort_unstable();
+    assert!(
+        retry_after_us[0] >= 100_000 && retry_after_us[499] <= 200_000,
+        "{retry_after_us:?}"
+    );
+    let widest = retry_after_us
+        .windows(2)
+        .map(|pair| pair[1] - pair[0])
+        .max()
+        .expect("pairs");
+    assert!(
+        widest < 2_000,
+        "500 over 100 ms: no more than ten times their mean distance of 200 us, not {widest}"
+    );
+}
+
+#[test]
+fn a_failure_reaches_all_waiters_unchanged() {
+    let mut rig = Rig::new();
+    rig.read(1);
+    rig.read(2);
+    assert_eq!(
+        answers(&rig.ended(1, FlightOutcome::Failed)),
+        [(1, FlightOutcome::Failed), (2, FlightOutcome::Failed)]
+    );
+}
--- /dev/null
+++ b/crates/request-coalescing/tests/coalescer/main.rs
@@ -0,0 +1,11 @@
+//! The coalescer's decisions on their own: which reads share a flight, and what each waiter is answered.
+
+mod any_event_order;
+mod bounds;
+mod flight_outcomes;
+mod flight_sharing;
+mod hung_flights;
+mod retries;
+mod rig;
+mod waiter_deadlines;
+mod write_ordering;
--- /dev/null
+++ b/crates/request-coalescing/tests/coalescer/retries.rs
@@ -0,0 +1,35 @@
+//! A retry of a flight rejects the waiters for whom it comes too late.
+
+use crate::rig::*;
+use request_coalescing::*;
+
+#[test]
+fn a_retry_rejects_the_waiters_for_whom_it_comes_too_late() {
+    let mut rig = Rig::new();
+    rig.read(1);
+    rig.read_of(2, b"key", b"", 100);
+    rig.read_of(3, b"key", b"", 101);
+    rig.advance(81);
+    let actions = rig.event(Event::Retried { flight: flight(1) });
+    assert!(
+        matches!(
+            answers(&actions)[..],
+            [(2, FlightOutcome::Rejected(Some(_)))]
+        ),
+        "{actions:?}"
+    );
+    assert_eq!(withdrawn(&actions), []);
+    assert_eq!(
+        answers(&rig.ended(1, FlightOutcome::Served)),
+        [(1, FlightOutcome::Served), (3, FlightOutcome::Served)]
+    );
+}
+
+/// What the decision library allowed for the one with the most time is not taken from it a moment later.
+#[test]
+fn the_waiter_with_the_latest_deadline_keeps_its_retry() {
+    let mut rig = Rig::new();
+    rig.read_of(1, b"key", b"", 100);
+    rig.advance(81);
+    assert_eq!(rig.event(Event::Retried { flight: flight(1) }), []);
+}
--- /dev/null
+++ b/crates/request-coalescing/tests/coalescer/rig.rs
@@ -0,0 +1,118 @@
+//! A coalescer with a clock of its own, driven event by event.
+
+use load_balancer::{ClassId, Micros, RequestId, TenantId};
+use request_coalescing::*;
+
+pub const fn ms(millis: u64) -> Micros {
+    Micros::from_millis(millis)
+}
+
+pub fn flight(id: u32) -> FlightId {
+    FlightId(RequestId(id))
+}
+
+pub struct Rig {
+    pub coalescer: Coalescer,
+    pub now: Micros,
+}
+
+impl Rig {
+    pub fn new() -> Rig {
+        Rig::with(Bounds::default())
+    }
+
+    pub fn with(bounds: Bounds) -> Rig {
+        let coalescer = Coalescer::new(
+            bounds,
+            &[ClassSettings {
+                latency_objective: ms(100),
+                minimum_retry_time: ms(20),
+            }],
+        )
+        .advising(Some(ms(1_000)));
+        Rig {
+            coalescer,
+            now: ms(10_000),
+        }
+    }
+
+    pub fn event(&mut self, event: Event<'_>) -> Vec<Action> {
+        let mut actions = Vec::new();
+        self.coalescer.handle(self.now, event, &mut actions);
+        actions
+    }
+
+    pub fn read_of(&mut self, id: u32, key: &[u8], variant: &[u8], wait: u64) -> Action {
+        let expires = self.now.plus(ms(wait));
+        let read = Read {
+            id: RequestId(id),
+            class: ClassId(0),
+            tenant: Some(TenantId(1)),
+            key,
+            what: variant,
+            expires,
+        };
+        let actions = self.event(Event::Read(read));
+        assert_eq!(actions.len(), 1, "{actions:?}");
+        actions[0]
+    }
+
+    /// A read of the key `key` that waits for one second.
+    pub fn read(&mut self, id: u32) -> Action {
+        self.read_of(id, b"key", b"", 1_000)
+    }
+
+    pub fn write(&mut self) {
+        assert_eq!(self.event(Event::Write { key: b"key" }), []);
+    }
+
+    pub fn ended(&mut self, id: u32, how: FlightOutcome) -> Vec<Action> {
+        self.event(Event::Ended {
+            flight: flight(id),
+            how,
+        })
+    }
+
+    pub fn advance(&mut self, millis: u64) {
+        self.now = self.now.plus(ms(millis));
+    }
+
+    /// Serves flights of other keys with this latency until the class has an estimate.
+    pub fn learn_latency(&mut self, millis: u64) {
+        for id in 900_000..900_064 {
+            assert_eq!(
+                self.read_of(id, &id.to_le_bytes(), b"", 10_000),
+                Action::Open { flight: flight(id) }
+            );
+            self.advance(millis);
+            assert_eq!(self.ended(id, FlightOutcome::Served).len(), 1);
+        }
+    }
+}
+
+pub fn joins(action: Action) -> Option<u32> {
+    match action {
+        Action::Join { flight, .. } => Some(flight.0.0),
+        _ => None,
+    }
+}
+
+pub fn answers(actions: &[Action]) -> Vec<(u32, FlightOutcome)> {
+    actions
+        .iter()
+        .filter_map(|action| match action {
+            Action::Answer { id, how } => Some((id.0, *how)),
+            _ => None,
+        })
+        .collect()
+}
+
+pub fn withdrawn(actions: &[Action]) -> Vec<u32> {
+    actions
+        .iter()
+        .filter_map(|action| match action {
+            Action::Withdraw { flight } => Some(flight.0.0),
+            _ => None,
+        })
+        .collect()
+}
--- /dev/null
+++ b/crates/request-coalescing/tests/coalescer/waiter_deadlines.rs
@@ -0,0 +1,113 @@
+//! Each waiter has its own deadline; the flight has the latest of them.
+
+use crate::rig::*;
+use load_balancer::RequestId;
+use request_coalescing::*;
+
+#[test]
+fn a_waiter_is_rejected_at_its_own_deadline_and_neither_ends_nor_shortens_the_flight() {
+    let mut rig = Rig::new();
+    rig.read(1);
+    let Action::Join { expires, .. } = rig.read_of(2, b"key", b"", 50) else {
+        panic!("joined")
+    };
+    assert_eq!(expires, rig.now.plus(ms(1_000)), "not shortened");
+    assert_eq!(rig.coalescer.next_due(), Some(rig.now.plus(ms(50))));
+    rig.advance(49);
+    assert_eq!(rig.event(Event::Due), []);
+    rig.advance(1);
+    let actions = rig.event(Event::Due);
+    assert!(
+        matches!(
+            answers(&actions)[..],
+            [(2, FlightOutcome::Rejected(Some(_)))]
+        ),
+        "{actions:?}"
+    );
+    assert_eq!(withdrawn(&actions), []);
+    assert_eq!(
+        answers(&rig.ended(1, FlightOutcome::Served)),
+        [(1, FlightOutcome::Served)]
+    );
+}
+
+#[test]
+fn a_waiter_with_a_later_deadline_extends_the_flight() {
+    let mut rig = Rig::new();
+    rig.read(1);
+    let Action::Join { expires, .. } = rig.read_of(2, b"key", b"", 4_000) else {
+        panic!("joined")
+    };
+    assert_eq!(expires, rig.now.plus(ms(4_000)));
+}
+
+#[test]
+fn the_leader_disconnects_and_the_flight_goes_on_until_the_last_waiter_leaves() {
+    let mut rig = Rig::new();
+    rig.read(1);
+    rig.read(2);
+    rig.read(3);
+    assert_eq!(
+        rig.event(Event::ClientDisconnected { id: RequestId(1) }),
+        []
+    );
+    assert_eq!(
+        rig.event(Event::ClientDisconnected { id: RequestId(3) }),
+        []
+    );
+    assert_eq!(joins(rig.read(4)), Some(1));
+    assert_eq!(
+        rig.event(Event::ClientDisconnected { id: RequestId(2) }),
+        []
+    );
+    assert_eq!(
+        withdrawn(&rig.event(Event::ClientDisconnected { id: RequestId(4) })),
+        [1]
+    );
+    assert_eq!(rig.coalescer.held(), (0, 0));
+    assert_eq!(
+        rig.event(Event::ClientDisconnected { id: RequestId(4) }),
+        [],
+        "said twice"
+    );
+}
+
+#[test]
+fn the_last_waiters_deadline_ends_the_flight() {
+    let mut rig = Rig::new();
+    rig.read(1);
+    rig.advance(1_000);
+    assert_eq!(withdrawn(&rig.event(Event::Due)), [1]);
+    assert_eq!(rig.coalescer.held(), (0, 0));
+}
+
+#[test]
+fn a_flights_deadline_is_the_latest_of_its_remaining_waiters() {
+    let mut rig = Rig::new();
+    let start = rig.now;
+    rig.read_of(1, b"key", b"", 300);
+    rig.read_of(2, b"key", b"", 900);
+    rig.read_of(3, b"key", b"", 500);
+    let shorten = |millis| {
+        [Action::Shorten {
+            flight: flight(1),
+            expires: start.plus(ms(millis)),
+        }]
+    };
+    assert_eq!(
+        rig.event(Event::ClientDisconnected { id: RequestId(2) }),
+        shorten(500)
+    );
+    assert_eq!(
+        rig.event(Event::ClientDisconnected { id: RequestId(1) }),
+        []
+    );
+    let Action::Join { expires, .. } = rig.read_of(4, b"key", b"", 400) else {
+        panic!("joined")
+    };
+    assert_eq!(expires, start.plus(ms(500)));
+    assert_eq!(
+        rig.event(Event::ClientDisconnected { id: RequestId(3) }),
+        shorten(400)
+    );
+}
