--- a/crates/router-simulation/src/campaign.rs
+++ b/crates/router-simulation/src/campaign.rs
@@ -1,66 +1,66 @@
-//! Many days: over several threads, with a summary that does not depend on how many there are.
+//! Many runs: over several threads, with a summary that does not depend on how many there are.
 
-use crate::fault_plan::{CROWD, Kind, PAIRS, Plan};
+use crate::fault_plan::{CROWD_READ_COUNT, FaultKind, PAIRS, RunPlan};
 use crate::invariant_checker::{Counts, Rule};
-use crate::run::{Keep, Report, play};
+use crate::run::{Recording, Report, simulate};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use std::ops::Range;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Mutex, PoisonError};
 
-/// What many days came to.
+/// What many runs came to.
 #[derive(Clone, Debug, Default)]
 pub struct Summary {
     /// Days played.
-    pub days: u64,
+    pub runs: u64,
     /// Steps on the wire.
     pub steps: u64,
-    /// What passed, all days together.
+    /// What passed, all runs together.
     pub counts: Counts,
-    /// The fewest requests of a day.
-    pub fewest: u64,
+    /// The fewest requests of a run.
+    pub fewest_requests: u64,
     /// How often each fault was drawn.
-    pub faults: BTreeMap<Kind, u64>,
-    /// Pairs of faults that met on a day.
-    pub pairs: BTreeSet<(Kind, Kind)>,
-    /// Of each crowd of a day: how many of them had so many attempts.
-    pub crowds: Vec<BTreeMap<u64, u64>>,
-    /// All days in one number: equal for equal runs.
+    pub faults: BTreeMap<FaultKind, u64>,
+    /// Pairs of faults that met on a run.
+    pub pairs: BTreeSet<(FaultKind, FaultKind)>,
+    /// Of each crowd of a run: how many of them had so many attempts.
+    pub crowd_attempts: Vec<BTreeMap<u64, u64>>,
+    /// All runs in one number: equal for equal runs.
     pub digest: u64,
-    /// The days with a breach, in the order of their seeds.
-    pub broken: Vec<Report>,
+    /// The runs with a violation, in the order of their seeds.
+    pub runs_with_violations: Vec<Report>,
     /// Days on which under half of the requests were served once all was calm, and that share.
     pub jammed: Vec<(u64, f64)>,
 }
 
-/// A day on which fewer of the calm's requests were served is shown in the summary.
-const JAMMED: f64 = 0.5;
+/// A run on which fewer of the calm's requests were served is shown in the summary.
+const JAMMED_SERVED_RATIO: f64 = 0.5;
 
 impl Summary {
-    fn add(&mut self, plan: &Plan, report: Report) {
-        self.days += 1;
+    fn add(&mut self, plan: &RunPlan, report: Report) {
+        self.runs += 1;
         self.steps += report.steps;
-        let (all, day) = (&mut self.counts, report.counts);
-        all.taken += day.taken;
-        all.served += day.served;
-        all.joined += day.joined;
-        all.refused += day.refused;
-        all.failed += day.failed;
-        all.attempts += day.attempts;
-        all.connections += day.connections;
-        all.left_waiting += day.left_waiting;
-        all.sent_for_nobody += day.sent_for_nobody;
-        self.fewest = if self.days == 1 {
-            day.taken
+        let (all, counts) = (&mut self.counts, report.counts);
+        all.taken += counts.taken;
+        all.served += counts.served;
+        all.coalesced += counts.coalesced;
+        all.rejected += counts.rejected;
+        all.failed += counts.failed;
+        all.attempts += counts.attempts;
+        all.connections += counts.connections;
+        all.departed_unsent += counts.departed_unsent;
+        all.sent_after_departure += counts.sent_after_departure;
+        self.fewest_requests = if self.runs == 1 {
+            counts.taken
         } else {
-            self.fewest.min(day.taken)
+            self.fewest_requests.min(counts.taken)
         };
-        for (place, fault) in plan.faults.iter().enumerate() {
+        for (index, fault) in plan.faults.iter().enumerate() {
             *self.faults.entry(fault.kind).or_default() += 1;
-            for other in &plan.faults[place + 1..] {
+            for other in &plan.faults[index + 1..] {
                 let (a, b) = (fault.kind.min(other.kind), fault.kind.max(other.kind));
-                if a != b && !Kind::RARE.contains(&b) {
+                if a != b && !FaultKind::RARE.contains(&b) {
                     self.pairs.insert((a, b));
                 }
             }
@@ -70,18 +70,20 @@
             .rotate_left(7)
             .wrapping_mul(0x9E37_79B9_7F4A_7C15)
             ^ report.digest;
-        self.crowds
-            .resize_with(self.crowds.len().max(report.crowds.len()), BTreeMap::new);
-        for (of, &attempts) in self.crowds.iter_mut().zip(&report.crowds) {
+        self.crowd_attempts.resize_with(
+            self.crowd_attempts.len().max(report.crowd_attempts.len()),
+            BTreeMap::new,
+        );
+        for (of, &attempts) in self.crowd_attempts.iter_mut().zip(&report.crowd_attempts) {
             *of.entry(attempts).or_default() += 1;
         }
         let (taken, served) = report.calm;
-        if (served as f64) < JAMMED * taken as f64 {
+        if (served as f64) < JAMMED_SERVED_RATIO * taken as f64 {
             self.jammed
                 .push((report.seed, served as f64 / taken as f64));
         }
-        if !report.breaches.is_empty() {
-            self.broken.push(report);
+        if !report.violations.is_empty() {
+            self.runs_with_violations.push(report);
         }
     }
 }
@@ -91,30 +93,30 @@
         let Counts {
             taken,
             served,
-            joined,
-            refused,
+            coalesced,
+            rejected,
             failed,
             attempts,
             connections,
             ..
         } = self.counts;
         let Counts {
-            left_waiting,
-            sent_for_nobody,
+            departed_unsent,
+            sent_after_departure,
             ..
         } = self.counts;
         writeln!(
             f,
             "days      {}, at least {} requests each, {} steps on the wire",
-            self.days, self.fewest, self.steps
+            self.runs, self.fewest_requests, self.steps
         )?;
         writeln!(
             f,
-            "requests  {taken}: {served} served ({joined} with another's answer), {refused} refused, {failed} failed; {attempts} attempts on {connections} connections"
+            "requests  {taken}: {served} served ({coalesced} with another's answer), {rejected} refused, {failed} failed; {attempts} attempts on {connections} connections"
         )?;
         writeln!(
             f,
-            "left      {left_waiting} requests before anything of them was sent, {sent_for_nobody} of them sent over 0.3 s later"
+            "left      {departed_unsent} requests before anything of them was sent, {sent_after_departure} of them sent over 0.3 s later"
         )?;
         let faults: Vec<String> = self
             .faults
@@ -123,16 +125,16 @@
             .collect();
         writeln!(f, "faults    {}", faults.join(", "))?;
         writeln!(f, "pairs     {} of {PAIRS} met on a day", self.pairs.len())?;
-        for (crowds, when) in
-            self.crowds
+        for (crowd_attempts, when) in
+            self.crowd_attempts
                 .iter()
                 .zip(["while all is well", "in the faults", "in the calm"])
         {
-            let of = |attempts| crowds.get(&attempts).copied().unwrap_or(0);
-            let most = crowds.keys().next_back().copied().unwrap_or(0);
+            let of = |attempts| crowd_attempts.get(&attempts).copied().unwrap_or(0);
+            let most = crowd_attempts.keys().next_back().copied().unwrap_or(0);
             writeln!(
                 f,
-                "crowds    of {CROWD} reads {when}: {} had one attempt, {} two, {} none; at most {most}",
+                "crowds    of {CROWD_READ_COUNT} reads {when}: {} had one attempt, {} two, {} none; at most {most}",
                 of(1),
                 of(2),
                 of(0)
@@ -153,53 +155,61 @@
             )?;
         }
         writeln!(f, "digest    {:016x}", self.digest)?;
-        let breaches: usize = self.broken.iter().map(|report| report.breaches.len()).sum();
-        write!(f, "breaches  {breaches} on {} days", self.broken.len())
+        let violations: usize = self
+            .runs_with_violations
+            .iter()
+            .map(|report| report.violations.len())
+            .sum();
+        write!(
+            f,
+            "breaches  {violations} on {} days",
+            self.runs_with_violations.len()
+        )
     }
 }
 
 /// Days that are played but not yet counted, until those before them are.
 #[derive(Default)]
-struct Waiting {
+struct PendingReports {
     first: u64,
-    days: BTreeMap<u64, (Plan, Report)>,
+    runs: BTreeMap<u64, (RunPlan, Report)>,
     summary: Summary,
 }
 
-/// How a day is drawn from its seed and the faults that may be in it.
-pub type Draw = fn(u64, &[Kind]) -> Plan;
+/// How a run is drawn from its seed and the faults that may be in it.
+pub type DrawPlan = fn(u64, &[FaultKind]) -> RunPlan;
 
-/// Plays the days of these seeds on so many threads. `played` is called after each.
+/// Plays the runs of these seeds on so many threads. `played` is called after each.
 pub fn run(
-    draw: Draw,
+    draw: DrawPlan,
     seeds: Range<u64>,
-    only: &[Kind],
-    jobs: usize,
+    allowed_faults: &[FaultKind],
+    thread_count: usize,
     played: impl Fn() + Sync,
 ) -> Summary {
     let next = AtomicU64::new(seeds.start);
-    let waiting = Mutex::new(Waiting {
+    let pending = Mutex::new(PendingReports {
         first: seeds.start,
-        ..Waiting::default()
+        ..PendingReports::default()
     });
     std::thread::scope(|scope| {
-        for _ in 0..jobs.max(1) {
+        for _ in 0..thread_count.max(1) {
             scope.spawn(|| {
                 loop {
                     let seed = next.fetch_add(1, Ordering::Relaxed);
                     if seed >= seeds.end {
                         return;
                     }
-                    let plan = draw(seed, only);
-                    let report = play(&plan, Keep::CandidateVerdict);
-                    let mut guard = waiting.lock().unwrap_or_else(PoisonError::into_inner);
-                    let Waiting {
+                    let plan = draw(seed, allowed_faults);
+                    let report = simulate(&plan, Recording::Violations);
+                    let mut guard = pending.lock().unwrap_or_else(PoisonError::into_inner);
+                    let PendingReports {
                         first,
-                        days,
+                        runs,
                         summary,
                     } = &mut *guard;
-                    days.insert(seed, (plan, report));
-                    while let Some((plan, report)) = days.remove(first) {
+                    runs.insert(seed, (plan, report));
+                    while let Some((plan, report)) = runs.remove(first) {
                         summary.add(&plan, report);
                         *first += 1;
                     }
@@ -209,51 +219,52 @@
             });
         }
     });
-    waiting
+    pending
         .into_inner()
         .unwrap_or_else(PoisonError::into_inner)
         .summary
 }
 
-/// Reduces a day to the fewest faults and requests that still break this rule, by taking ever smaller parts out.
-/// None if the day does not break it.
-pub fn shrink(plan: &Plan, rule: Rule) -> Option<Plan> {
-    let breaks = |plan: &Plan| {
-        play(plan, Keep::CandidateVerdict)
-            .breaches
+/// Reduces a run to the fewest faults and requests that still break this rule, by taking ever smaller parts out.
+/// None if the run does not break it.
+pub fn shrink(plan: &RunPlan, rule: Rule) -> Option<RunPlan> {
+    let breaks = |plan: &RunPlan| {
+        simulate(plan, Recording::Violations)
+            .violations
             .iter()
-            .any(|breach| breach.rule == rule)
+            .any(|violation| violation.rule == rule)
     };
     if !breaks(plan) {
         return None;
     }
     let mut best = plan.clone();
-    let mut place = 0;
-    while place < best.faults.len() {
+    let mut index = 0;
+    while index < best.faults.len() {
         let mut less = best.clone();
-        less.faults.remove(place);
+        less.faults.remove(index);
         if breaks(&less) {
             best = less;
         } else {
-            place += 1;
+            index += 1;
         }
     }
-    let mut place = 0;
-    while place < best.bursts.len() {
+    let mut index = 0;
+    while index < best.crowds.len() {
         let mut less = best.clone();
-        less.bursts.remove(place);
+        less.crowds.remove(index);
         if breaks(&less) {
             best = less;
         } else {
-            place += 1;
+            index += 1;
         }
     }
-    let mut size = best.asks.len().div_ceil(2);
+    let mut size = best.requests.len().div_ceil(2);
     while size > 0 {
         let mut start = 0;
-        while start < best.asks.len() {
+        while start < best.requests.len() {
             let mut less = best.clone();
-            less.asks.drain(start..(start + size).min(best.asks.len()));
+            less.requests
+                .drain(start..(start + size).min(best.requests.len()));
             if breaks(&less) {
                 best = less;
             } else {
@@ -267,51 +278,55 @@
 
 /// What became of one mutation.
 #[derive(Clone, Debug)]
-pub struct Caught {
+pub struct MutationResult {
     /// Its name.
-    pub bug: String,
+    pub mutation: String,
     /// The first seed that shows it, and the rule that it breaks; none if no seed did.
-    pub by: Option<(u64, Rule, String)>,
+    pub violation: Option<(u64, Rule, String)>,
 }
 
-/// Plants each bug and plays days until one breaks a rule, on so many threads; `None` where this build leaves the bugs
-/// out. `played` is called after each bug.
+/// Plants each mutation and plays runs until one breaks a rule, on so many threads; `None` where this build leaves the mutations
+/// out. `played` is called after each mutation.
 #[cfg(feature = "mutations")]
-pub fn mutants(seeds: Range<u64>, jobs: usize, played: impl Fn() + Sync) -> Option<Vec<Caught>> {
+pub fn mutants(
+    seeds: Range<u64>,
+    thread_count: usize,
+    played: impl Fn() + Sync,
+) -> Option<Vec<MutationResult>> {
     use router_runtime::mutation::{Mutation, activate};
     let next = AtomicU64::new(0);
-    let found: Mutex<BTreeMap<u64, Caught>> = Mutex::default();
+    let found: Mutex<BTreeMap<u64, MutationResult>> = Mutex::default();
     std::thread::scope(|scope| {
-        for _ in 0..jobs.max(1) {
+        for _ in 0..thread_count.max(1) {
             scope.spawn(|| {
                 loop {
-                    let place = next.fetch_add(1, Ordering::Relaxed);
-                    let Some(&bug) = Mutation::ALL.get(place as usize) else {
+                    let index = next.fetch_add(1, Ordering::Relaxed);
+                    let Some(&mutation) = Mutation::ALL.get(index as usize) else {
                         return;
                     };
-                    activate(Some(bug));
-                    let draw: Draw = if bug.is_of_joining() {
-                        Plan::draw_joining
+                    activate(Some(mutation));
+                    let draw: DrawPlan = if mutation.is_of_joining() {
+                        RunPlan::draw_coalescing
                     } else {
-                        Plan::draw
+                        RunPlan::draw
                     };
-                    let by = seeds.clone().find_map(|seed| {
-                        let report = play(&draw(seed, &[]), Keep::CandidateVerdict);
+                    let violation = seeds.clone().find_map(|seed| {
+                        let report = simulate(&draw(seed, &[]), Recording::Violations);
                         report
-                            .breaches
+                            .violations
                             .into_iter()
                             .next()
-                            .map(|breach| (seed, breach.rule, breach.text))
+                            .map(|violation| (seed, violation.rule, violation.text))
                     });
                     activate(None);
-                    let caught = Caught {
-                        bug: format!("{bug:?}"),
-                        by,
+                    let caught = MutationResult {
+                        mutation: format!("{mutation:?}"),
+                        violation,
                     };
                     found
                         .lock()
                         .unwrap_or_else(PoisonError::into_inner)
-                        .insert(place, caught);
+                        .insert(index, caught);
                     played();
                 }
             });
@@ -321,21 +336,25 @@
     Some(found.into_values().collect())
 }
 
-/// See above: this build leaves the bugs out.
+/// See above: this build leaves the mutations out.
 #[cfg(not(feature = "mutations"))]
-pub fn mutants(_seeds: Range<u64>, _jobs: usize, _played: impl Fn() + Sync) -> Option<Vec<Caught>> {
+pub fn mutants(
+    _seeds: Range<u64>,
+    _jobs: usize,
+    _played: impl Fn() + Sync,
+) -> Option<Vec<MutationResult>> {
     None
 }
 
 /// Whether two plays of a seed and its plays on other threads agree; for tests.
-pub fn is_repeatable(seed: u64, only: &[Kind]) -> bool {
-    let plan = Plan::draw(seed, only);
-    let first = play(&plan, Keep::CandidateVerdict).digest;
+pub fn is_repeatable(seed: u64, allowed_faults: &[FaultKind]) -> bool {
+    let plan = RunPlan::draw(seed, allowed_faults);
+    let first = simulate(&plan, Recording::Violations).digest;
     let agrees = AtomicBool::new(true);
     std::thread::scope(|scope| {
         for _ in 0..2 {
             scope.spawn(|| {
-                if play(&plan, Keep::Trace).digest != first {
+                if simulate(&plan, Recording::Trace).digest != first {
                     agrees.store(false, Ordering::Relaxed);
                 }
             });
--- a/crates/router-simulation/src/discovery.rs
+++ b/crates/router-simulation/src/discovery.rs
@@ -1,11 +1,11 @@
 //! A stand-in for discovery: the list over HTTP/1.1, whole or as a watch on its changes, with the troubles that a plan
 //! wants of it.
 
-use crate::executor::{Exec, Node, Time};
+use crate::executor::{Executor, Node, Time};
 use crate::fault_plan::{MILLI, SECOND};
 use crate::fleet::Server;
-use crate::invariant_checker::Judge;
-use crate::net::{Net, SimStream};
+use crate::invariant_checker::InvariantChecker;
+use crate::network::{Network, SimulatedStream};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -32,12 +32,12 @@
 
 /// See the module.
 pub struct Discovery {
-    exec: Exec,
-    net: Net,
-    judge: Rc<RefCell<Judge>>,
+    executor: Executor,
+    network: Network,
+    checker: Rc<RefCell<InvariantChecker>>,
     node: Node,
     /// Where it listens.
-    pub addr: SocketAddr,
+    pub address: SocketAddr,
     servers: Vec<Rc<Server>>,
     zones: Vec<usize>,
     entries: RefCell<Vec<Entry>>,
@@ -48,19 +48,19 @@
     /// Calls fail until then.
     pub down_until: Cell<Time>,
     /// The whole list as each router's machine last had it.
-    last: RefCell<BTreeMap<Node, String>>,
+    last_lists: RefCell<BTreeMap<Node, String>>,
 }
 
 /// One server as the list has it.
 pub(crate) fn entry(
     name: &str,
-    addr: SocketAddr,
+    address: SocketAddr,
     zone: usize,
     health: &str,
     born_ms: u64,
 ) -> String {
     format!(
-        r#"{{"host":"{name}","dial":"{addr}","site":"z{zone}","class":"m","block":1,"health":"{health}","share":1.0,"born_ms":{born_ms}}}"#
+        r#"{{"host":"{name}","dial":"{address}","site":"z{zone}","class":"m","block":1,"health":"{health}","share":1.0,"born_ms":{born_ms}}}"#
     )
 }
 
@@ -80,11 +80,11 @@
 impl Discovery {
     /// Starts with all servers up since long ago.
     pub fn start(
-        exec: Exec,
-        net: Net,
-        judge: Rc<RefCell<Judge>>,
+        executor: Executor,
+        network: Network,
+        checker: Rc<RefCell<InvariantChecker>>,
         node: Node,
-        addr: SocketAddr,
+        address: SocketAddr,
         servers: &[Rc<Server>],
         zones: Vec<usize>,
     ) -> Rc<Discovery> {
@@ -97,11 +97,11 @@
             })
             .collect();
         let discovery = Rc::new(Discovery {
-            exec,
-            net,
-            judge,
+            executor,
+            network,
+            checker,
             node,
-            addr,
+            address,
             servers: servers.to_vec(),
             zones,
             entries: RefCell::new(entries),
@@ -110,14 +110,14 @@
             ended: Notify::new(),
             silenced: Notify::new(),
             down_until: Cell::new(0),
-            last: RefCell::default(),
+            last_lists: RefCell::default(),
         });
-        let listener = discovery.net.listen(node, addr);
+        let listener = discovery.network.listen(node, address);
         let accepting = discovery.clone();
-        discovery.exec.spawn(node, async move {
+        discovery.executor.spawn(node, async move {
             while let Ok(stream) = listener.accept().await {
                 let work = accepting.clone().serve(stream);
-                accepting.exec.spawn(accepting.node, work);
+                accepting.executor.spawn(accepting.node, work);
             }
         });
         discovery
@@ -138,9 +138,12 @@
         };
         self.seq.set(seq);
         drop(entries);
-        self.judge
-            .borrow_mut()
-            .listed(self.exec.now(), server, health == Health::Up, born_ms);
+        self.checker.borrow_mut().listed(
+            self.executor.now(),
+            server,
+            health == Health::Up,
+            born_ms,
+        );
         self.changed.notify_waiters();
     }
 
@@ -156,7 +159,7 @@
 
     /// The list as a router's machine last had it, else as it is now.
     pub fn known_to(&self, router: Node) -> String {
-        self.last
+        self.last_lists
             .borrow()
             .get(&router)
             .cloned()
@@ -184,13 +187,19 @@
                     Health::Draining => "draining",
                     Health::Removed => "removed",
                 };
-                entry(&server.name, server.addr, *zone, health, entry_of.born_ms)
+                entry(
+                    &server.name,
+                    server.address,
+                    *zone,
+                    health,
+                    entry_of.born_ms,
+                )
             })
             .collect();
         list(self.seq.get(), after == 0, &hosts)
     }
 
-    async fn serve(self: Rc<Self>, mut stream: SimStream) {
+    async fn serve(self: Rc<Self>, mut stream: SimulatedStream) {
         let (mut head, mut buffer) = (Vec::new(), [0; 1024]);
         while !head.windows(4).any(|end| end == b"\r\n\r\n") {
             match stream.read(&mut buffer).await {
@@ -198,17 +207,16 @@
                 _ => return,
             }
         }
-        self.exec.sleep(CALL).await;
-        if self.exec.now() < self.down_until.get() {
+        self.executor.sleep(CALL).await;
+        if self.executor.now() < self.down_until.get() {
             let busy = b"HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n\r\n";
             let _ = stream.write_all(busy).await;
             return;
         }
         let text = String::from_utf8_lossy(&head).into_owned();
-        let after = text
-            .split("after=")
-            .nth(1)
-            .map_or("", |rest| rest.split([' ', '&']).next().unwrap_or(""));
+        let after = text.split("after=").nth(1).map_or("", |buffered_bytes| {
+            buffered_bytes.split([' ', '&']).next().unwrap_or("")
+        });
         let after: u64 = after.parse().unwrap_or(0);
         let after = if after > self.seq.get() { 0 } else { after };
         let router = stream.peer();
@@ -218,7 +226,7 @@
         if stream.write_all(head).await.is_err() {
             return;
         }
-        let mut told = after;
+        let mut sent_version = after;
         let mut is_first = true;
         loop {
             let changed = self.changed.notified();
@@ -226,21 +234,21 @@
             changed.as_mut().enable();
             let line = if is_first && after == 0 {
                 self.line(0)
-            } else if self.seq.get() > told || is_first {
-                self.line(told.max(1))
+            } else if self.seq.get() > sent_version || is_first {
+                self.line(sent_version.max(1))
             } else {
                 String::new()
             };
             is_first = false;
             if !line.is_empty() {
-                told = self.seq.get();
-                self.last.borrow_mut().insert(router, self.line(0));
+                sent_version = self.seq.get();
+                self.last_lists.borrow_mut().insert(router, self.line(0));
             }
             let chunk = format!("{:x}\r\n{line}\n\r\n", line.len() + 1);
             if stream.write_all(chunk.as_bytes()).await.is_err() {
                 return;
             }
-            let beat = self.exec.sleep(BEAT);
+            let beat = self.executor.sleep(BEAT);
             tokio::select! {
                 biased;
                 () = &mut changed => {}
--- a/crates/router-simulation/src/executor.rs
+++ b/crates/router-simulation/src/executor.rs
@@ -3,7 +3,7 @@
 //! Time stands still while a task runs and jumps to the next timer when none can. What falls due at one instant is
 //! taken in a drawn order, so that an answer and a time-out in one microsecond meet in both orders.
 
-use crate::rng::Dice;
+use crate::rng::SeededRng;
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -14,27 +14,27 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::task::{Context, Poll, Wake, Waker};
 
-/// So many runs of tasks at one instant are a loop that never ends: days have some hundred.
-const ENDLESS: u64 = 200_000;
+/// So many runs of tasks at one instant are a loop that never ends: runs have some hundred.
+const MAX_POLLS_PER_INSTANT: u64 = 200_000;
 
-/// Microseconds since the start of the day.
+/// Microseconds since the start of the run.
 pub type Time = u64;
 
 /// A simulated process or machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Node(pub u32);
 
-type Work = Pin<Box<dyn Future<Output = ()>>>;
+type BoxedTask = Pin<Box<dyn Future<Output = ()>>>;
 
 struct Task {
     node: Node,
     /// Taken while it runs.
-    work: Option<Work>,
-    alarm: Arc<Alarm>,
+    future: Option<BoxedTask>,
+    task_waker: Arc<TaskWaker>,
 }
 
 /// Puts its task among those that can run.
-struct Alarm {
+struct TaskWaker {
     slot: usize,
     generation: u64,
     is_set: AtomicBool,
@@ -43,7 +43,7 @@
 
 type Ready = Arc<Mutex<Vec<(usize, u64)>>>;
 
-impl Wake for Alarm {
+impl Wake for TaskWaker {
     fn wake(self: Arc<Self>) {
         self.wake_by_ref();
     }
@@ -63,20 +63,20 @@
     is_due: Cell<bool>,
 }
 
-enum Due {
+enum TimerAction {
     Wake(Rc<Sleeper>),
-    Call(Box<dyn FnOnce()>),
+    CacheRequest(Box<dyn FnOnce()>),
 }
 
 struct Timer {
     at: Time,
-    number: u64,
-    due: Due,
+    sequence: u64,
+    due: TimerAction,
 }
 
 impl PartialEq for Timer {
     fn eq(&self, other: &Self) -> bool {
-        (self.at, self.number) == (other.at, other.number)
+        (self.at, self.sequence) == (other.at, other.sequence)
     }
 }
 
@@ -90,39 +90,39 @@
 
 impl Ord for Timer {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        (self.at, self.number).cmp(&(other.at, other.number))
+        (self.at, self.sequence).cmp(&(other.at, other.sequence))
     }
 }
 
-struct Inner {
+struct ExecutorState {
     now: Cell<Time>,
     tasks: RefCell<Vec<Option<Task>>>,
     free: RefCell<Vec<usize>>,
     generation: Cell<u64>,
     ready: Ready,
     timers: RefCell<BinaryHeap<Reverse<Timer>>>,
-    numbers: Cell<u64>,
-    dice: RefCell<Dice>,
+    last_timer_sequence: Cell<u64>,
+    rng: RefCell<SeededRng>,
     polls: Cell<u64>,
     has_ended: Cell<bool>,
 }
 
 /// The tasks and the clock of one world.
 #[derive(Clone)]
-pub struct Exec(Rc<Inner>);
+pub struct Executor(Rc<ExecutorState>);
 
-impl Exec {
+impl Executor {
     /// A world at time 0 without tasks.
-    pub fn new(dice: Dice) -> Exec {
-        Exec(Rc::new(Inner {
+    pub fn new(rng: SeededRng) -> Executor {
+        Executor(Rc::new(ExecutorState {
             now: Cell::new(0),
             tasks: RefCell::default(),
             free: RefCell::default(),
             generation: Cell::new(0),
             ready: Ready::default(),
             timers: RefCell::default(),
-            numbers: Cell::new(0),
-            dice: RefCell::new(dice),
+            last_timer_sequence: Cell::new(0),
+            rng: RefCell::new(rng),
             polls: Cell::new(0),
             has_ended: Cell::new(false),
         }))
@@ -139,7 +139,7 @@
     }
 
     /// Starts a task of a process.
-    pub fn spawn(&self, node: Node, work: impl Future<Output = ()> + 'static) {
+    pub fn spawn(&self, node: Node, future: impl Future<Output = ()> + 'static) {
         if self.0.has_ended.get() {
             return;
         }
@@ -151,17 +151,17 @@
             tasks.len() - 1
         });
         let ready = self.0.ready.clone();
-        let alarm = Arc::new(Alarm {
+        let task_waker = Arc::new(TaskWaker {
             slot,
             generation,
             is_set: AtomicBool::new(false),
             ready,
         });
-        alarm.wake_by_ref();
+        task_waker.wake_by_ref();
         tasks[slot] = Some(Task {
             node,
-            work: Some(Box::pin(work)),
-            alarm,
+            future: Some(Box::pin(future)),
+            task_waker,
         });
     }
 
@@ -191,18 +191,18 @@
 
     /// Calls this at a time, or now if that is past.
     pub fn call_at(&self, at: Time, call: impl FnOnce() + 'static) {
-        self.timer(at, Due::Call(Box::new(call)));
+        self.timer(at, TimerAction::CacheRequest(Box::new(call)));
     }
 
-    fn timer(&self, at: Time, due: Due) {
+    fn timer(&self, at: Time, due: TimerAction) {
         if self.0.has_ended.get() {
             return;
         }
-        let number = self.0.numbers.get() + 1;
-        self.0.numbers.set(number);
+        let sequence = self.0.last_timer_sequence.get() + 1;
+        self.0.last_timer_sequence.set(sequence);
         self.0.timers.borrow_mut().push(Reverse(Timer {
             at: at.max(self.now()),
-            number,
+            sequence,
             due,
         }));
     }
@@ -210,7 +210,7 @@
     /// Returns at this time.
     pub fn sleep_until(&self, at: Time) -> Sleep {
         Sleep {
-            exec: self.clone(),
+            executor: self.clone(),
             at,
             sleeper: None,
         }
@@ -227,7 +227,7 @@
             let before = self.polls();
             while let Some((slot, generation)) = self.pick() {
                 self.poll(slot, generation);
-                if self.polls() - before > ENDLESS {
+                if self.polls() - before > MAX_POLLS_PER_INSTANT {
                     return false;
                 }
             }
@@ -245,8 +245,8 @@
             self.0.now.set(at);
             for due in self.due(at) {
                 match due {
-                    Due::Call(call) => call(),
-                    Due::Wake(sleeper) => {
+                    TimerAction::CacheRequest(call) => call(),
+                    TimerAction::Wake(sleeper) => {
                         sleeper.is_due.set(true);
                         let waker = sleeper.waker.borrow_mut().take();
                         waker.into_iter().for_each(Waker::wake);
@@ -257,15 +257,15 @@
     }
 
     /// What falls due at this time, in a drawn order.
-    fn due(&self, at: Time) -> Vec<Due> {
+    fn due(&self, at: Time) -> Vec<TimerAction> {
         let mut timers = self.0.timers.borrow_mut();
         let mut due = Vec::new();
         while timers.peek().is_some_and(|timer| timer.0.at == at) {
             due.extend(timers.pop().map(|timer| timer.0.due));
         }
-        let mut dice = self.0.dice.borrow_mut();
+        let mut rng = self.0.rng.borrow_mut();
         for place in (1..due.len()).rev() {
-            due.swap(place, dice.place(place + 1));
+            due.swap(place, rng.index(place + 1));
         }
         due
     }
@@ -275,26 +275,28 @@
         match ready.len() {
             0 => None,
             1 => ready.pop(),
-            count => Some(ready.swap_remove(self.0.dice.borrow_mut().place(count))),
+            count => Some(ready.swap_remove(self.0.rng.borrow_mut().index(count))),
         }
     }
 
     fn poll(&self, slot: usize, generation: u64) {
-        let (mut work, alarm) = {
+        let (mut future, task_waker) = {
             let mut tasks = self.0.tasks.borrow_mut();
             let Some(Some(task)) = tasks.get_mut(slot) else {
                 return;
             };
-            if task.alarm.generation != generation {
+            if task.task_waker.generation != generation {
                 return;
             }
-            let Some(work) = task.work.take() else { return };
-            (work, task.alarm.clone())
+            let Some(future) = task.future.take() else {
+                return;
+            };
+            (future, task.task_waker.clone())
         };
-        alarm.is_set.store(false, Ordering::Relaxed);
+        task_waker.is_set.store(false, Ordering::Relaxed);
         self.0.polls.set(self.0.polls.get() + 1);
-        let waker = Waker::from(alarm);
-        let done = work
+        let waker = Waker::from(task_waker);
+        let done = future
             .as_mut()
             .poll(&mut Context::from_waker(&waker))
             .is_ready();
@@ -303,7 +305,7 @@
         let same = |place: &&mut Option<Task>| {
             place
                 .as_ref()
-                .is_some_and(|task| task.alarm.generation == generation)
+                .is_some_and(|task| task.task_waker.generation == generation)
         };
         match place.filter(same) {
             Some(place) if done => {
@@ -311,20 +313,20 @@
                 self.0.free.borrow_mut().push(slot);
             }
             Some(Some(task)) => {
-                task.work = Some(work);
+                task.future = Some(future);
                 return;
             }
             _ => {}
         }
         drop(tasks);
         // What it held is let go of with no list borrowed: that may wake or start others.
-        drop(work);
+        drop(future);
     }
 }
 
 /// Waits for a time.
 pub struct Sleep {
-    exec: Exec,
+    executor: Executor,
     at: Time,
     sleeper: Option<Rc<Sleeper>>,
 }
@@ -333,12 +335,13 @@
     type Output = ();
 
     fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<()> {
-        if self.exec.now() >= self.at && self.sleeper.is_none() {
+        if self.executor.now() >= self.at && self.sleeper.is_none() {
             return Poll::Ready(());
         }
         if self.sleeper.is_none() {
             let sleeper = Rc::new(Sleeper::default());
-            self.exec.timer(self.at, Due::Wake(sleeper.clone()));
+            self.executor
+                .timer(self.at, TimerAction::Wake(sleeper.clone()));
             self.sleeper = Some(sleeper);
         }
         let Some(sleeper) = &self.sleeper else {
--- a/crates/router-simulation/src/fault_plan.rs
+++ b/crates/router-simulation/src/fault_plan.rs
@@ -1,9 +1,9 @@
-//! A day drawn from its seed: the fleet, the settings, what clients ask and which faults overlap. A plan is plain
-//! data, so that a failing day can be shrunk.
+//! A run drawn from its seed: the fleet, the settings, what clients ask and which faults overlap. A plan is plain
+//! data, so that a failing run can be shrunk.
 
 use crate::executor::Time;
-use crate::net::{DatagramWeather, Weather};
-use crate::rng::Dice;
+use crate::network::{DatagramConditions, NetworkConditions};
+use crate::rng::SeededRng;
 use std::fmt;
 
 /// One second.
@@ -21,7 +21,7 @@
 
 /// What can go wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Kind {
+pub enum FaultKind {
     /// Some servers fail part of their requests at once.
     FastErrors,
     /// Some routers die and come back with the last list that they had.
@@ -70,81 +70,81 @@
     SilentWatches,
 }
 
-impl Kind {
+impl FaultKind {
     /// Those that are drawn apart from the pairs.
-    pub const RARE: [Kind; 2] = [Kind::LateDials, Kind::SilentWatches];
+    pub const RARE: [FaultKind; 2] = [FaultKind::LateDials, FaultKind::SilentWatches];
     /// All others.
-    pub const ALL: [Kind; 21] = [
-        Kind::FastErrors,
-        Kind::RouterCrash,
-        Kind::RouterRoll,
-        Kind::OriginSlow,
-        Kind::ServerCrash,
-        Kind::ServerDrain,
-        Kind::ServerVanish,
-        Kind::IdleReset,
-        Kind::Spoils,
-        Kind::Hangs,
-        Kind::ServerSlow,
-        Kind::Full,
-        Kind::DiscoveryLate,
-        Kind::DiscoveryDown,
-        Kind::DiscoveryFlaps,
-        Kind::ZoneCut,
-        Kind::Deaf,
-        Kind::ClockSteps,
-        Kind::ClientsLeave,
-        Kind::ClientsPipeline,
-        Kind::ClientsReadSlowly,
+    pub const ALL: [FaultKind; 21] = [
+        FaultKind::FastErrors,
+        FaultKind::RouterCrash,
+        FaultKind::RouterRoll,
+        FaultKind::OriginSlow,
+        FaultKind::ServerCrash,
+        FaultKind::ServerDrain,
+        FaultKind::ServerVanish,
+        FaultKind::IdleReset,
+        FaultKind::Spoils,
+        FaultKind::Hangs,
+        FaultKind::ServerSlow,
+        FaultKind::Full,
+        FaultKind::DiscoveryLate,
+        FaultKind::DiscoveryDown,
+        FaultKind::DiscoveryFlaps,
+        FaultKind::ZoneCut,
+        FaultKind::Deaf,
+        FaultKind::ClockSteps,
+        FaultKind::ClientsLeave,
+        FaultKind::ClientsPipeline,
+        FaultKind::ClientsReadSlowly,
     ];
 
     /// Its name on the command line.
     pub fn name(self) -> &'static str {
         match self {
-            Kind::FastErrors => "fast-errors",
-            Kind::RouterCrash => "router-crash",
-            Kind::RouterRoll => "router-roll",
-            Kind::OriginSlow => "origin-slow",
-            Kind::ServerCrash => "server-crash",
-            Kind::ServerDrain => "server-drain",
-            Kind::ServerVanish => "server-vanish",
-            Kind::IdleReset => "idle-reset",
-            Kind::Spoils => "spoils",
-            Kind::Hangs => "hangs",
-            Kind::ServerSlow => "server-slow",
-            Kind::Full => "full",
-            Kind::DiscoveryLate => "discovery-late",
-            Kind::DiscoveryDown => "discovery-down",
-            Kind::DiscoveryFlaps => "discovery-flaps",
-            Kind::ZoneCut => "zone-cut",
-            Kind::Deaf => "deaf",
-            Kind::ClockSteps => "clock-steps",
-            Kind::ClientsLeave => "clients-leave",
-            Kind::ClientsPipeline => "clients-pipeline",
-            Kind::ClientsReadSlowly => "clients-read-slowly",
-            Kind::LateDials => "late-dials",
-            Kind::SilentWatches => "silent-watches",
+            FaultKind::FastErrors => "fast-errors",
+            FaultKind::RouterCrash => "router-crash",
+            FaultKind::RouterRoll => "router-roll",
+            FaultKind::OriginSlow => "origin-slow",
+            FaultKind::ServerCrash => "server-crash",
+            FaultKind::ServerDrain => "server-drain",
+            FaultKind::ServerVanish => "server-vanish",
+            FaultKind::IdleReset => "idle-reset",
+            FaultKind::Spoils => "spoils",
+            FaultKind::Hangs => "hangs",
+            FaultKind::ServerSlow => "server-slow",
+            FaultKind::Full => "full",
+            FaultKind::DiscoveryLate => "discovery-late",
+            FaultKind::DiscoveryDown => "discovery-down",
+            FaultKind::DiscoveryFlaps => "discovery-flaps",
+            FaultKind::ZoneCut => "zone-cut",
+            FaultKind::Deaf => "deaf",
+            FaultKind::ClockSteps => "clock-steps",
+            FaultKind::ClientsLeave => "clients-leave",
+            FaultKind::ClientsPipeline => "clients-pipeline",
+            FaultKind::ClientsReadSlowly => "clients-read-slowly",
+            FaultKind::LateDials => "late-dials",
+            FaultKind::SilentWatches => "silent-watches",
         }
     }
 
     /// The fault of this name.
-    pub fn named(name: &str) -> Option<Kind> {
-        Kind::ALL
+    pub fn named(name: &str) -> Option<FaultKind> {
+        FaultKind::ALL
             .into_iter()
-            .chain(Kind::RARE)
+            .chain(FaultKind::RARE)
             .find(|kind| kind.name() == name)
     }
 }
 
-/// One fault of a day.
+/// One fault of a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fault {
     /// What.
-    pub kind: Kind,
+    pub kind: FaultKind,
     /// When it begins.
     pub at: Time,
     /// How long it lasts.
-    pub length: Time,
+    pub duration: Time,
     /// Which routers, servers or zone.
     pub targets: Vec<usize>,
     /// How bad, from 0 to 1.
@@ -153,7 +153,7 @@
 
 /// What operators do beside the faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Act {
+pub enum OperatorAction {
     /// They call a server out at every router, restart it, and call it back.
     ServerOut(usize),
     /// They drain a router and end that.
@@ -162,21 +162,21 @@
 
 /// One of those.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Acted {
+pub struct PlannedAction {
     /// What.
-    pub act: Act,
+    pub action: OperatorAction,
     /// When.
     pub at: Time,
     /// How long until they take it back.
-    pub length: Time,
+    pub duration: Time,
 }
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (name, at, length) = (self.kind.name(), self.at / MILLI, self.length / MILLI);
+        let (name, at, duration) = (self.kind.name(), self.at / MILLI, self.duration / MILLI);
         write!(
             f,
-            "{name} at {at} ms for {length} ms, size {:.2}, targets {:?}",
+            "{name} at {at} ms for {duration} ms, size {:.2}, targets {:?}",
             self.size, self.targets
         )
     }
@@ -187,7 +187,7 @@
 
 /// One request of a client, its retries aside.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ask {
+pub struct PlannedRequest {
     /// Its number in the plan, which its id holds.
     pub number: u32,
     /// When.
@@ -199,28 +199,28 @@
     /// The key.
     pub key: u64,
     /// How long its client waits for this try.
-    pub wait: Time,
+    pub timeout: Time,
     /// What it costs a core of speed 1, in microseconds.
     pub work: f64,
     /// The value's size.
     pub size: usize,
     /// Its place in a drawn order, by which faults of clients pick theirs.
-    pub lot: f64,
+    pub fault_selector: f64,
 }
 
 /// A crowd that asks one router for one key.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Burst {
+pub struct Crowd {
     /// Its reads, all for one key.
-    pub asks: Vec<Ask>,
+    pub requests: Vec<PlannedRequest>,
     /// Writes on that key meanwhile.
-    pub writes: Vec<Ask>,
+    pub writes: Vec<PlannedRequest>,
 }
 
 /// Reads of a crowd, and the connections that they come on, as many on each.
-pub const CROWD: usize = 500;
+pub const CROWD_READ_COUNT: usize = 500;
 /// See there.
-pub const CROWD_CONNECTIONS: usize = 50;
+pub const CROWD_CONNECTION_COUNT: usize = 50;
 
 /// A cache server of the plan.
 #[derive(Clone, Debug, PartialEq)]
@@ -235,27 +235,27 @@
     pub queue: usize,
 }
 
-/// A day.
+/// A run.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Plan {
+pub struct RunPlan {
     /// Its seed.
     pub seed: u64,
     /// The zone of each router.
     pub routers: Vec<usize>,
     /// The cache servers.
     pub servers: Vec<ServerPlan>,
-    /// The network's weather.
-    pub weather: Weather,
+    /// The network's network conditions.
+    pub conditions: NetworkConditions,
     /// The mean work of a read.
     pub mean_work: f64,
     /// An answer to a read is wanted within this time; its deadline is 2.5 times that.
     pub latency_objective: Time,
     /// How long servers remember a keyed request.
-    pub memory: Time,
+    pub deduplication_window: Time,
     /// The share of its capacity that a server starts with at least, as the settings have it.
     pub initial_capacity_ratio: f64,
     /// The share that servers do start with.
-    pub cold_from: f64,
+    pub starting_capacity_ratio: f64,
     /// When they are warm at the latest, and are.
     pub slow_start_duration: Time,
     /// See the rules.
@@ -267,25 +267,25 @@
     /// A connection that is not up after this long never will be.
     pub dial_timeout: Time,
     /// Servers close connections that have been idle for so long.
-    pub conn_idle: Time,
+    pub idle_timeout: Time,
     /// Descriptors of a router.
-    pub sockets: usize,
+    pub descriptor_limit: usize,
     /// How late discovery's news is.
-    pub notice: Time,
+    pub notice_delay: Time,
     /// What a first request on a connection waits for.
-    pub handshake: Time,
+    pub handshake_time: Time,
     /// The origin's time for a fetch.
     pub origin_time: Time,
     /// Fetches that the origin works on at a time.
     pub origin_slots: usize,
     /// What clients ask, in the order of its time.
-    pub asks: Vec<Ask>,
+    pub requests: Vec<PlannedRequest>,
     /// Routers join identical reads.
-    pub joining: bool,
+    pub coalescing: bool,
     /// Where they do: crowds that ask for one key.
-    pub bursts: Vec<Burst>,
+    pub crowds: Vec<Crowd>,
     /// What operators do.
-    pub acts: Vec<Acted>,
+    pub operator_actions: Vec<PlannedAction>,
     /// What goes wrong.
     pub faults: Vec<Fault>,
     /// From here on everything must be well.
@@ -293,100 +293,100 @@
 }
 
 /// How many unordered pairs of faults there are.
-pub const PAIRS: u64 = (Kind::ALL.len() * (Kind::ALL.len() - 1) / 2) as u64;
+pub const PAIRS: u64 = (FaultKind::ALL.len() * (FaultKind::ALL.len() - 1) / 2) as u64;
 
 /// The pair of this number.
-fn pair(number: u64) -> (Kind, Kind) {
+fn pair(number: u64) -> (FaultKind, FaultKind) {
     let mut left = number % PAIRS;
-    for (place, &first) in Kind::ALL.iter().enumerate() {
-        let rest = (Kind::ALL.len() - 1 - place) as u64;
-        if left < rest {
-            return (first, Kind::ALL[place + 1 + left as usize]);
+    for (index, &first) in FaultKind::ALL.iter().enumerate() {
+        let buffered_bytes = (FaultKind::ALL.len() - 1 - index) as u64;
+        if left < buffered_bytes {
+            return (first, FaultKind::ALL[index + 1 + left as usize]);
         }
-        left -= rest;
+        left -= buffered_bytes;
     }
-    (Kind::ALL[0], Kind::ALL[1])
+    (FaultKind::ALL[0], FaultKind::ALL[1])
 }
 
-impl Plan {
-    /// The day of this seed. Each pair of faults comes once in so many seeds as there are pairs; a third fault, and at
-    /// times a fourth, is drawn. Where `only` names faults, all are drawn from those.
-    pub fn draw(seed: u64, only: &[Kind]) -> Plan {
-        let mut dice = Dice::new(seed, 1);
+impl RunPlan {
+    /// The run of this seed. Each pair of faults comes once in so many seeds as there are pairs; a third fault, and at
+    /// times a fourth, is drawn. Where `allowed_faults` names faults, all are drawn from those.
+    pub fn draw(seed: u64, allowed_faults: &[FaultKind]) -> RunPlan {
+        let mut rng = SeededRng::new(seed, 1);
         let zones = 3;
-        let routers: Vec<usize> = (0..dice.range(3, 5)).map(|i| i as usize % zones).collect();
-        let servers: Vec<ServerPlan> = (0..dice.range(8, 12) as usize)
+        let routers: Vec<usize> = (0..rng.range(3, 5)).map(|i| i as usize % zones).collect();
+        let servers: Vec<ServerPlan> = (0..rng.range(8, 12) as usize)
             .map(|i| ServerPlan {
                 zone: i % zones,
-                speed: dice.between(0.8, 1.6),
-                slots: dice.range(2, 5) as usize,
-                queue: dice.range(3, 8) as usize,
+                speed: rng.between(0.8, 1.6),
+                slots: rng.range(2, 5) as usize,
+                queue: rng.range(3, 8) as usize,
             })
             .collect();
         let capacity: f64 = servers.iter().map(|server| server.speed).sum();
-        let rate = dice.between(44.0, 64.0);
-        let mean_work = dice.between(0.25, 0.55) * capacity / rate * SECOND as f64;
-        let latency_objective = (mean_work * dice.between(6.0, 9.0)) as Time;
-        let initial_capacity_ratio = dice.between(0.12, 0.4);
-        let mut plan = Plan {
+        let rate = rng.between(44.0, 64.0);
+        let mean_work = rng.between(0.25, 0.55) * capacity / rate * SECOND as f64;
+        let latency_objective = (mean_work * rng.between(6.0, 9.0)) as Time;
+        let initial_capacity_ratio = rng.between(0.12, 0.4);
+        let mut plan = RunPlan {
             seed,
-            weather: Weather {
-                near: dice.range(80, 340),
-                far: dice.range(2 * MILLI, 12 * MILLI),
-                jitter: dice.between(0.1, 0.4),
-                loss: if dice.chance(0.3) {
-                    dice.between(0.0, 0.004)
+            conditions: NetworkConditions {
+                latency_within_zone: rng.range(80, 340),
+                latency_between_zones: rng.range(2 * MILLI, 12 * MILLI),
+                jitter_ratio: rng.between(0.1, 0.4),
+                loss_ratio: if rng.chance(0.3) {
+                    rng.between(0.0, 0.004)
                 } else {
                     0.0
                 },
-                split: dice.between(0.0, 0.3),
-                datagrams: DatagramWeather::default(),
-                window: if dice.chance(0.2) {
-                    dice.range(200, 8_000) as usize
+                split_ratio: rng.between(0.0, 0.3),
+                datagrams: DatagramConditions::default(),
+                window: if rng.chance(0.2) {
+                    rng.range(200, 8_000) as usize
                 } else {
                     256 * 1024
                 },
             },
             mean_work,
             latency_objective,
-            memory: dice.range(latency_objective / 2, 3 * latency_objective),
+            deduplication_window: rng.range(latency_objective / 2, 3 * latency_objective),
             initial_capacity_ratio,
-            cold_from: initial_capacity_ratio + dice.between(0.0, 0.1),
-            slow_start_duration: dice.range(2 * SECOND, 5 * SECOND),
-            overload_multiple: dice.between(2.0, 3.0),
-            overload_duration: dice.range(SECOND, 2 * SECOND),
-            hedging: dice.chance(0.7),
-            dial_timeout: dice.range(80 * MILLI, 400 * MILLI),
-            conn_idle: dice.range(3 * SECOND, 15 * SECOND),
-            sockets: 48 + 2 * dice.range(80, 160) as usize,
-            notice: dice.range(100 * MILLI, 900 * MILLI),
-            handshake: dice.range(500, 6 * MILLI),
-            origin_time: dice.range(20 * MILLI, 120 * MILLI),
-            origin_slots: dice.range(6, 20) as usize,
-            asks: Vec::new(),
-            joining: false,
-            bursts: Vec::new(),
-            acts: Vec::new(),
+            starting_capacity_ratio: initial_capacity_ratio + rng.between(0.0, 0.1),
+            slow_start_duration: rng.range(2 * SECOND, 5 * SECOND),
+            overload_multiple: rng.between(2.0, 3.0),
+            overload_duration: rng.range(SECOND, 2 * SECOND),
+            hedging: rng.chance(0.7),
+            dial_timeout: rng.range(80 * MILLI, 400 * MILLI),
+            idle_timeout: rng.range(3 * SECOND, 15 * SECOND),
+            descriptor_limit: 48 + 2 * rng.range(80, 160) as usize,
+            notice_delay: rng.range(100 * MILLI, 900 * MILLI),
+            handshake_time: rng.range(500, 6 * MILLI),
+            origin_time: rng.range(20 * MILLI, 120 * MILLI),
+            origin_slots: rng.range(6, 20) as usize,
+            requests: Vec::new(),
+            coalescing: false,
+            crowds: Vec::new(),
+            operator_actions: Vec::new(),
             faults: Vec::new(),
             calm_from: 0,
             routers,
             servers,
         };
-        plan.draw_asks(&mut Dice::new(seed, 2), rate);
-        plan.draw_faults(&mut Dice::new(seed, 3), only);
-        plan.draw_acts(&mut Dice::new(seed, 9));
-        if only.is_empty() {
-            plan.draw_rare(&mut Dice::new(seed, 11));
+        plan.draw_requests(&mut SeededRng::new(seed, 2), rate);
+        plan.draw_faults(&mut SeededRng::new(seed, 3), allowed_faults);
+        plan.draw_operator_actions(&mut SeededRng::new(seed, 9));
+        if allowed_faults.is_empty() {
+            plan.draw_rare(&mut SeededRng::new(seed, 11));
         }
         plan
     }
 
-    /// The same day with joining on and crowds: one while all is well, one while the faults hold, with writes on its key
+    /// The same run with joining on and crowds: one while all is well, one while the faults hold, with writes on its key
     /// in its midst, and one in the calm.
-    pub fn draw_joining(seed: u64, only: &[Kind]) -> Plan {
-        let mut plan = Plan::draw(seed, only);
-        let mut dice = Dice::new(seed, 7);
-        plan.joining = true;
+    pub fn draw_coalescing(seed: u64, allowed_faults: &[FaultKind]) -> RunPlan {
+        let mut plan = RunPlan::draw(seed, allowed_faults);
+        let mut rng = SeededRng::new(seed, 7);
+        plan.coalescing = true;
         let meet = plan
             .faults
             .iter()
@@ -395,159 +395,161 @@
             .unwrap_or(2 * SECOND);
         let moments = [
             OPENS + 200 * MILLI,
-            meet + dice.range(0, 300 * MILLI),
+            meet + rng.range(0, 300 * MILLI),
             plan.calm_from + 100 * MILLI,
         ];
-        let mut number = plan.asks.len() as u32;
-        for (place, at) in moments.into_iter().enumerate() {
-            let (router, key) = (dice.place(plan.routers.len()), dice.number());
-            let spread = if place == 1 {
+        let mut number = plan.requests.len() as u32;
+        for (index, at) in moments.into_iter().enumerate() {
+            let (router, key) = (rng.index(plan.routers.len()), rng.number());
+            let spread = if index == 1 {
                 plan.latency_objective
             } else {
                 0
             };
-            let size = if dice.chance(0.1) {
+            let size = if rng.chance(0.1) {
                 60_000
             } else {
-                dice.range(40, 900) as usize
+                rng.range(40, 900) as usize
             };
-            let mut ask = |plan: &Plan, dice: &mut Dice, class: usize, at: Time| {
+            let mut request = |plan: &RunPlan, rng: &mut SeededRng, class: usize, at: Time| {
                 number += 1;
                 let deadline = plan.deadline(class) as f64;
-                let wait = (deadline * dice.between(0.2, 0.95)) as Time;
-                Ask {
+                let timeout = (deadline * rng.between(0.2, 0.95)) as Time;
+                PlannedRequest {
                     number,
                     at,
                     router,
                     class,
                     key,
-                    wait,
+                    timeout,
                     work: plan.mean_work,
                     size,
-                    lot: dice.unit(),
+                    fault_selector: rng.unit(),
                 }
             };
-            let chunk = CROWD / CROWD_CONNECTIONS;
-            let mut asks: Vec<Ask> = Vec::new();
-            for _ in 0..CROWD_CONNECTIONS {
-                let at = at + if spread > 0 { dice.range(0, spread) } else { 0 };
-                asks.extend((0..chunk).map(|_| ask(&plan, &mut dice, 0, at)));
+            let chunk = CROWD_READ_COUNT / CROWD_CONNECTION_COUNT;
+            let mut requests: Vec<PlannedRequest> = Vec::new();
+            for _ in 0..CROWD_CONNECTION_COUNT {
+                let at = at + if spread > 0 { rng.range(0, spread) } else { 0 };
+                requests.extend((0..chunk).map(|_| request(&plan, &mut rng, 0, at)));
             }
-            let count = if place == 1 { 3 } else { 0 };
+            let count = if index == 1 { 3 } else { 0 };
             let writes = (0..count)
                 .map(|_| {
-                    let at = at + dice.range(0, spread.max(1));
-                    ask(&plan, &mut dice, 1, at)
+                    let at = at + rng.range(0, spread.max(1));
+                    request(&plan, &mut rng, 1, at)
                 })
                 .collect();
-            plan.bursts.push(Burst { asks, writes });
+            plan.crowds.push(Crowd { requests, writes });
         }
         plan
     }
 
-    fn draw_asks(&mut self, dice: &mut Dice, rate: f64) {
-        let keys = dice.range(60, 300);
-        let skew = dice.between(0.8, 1.2);
+    fn draw_requests(&mut self, rng: &mut SeededRng, rate: f64) {
+        let keys = rng.range(60, 300);
+        let skew = rng.between(0.8, 1.2);
         let weights: Vec<f64> = (1..=keys)
             .map(|rank| 1.0 / (rank as f64 + 2.0).powf(skew))
             .collect();
         let sum: f64 = weights.iter().sum();
-        let salt = dice.number();
+        let salt = rng.number();
         let mut at = OPENS as f64;
         while (at as Time) < CLOSES {
-            at += dice.exponential(SECOND as f64 / rate);
-            let mut left = dice.unit() * sum;
+            at += rng.exponential(SECOND as f64 / rate);
+            let mut left = rng.unit() * sum;
             let rank = weights.iter().position(|weight| {
                 left -= weight;
                 left < 0.0
             });
-            let class = match dice.unit() {
-                lot if lot < 0.74 => 0,
-                lot if lot < 0.86 => 1,
-                lot if lot < 0.92 => 2,
+            let class = match rng.unit() {
+                sample if sample < 0.74 => 0,
+                sample if sample < 0.86 => 1,
+                sample if sample < 0.92 => 2,
                 _ => 3,
             };
             let deadline = self.deadline(class) as f64;
-            self.asks.push(Ask {
-                number: self.asks.len() as u32,
+            self.requests.push(PlannedRequest {
+                number: self.requests.len() as u32,
                 at: at as Time,
-                router: dice.place(self.routers.len()),
+                router: rng.index(self.routers.len()),
                 class,
                 key: salt
                     .wrapping_add(rank.unwrap_or(0) as u64)
                     .wrapping_mul(0x9E37_79B9_7F4A_7C15),
-                wait: (deadline * dice.between(0.5, 0.95)) as Time,
-                work: self.mean_work * if class == 0 { 1.0 } else { 1.6 } * dice.between(0.5, 1.5),
-                size: if dice.chance(0.03) {
-                    dice.range(4_096, 60_000)
+                timeout: (deadline * rng.between(0.5, 0.95)) as Time,
+                work: self.mean_work * if class == 0 { 1.0 } else { 1.6 } * rng.between(0.5, 1.5),
+                size: if rng.chance(0.03) {
+                    rng.range(4_096, 60_000)
                 } else {
-                    dice.range(40, 900)
+                    rng.range(40, 900)
                 } as usize,
-                lot: dice.unit(),
+                fault_selector: rng.unit(),
             });
         }
     }
 
-    fn draw_faults(&mut self, dice: &mut Dice, only: &[Kind]) {
-        let pool = if only.is_empty() {
-            &Kind::ALL[..]
+    fn draw_faults(&mut self, rng: &mut SeededRng, allowed_faults: &[FaultKind]) {
+        let pool = if allowed_faults.is_empty() {
+            &FaultKind::ALL[..]
         } else {
-            only
+            allowed_faults
         };
         let (first, second) = pair(self.seed);
-        let mut kinds = if only.is_empty() {
+        let mut kinds = if allowed_faults.is_empty() {
             vec![first, second]
         } else {
-            vec![pool[dice.place(pool.len())]; 1]
+            vec![pool[rng.index(pool.len())]; 1]
         };
-        while kinds.len() < 3 || (kinds.len() < 4 && dice.chance(0.25)) {
-            kinds.push(pool[dice.place(pool.len())]);
+        while kinds.len() < 3 || (kinds.len() < 4 && rng.chance(0.25)) {
+            kinds.push(pool[rng.index(pool.len())]);
         }
         // All hold at one moment.
-        let meet = dice.range(1_500 * MILLI, 4 * SECOND);
+        let meet = rng.range(1_500 * MILLI, 4 * SECOND);
         for kind in kinds {
-            let before = dice.range(50 * MILLI, 900 * MILLI);
-            let after = dice.range(50 * MILLI, 1_500 * MILLI);
+            let before = rng.range(50 * MILLI, 900 * MILLI);
+            let after = rng.range(50 * MILLI, 1_500 * MILLI);
             let targets = match kind {
-                Kind::RouterCrash | Kind::ClockSteps => some(dice, self.routers.len(), 0.5),
-                Kind::RouterRoll => (0..self.routers.len()).collect(),
-                Kind::ZoneCut => vec![dice.place(3)],
-                _ => some(dice, self.servers.len(), 0.3),
+                FaultKind::RouterCrash | FaultKind::ClockSteps => {
+                    some(rng, self.routers.len(), 0.5)
+                }
+                FaultKind::RouterRoll => (0..self.routers.len()).collect(),
+                FaultKind::ZoneCut => vec![rng.index(3)],
+                _ => some(rng, self.servers.len(), 0.3),
             };
-            let (at, length) = (meet - before, before + after);
+            let (at, duration) = (meet - before, before + after);
             self.faults.push(Fault {
                 kind,
                 at,
-                length,
+                duration,
                 targets,
-                size: dice.unit(),
+                size: rng.unit(),
             });
         }
         self.faults.sort_by_key(|fault| fault.at);
         self.calm_from = FAULTS_END + SETTLES;
     }
 
-    /// On two days of five connections come up late, on one of five watches fall silent, beside the faults and at their
+    /// On two runs of five connections come up late, on one of five watches fall silent, beside the faults and at their
     /// height. Drawn apart, so that the faults of a seed stay what they are.
-    fn draw_rare(&mut self, dice: &mut Dice) {
+    fn draw_rare(&mut self, rng: &mut SeededRng) {
         let begun = self
             .faults
             .iter()
             .map(|fault| fault.at)
             .max()
             .unwrap_or(2 * SECOND);
-        for (chance, kind) in [(0.4, Kind::LateDials), (0.2, Kind::SilentWatches)] {
-            let targets = some(dice, self.servers.len(), 0.6);
+        for (chance, kind) in [(0.4, FaultKind::LateDials), (0.2, FaultKind::SilentWatches)] {
+            let targets = some(rng, self.servers.len(), 0.6);
             let (before, after) = (
-                dice.range(50 * MILLI, 900 * MILLI),
-                dice.range(100 * MILLI, 1_500 * MILLI),
+                rng.range(50 * MILLI, 900 * MILLI),
+                rng.range(100 * MILLI, 1_500 * MILLI),
             );
-            let (at, length, size) = (begun - before, before + after, dice.unit());
-            if dice.chance(chance) {
+            let (at, duration, size) = (begun - before, before + after, rng.unit());
+            if rng.chance(chance) {
                 self.faults.push(Fault {
                     kind,
                     at,
-                    length,
+                    duration,
                     targets,
                     size,
                 });
@@ -556,28 +558,32 @@
         self.faults.sort_by_key(|fault| fault.at);
     }
 
-    /// On half of the days operators call a server out and back, on a third of all they drain a router. Drawn apart, so
+    /// On half of the runs operators call a server out and back, on a third of all they drain a router. Drawn apart, so
     /// that the faults of a seed stay what they are.
-    fn draw_acts(&mut self, dice: &mut Dice) {
+    fn draw_operator_actions(&mut self, rng: &mut SeededRng) {
         let (servers, routers) = (self.servers.len(), self.routers.len());
-        for (chance, act) in [
-            (0.5, Act::ServerOut(dice.place(servers))),
-            (0.33, Act::RouterDrain(dice.place(routers))),
+        for (chance, action) in [
+            (0.5, OperatorAction::ServerOut(rng.index(servers))),
+            (0.33, OperatorAction::RouterDrain(rng.index(routers))),
         ] {
             // A drain is over before clients that are never at rest are stopped: they would send anew what was not read.
-            let (at, length) = (
-                dice.range(SECOND, 4 * SECOND),
-                dice.range(600 * MILLI, 2_000 * MILLI),
+            let (at, duration) = (
+                rng.range(SECOND, 4 * SECOND),
+                rng.range(600 * MILLI, 2_000 * MILLI),
             );
-            if dice.chance(chance) {
-                self.acts.push(Acted { act, at, length });
+            if rng.chance(chance) {
+                self.operator_actions.push(PlannedAction {
+                    action,
+                    at,
+                    duration,
+                });
             }
         }
     }
 
-    /// When the day ends: long enough after the last ask for every deadline to pass.
-    pub fn ends(&self) -> Time {
-        let last = self.asks.last().map_or(0, |ask| ask.at);
+    /// When the run ends: long enough after the last ask for every deadline to pass.
+    pub fn end_time(&self) -> Time {
+        let last = self.requests.last().map_or(0, |request| request.at);
         last.max(CLOSES) + self.longest_deadline() + SECOND
     }
 
@@ -593,12 +599,12 @@
 }
 
 /// Some of so many, at least one, up to a share.
-fn some(dice: &mut Dice, count: usize, share: f64) -> Vec<usize> {
+fn some(rng: &mut SeededRng, count: usize, share: f64) -> Vec<usize> {
     let most = ((count as f64 * share) as u64).max(1);
-    let wanted = dice.range(1, most) as usize;
+    let wanted = rng.range(1, most) as usize;
     let mut all: Vec<usize> = (0..count).collect();
     while all.len() > wanted {
-        all.remove(dice.place(all.len()));
+        all.remove(rng.index(all.len()));
     }
     all
 }
--- a/crates/router-simulation/src/fleet.rs
+++ b/crates/router-simulation/src/fleet.rs
@@ -1,12 +1,12 @@
 //! Stand-ins for the cache servers and their origin, as PROTOCOL has them: queues, cold starts, kept keys, a memory of
 //! keyed writes, and the troubles that a plan wants of them.
 
-use crate::executor::{Exec, Node, Time};
-use crate::fault_plan::{MILLI, Plan, SECOND, ServerPlan};
-use crate::invariant_checker::{Judge, capacity};
-use crate::net::{Net, SimStream};
-use crate::rng::Dice;
-use crate::wire::{Call, Frames, Spoken, value_for};
+use crate::executor::{Executor, Node, Time};
+use crate::fault_plan::{MILLI, RunPlan, SECOND, ServerPlan};
+use crate::invariant_checker::{InvariantChecker, capacity};
+use crate::network::{Network, SimulatedStream};
+use crate::rng::SeededRng;
+use crate::wire::{CacheRequest, Command, FrameDecoder, value_for};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
 
 /// What is wrong with a server at the moment; shares of its requests.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Trouble {
+pub struct ServerFaults {
     /// Failed at once.
     pub errors: f64,
     /// Spoilt after they have run.
@@ -37,67 +37,72 @@
     /// Its machine.
     pub node: Node,
     /// Where it listens.
-    pub addr: SocketAddr,
+    pub address: SocketAddr,
     plan: ServerPlan,
-    fleet: Rc<Shared>,
+    fleet: Rc<FleetState>,
     /// When its process started, as the list has it; 0 for long ago.
     pub born_ms: Cell<u64>,
     started: Cell<Time>,
     /// What is wrong with it.
-    pub trouble: Cell<Trouble>,
+    pub faults: Cell<ServerFaults>,
     /// It finishes what it has and wants nothing new.
     pub drains: Cell<bool>,
     slots: RefCell<Vec<Time>>,
     waiting: Cell<usize>,
-    kept: RefCell<BTreeMap<Vec<u8>, Time>>,
+    cached_keys: RefCell<BTreeMap<Vec<u8>, Time>>,
     idle: RefCell<Vec<(u32, Rc<tokio::sync::Notify>)>>,
 }
 
 /// What all servers share.
-pub struct Shared {
-    exec: Exec,
-    net: Net,
-    judge: Rc<RefCell<Judge>>,
-    dice: RefCell<Dice>,
-    plan: Rc<Plan>,
+pub struct FleetState {
+    executor: Executor,
+    network: Network,
+    checker: Rc<RefCell<InvariantChecker>>,
+    rng: RefCell<SeededRng>,
+    plan: Rc<RunPlan>,
     /// When each slot of the origin is free, on its own clock.
     origin: RefCell<Vec<Time>>,
-    origin_pace: Cell<Pace>,
+    origin_clock: Cell<OriginClock>,
     origin_turns: tokio::sync::Notify,
     /// Keyed requests by zone and key: when they ran.
-    ran: RefCell<BTreeMap<String, Time>>,
-    works: BTreeMap<u64, (f64, usize)>,
+    executed_keys: RefCell<BTreeMap<String, Time>>,
+    work_by_request: BTreeMap<u64, (f64, usize)>,
     routers: RefCell<BTreeMap<Node, usize>>,
 }
 
 /// Origin fetches beyond this many for each of its slots are turned away.
-const ORIGIN_QUEUE: usize = 6;
+const ORIGIN_QUEUE_PER_SLOT: usize = 6;
 /// How long a key is kept.
-const KEEPS: Time = 8 * SECOND;
+const CACHE_LIFETIME: Time = 8 * SECOND;
 
-impl Shared {
+impl FleetState {
     /// For the servers of a plan.
-    pub fn new(exec: Exec, net: Net, judge: Rc<RefCell<Judge>>, plan: Rc<Plan>) -> Rc<Shared> {
+    pub fn new(
+        executor: Executor,
+        network: Network,
+        checker: Rc<RefCell<InvariantChecker>>,
+        plan: Rc<RunPlan>,
+    ) -> Rc<FleetState> {
         let crowds = plan
-            .bursts
+            .crowds
             .iter()
-            .flat_map(|burst| burst.asks.iter().chain(&burst.writes));
-        let works = plan
-            .asks
+            .flat_map(|crowd| crowd.requests.iter().chain(&crowd.writes));
+        let work_by_request = plan
+            .requests
             .iter()
             .chain(crowds)
-            .map(|ask| (u64::from(ask.number), (ask.work, ask.size)))
+            .map(|request| (u64::from(request.number), (request.work, request.size)))
             .collect();
-        Rc::new(Shared {
-            exec,
-            net,
-            judge,
-            dice: RefCell::new(Dice::new(plan.seed, 4)),
+        Rc::new(FleetState {
+            executor,
+            network,
+            checker,
+            rng: RefCell::new(SeededRng::new(plan.seed, 4)),
             origin: RefCell::new(vec![0; plan.origin_slots]),
-            origin_pace: Cell::default(),
+            origin_clock: Cell::default(),
             origin_turns: tokio::sync::Notify::new(),
-            ran: RefCell::default(),
-            works,
+            executed_keys: RefCell::default(),
+            work_by_request,
             routers: RefCell::default(),
             plan,
         })
@@ -110,10 +115,10 @@
 
     /// From now on the origin takes so many times as long as usual, less one; also for what it has taken already.
     pub fn slow_origin(&self, slow: f64) {
-        let now = self.exec.now();
-        self.origin_pace.set(Pace {
+        let now = self.executor.now();
+        self.origin_clock.set(OriginClock {
             since: now,
-            shown: self.origin_pace.get().shows(now),
+            shown: self.origin_clock.get().shows(now),
             slow,
         });
         self.origin_turns.notify_waiters();
@@ -123,28 +128,28 @@
     async fn origin_shows(&self, then: Time) {
         loop {
             let turns = self.origin_turns.notified();
-            let (now, pace) = (self.exec.now(), self.origin_pace.get());
-            let left = then.saturating_sub(pace.shows(now));
+            let (now, clock) = (self.executor.now(), self.origin_clock.get());
+            let left = then.saturating_sub(clock.shows(now));
             if left == 0 {
                 return;
             }
             tokio::select! {
                 biased;
                 () = turns => {}
-                () = self.exec.sleep_until(now + (left as f64 * (1.0 + pace.slow)).ceil() as Time) => {}
+                () = self.executor.sleep_until(now + (left as f64 * (1.0 + clock.slow)).ceil() as Time) => {}
             }
         }
     }
 
     /// When a fetch that begins now is there, on the origin's clock; none if the origin turns it away.
     fn fetch(&self) -> Option<Time> {
-        let now = self.origin_pace.get().shows(self.exec.now());
-        let time = self.plan.origin_time as f64 * self.dice.borrow_mut().between(0.6, 1.5);
+        let now = self.origin_clock.get().shows(self.executor.now());
+        let time = self.plan.origin_time as f64 * self.rng.borrow_mut().between(0.6, 1.5);
         let time = time as Time;
         let mut slots = self.origin.borrow_mut();
         let slot = slots.iter_mut().min()?;
         let start = (*slot).max(now);
-        if start > now + time * ORIGIN_QUEUE as Time {
+        if start > now + time * ORIGIN_QUEUE_PER_SLOT as Time {
             return None;
         }
         *slot = start + time;
@@ -154,20 +159,20 @@
 
 /// The origin's own clock, which runs slower while the origin does.
 #[derive(Clone, Copy, Debug, Default)]
-struct Pace {
+struct OriginClock {
     since: Time,
     shown: Time,
     slow: f64,
 }
 
-impl Pace {
+impl OriginClock {
     fn shows(&self, now: Time) -> Time {
         self.shown + ((now - self.since) as f64 / (1.0 + self.slow)) as Time
     }
 }
 
 /// What a request comes to.
-enum Done {
+enum RequestResult {
     Served { miss: bool },
     Failed,
     Busy,
@@ -178,62 +183,62 @@
     pub fn new(
         index: usize,
         node: Node,
-        addr: SocketAddr,
+        address: SocketAddr,
         plan: ServerPlan,
-        fleet: Rc<Shared>,
+        fleet: Rc<FleetState>,
     ) -> Rc<Server> {
         Rc::new(Server {
             index,
             name: format!("s-{index:02}"),
             node,
-            addr,
+            address,
             slots: RefCell::new(vec![0; plan.slots]),
             plan,
             fleet,
             born_ms: Cell::new(0),
             started: Cell::new(0),
-            trouble: Cell::default(),
+            faults: Cell::default(),
             drains: Cell::new(false),
             waiting: Cell::new(0),
-            kept: RefCell::default(),
+            cached_keys: RefCell::default(),
             idle: RefCell::default(),
         })
     }
 
     /// Starts its process: a cold one if the list is to say when.
     pub fn start(self: &Rc<Self>, born_ms: u64) {
-        let now = self.fleet.exec.now();
+        let now = self.fleet.executor.now();
         self.born_ms.set(born_ms);
         self.started.set(now);
         self.drains.set(false);
         *self.slots.borrow_mut() = vec![0; self.plan.slots];
         self.waiting.set(0);
-        self.kept.borrow_mut().clear();
+        self.cached_keys.borrow_mut().clear();
         self.idle.borrow_mut().clear();
         if born_ms > 0 {
             let plan = &self.fleet.plan;
-            let mut judge = self.fleet.judge.borrow_mut();
-            judge.server_started(
+            let mut checker = self.fleet.checker.borrow_mut();
+            checker.server_started(
                 now,
                 self.index,
                 born_ms,
-                plan.cold_from,
+                plan.starting_capacity_ratio,
                 plan.slow_start_duration,
             );
         }
-        let listener = self.fleet.net.listen(self.node, self.addr);
+        let listener = self.fleet.network.listen(self.node, self.address);
         let server = self.clone();
-        self.fleet.exec.spawn(self.node, async move {
+        self.fleet.executor.spawn(self.node, async move {
             while let Ok(stream) = listener.accept().await {
                 let work = server.clone().serve(stream);
-                server.fleet.exec.spawn(server.node, work);
+                server.fleet.executor.spawn(server.node, work);
             }
         });
     }
 
     /// Ends its process.
     pub fn kill(&self, vanishes: bool) {
-        self.fleet.net.kill(self.node, vanishes);
+        self.fleet.network.kill(self.node, vanishes);
     }
 
     /// Resets the connections that carry nothing now.
@@ -244,8 +249,8 @@
             .for_each(|(_, reset)| reset.notify_one());
     }
 
-    async fn serve(self: Rc<Self>, mut stream: SimStream) {
-        let (exec, plan) = (&self.fleet.exec, &self.fleet.plan);
+    async fn serve(self: Rc<Self>, mut stream: SimulatedStream) {
+        let (executor, plan) = (&self.fleet.executor, &self.fleet.plan);
         let router = self
             .fleet
             .routers
@@ -253,12 +258,12 @@
             .get(&stream.peer())
             .copied()
             .unwrap_or(0);
-        let (mut frames, mut buffer, mut is_new) = (Frames::default(), vec![0; 4096], true);
+        let (mut frames, mut buffer, mut is_new) = (FrameDecoder::default(), vec![0; 4096], true);
         loop {
             let reset = Rc::new(tokio::sync::Notify::new());
             self.idle.borrow_mut().push((stream.id(), reset.clone()));
             let frame = loop {
-                match frames.next(exec.now()) {
+                match frames.next(executor.now()) {
                     Ok(Some((frame, _))) => break frame,
                     Ok(None) => {}
                     Err(_) => return,
@@ -266,32 +271,32 @@
                 let count = tokio::select! {
                     biased;
                     read = stream.read(&mut buffer) => read.unwrap_or(0),
-                    () = reset.notified(), if frames.rest() == 0 => return stream.reset(),
-                    () = exec.sleep(plan.conn_idle) => 0,
+                    () = reset.notified(), if frames.buffered_bytes() == 0 => return stream.reset(),
+                    () = executor.sleep(plan.idle_timeout) => 0,
                 };
                 if count == 0 {
                     return;
                 }
-                frames.feed(exec.now(), &buffer[..count]);
+                frames.feed(executor.now(), &buffer[..count]);
             };
             let id = stream.id();
             self.idle.borrow_mut().retain(|idle| idle.0 != id);
             if std::mem::take(&mut is_new) {
-                exec.sleep(plan.handshake).await;
+                executor.sleep(plan.handshake_time).await;
             }
-            let Spoken::Call(call) = Spoken::of(&frame) else {
+            let Command::CacheRequest(call) = Command::of(&frame) else {
                 let _ = stream.write_all(b"-SYNTAX\r\n").await;
                 return;
             };
-            if self.trouble.get().hangs {
+            if self.faults.get().hangs {
                 // It reads on, so that it hears of the end.
                 while !matches!(stream.read(&mut buffer).await, Ok(0) | Err(_)) {}
                 return;
             }
             let done = self.work(&call, router).await;
-            let spoils = self.trouble.get().spoils;
-            let answer = if spoils > 0.0 && self.fleet.dice.borrow_mut().chance(spoils) {
-                self.spoilt(&call)
+            let spoils = self.faults.get().spoils;
+            let answer = if spoils > 0.0 && self.fleet.rng.borrow_mut().chance(spoils) {
+                self.malformed_answer(&call)
             } else {
                 self.answer(&call, &done)
             };
@@ -301,14 +306,14 @@
         }
     }
 
-    fn answer(&self, call: &Call, done: &Done) -> Vec<u8> {
+    fn answer(&self, call: &CacheRequest, done: &RequestResult) -> Vec<u8> {
         match done {
-            Done::Served { miss } => {
+            RequestResult::Served { miss } => {
                 let size = self
                     .fleet
-                    .works
-                    .get(&number_of(call.id))
-                    .map_or(0, |ask| ask.1);
+                    .work_by_request
+                    .get(&request_number(call.id))
+                    .map_or(0, |request| request.1);
                 let value = value_for(call.id, &self.name, size);
                 let mut out = format!("*3\r\n${}\r\n", value.len()).into_bytes();
                 out.extend_from_slice(&value);
@@ -319,15 +324,15 @@
                 });
                 out
             }
-            Done::Failed => b"-ERR failed\r\n".to_vec(),
-            Done::Busy => b"-BUSY\r\n".to_vec(),
+            RequestResult::Failed => b"-ERR failed\r\n".to_vec(),
+            RequestResult::Busy => b"-BUSY\r\n".to_vec(),
         }
     }
 
     /// Something that is no row of the protocol's table, or brings more than belongs to it.
-    fn spoilt(&self, call: &Call) -> Vec<u8> {
-        let good = self.answer(call, &Done::Served { miss: false });
-        match self.fleet.dice.borrow_mut().place(6) {
+    fn malformed_answer(&self, call: &CacheRequest) -> Vec<u8> {
+        let good = self.answer(call, &RequestResult::Served { miss: false });
+        match self.fleet.rng.borrow_mut().index(6) {
             0 => b"*3\r\n$99999\r\nnoise".to_vec(),
             1 => b"%what\r\n".to_vec(),
             2 => good[..good.len() / 2].to_vec(),
@@ -338,76 +343,78 @@
     }
 
     /// One request, from its last byte to its end.
-    async fn work(&self, call: &Call, router: usize) -> Done {
-        let (fleet, trouble) = (&self.fleet, self.trouble.get());
-        let (exec, now) = (&fleet.exec, fleet.exec.now());
+    async fn work(&self, call: &CacheRequest, router: usize) -> RequestResult {
+        let (fleet, faults) = (&self.fleet, self.faults.get());
+        let (executor, now) = (&fleet.executor, fleet.executor.now());
         let mean = fleet.plan.mean_work;
         let (work, _) = fleet
-            .works
-            .get(&number_of(call.id))
+            .work_by_request
+            .get(&request_number(call.id))
             .copied()
             .unwrap_or((mean, 0));
         if fleet
-            .judge
+            .checker
             .borrow_mut()
             .work_arrived(now, self.index, router, work / self.plan.speed)
         {
-            let (net, node) = (fleet.net.clone(), self.node);
+            let (network, node) = (fleet.network.clone(), self.node);
             // A process does not end within itself.
-            exec.call_at(now, move || net.kill(node, false));
+            executor.call_at(now, move || network.kill(node, false));
             return std::future::pending().await;
         }
         let (errors, full) = {
-            let mut dice = fleet.dice.borrow_mut();
-            (dice.chance(trouble.errors), dice.chance(trouble.full))
+            let mut rng = fleet.rng.borrow_mut();
+            (rng.chance(faults.errors), rng.chance(faults.full))
         };
         if self.drains.get() || full {
-            return Done::Busy;
+            return RequestResult::Busy;
         }
         if errors {
-            exec.sleep(2 * MILLI).await;
-            return Done::Failed;
+            executor.sleep(2 * MILLI).await;
+            return RequestResult::Failed;
         }
-        if let Some(once) = &call.once {
+        if let Some(idempotency_key) = &call.idempotency_key {
             let scope = if call.class == "zona" {
                 self.plan.zone
             } else {
                 usize::MAX
             };
-            let name = format!("{scope}/{once}");
-            let ran = fleet.ran.borrow().get(&name).copied();
-            if ran.is_some_and(|at| at + fleet.plan.memory > now) {
+            let name = format!("{scope}/{idempotency_key}");
+            let executed_keys = fleet.executed_keys.borrow().get(&name).copied();
+            if executed_keys.is_some_and(|at| at + fleet.plan.deduplication_window > now) {
                 // Dropped as a repeat: the receipt is the same.
-                return Done::Served { miss: false };
+                return RequestResult::Served { miss: false };
             }
-            fleet.ran.borrow_mut().insert(name, now);
+            fleet.executed_keys.borrow_mut().insert(name, now);
         }
-        let miss = call.write
+        let miss = call.is_write
             || self
-                .kept
+                .cached_keys
                 .borrow()
                 .get(&call.key)
                 .is_none_or(|&until| until < now);
         if miss {
             let Some(there) = fleet.fetch() else {
-                exec.sleep(MILLI).await;
-                return Done::Failed;
+                executor.sleep(MILLI).await;
+                return RequestResult::Failed;
             };
             fleet.origin_shows(there).await;
-            let until = exec.now() + KEEPS;
-            if call.write {
-                self.kept.borrow_mut().remove(&call.key);
+            let until = executor.now() + CACHE_LIFETIME;
+            if call.is_write {
+                self.cached_keys.borrow_mut().remove(&call.key);
             } else {
-                self.kept.borrow_mut().insert(call.key.clone(), until);
+                self.cached_keys
+                    .borrow_mut()
+                    .insert(call.key.clone(), until);
             }
         }
-        let Some(end) = self.slot(work, trouble.slow) else {
-            return Done::Busy;
+        let Some(end) = self.slot(work, faults.slow) else {
+            return RequestResult::Busy;
         };
         self.waiting.set(self.waiting.get() + 1);
-        exec.sleep_until(end).await;
+        executor.sleep_until(end).await;
         self.waiting.set(self.waiting.get().saturating_sub(1));
-        Done::Served { miss }
+        RequestResult::Served { miss }
     }
 
     /// When work that comes now is done; none if the queue is full.
@@ -415,7 +422,7 @@
         if self.waiting.get() >= self.plan.slots + self.plan.queue {
             return None;
         }
-        let now = self.fleet.exec.now();
+        let now = self.fleet.executor.now();
         let plan = &self.fleet.plan;
         let mut slots = self.slots.borrow_mut();
         let count = slots.len() as f64;
@@ -425,7 +432,7 @@
         let part = if self.born_ms.get() == 0 {
             1.0
         } else {
-            capacity(plan.cold_from, plan.slow_start_duration, age)
+            capacity(plan.starting_capacity_ratio, plan.slow_start_duration, age)
         };
         *slot = start + (work * count / (self.plan.speed * part) * (1.0 + slow)) as Time;
         Some(*slot)
@@ -433,6 +440,6 @@
 }
 
 /// The number in the plan of the request that an id belongs to.
-pub fn number_of(id: u64) -> u64 {
+pub fn request_number(id: u64) -> u64 {
     id >> 8
 }
--- a/crates/router-simulation/src/invariant_checker.rs
+++ b/crates/router-simulation/src/invariant_checker.rs
@@ -1,18 +1,18 @@
-//! The judge: it sees what passes on the wire, and facts of the world that no router sees, and holds both against the
+//! The invariant checker: it sees what passes on the wire, and facts of the world that no router sees, and holds both against the
 //! four rules of the protocol after every step. It shares nothing with the router's logic.
 //!
 //! The rules' times are kept to the microsecond: the simulated sockets have none of the noise for which the protocol
 //! allows real ones 50 ms.
 
 use crate::executor::{Node, Time};
-use crate::net::{Leaving, Observer, Side};
-use crate::wire::{self, Answer, Call, Frames, Spoken};
+use crate::network::{CloseKind, Observer, Side};
+use crate::wire::{self, CacheRequest, Command, FrameDecoder, Response};
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::fmt;
 use std::hash::{Hash, Hasher};
 
-/// How many of the steps that touched a request a breach is shown with.
+/// How many of the steps that touched a request a violation is shown with.
 const SHOWN: usize = 50;
 
 /// A request whose client has left is not sent so much later: the operators allow 0.3 s.
@@ -33,14 +33,14 @@
     /// 3: nothing new for a server that drains or is gone.
     Drains,
     /// 4: no cold server is pushed over.
-    Cold,
+    SlowStart,
     /// All settles once faults have ended.
     Liveness,
     /// Descriptors and memory are bounded.
-    Bounds,
+    ResourceLimits,
     /// What is shared was there to be shared: by reads for the same, from a flight no older than the last write that
     /// the reader came after, and each upstream request once for all.
-    Joining,
+    Coalescing,
 }
 
 impl fmt::Display for Rule {
@@ -50,22 +50,22 @@
             Rule::Departed => "departures, nothing is sent for who has left",
             Rule::Effects => "rule 2, no effect twice",
             Rule::Drains => "rule 3, drains kept",
-            Rule::Cold => "rule 4, no cold server pushed over",
+            Rule::SlowStart => "rule 4, no cold server pushed over",
             Rule::Liveness => "liveness, all settles once faults end",
-            Rule::Bounds => "bounds on what is held",
-            Rule::Joining => "joining, only what may be shared is",
+            Rule::ResourceLimits => "bounds on what is held",
+            Rule::Coalescing => "joining, only what may be shared is",
         })
     }
 }
 
 /// A rule that was not kept.
 #[derive(Clone, Debug)]
-pub struct Breach {
+pub struct Violation {
     /// Which.
     pub rule: Rule,
     /// When.
     pub time: Time,
-    /// At which step of the day.
+    /// At which step of the run.
     pub step: u64,
     /// Whose request, if it is about one.
     pub request: Option<u64>,
@@ -95,9 +95,9 @@
     Zone,
 }
 
-/// The figures that the judge goes by.
+/// The figures that the invariant checker goes by.
 #[derive(Clone, Debug)]
-pub struct Figures {
+pub struct RuleParameters {
     /// Each class by its name.
     pub classes: BTreeMap<String, Idempotency>,
     /// A final answer may come this much after the client's time is up.
@@ -117,7 +117,7 @@
     /// Work beyond that which chance may bring, in microseconds.
     pub fall_slack: f64,
     /// Which reads may share an answer; `None`: none may.
-    pub joining: Option<Shares>,
+    pub coalescing: Option<CoalescingParameters>,
     /// Requests from this id on are of crowds: what becomes of a crowd is the fate of a few upstream requests, and does
     /// not count toward the share that is served in the calm.
     pub crowds_from: u64,
@@ -125,7 +125,7 @@
 
 /// The figures of joining.
 #[derive(Clone, Debug)]
-pub struct Shares {
+pub struct CoalescingParameters {
     /// The class whose reads may.
     pub class: String,
     /// Flights for one key that newcomers may join.
@@ -161,7 +161,7 @@
     served_at: Option<Time>,
     conn: u32,
     /// How long its client waits, from when its last byte is at the router's machine.
-    wait: Time,
+    timeout: Time,
     /// The end of that time; unknown before it has arrived.
     deadline: Time,
     /// When its last byte came to the router's machine.
@@ -193,8 +193,8 @@
 #[derive(Default)]
 struct ToClient {
     router: usize,
-    asked: Frames,
-    answers: Frames,
+    asked: FrameDecoder,
+    answers: FrameDecoder,
     owed: VecDeque<Owed>,
     /// For each command still on its way: the bytes up to its end, and whose it is.
     on_the_way: VecDeque<(usize, u64)>,
@@ -205,7 +205,7 @@
     /// When an answer last could go on: its own time does not count before.
     free_at: Time,
     /// The router has begun to leave.
-    is_left: bool,
+    is_closing: bool,
     /// What the client sends cannot be read: it is not judged further.
     is_rude: bool,
 }
@@ -214,8 +214,8 @@
 struct ToServer {
     router: usize,
     server: usize,
-    calls: Frames,
-    replies: Frames,
+    calls: FrameDecoder,
+    replies: FrameDecoder,
     /// Bytes that the server has written and that have not come to the router.
     coming: VecDeque<u8>,
     current: Option<u64>,
@@ -237,7 +237,7 @@
     Other,
 }
 
-/// What a machine is to the judge.
+/// What a machine is to the invariant checker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// A router, by its number.
@@ -263,7 +263,7 @@
 struct Process {
     born: u64,
     started: Time,
-    cold_from: f64,
+    starting_capacity_ratio: f64,
     slow_start_duration: Time,
     /// Work that arrived while it was cold: when, how much, from whom.
     arrived: VecDeque<(Time, f64, usize)>,
@@ -274,7 +274,7 @@
     /// The part of its capacity that it has at this time.
     fn capacity(&self, at: Time) -> f64 {
         capacity(
-            self.cold_from,
+            self.starting_capacity_ratio,
             self.slow_start_duration,
             at.saturating_sub(self.started),
         )
@@ -282,11 +282,12 @@
 }
 
 /// The part of its capacity that a server has so long after its start: it rises evenly.
-pub fn capacity(cold_from: f64, slow_start_duration: Time, age: Time) -> f64 {
+pub fn capacity(starting_capacity_ratio: f64, slow_start_duration: Time, age: Time) -> f64 {
     if age >= slow_start_duration {
         1.0
     } else {
-        cold_from + (1.0 - cold_from) * age as f64 / slow_start_duration as f64
+        starting_capacity_ratio
+            + (1.0 - starting_capacity_ratio) * age as f64 / slow_start_duration as f64
     }
 }
 
@@ -305,9 +306,9 @@
     /// Those served.
     pub served: u64,
     /// Of those, with the value that was made for another.
-    pub joined: u64,
+    pub coalesced: u64,
     /// Those refused.
-    pub refused: u64,
+    pub rejected: u64,
     /// Those failed.
     pub failed: u64,
     /// Attempts at cache servers.
@@ -315,14 +316,14 @@
     /// Connections between routers and cache servers.
     pub connections: u64,
     /// Requests whose clients had left before anything of them was sent, and those of them sent over 0.3 s later.
-    pub left_waiting: u64,
+    pub departed_unsent: u64,
     /// See there.
-    pub sent_for_nobody: u64,
+    pub sent_after_departure: u64,
 }
 
 /// See the module.
-pub struct Judge {
-    figures: Figures,
+pub struct InvariantChecker {
+    rule_parameters: RuleParameters,
     roles: Vec<Role>,
     server_names: BTreeMap<String, usize>,
     server_zones: Vec<usize>,
@@ -349,16 +350,20 @@
     /// Attempts for reads of crowds, their clients' own repeats aside, by key.
     pub crowds: BTreeMap<Vec<u8>, u64>,
     /// What was not kept, at most a few.
-    pub breaches: Vec<Breach>,
+    pub violations: Vec<Violation>,
     /// Requests that a router took since the calm began, and those of them served.
     pub calm: Option<(Time, u64, u64)>,
 }
 
-impl Judge {
-    /// A judge of a world with these servers: their names and zones.
-    pub fn new(figures: Figures, servers: &[(String, usize)], keeps_trace: bool) -> Judge {
-        Judge {
-            figures,
+impl InvariantChecker {
+    /// A invariant checker of a world with these servers: their names and zones.
+    pub fn new(
+        rule_parameters: RuleParameters,
+        servers: &[(String, usize)],
+        keeps_trace: bool,
+    ) -> InvariantChecker {
+        InvariantChecker {
+            rule_parameters,
             roles: Vec::new(),
             server_names: servers
                 .iter()
@@ -381,13 +386,13 @@
             keeps_trace,
             counts: Counts::default(),
             crowds: BTreeMap::new(),
-            breaches: Vec::new(),
+            violations: Vec::new(),
             calm: None,
         }
     }
 
     /// The next machine of the network is this.
-    pub fn machine(&mut self, role: Role) {
+    pub fn add_machine(&mut self, role: Role) {
         self.roles.push(role);
     }
 
@@ -396,7 +401,7 @@
         self.step
     }
 
-    /// A number that is equal for equal days.
+    /// A number that is equal for equal runs.
     pub fn digest(&self) -> u64 {
         self.digest.finish()
     }
@@ -428,12 +433,12 @@
         }
     }
 
-    /// Records a breach.
-    pub fn breach(&mut self, rule: Rule, time: Time, request: Option<u64>, text: String) {
-        if self.breaches.len() >= 8 {
+    /// Records a violation.
+    pub fn record_violation(&mut self, rule: Rule, time: Time, request: Option<u64>, text: String) {
+        if self.violations.len() >= 8 {
             return;
         }
-        let conns: BTreeSet<u32> = match request.and_then(|id| self.requests.get(&id)) {
+        let connection_ids: BTreeSet<u32> = match request.and_then(|id| self.requests.get(&id)) {
             Some(asked) => asked
                 .attempts
                 .iter()
@@ -445,7 +450,7 @@
         let touched = |step: &&(usize, &Step)| {
             request.is_none()
                 || step.1.request == request
-                || (step.1.request.is_none() && conns.contains(&step.1.conn))
+                || (step.1.request.is_none() && connection_ids.contains(&step.1.conn))
         };
         let numbered: Vec<(usize, &Step)> = self.trace.iter().enumerate().collect();
         let mut steps: Vec<String> = numbered
@@ -456,7 +461,7 @@
             .map(|(i, seen)| shown(*i as u64 + 1, seen))
             .collect();
         steps.reverse();
-        self.breaches.push(Breach {
+        self.violations.push(Violation {
             rule,
             time,
             step: self.step,
@@ -467,7 +472,13 @@
     }
 
     /// Operators call a server out at a router, or back.
-    pub fn called(&mut self, now: Time, router: usize, server: usize, is_out: bool) {
+    pub fn server_override_changed(
+        &mut self,
+        now: Time,
+        router: usize,
+        server: usize,
+        is_out: bool,
+    ) {
         if is_out {
             self.called_out.entry((router, server)).or_insert(now);
         } else {
@@ -480,7 +491,7 @@
     /// A router starts, and its configuration holds this list.
     pub fn router_started(&mut self, now: Time, router: usize, known: &str) {
         self.told.retain(|&(other, _), _| other != router);
-        self.hear(now, router, known, true);
+        self.apply_endpoint_list(now, router, known, true);
         self.take_step(now, 0, 1, &[router as u8]);
         self.note(now, 0, None, || format!("router {router} starts"));
     }
@@ -496,7 +507,7 @@
         theirs.into_iter().for_each(|id| self.over(id));
         for line in self.lines.values_mut() {
             match line {
-                Line::Client(line) if line.router == router => line.is_left = true,
+                Line::Client(line) if line.router == router => line.is_closing = true,
                 _ => {}
             }
         }
@@ -510,14 +521,14 @@
         now: Time,
         server: usize,
         born: u64,
-        cold_from: f64,
+        starting_capacity_ratio: f64,
         slow_start_duration: Time,
     ) {
         let (arrived, has_fallen) = (VecDeque::new(), false);
         self.processes[server] = Process {
             born,
             started: now,
-            cold_from,
+            starting_capacity_ratio,
             slow_start_duration,
             arrived,
             has_fallen,
@@ -529,9 +540,9 @@
     /// Work arrived at a cache server, in microseconds of a warm server's whole capacity; whether that pushes it over.
     pub fn work_arrived(&mut self, now: Time, server: usize, router: usize, work: f64) -> bool {
         let (overload_duration, multiple, slack) = (
-            self.figures.overload_duration,
-            self.figures.overload_multiple,
-            self.figures.fall_slack,
+            self.rule_parameters.overload_duration,
+            self.rule_parameters.overload_multiple,
+            self.rule_parameters.fall_slack,
         );
         let process = &mut self.processes[server];
         if process.has_fallen
@@ -577,7 +588,7 @@
                 allowed / 1e3,
                 known / 1e3
             );
-            self.breach(Rule::Cold, now, None, text);
+            self.record_violation(Rule::SlowStart, now, None, text);
         }
         true
     }
@@ -615,7 +626,7 @@
         if let Some(asked) = self.requests.get_mut(&id) {
             asked.is_over = true;
             self.due
-                .remove(&(asked.deadline + self.figures.answer_grace, id));
+                .remove(&(asked.deadline + self.rule_parameters.answer_grace, id));
         }
     }
 
@@ -633,8 +644,8 @@
             let waits = match self.lines.get(&asked.conn) {
                 Some(Line::Client(line)) => {
                     // One that has begun and cannot go on, since its client reads slowly, is not the router's fault.
-                    line.answers.rest() > 0
-                        || line.untaken >= self.figures.window / 2
+                    line.answers.buffered_bytes() > 0
+                        || line.untaken >= self.rule_parameters.window / 2
                         || line
                             .owed
                             .front()
@@ -644,7 +655,7 @@
             };
             if !waits {
                 self.over(id);
-                self.breach(
+                self.record_violation(
                     Rule::Answered,
                     now,
                     Some(id),
@@ -655,14 +666,14 @@
     }
 
     /// A client has written a whole command.
-    fn asked(&mut self, conn: u32, router: usize, call: &Call) -> Option<u64> {
-        let idempotency = *self.figures.classes.get(&call.class)?;
+    fn asked(&mut self, conn: u32, router: usize, call: &CacheRequest) -> Option<u64> {
+        let idempotency = *self.rule_parameters.classes.get(&call.class)?;
         if self.requests.contains_key(&call.id) {
             return None;
         }
-        let (wait, deadline) = (call.wait_ms * 1_000, Time::MAX / 2);
+        let (timeout, deadline) = (call.timeout_ms * 1_000, Time::MAX / 2);
         let (arrived, attempts, answered, is_over) = (None, Vec::new(), None, false);
-        let (what, is_write) = ((call.class.clone(), call.key.clone()), call.write);
+        let (what, is_write) = ((call.class.clone(), call.key.clone()), call.is_write);
         let (first_sent, served_at, left_at) = (None, None, None);
         let asked = Asked {
             router,
@@ -672,7 +683,7 @@
             first_sent,
             served_at,
             conn,
-            wait,
+            timeout,
             deadline,
             arrived,
             attempts,
@@ -680,9 +691,9 @@
             is_over,
             left_at,
         };
-        if self.figures.joining.is_some() {
+        if self.rule_parameters.coalescing.is_some() {
             let of_key = self.of_keys.entry((router, call.key.clone())).or_default();
-            if call.write {
+            if call.is_write {
                 of_key.writes.push(call.id)
             } else {
                 of_key.reads.push(call.id)
@@ -698,12 +709,12 @@
         (begun, now): (Time, Time),
         conn: u32,
         owed: Option<Owed>,
-        answer: &Answer,
+        answer: &Response,
         free_at: Time,
     ) {
         let id = match owed {
             None => {
-                self.breach(
+                self.record_violation(
                     Rule::Answered,
                     now,
                     None,
@@ -714,7 +725,7 @@
             Some(Owed::Pong | Owed::Anything) => return,
             Some(Owed::Request(id)) => id,
         };
-        let grace = self.figures.answer_grace;
+        let grace = self.rule_parameters.answer_grace;
         let Some(asked) = self.requests.get_mut(&id) else {
             return;
         };
@@ -728,13 +739,13 @@
         let (effect, came) = (asked.idempotency, asked.deadline);
         if let Some((since, taken, served)) = &mut self.calm
             && came >= *since
-            && id < self.figures.crowds_from
+            && id < self.rule_parameters.crowds_from
         {
             *taken += 1;
-            *served += u64::from(matches!(answer, Answer::Served(_)));
+            *served += u64::from(matches!(answer, Response::Served(_)));
         }
         if late > grace {
-            self.breach(
+            self.record_violation(
                 Rule::Answered,
                 now,
                 Some(id),
@@ -742,25 +753,27 @@
             );
         }
         match answer {
-            Answer::Served(value) => {
+            Response::Served(value) => {
                 self.counts.served += 1;
-                match wire::made_for(value) {
+                match wire::request_id_of_value(value) {
                     Some(own) if own == id => {}
-                    Some(other) if self.figures.joining.is_some() => self.shared(now, id, other),
+                    Some(other) if self.rule_parameters.coalescing.is_some() => {
+                        self.shared(now, id, other)
+                    }
                     _ => {
                         let text = "served with a value that was not made for it".into();
-                        self.breach(Rule::Answered, now, Some(id), text);
+                        self.record_violation(Rule::Answered, now, Some(id), text);
                     }
                 }
             }
-            Answer::Refused(_) => {
-                self.counts.refused += 1;
+            Response::Rejected(_) => {
+                self.counts.rejected += 1;
                 let promises = !matches!(
                     effect,
                     Idempotency::NotIdempotent | Idempotency::Keyed(DeduplicationScope::Zone, _)
                 );
                 if may_have_run && !promises {
-                    self.breach(
+                    self.record_violation(
                         Rule::Effects,
                         now,
                         Some(id),
@@ -768,7 +781,7 @@
                     );
                 }
             }
-            Answer::Failed => self.counts.failed += 1,
+            Response::Failed => self.counts.failed += 1,
         }
     }
 
@@ -776,17 +789,21 @@
 
     /// A request was served with the value that a server made for another.
     fn shared(&mut self, now: Time, id: u64, other: u64) {
-        self.counts.joined += 1;
+        self.counts.coalesced += 1;
         let (Some(reader), Some(first)) = (self.requests.get(&id), self.requests.get(&other))
         else {
-            return self.breach(
-                Rule::Joining,
+            return self.record_violation(
+                Rule::Coalescing,
                 now,
                 Some(id),
                 "served with a value that nobody asked for".into(),
             );
         };
-        let class = self.figures.joining.as_ref().map(|shares| &shares.class);
+        let class = self
+            .rule_parameters
+            .coalescing
+            .as_ref()
+            .map(|coalescing_parameters| &coalescing_parameters.class);
         let mut found = Vec::new();
         if reader.is_write || first.is_write || class != Some(&reader.what.0) {
             found.push("served with another's value, and it is no read that may be".to_string());
@@ -825,14 +842,17 @@
             }
         }
         for text in found {
-            self.breach(Rule::Joining, now, Some(id), text);
+            self.record_violation(Rule::Coalescing, now, Some(id), text);
         }
     }
 
     /// What is not kept by sending on a read that may be shared, of which an attempt goes out now.
     fn stampede(&self, now: Time, id: u64) -> Option<String> {
-        let (shares, asked) = (self.figures.joining.as_ref()?, self.requests.get(&id)?);
-        if asked.is_write || asked.what.0 != shares.class {
+        let (coalescing_parameters, asked) = (
+            self.rule_parameters.coalescing.as_ref()?,
+            self.requests.get(&id)?,
+        );
+        if asked.is_write || asked.what.0 != coalescing_parameters.class {
             return None;
         }
         let OfKey { writes, reads } = self.of_keys.get(&(asked.router, asked.what.1.clone()))?;
@@ -851,12 +871,12 @@
             .unwrap_or(now);
         // Each begin and each end of a write closes what had begun, and no flight is older than its first reader.
         let is_near = |w: &&Asked| w.arrived.is_some() && w.answered.is_none_or(|at| at >= since);
-        let near = writes
+        let latency_within_zone = writes
             .iter()
             .filter_map(|id| self.requests.get(id))
             .filter(is_near)
             .count();
-        let most = shares.flights * (1 + 2 * near);
+        let most = coalescing_parameters.flights * (1 + 2 * latency_within_zone);
         (out > most).then(|| format!("{out} attempts for its key are out where {most} would do"))
     }
 
@@ -864,7 +884,7 @@
 
     /// A router's first byte of a command for a server.
     fn send_begun(&mut self, now: Time, router: usize, server: usize) {
-        let grace = self.figures.drain_grace;
+        let grace = self.rule_parameters.drain_grace;
         let told = self
             .told
             .get(&(router, server))
@@ -878,20 +898,20 @@
                 "router {router} sends to server {server} {} us after it was told that it drains or is gone",
                 now - since
             );
-            self.breach(Rule::Drains, now, None, text);
+            self.record_violation(Rule::Drains, now, None, text);
         }
     }
 
     /// A router has written a whole command for a server.
-    fn sent(&mut self, now: Time, conn: u32, router: usize, server: usize, call: &Call) {
+    fn sent(&mut self, now: Time, conn: u32, router: usize, server: usize, call: &CacheRequest) {
         self.counts.attempts += 1;
         let id = call.id;
         // The last two digits of an id are the number of the client's try.
-        if id >= self.figures.crowds_from && id.is_multiple_of(256) && !call.write {
+        if id >= self.rule_parameters.crowds_from && id.is_multiple_of(256) && !call.is_write {
             *self.crowds.entry(call.key.clone()).or_default() += 1;
         }
         let Some(asked) = self.requests.get(&id) else {
-            self.breach(
+            self.record_violation(
                 Rule::Answered,
                 now,
                 Some(id),
@@ -907,14 +927,14 @@
             ));
         }
         if let Some(text) = self.stampede(now, id) {
-            found.push((Rule::Joining, text));
+            found.push((Rule::Coalescing, text));
         }
         // A flight goes on for the others when its first waiter has its answer.
         let is_shared = self
-            .figures
-            .joining
+            .rule_parameters
+            .coalescing
             .as_ref()
-            .is_some_and(|shares| shares.class == asked.what.0);
+            .is_some_and(|coalescing_parameters| coalescing_parameters.class == asked.what.0);
         if let Some(at) = asked.answered.filter(|_| !is_shared) {
             found.push((
                 Rule::Answered,
@@ -936,7 +956,7 @@
                     "an unsafe request sent again that may have run".to_string(),
                 ));
             }
-            (Idempotency::Keyed(group, memory), Some(first)) => {
+            (Idempotency::Keyed(group, deduplication_window), Some(first)) => {
                 if group == DeduplicationScope::Zone && zone(first.server) != zone(server) {
                     found.push((
                         Rule::Effects,
@@ -944,12 +964,12 @@
                     ));
                 }
                 let age = now - first.whole_at;
-                if age > memory {
+                if age > deduplication_window {
                     found.push((
                         Rule::Effects,
                         format!(
                             "a keyed request sent again {} us after its memory ended",
-                            age - memory
+                            age - deduplication_window
                         ),
                     ));
                 }
@@ -957,33 +977,33 @@
             _ => {}
         }
         // A flight goes out under the name of the read that came first, and others may wait for it.
-        let is_shared = self.figures.joining.is_some() && !asked.is_write;
+        let is_shared = self.rule_parameters.coalescing.is_some() && !asked.is_write;
         if let Some(left) = asked
             .left_at
             .filter(|left| !is_shared && now > left + LEFT_GRACE)
         {
-            self.counts.sent_for_nobody +=
+            self.counts.sent_after_departure +=
                 u64::from(asked.attempts.is_empty() && now > left + 300_000);
             found.push((
                 Rule::Departed,
                 format!("sent {} us after its client had left", now - left),
             ));
         }
-        if asked.attempts.len() >= self.figures.max_attempts {
+        if asked.attempts.len() >= self.rule_parameters.max_attempts {
             found.push((Rule::Effects, "more attempts than are allowed".to_string()));
         }
         let out = asked
             .attempts
             .iter()
             .any(|attempt| attempt.fate == Fate::Out && attempt.is_open);
-        if out && !self.figures.hedging {
+        if out && !self.rule_parameters.hedging {
             found.push((
                 Rule::Effects,
                 "two attempts out together where that is not allowed".to_string(),
             ));
         }
         for (rule, text) in found {
-            self.breach(rule, now, Some(id), text);
+            self.record_violation(rule, now, Some(id), text);
         }
         let attempt = Attempt {
             conn,
@@ -1010,7 +1030,7 @@
     // ---- lists
 
     /// A list, or changes to one, that counts as told to a router now.
-    fn hear(&mut self, now: Time, router: usize, line: &str, is_whole: bool) {
+    fn apply_endpoint_list(&mut self, now: Time, router: usize, line: &str, is_whole: bool) {
         let Ok(list) = serde_json::from_str::<serde_json::Value>(line) else {
             return;
         };
@@ -1070,18 +1090,18 @@
                     return;
                 }
             };
-            let owed = match Spoken::of(&frame) {
-                Spoken::Call(call) => match self.asked(conn, line.router, &call) {
+            let owed = match Command::of(&frame) {
+                Command::CacheRequest(call) => match self.asked(conn, line.router, &call) {
                     Some(id) => {
                         line.on_the_way
-                            .push_back((line.written - line.asked.rest(), id));
+                            .push_back((line.written - line.asked.buffered_bytes(), id));
                         self.note(now, conn, Some(id), || format!("client asks: {call:?}"));
                         Owed::Request(id)
                     }
                     None => Owed::Anything,
                 },
-                Spoken::Ping => Owed::Pong,
-                Spoken::Other => Owed::Anything,
+                Command::Ping => Owed::Pong,
+                Command::Other => Owed::Anything,
             };
             line.owed.push_back(owed);
         }
@@ -1093,13 +1113,13 @@
         loop {
             match line.answers.next(now) {
                 Ok(Some((frame, begun))) => {
-                    let (owed, answer) = (line.owed.pop_front(), Answer::of(&frame));
+                    let (owed, answer) = (line.owed.pop_front(), Response::of(&frame));
                     let id = match owed {
                         Some(Owed::Request(id)) => Some(id),
                         _ => None,
                     };
                     self.note(now, conn, id, || match &answer {
-                        Answer::Served(value) => {
+                        Response::Served(value) => {
                             format!("router answers: served, {} bytes", value.len())
                         }
                         answer => format!("router answers: {answer:?}"),
@@ -1107,7 +1127,7 @@
                     self.answer((begun, now), conn, owed, &answer, line.free_at);
                     line.free_at = now;
                     // The next one's time may have passed while it waited for this one.
-                    let grace = self.figures.answer_grace;
+                    let grace = self.rule_parameters.answer_grace;
                     if let Some(&Owed::Request(next)) = line.owed.front()
                         && self
                             .requests
@@ -1120,7 +1140,7 @@
                 Ok(None) => return,
                 Err(_) => {
                     if !line.is_rude {
-                        self.breach(
+                        self.record_violation(
                             Rule::Answered,
                             now,
                             None,
@@ -1143,7 +1163,7 @@
                 Owed::Pong | Owed::Anything => None,
             })
             .collect();
-        let had_left = std::mem::replace(&mut line.is_left, true);
+        let had_left = std::mem::replace(&mut line.is_closing, true);
         for id in owed {
             let Some(asked) = self.requests.get(&id) else {
                 continue;
@@ -1154,7 +1174,7 @@
                 && (arrived.is_some_and(|at| at < now) || sent_on);
             self.over(id);
             if is_lost {
-                self.breach(
+                self.record_violation(
                     Rule::Answered,
                     now,
                     Some(id),
@@ -1174,22 +1194,22 @@
                 .filter(|asked| asked.answered.is_none())
             {
                 asked.left_at = asked.left_at.or(Some(now));
-                self.counts.left_waiting += u64::from(asked.attempts.is_empty());
+                self.counts.departed_unsent += u64::from(asked.attempts.is_empty());
             }
         }
     }
 
     fn router_wrote(&mut self, now: Time, conn: u32, line: &mut ToServer, bytes: &[u8]) {
-        if line.calls.rest() == 0 {
+        if line.calls.buffered_bytes() == 0 {
             self.send_begun(now, line.router, line.server);
         }
         line.calls.feed(now, bytes);
         while let Ok(Some((frame, _))) = line.calls.next(now) {
-            if let Spoken::Call(call) = Spoken::of(&frame) {
+            if let Command::CacheRequest(call) = Command::of(&frame) {
                 self.note(now, conn, Some(call.id), || {
                     format!(
                         "router {} sends to server {}: d={}",
-                        line.router, line.server, call.wait_ms
+                        line.router, line.server, call.timeout_ms
                     )
                 });
                 self.sent(now, conn, line.router, line.server, &call);
@@ -1216,12 +1236,12 @@
             let Some(id) = line.current.take() else {
                 return;
             };
-            let answer = Answer::of(&frame);
+            let answer = Response::of(&frame);
             self.note(now, conn, Some(id), || match &answer {
-                Answer::Served(_) => format!("server {} has served it", line.server),
+                Response::Served(_) => format!("server {} has served it", line.server),
                 answer => format!("server {} has answered: {answer:?}", line.server),
             });
-            let fate = if matches!(answer, Answer::Refused(_)) {
+            let fate = if matches!(answer, Response::Rejected(_)) {
                 Fate::NeverRan
             } else {
                 Fate::MayHaveRan
@@ -1229,7 +1249,7 @@
             if let Some(attempt) = self.attempt_on(conn, id) {
                 attempt.fate = fate;
             }
-            if let (Answer::Served(_), Some(asked)) = (&answer, self.requests.get_mut(&id)) {
+            if let (Response::Served(_), Some(asked)) = (&answer, self.requests.get_mut(&id)) {
                 asked.served_at = asked.served_at.or(Some(now));
             }
         }
@@ -1253,14 +1273,14 @@
                 && let Ok(text) = std::str::from_utf8(&text)
             {
                 let router = line.router;
-                self.hear(now, router, text, false);
+                self.apply_endpoint_list(now, router, text, false);
             }
         }
     }
 
-    fn with_line(&mut self, conn: u32, act: impl FnOnce(&mut Judge, &mut Line)) {
+    fn with_line(&mut self, conn: u32, action: impl FnOnce(&mut InvariantChecker, &mut Line)) {
         if let Some(mut line) = self.lines.remove(&conn) {
-            act(self, &mut line);
+            action(self, &mut line);
             self.lines.insert(conn, line);
         }
     }
@@ -1276,7 +1296,7 @@
     )
 }
 
-impl Observer for Judge {
+impl Observer for InvariantChecker {
     fn opened(&mut self, now: Time, conn: u32, dialer: Node, listener: Node) {
         self.take_step(now, conn, 10, &[dialer.0 as u8, listener.0 as u8]);
         let line = match (
@@ -1309,10 +1329,10 @@
 
     fn written(&mut self, now: Time, conn: u32, side: Side, bytes: &[u8]) {
         self.take_step(now, conn, 11 + side as u8, bytes);
-        self.with_line(conn, |judge, line| match (line, side) {
-            (Line::Client(line), Side::Dialer) => judge.client_wrote(now, conn, line, bytes),
-            (Line::Client(line), Side::Listener) => judge.router_answered(now, conn, line, bytes),
-            (Line::Server(line), Side::Dialer) => judge.router_wrote(now, conn, line, bytes),
+        self.with_line(conn, |checker, line| match (line, side) {
+            (Line::Client(line), Side::Dialer) => checker.client_wrote(now, conn, line, bytes),
+            (Line::Client(line), Side::Listener) => checker.router_answered(now, conn, line, bytes),
+            (Line::Server(line), Side::Dialer) => checker.router_wrote(now, conn, line, bytes),
             (Line::Server(line), Side::Listener) => line.coming.extend(bytes),
             (Line::Discovery(line), Side::Listener) => line.coming.extend(bytes),
             (Line::Discovery(_), Side::Dialer) | (Line::Other, _) => {}
@@ -1321,59 +1341,61 @@
 
     fn delivered(&mut self, now: Time, conn: u32, side: Side, count: usize) {
         self.take_step(now, conn, 13 + side as u8, &count.to_le_bytes());
-        self.with_line(conn, |judge, line| match (line, side) {
+        self.with_line(conn, |checker, line| match (line, side) {
             (Line::Client(line), Side::Dialer) => {
                 line.arrived += count;
-                while let Some(&(_, id)) =
-                    line.on_the_way.front().filter(|ask| ask.0 <= line.arrived)
+                while let Some(&(_, id)) = line
+                    .on_the_way
+                    .front()
+                    .filter(|request| request.0 <= line.arrived)
                 {
                     line.on_the_way.pop_front();
-                    if let Some(asked) = judge
+                    if let Some(asked) = checker
                         .requests
                         .get_mut(&id)
-                        .filter(|asked| !line.is_left && !asked.is_over)
+                        .filter(|asked| !line.is_closing && !asked.is_over)
                     {
                         asked.arrived = Some(now);
-                        asked.deadline = now + asked.wait;
-                        judge
+                        asked.deadline = now + asked.timeout;
+                        checker
                             .due
-                            .insert((asked.deadline + judge.figures.answer_grace, id));
-                        judge.counts.taken += 1;
-                        judge.note(now, conn, Some(id), || {
+                            .insert((asked.deadline + checker.rule_parameters.answer_grace, id));
+                        checker.counts.taken += 1;
+                        checker.note(now, conn, Some(id), || {
                             "its last byte is at the router's machine".into()
                         });
                     }
                 }
             }
             (Line::Client(line), Side::Listener) => {
-                if line.untaken >= judge.figures.window / 2 {
+                if line.untaken >= checker.rule_parameters.window / 2 {
                     line.free_at = now;
                 }
                 line.untaken = line.untaken.saturating_sub(count);
             }
-            (Line::Server(line), Side::Listener) => judge.router_heard(now, conn, line, count),
-            (Line::Discovery(line), Side::Listener) => judge.router_told(now, line, count),
+            (Line::Server(line), Side::Listener) => checker.router_heard(now, conn, line, count),
+            (Line::Discovery(line), Side::Listener) => checker.router_told(now, line, count),
             _ => {}
         });
     }
 
-    fn left(&mut self, now: Time, conn: u32, side: Side, how: Leaving) {
+    fn left(&mut self, now: Time, conn: u32, side: Side, how: CloseKind) {
         self.take_step(now, conn, 15 + side as u8, &[how as u8]);
         self.note(now, conn, None, || format!("{side:?} leaves: {how:?}"));
-        self.with_line(conn, |judge, line| match (line, side) {
+        self.with_line(conn, |checker, line| match (line, side) {
             (Line::Client(line), side) => {
-                judge.client_line_ended(now, conn, line, side == Side::Listener)
+                checker.client_line_ended(now, conn, line, side == Side::Listener)
             }
-            (Line::Server(line), Side::Dialer) => judge.server_line_ended(conn, line),
+            (Line::Server(line), Side::Dialer) => checker.server_line_ended(conn, line),
             _ => {}
         });
     }
 
     fn end_delivered(&mut self, now: Time, conn: u32, side: Side) {
         self.take_step(now, conn, 17 + side as u8, &[]);
-        self.with_line(conn, |judge, line| match (line, side) {
-            (Line::Server(line), Side::Listener) => judge.server_line_ended(conn, line),
-            (Line::Client(line), Side::Dialer) => judge.client_has_left(now, line),
+        self.with_line(conn, |checker, line| match (line, side) {
+            (Line::Server(line), Side::Listener) => checker.server_line_ended(conn, line),
+            (Line::Client(line), Side::Dialer) => checker.client_has_left(now, line),
             _ => {}
         });
     }
@@ -1381,8 +1403,8 @@
     fn out_of_descriptors(&mut self, now: Time, node: Node) {
         self.take_step(now, 0, 19, &[node.0 as u8]);
         if let Role::Router(router) = self.roles[node.0 as usize] {
-            self.breach(
-                Rule::Bounds,
+            self.record_violation(
+                Rule::ResourceLimits,
                 now,
                 None,
                 format!("router {router} runs out of descriptors"),
--- a/crates/router-simulation/src/main.rs
+++ b/crates/router-simulation/src/main.rs
@@ -1,14 +1,14 @@
-//! router-simulation: plays days of overlapping faults on the virtual clock and judges them.
+//! router-simulation: plays runs of overlapping faults on the virtual clock and judges them.
 //!
-//! Exit codes: 0 no breach, 1 a breach (or a mutation that was not caught), 2 a word on the command line that
+//! Exit codes: 0 no violation, 1 a violation (or a mutation that was not caught), 2 a word on the command line that
 //! cannot be used.
 
 use clap::{Parser, Subcommand};
 use indicatif::{ProgressBar, ProgressStyle};
-use router_simulation::campaign::{self, Draw};
-use router_simulation::fault_plan::{Kind, MILLI, Plan};
-use router_simulation::invariant_checker::Breach;
-use router_simulation::run::{Keep, play};
+use router_simulation::campaign::{self, DrawPlan};
+use router_simulation::fault_plan::{FaultKind, MILLI, RunPlan};
+use router_simulation::invariant_checker::Violation;
+use router_simulation::run::{Recording, simulate};
 use std::ops::Range;
 use std::process::ExitCode;
 use std::time::Instant;
@@ -26,28 +26,28 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Play the days of a range of seeds; a summary, and what broke.
+    /// Play the runs of a range of seeds; a summary, and what broke.
     Run {
         /// The seeds, FIRST..END without END.
         #[arg(long, default_value = "0..1000", value_parser = range)]
         seeds: Range<u64>,
         /// Join identical reads, and let crowds ask for one key.
-        #[arg(long)]
-        joining: bool,
+        #[arg(long = "joining")]
+        coalescing: bool,
         /// Threads; all cores if left out.
-        #[arg(long)]
-        jobs: Option<usize>,
+        #[arg(long = "jobs")]
+        thread_count: Option<usize>,
         /// Draw from these faults alone, their names set apart by commas; `list` shows the names.
         #[arg(long, value_delimiter = ',', value_parser = fault)]
-        faults: Vec<Kind>,
+        faults: Vec<FaultKind>,
     },
-    /// Play one day again and show what broke, with the last steps that touched the request.
+    /// Play one run again and show what broke, with the last steps that touched the request.
     Replay {
         /// The seed.
         seed: u64,
         /// Join identical reads, and let crowds ask for one key.
-        #[arg(long)]
-        joining: bool,
+        #[arg(long = "joining")]
+        coalescing: bool,
         /// Show the steps up to this one.
         #[arg(long)]
         until: Option<usize>,
@@ -56,27 +56,27 @@
         trace: bool,
         /// As it was given to `run`.
         #[arg(long, value_delimiter = ',', value_parser = fault)]
-        faults: Vec<Kind>,
-        /// Keep only these faults of the day, by their places from 0, as `shrink` names them.
+        faults: Vec<FaultKind>,
+        /// Keep only these faults of the run, by their places from 0, as `shrink` names them.
         #[arg(long, value_parser = numbers)]
         keep_faults: Option<Numbers>,
-        /// Keep only these requests of the day, by their numbers; crowds aside.
-        #[arg(long, value_parser = numbers)]
-        keep_asks: Option<Numbers>,
-        /// Keep only these crowds of the day, by their places from 0.
+        /// Keep only these requests of the run, by their numbers; crowds aside.
+        #[arg(long = "keep-asks", value_parser = numbers)]
+        keep_requests: Option<Numbers>,
+        /// Keep only these crowds of the run, by their places from 0.
         #[arg(long, value_parser = numbers)]
         keep_crowds: Option<Numbers>,
     },
-    /// Reduce a failing day to the fewest faults and requests that still fail.
+    /// Reduce a failing run to the fewest faults and requests that still fail.
     Shrink {
         /// The seed.
         seed: u64,
         /// Join identical reads, and let crowds ask for one key.
-        #[arg(long)]
-        joining: bool,
+        #[arg(long = "joining")]
+        coalescing: bool,
         /// As it was given to `run`.
         #[arg(long, value_delimiter = ',', value_parser = fault)]
-        faults: Vec<Kind>,
+        faults: Vec<FaultKind>,
     },
     /// Activate each mutation in turn and see it caught; wants a build with `--features mutations`.
     Mutants {
@@ -84,12 +84,12 @@
         #[arg(long, default_value = "0..500", value_parser = range)]
         seeds: Range<u64>,
         /// Threads; all cores if left out.
-        #[arg(long)]
-        jobs: Option<usize>,
+        #[arg(long = "jobs")]
+        thread_count: Option<usize>,
     },
 }
 
-/// The longest range: weeks of play.
+/// The longest range: weeks of simulation.
 const MOST_SEEDS: u64 = 100_000_000;
 
 fn range(text: &str) -> Result<Range<u64>, String> {
@@ -117,9 +117,9 @@
     numbers.map(Numbers).map_err(|problem| problem.to_string())
 }
 
-fn fault(name: &str) -> Result<Kind, String> {
-    let names = || Kind::ALL.map(Kind::name).join(", ");
-    Kind::named(name).ok_or_else(|| format!("no fault of this name; there are {}", names()))
+fn fault(name: &str) -> Result<FaultKind, String> {
+    let names = || FaultKind::ALL.map(FaultKind::name).join(", ");
+    FaultKind::named(name).ok_or_else(|| format!("no fault of this name; there are {}", names()))
 }
 
 fn main() -> ExitCode {
@@ -145,40 +145,43 @@
     match cli.command {
         Command::Run {
             seeds,
-            joining,
-            jobs,
+            coalescing,
+            thread_count,
             faults,
-        } => run(draw(joining), seeds, jobs, &faults),
+        } => run(draw(coalescing), seeds, thread_count, &faults),
         Command::Replay {
             seed,
-            joining,
+            coalescing,
             until,
             trace,
             faults,
             keep_faults,
-            keep_asks,
+            keep_requests,
             keep_crowds,
         } => {
-            let mut plan = draw(joining)(seed, &faults);
-            keep_at(&mut plan.faults, keep_faults);
-            keep_at(&mut plan.bursts, keep_crowds);
-            if let Some(numbers) = keep_asks {
-                plan.asks
-                    .retain(|ask| numbers.0.contains(&(ask.number as usize)));
+            let mut plan = draw(coalescing)(seed, &faults);
+            retain_indices(&mut plan.faults, keep_faults);
+            retain_indices(&mut plan.crowds, keep_crowds);
+            if let Some(numbers) = keep_requests {
+                plan.requests
+                    .retain(|request| numbers.0.contains(&(request.number as usize)));
             }
             replay(&plan, until, trace)
         }
         Command::Shrink {
             seed,
-            joining,
+            coalescing,
             faults,
-        } => shrink(&draw(joining)(seed, &faults)),
-        Command::Mutants { seeds, jobs } => mutants(seeds, jobs),
+        } => shrink(&draw(coalescing)(seed, &faults)),
+        Command::Mutants {
+            seeds,
+            thread_count,
+        } => mutants(seeds, thread_count),
     }
 }
 
-fn threads(jobs: Option<usize>) -> usize {
-    jobs.unwrap_or_else(|| std::thread::available_parallelism().map_or(1, usize::from))
+fn threads(thread_count: Option<usize>) -> usize {
+    thread_count.unwrap_or_else(|| std::thread::available_parallelism().map_or(1, usize::from))
 }
 
 fn bar(length: u64) -> ProgressBar {
@@ -186,43 +189,51 @@
     ProgressBar::new(length).with_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()))
 }
 
-fn show(breach: &Breach, seed: u64) {
-    let request = breach
+fn show(violation: &Violation, seed: u64) {
+    let request = violation
         .request
         .map_or(String::new(), |id| format!(", request {id:016x}"));
     println!(
         "seed {seed}, {} us, step {}{request}: {}: {}",
-        breach.time, breach.step, breach.rule, breach.text
+        violation.time, violation.step, violation.rule, violation.text
     );
-    breach.steps.iter().for_each(|step| println!("    {step}"));
+    violation
+        .steps
+        .iter()
+        .for_each(|step| println!("    {step}"));
 }
 
-fn draw(joining: bool) -> Draw {
-    if joining {
-        Plan::draw_joining
+fn draw(coalescing: bool) -> DrawPlan {
+    if coalescing {
+        RunPlan::draw_coalescing
     } else {
-        Plan::draw
+        RunPlan::draw
     }
 }
 
-fn run(draw: Draw, seeds: Range<u64>, jobs: Option<usize>, faults: &[Kind]) -> ExitCode {
+fn run(
+    draw: DrawPlan,
+    seeds: Range<u64>,
+    thread_count: Option<usize>,
+    faults: &[FaultKind],
+) -> ExitCode {
     let (start, bar) = (Instant::now(), bar(seeds.end - seeds.start));
-    let summary = campaign::run(draw, seeds, faults, threads(jobs), || bar.inc(1));
+    let summary = campaign::run(draw, seeds, faults, threads(thread_count), || bar.inc(1));
     bar.finish_and_clear();
     println!("{summary}");
     println!(
         "time      {:.1} s on {} threads",
         start.elapsed().as_secs_f64(),
-        threads(jobs)
+        threads(thread_count)
     );
-    for report in summary.broken.iter().take(20) {
+    for report in summary.runs_with_violations.iter().take(20) {
         report
-            .breaches
+            .violations
             .iter()
             .take(1)
-            .for_each(|breach| show(breach, report.seed));
+            .for_each(|violation| show(violation, report.seed));
     }
-    if summary.broken.is_empty() {
+    if summary.runs_with_violations.is_empty() {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
@@ -230,32 +241,32 @@
 }
 
 /// Keeps what is at these places, or all.
-fn keep_at<T>(all: &mut Vec<T>, places: Option<Numbers>) {
-    let Some(Numbers(places)) = places else {
+fn retain_indices<T>(all: &mut Vec<T>, indices: Option<Numbers>) {
+    let Some(Numbers(indices)) = indices else {
         return;
     };
-    let mut place = 0;
+    let mut index = 0;
     all.retain(|_| {
-        place += 1;
-        places.contains(&(place - 1))
+        index += 1;
+        indices.contains(&(index - 1))
     });
 }
 
-fn replay(plan: &Plan, until: Option<usize>, trace: bool) -> ExitCode {
-    let report = play(plan, Keep::Trace);
+fn replay(plan: &RunPlan, until: Option<usize>, trace: bool) -> ExitCode {
+    let report = simulate(plan, Recording::Trace);
     println!(
         "seed {}: {} routers, {} servers, {} requests asked, {} steps, digest {:016x}",
         plan.seed,
         plan.routers.len(),
         plan.servers.len(),
-        plan.asks.len(),
+        plan.requests.len(),
         report.steps,
         report.digest
     );
     plan.faults
         .iter()
         .enumerate()
-        .for_each(|(place, fault)| println!("fault {place}: {fault}"));
+        .for_each(|(index, fault)| println!("fault {index}: {fault}"));
     if trace || until.is_some() {
         report
             .trace
@@ -264,10 +275,10 @@
             .for_each(|step| println!("{step}"));
     }
     report
-        .breaches
+        .violations
         .iter()
-        .for_each(|breach| show(breach, plan.seed));
-    if report.breaches.is_empty() {
+        .for_each(|violation| show(violation, plan.seed));
+    if report.violations.is_empty() {
         println!("no breach");
         ExitCode::SUCCESS
     } else {
@@ -275,9 +286,9 @@
     }
 }
 
-fn shrink(plan: &Plan) -> ExitCode {
-    let Some(first) = play(plan, Keep::CandidateVerdict)
-        .breaches
+fn shrink(plan: &RunPlan) -> ExitCode {
+    let Some(first) = simulate(plan, Recording::Violations)
+        .violations
         .into_iter()
         .next()
     else {
@@ -291,56 +302,56 @@
     println!(
         "from {} faults and {} requests to {} and {}:",
         plan.faults.len(),
-        plan.asks.len(),
+        plan.requests.len(),
         least.faults.len(),
-        least.asks.len()
+        least.requests.len()
     );
-    let places: Vec<String> = plan
+    let indices: Vec<String> = plan
         .faults
         .iter()
         .enumerate()
         .filter(|(_, fault)| least.faults.contains(fault))
-        .map(|(place, fault)| {
-            println!("  fault {place}: {fault}");
-            place.to_string()
+        .map(|(index, fault)| {
+            println!("  fault {index}: {fault}");
+            index.to_string()
         })
         .collect();
-    for ask in least.asks.iter().take(20) {
+    for request in least.requests.iter().take(20) {
         println!(
             "  request {}: class {} at {} ms, router {}",
-            ask.number,
-            ask.class,
-            ask.at / MILLI,
-            ask.router
+            request.number,
+            request.class,
+            request.at / MILLI,
+            request.router
         );
     }
-    let kept = |burst| least.bursts.contains(burst);
-    let crowds: Vec<String> = (0..plan.bursts.len())
-        .filter(|&place| kept(&plan.bursts[place]))
-        .map(|place| place.to_string())
+    let is_kept = |crowd| least.crowds.contains(crowd);
+    let crowds: Vec<String> = (0..plan.crowds.len())
+        .filter(|&index| is_kept(&plan.crowds[index]))
+        .map(|index| index.to_string())
         .collect();
-    let joining = if plan.joining {
+    let coalescing = if plan.coalescing {
         format!(" --joining --keep-crowds={}", crowds.join(","))
     } else {
         String::new()
     };
-    let asks: Vec<String> = least
-        .asks
+    let requests: Vec<String> = least
+        .requests
         .iter()
-        .map(|ask| ask.number.to_string())
+        .map(|request| request.number.to_string())
         .collect();
     println!(
-        "router-simulation replay {}{joining} --keep-faults={} --keep-asks={}",
+        "router-simulation replay {}{coalescing} --keep-faults={} --keep-asks={}",
         plan.seed,
-        places.join(","),
-        asks.join(",")
+        indices.join(","),
+        requests.join(",")
     );
     ExitCode::FAILURE
 }
 
-fn mutants(seeds: Range<u64>, jobs: Option<usize>) -> ExitCode {
+fn mutants(seeds: Range<u64>, thread_count: Option<usize>) -> ExitCode {
     let start = Instant::now();
-    let Some(all) = campaign::mutants(seeds, threads(jobs), || ()) else {
+    let Some(all) = campaign::mutants(seeds, threads(thread_count), || ()) else {
         eprintln!(
             "router-simulation: this build leaves the mutations out; build it with --features mutations"
         );
@@ -348,13 +359,13 @@
     };
     let mut missed = 0;
     for caught in &all {
-        match &caught.by {
+        match &caught.violation {
             Some((seed, rule, text)) => {
-                println!("{:<20} seed {seed:<4} {rule}: {text}", caught.bug)
+                println!("{:<20} seed {seed:<4} {rule}: {text}", caught.mutation)
             }
             None => {
                 missed += 1;
-                println!("{:<20} NOT CAUGHT", caught.bug);
+                println!("{:<20} NOT CAUGHT", caught.mutation);
             }
         }
     }
--- a/crates/router-simulation/src/net.rs
+++ b/crates/router-simulation/src/network.rs
@@ -1,10 +1,10 @@
 //! TCP between simulated machines, as PROTOCOL and the tests on real sockets know it: latency, loss as delay, segments
 //! cut at any byte, resets, half-open peers that say nothing, connects that are refused or never come up.
 //!
-//! What passes is shown to one [`Observer`]: the judge's only source.
+//! What passes is shown to one [`Observer`]: the invariant checker's only source.
 
-use crate::executor::{Exec, Node, Time};
-use crate::rng::Dice;
+use crate::executor::{Executor, Node, Time};
+use crate::rng::SeededRng;
 use bytes::{Buf, Bytes, BytesMut};
 use router_runtime::environment;
 use std::cell::{Cell, RefCell};
@@ -44,7 +44,7 @@
 
 /// How one end left a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Leaving {
+pub enum CloseKind {
     /// An orderly end.
     Fin,
     /// A reset, by the process or because it died.
@@ -56,45 +56,45 @@
 /// What passes on the wire, in the order in which it does.
 pub trait Observer {
     /// A machine took a connection.
-    fn opened(&mut self, now: Time, conn: u32, dialer: Node, listener: Node);
+    fn opened(&mut self, now: Time, connection: u32, dialer: Node, listener: Node);
     /// One end gave these bytes to its machine, which sends them.
-    fn written(&mut self, now: Time, conn: u32, side: Side, bytes: &[u8]);
+    fn written(&mut self, now: Time, connection: u32, side: Side, bytes: &[u8]);
     /// Bytes of this end have come to the other's machine.
-    fn delivered(&mut self, now: Time, conn: u32, side: Side, count: usize);
+    fn delivered(&mut self, now: Time, connection: u32, side: Side, count: usize);
     /// This end has left.
-    fn left(&mut self, now: Time, conn: u32, side: Side, how: Leaving);
+    fn left(&mut self, now: Time, connection: u32, side: Side, how: CloseKind);
     /// The end or the reset of this end has come to the other's machine.
-    fn end_delivered(&mut self, now: Time, conn: u32, side: Side);
+    fn end_delivered(&mut self, now: Time, connection: u32, side: Side);
     /// A process asked for a descriptor that it may not have.
     fn out_of_descriptors(&mut self, now: Time, node: Node);
 }
 
-/// The weather of a network, drawn for each day.
+/// The network conditions of a network, drawn for each run.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Weather {
+pub struct NetworkConditions {
     /// One way within a zone and between two, in microseconds.
-    pub near: Time,
-    /// See `near`.
-    pub far: Time,
+    pub latency_within_zone: Time,
+    /// See `latency_within_zone`.
+    pub latency_between_zones: Time,
     /// A latency varies by up to this share.
-    pub jitter: f64,
+    pub jitter_ratio: f64,
     /// The share of segments that is lost once.
-    pub loss: f64,
+    pub loss_ratio: f64,
     /// The share of writes that is cut at a drawn byte.
-    pub split: f64,
+    pub split_ratio: f64,
     /// Bytes that may be on the way or unread in one direction.
     pub window: usize,
     /// What becomes of datagrams.
-    pub datagrams: DatagramWeather,
+    pub datagrams: DatagramConditions,
 }
 
 /// What becomes of datagrams; shares of them.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct DatagramWeather {
+pub struct DatagramConditions {
     /// Never arrive.
     pub lost: f64,
     /// Arrive twice.
-    pub doubled: f64,
+    pub duplicate_ratio: f64,
     /// Are held up for so long, in microseconds, and overtaken by later ones.
     pub late: (f64, Time),
 }
@@ -112,7 +112,7 @@
     zone: usize,
     power: Power,
     /// Counts its lives: what was sent to an earlier one finds nobody.
-    life: u32,
+    incarnation: u32,
     open: usize,
     limit: usize,
     /// Connects to it never come up until then.
@@ -121,20 +121,20 @@
     late: (Time, Time),
     /// Its wall clock against the true time, in microseconds.
     clock_offset: i64,
-    /// Bytes that it takes without their being read; none: as the weather has it.
+    /// Bytes that it takes without their being read; none: as the network conditions has it.
     window: Option<usize>,
 }
 
 struct State {
     machines: Vec<Machine>,
     listeners: BTreeMap<SocketAddr, Rc<Waiting>>,
-    places: BTreeMap<SocketAddr, Node>,
+    nodes_by_address: BTreeMap<SocketAddr, Node>,
     datagrams: BTreeMap<SocketAddr, Rc<Mailbox>>,
     /// Zones cut off from all others until then.
     cuts: BTreeMap<usize, Time>,
-    weather: Weather,
-    last: u32,
-    dice: Dice,
+    conditions: NetworkConditions,
+    last_connection_id: u32,
+    rng: SeededRng,
 }
 
 /// Datagrams that wait on a socket: at most so many, further ones are lost as in a full socket buffer.
@@ -152,14 +152,14 @@
 /// Connections that a machine has taken and its process has not.
 struct Waiting {
     node: Node,
-    queue: RefCell<VecDeque<SimStream>>,
+    queue: RefCell<VecDeque<SimulatedStream>>,
     waker: RefCell<Option<Waker>>,
 }
 
 /// The network of one world.
 #[derive(Clone)]
-pub struct Net {
-    exec: Exec,
+pub struct Network {
+    executor: Executor,
     state: Rc<RefCell<State>>,
     observer: Rc<RefCell<dyn Observer>>,
     epoch: Instant,
@@ -190,14 +190,14 @@
     writer: Option<Waker>,
 }
 
-struct Conn {
+struct Connection {
     id: u32,
     nodes: [Node; 2],
-    lives: [u32; 2],
+    incarnations: [u32; 2],
     pipes: [RefCell<Pipe>; 2],
 }
 
-fn index(side: Side) -> usize {
+fn side_index(side: Side) -> usize {
     match side {
         Side::Dialer => 0,
         Side::Listener => 1,
@@ -205,34 +205,34 @@
 }
 
 /// One end of a connection.
-pub struct SimStream {
-    net: Net,
-    conn: Rc<Conn>,
+pub struct SimulatedStream {
+    network: Network,
+    connection: Rc<Connection>,
     side: Side,
     /// Its process has it, and it counts as a descriptor.
-    is_held: Cell<bool>,
+    holds_descriptor: Cell<bool>,
 }
 
-impl Net {
+impl Network {
     /// A network without machines.
     pub fn new(
-        exec: Exec,
+        executor: Executor,
         observer: Rc<RefCell<dyn Observer>>,
-        weather: Weather,
-        dice: Dice,
-    ) -> Net {
+        conditions: NetworkConditions,
+        rng: SeededRng,
+    ) -> Network {
         let state = State {
             machines: Vec::new(),
             listeners: BTreeMap::new(),
-            places: BTreeMap::new(),
+            nodes_by_address: BTreeMap::new(),
             datagrams: BTreeMap::new(),
             cuts: BTreeMap::new(),
-            weather,
-            last: 0,
-            dice,
+            conditions,
+            last_connection_id: 0,
+            rng,
         };
-        Net {
-            exec,
+        Network {
+            executor,
             state: Rc::new(RefCell::new(state)),
             observer,
             epoch: Instant::now(),
@@ -240,13 +240,13 @@
     }
 
     /// Adds a machine whose process may hold so many connections.
-    pub fn machine(&self, zone: usize, limit: usize) -> Node {
+    pub fn add_machine(&self, zone: usize, limit: usize) -> Node {
         let mut state = self.state.borrow_mut();
         let power = Power::On;
         state.machines.push(Machine {
             zone,
             power,
-            life: 0,
+            incarnation: 0,
             open: 0,
             limit,
             deaf_until: 0,
@@ -258,9 +258,9 @@
     }
 
     /// The machine's view of the world.
-    pub fn world(&self, node: Node) -> SimulatedEnvironment {
+    pub fn environment(&self, node: Node) -> SimulatedEnvironment {
         SimulatedEnvironment {
-            net: self.clone(),
+            network: self.clone(),
             node,
         }
     }
@@ -273,10 +273,10 @@
     /// Ends the process of a machine. Its peers are told by resets, or not at all if the machine vanishes.
     pub fn kill(&self, node: Node, vanishes: bool) {
         self.set_power(node, if vanishes { Power::Off } else { Power::Dying });
-        self.exec.kill(node);
+        self.executor.kill(node);
         let mut state = self.state.borrow_mut();
         let machine = &mut state.machines[node.0 as usize];
-        machine.life += 1;
+        machine.incarnation += 1;
         if !vanishes {
             machine.power = Power::On;
         }
@@ -292,7 +292,7 @@
     }
 
     /// Connects to this machine do not come up before this time.
-    pub fn deafen(&self, node: Node, until: Time) {
+    pub fn ignore_connects(&self, node: Node, until: Time) {
         self.state.borrow_mut().machines[node.0 as usize].deaf_until = until;
     }
 
@@ -302,28 +302,28 @@
     }
 
     /// Connections to this machine take so many bytes without their being read.
-    pub fn narrow(&self, node: Node, window: usize) {
+    pub fn set_receive_window(&self, node: Node, window: usize) {
         self.state.borrow_mut().machines[node.0 as usize].window = Some(window);
     }
 
     /// Cuts a zone off from all others until this time.
-    pub fn cut(&self, zone: usize, until: Time) {
+    pub fn isolate_zone(&self, zone: usize, until: Time) {
         self.state.borrow_mut().cuts.insert(zone, until);
     }
 
     /// Listens at an address of a machine.
-    pub fn listen(&self, node: Node, addr: SocketAddr) -> SimListener {
+    pub fn listen(&self, node: Node, address: SocketAddr) -> SimulatedListener {
         let waiting = Rc::new(Waiting {
             node,
             queue: RefCell::default(),
             waker: RefCell::default(),
         });
         let mut state = self.state.borrow_mut();
-        state.listeners.insert(addr, waiting.clone());
-        state.places.insert(addr, node);
-        SimListener {
-            net: self.clone(),
-            addr,
+        state.listeners.insert(address, waiting.clone());
+        state.nodes_by_address.insert(address, node);
+        SimulatedListener {
+            network: self.clone(),
+            address,
             waiting,
         }
     }
@@ -338,17 +338,17 @@
         let Some(mailbox) = self.state.borrow().datagrams.get(&to).cloned() else {
             return;
         };
-        let weather = self.state.borrow().weather.datagrams;
+        let conditions = self.state.borrow().conditions.datagrams;
         let (copies, is_cut) = {
             let state = &mut *self.state.borrow_mut();
             let zone = |node: Node| state.machines[node.0 as usize].zone;
-            let (a, b, now) = (zone(from.0), zone(mailbox.node), self.exec.now());
+            let (a, b, now) = (zone(from.0), zone(mailbox.node), self.executor.now());
             let cut = |zone: usize| state.cuts.get(&zone).is_some_and(|&until| until > now);
-            let lost = state.dice.chance(weather.lost);
+            let lost = state.rng.chance(conditions.lost);
             let copies = if lost {
                 0
             } else {
-                1 + usize::from(state.dice.chance(weather.doubled))
+                1 + usize::from(state.rng.chance(conditions.duplicate_ratio))
             };
             (copies, a != b && (cut(a) || cut(b)))
         };
@@ -358,17 +358,17 @@
                 continue;
             };
             let mut state = self.state.borrow_mut();
-            if state.dice.chance(weather.late.0) {
-                at += state.dice.range(1, weather.late.1);
+            if state.rng.chance(conditions.late.0) {
+                at += state.rng.range(1, conditions.late.1);
             }
             drop(state);
-            let (net, to, sent) = (
+            let (network, to, sent) = (
                 self.clone(),
                 mailbox.clone(),
                 (Bytes::copy_from_slice(bytes), from.1),
             );
-            self.exec
-                .call_at(at, move || net.deliver_datagram(&to, sent));
+            self.executor
+                .call_at(at, move || network.deliver_datagram(&to, sent));
         }
     }
 
@@ -387,7 +387,7 @@
 
     /// When what is sent now arrives; none if it never does.
     fn arrival(&self, from: Node, to: Node, again: Time) -> Option<Time> {
-        let now = self.exec.now();
+        let now = self.executor.now();
         let state = &mut *self.state.borrow_mut();
         let (a, b) = (
             &state.machines[from.0 as usize],
@@ -396,14 +396,18 @@
         if a.power == Power::Off || b.power == Power::Off {
             return None;
         }
-        let (near, weather) = (a.zone == b.zone, state.weather);
-        let base = if near { weather.near } else { weather.far } as f64;
-        let mut time = (base * (1.0 + weather.jitter * state.dice.unit())) as Time + 1;
-        if weather.loss > 0.0 && state.dice.chance(weather.loss) {
+        let (latency_within_zone, conditions) = (a.zone == b.zone, state.conditions);
+        let base = if latency_within_zone {
+            conditions.latency_within_zone
+        } else {
+            conditions.latency_between_zones
+        } as f64;
+        let mut time = (base * (1.0 + conditions.jitter_ratio * state.rng.unit())) as Time + 1;
+        if conditions.loss_ratio > 0.0 && state.rng.chance(conditions.loss_ratio) {
             time += again;
         }
         let cut = |zone: usize| state.cuts.get(&zone).copied().unwrap_or(0);
-        let healed = if near {
+        let healed = if latency_within_zone {
             0
         } else {
             cut(a.zone).max(cut(b.zone))
@@ -415,33 +419,37 @@
         })
     }
 
-    fn send(&self, conn: &Rc<Conn>, side: Side, packet: Packet) {
-        let (from, to) = (conn.nodes[index(side)], conn.nodes[index(side.other())]);
+    fn send(&self, connection: &Rc<Connection>, side: Side, packet: Packet) {
+        let (from, to) = (
+            connection.nodes[side_index(side)],
+            connection.nodes[side_index(side.other())],
+        );
         let Some(at) = self.arrival(from, to, RETRANSMIT) else {
             return;
         };
-        let mut pipe = conn.pipes[index(side)].borrow_mut();
+        let mut pipe = connection.pipes[side_index(side)].borrow_mut();
         let at = at.max(pipe.last_at);
         pipe.last_at = at;
         pipe.on_the_way.push_back((at, packet));
         drop(pipe);
-        let (net, conn) = (self.clone(), conn.clone());
-        self.exec.call_at(at, move || net.deliver(&conn, side));
+        let (network, connection) = (self.clone(), connection.clone());
+        self.executor
+            .call_at(at, move || network.deliver(&connection, side));
     }
 
     /// Hands over what has arrived of this side's.
-    fn deliver(&self, conn: &Rc<Conn>, side: Side) {
-        let now = self.exec.now();
-        let receiver = index(side.other());
+    fn deliver(&self, connection: &Rc<Connection>, side: Side) {
+        let now = self.executor.now();
+        let receiver = side_index(side.other());
         let is_there = {
             let state = self.state.borrow();
-            let machine = &state.machines[conn.nodes[receiver].0 as usize];
+            let machine = &state.machines[connection.nodes[receiver].0 as usize];
             machine.power != Power::Off
         };
         let mut answer_reset = false;
-        let mut woken = Vec::new();
+        let mut wakers = Vec::new();
         {
-            let mut pipe = conn.pipes[index(side)].borrow_mut();
+            let mut pipe = connection.pipes[side_index(side)].borrow_mut();
             while pipe.on_the_way.front().is_some_and(|&(at, _)| at <= now) {
                 let Some((_, packet)) = pipe.on_the_way.pop_front() else {
                     break;
@@ -453,91 +461,94 @@
                 match packet {
                     Packet::Data(_) if pipe.reader_left => answer_reset = true,
                     Packet::Data(bytes) => {
-                        observer.delivered(now, conn.id, side, bytes.len());
+                        observer.delivered(now, connection.id, side, bytes.len());
                         pipe.buffer.extend_from_slice(&bytes);
                     }
                     Packet::Fin => {
                         pipe.ended = true;
-                        observer.end_delivered(now, conn.id, side);
+                        observer.end_delivered(now, connection.id, side);
                     }
                     Packet::Reset => {
                         pipe.reset = true;
-                        observer.end_delivered(now, conn.id, side);
+                        observer.end_delivered(now, connection.id, side);
                     }
                 }
             }
-            woken.extend(pipe.reader.take());
+            wakers.extend(pipe.reader.take());
         }
-        if conn.pipes[index(side)].borrow().reset {
-            woken.extend(conn.pipes[receiver].borrow_mut().writer.take());
+        if connection.pipes[side_index(side)].borrow().reset {
+            wakers.extend(connection.pipes[receiver].borrow_mut().writer.take());
         }
-        woken.into_iter().for_each(Waker::wake);
+        wakers.into_iter().for_each(Waker::wake);
         if answer_reset {
-            conn.pipes[receiver].borrow_mut().writer_left = true;
-            self.send(conn, side.other(), Packet::Reset);
+            connection.pipes[receiver].borrow_mut().writer_left = true;
+            self.send(connection, side.other(), Packet::Reset);
         }
     }
 
     /// Opens a connection from a machine.
-    async fn dial(&self, from: Node, to: SocketAddr) -> io::Result<SimStream> {
-        let held = self.take_descriptor(from)?;
+    async fn dial(&self, from: Node, to: SocketAddr) -> io::Result<SimulatedStream> {
+        let descriptor = self.take_descriptor(from)?;
         loop {
-            let place = self.state.borrow().places.get(&to).copied();
-            let Some(place) = place else {
+            let node = self.state.borrow().nodes_by_address.get(&to).copied();
+            let Some(node) = node else {
                 return Err(io::ErrorKind::ConnectionRefused.into());
             };
-            let Some(at) = self.arrival(from, place, RETRANSMIT_SYN) else {
+            let Some(at) = self.arrival(from, node, RETRANSMIT_SYN) else {
                 // It is sent again as long as anybody waits for it.
-                self.exec.sleep(RETRANSMIT_SYN).await;
+                self.executor.sleep(RETRANSMIT_SYN).await;
                 continue;
             };
-            self.exec.sleep_until(at).await;
+            self.executor.sleep_until(at).await;
             let (is_on, deaf_until) = {
                 let state = self.state.borrow();
-                let machine = &state.machines[place.0 as usize];
+                let machine = &state.machines[node.0 as usize];
                 (machine.power != Power::Off, machine.deaf_until)
             };
-            if !is_on || deaf_until > self.exec.now() {
-                self.exec.sleep(RETRANSMIT_SYN).await;
+            if !is_on || deaf_until > self.executor.now() {
+                self.executor.sleep(RETRANSMIT_SYN).await;
                 continue;
             }
-            let (late_until, late_by) = self.state.borrow().machines[place.0 as usize].late;
-            if late_until > self.exec.now() {
-                self.exec.sleep(late_by).await;
+            let (late_until, late_by) = self.state.borrow().machines[node.0 as usize].late;
+            if late_until > self.executor.now() {
+                self.executor.sleep(late_by).await;
             }
             let waiting = self.state.borrow().listeners.get(&to).cloned();
             let opened = waiting.map(|waiting| self.open_conn(from, waiting));
-            let back = self.arrival(place, from, RETRANSMIT).unwrap_or(Time::MAX);
-            self.exec.sleep_until(back).await;
+            let back = self.arrival(node, from, RETRANSMIT).unwrap_or(Time::MAX);
+            self.executor.sleep_until(back).await;
             let Some(stream) = opened else {
                 return Err(io::ErrorKind::ConnectionRefused.into());
             };
-            held.hand_over(&stream);
+            descriptor.hand_over(&stream);
             return Ok(stream);
         }
     }
 
-    fn open_conn(&self, from: Node, waiting: Rc<Waiting>) -> SimStream {
-        let conn = {
+    fn open_conn(&self, from: Node, waiting: Rc<Waiting>) -> SimulatedStream {
+        let connection = {
             let mut state = self.state.borrow_mut();
-            state.last += 1;
-            let life = |node: Node| state.machines[node.0 as usize].life;
-            let (nodes, lives) = ([from, waiting.node], [life(from), life(waiting.node)]);
-            Rc::new(Conn {
-                id: state.last,
+            state.last_connection_id += 1;
+            let incarnation = |node: Node| state.machines[node.0 as usize].incarnation;
+            let (nodes, incarnations) = (
+                [from, waiting.node],
+                [incarnation(from), incarnation(waiting.node)],
+            );
+            Rc::new(Connection {
+                id: state.last_connection_id,
                 nodes,
-                lives,
+                incarnations,
                 pipes: Default::default(),
             })
         };
         self.observer
             .borrow_mut()
-            .opened(self.exec.now(), conn.id, from, waiting.node);
-        let end = |side| SimStream {
-            net: self.clone(),
-            conn: conn.clone(),
+            .opened(self.executor.now(), connection.id, from, waiting.node);
+        let end = |side| SimulatedStream {
+            network: self.clone(),
+            connection: connection.clone(),
             side,
-            is_held: Cell::new(false),
+            holds_descriptor: Cell::new(false),
         };
         waiting.queue.borrow_mut().push_back(end(Side::Listener));
         let waker = waiting.waker.borrow_mut().take();
@@ -552,12 +563,12 @@
             drop(state);
             self.observer
                 .borrow_mut()
-                .out_of_descriptors(self.exec.now(), node);
+                .out_of_descriptors(self.executor.now(), node);
             return Err(io::Error::other("too many open files"));
         }
         machine.open += 1;
         Ok(Descriptor {
-            net: Some(self.clone()),
+            network: Some(self.clone()),
             node,
         })
     }
@@ -565,37 +576,37 @@
 
 /// One descriptor of a process, given back when dropped.
 struct Descriptor {
-    net: Option<Net>,
+    network: Option<Network>,
     node: Node,
 }
 
 impl Descriptor {
     /// Leaves it to the stream.
-    fn hand_over(mut self, stream: &SimStream) {
-        self.net = None;
-        stream.is_held.set(true);
+    fn hand_over(mut self, stream: &SimulatedStream) {
+        self.network = None;
+        stream.holds_descriptor.set(true);
     }
 }
 
 impl Drop for Descriptor {
     fn drop(&mut self) {
-        let Some(net) = &self.net else { return };
-        let mut state = net.state.borrow_mut();
+        let Some(network) = &self.network else { return };
+        let mut state = network.state.borrow_mut();
         let machine = &mut state.machines[self.node.0 as usize];
         machine.open = machine.open.saturating_sub(1);
     }
 }
 
 /// A listening socket; dropped, what waits on it is reset.
-pub struct SimListener {
-    net: Net,
-    addr: SocketAddr,
+pub struct SimulatedListener {
+    network: Network,
+    address: SocketAddr,
     waiting: Rc<Waiting>,
 }
 
-impl SimListener {
+impl SimulatedListener {
     /// The next connection.
-    pub async fn accept(&self) -> io::Result<SimStream> {
+    pub async fn accept(&self) -> io::Result<SimulatedStream> {
         let stream = poll_fn(
             |context| match self.waiting.queue.borrow_mut().pop_front() {
                 Some(stream) => Poll::Ready(stream),
@@ -606,9 +617,9 @@
             },
         )
         .await;
-        match self.net.take_descriptor(self.waiting.node) {
-            Ok(held) => {
-                held.hand_over(&stream);
+        match self.network.take_descriptor(self.waiting.node) {
+            Ok(descriptor) => {
+                descriptor.hand_over(&stream);
                 Ok(stream)
             }
             Err(error) => {
@@ -619,16 +630,16 @@
     }
 }
 
-impl Drop for SimListener {
+impl Drop for SimulatedListener {
     fn drop(&mut self) {
-        let mut state = self.net.state.borrow_mut();
+        let mut state = self.network.state.borrow_mut();
         // A later process may listen there already.
         if state
             .listeners
-            .get(&self.addr)
+            .get(&self.address)
             .is_some_and(|waiting| Rc::ptr_eq(waiting, &self.waiting))
         {
-            state.listeners.remove(&self.addr);
+            state.listeners.remove(&self.address);
         }
         drop(state);
         let left = std::mem::take(&mut *self.waiting.queue.borrow_mut());
@@ -636,49 +647,55 @@
     }
 }
 
-impl SimStream {
+impl SimulatedStream {
     /// The connection's number.
     pub fn id(&self) -> u32 {
-        self.conn.id
+        self.connection.id
     }
 
     /// The machine at the other end.
     pub fn peer(&self) -> Node {
-        self.conn.nodes[index(self.side.other())]
+        self.connection.nodes[side_index(self.side.other())]
     }
 
     /// Ends the connection with a reset.
     pub fn reset(self) {
-        self.leave(Leaving::Reset);
+        self.leave(CloseKind::Reset);
     }
 
-    fn leave(&self, how: Leaving) {
-        let (mine, theirs) = (index(self.side), index(self.side.other()));
+    fn leave(&self, how: CloseKind) {
+        let (mine, theirs) = (side_index(self.side), side_index(self.side.other()));
         let was_over = {
-            let mut pipe = self.conn.pipes[theirs].borrow_mut();
+            let mut pipe = self.connection.pipes[theirs].borrow_mut();
             pipe.buffer = BytesMut::new();
             std::mem::replace(&mut pipe.reader_left, true)
         };
         if was_over {
             return;
         }
-        if self.is_held.replace(false) {
+        if self.holds_descriptor.replace(false) {
             drop(Descriptor {
-                net: Some(self.net.clone()),
-                node: self.conn.nodes[mine],
+                network: Some(self.network.clone()),
+                node: self.connection.nodes[mine],
             });
         }
-        let now = self.net.exec.now();
-        self.net
+        let now = self.network.executor.now();
+        self.network
             .observer
             .borrow_mut()
-            .left(now, self.conn.id, self.side, how);
-        let had_ended =
-            std::mem::replace(&mut self.conn.pipes[mine].borrow_mut().writer_left, true);
+            .left(now, self.connection.id, self.side, how);
+        let had_ended = std::mem::replace(
+            &mut self.connection.pipes[mine].borrow_mut().writer_left,
+            true,
+        );
         match how {
-            Leaving::Fin if !had_ended => self.net.send(&self.conn, self.side, Packet::Fin),
-            Leaving::Reset => self.net.send(&self.conn, self.side, Packet::Reset),
-            Leaving::Fin | Leaving::Silent => {}
+            CloseKind::Fin if !had_ended => {
+                self.network.send(&self.connection, self.side, Packet::Fin)
+            }
+            CloseKind::Reset => self
+                .network
+                .send(&self.connection, self.side, Packet::Reset),
+            CloseKind::Fin | CloseKind::Silent => {}
         }
     }
 
@@ -687,7 +704,7 @@
         context: &mut Context<'_>,
         to: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let mut pipe = self.conn.pipes[index(self.side.other())].borrow_mut();
+        let mut pipe = self.connection.pipes[side_index(self.side.other())].borrow_mut();
         if !pipe.buffer.is_empty() {
             let count = to.remaining().min(pipe.buffer.len());
             to.put_slice(&pipe.buffer[..count]);
@@ -709,18 +726,21 @@
     }
 
     fn poll_write_from(&self, context: &mut Context<'_>, from: &[u8]) -> Poll<io::Result<usize>> {
-        if self.conn.pipes[index(self.side.other())].borrow().reset {
+        if self.connection.pipes[side_index(self.side.other())]
+            .borrow()
+            .reset
+        {
             return Poll::Ready(Err(io::ErrorKind::BrokenPipe.into()));
         }
         let window = {
-            let state = self.net.state.borrow();
-            let receiver = self.conn.nodes[index(self.side.other())];
+            let state = self.network.state.borrow();
+            let receiver = self.connection.nodes[side_index(self.side.other())];
             state.machines[receiver.0 as usize]
                 .window
-                .unwrap_or(state.weather.window)
+                .unwrap_or(state.conditions.window)
         };
         let count = {
-            let mut pipe = self.conn.pipes[index(self.side)].borrow_mut();
+            let mut pipe = self.connection.pipes[side_index(self.side)].borrow_mut();
             if pipe.writer_left {
                 return Poll::Ready(Err(io::ErrorKind::BrokenPipe.into()));
             }
@@ -733,63 +753,73 @@
             pipe.unread += count;
             count
         };
-        let now = self.net.exec.now();
-        self.net
-            .observer
-            .borrow_mut()
-            .written(now, self.conn.id, self.side, &from[..count]);
+        let now = self.network.executor.now();
+        self.network.observer.borrow_mut().written(
+            now,
+            self.connection.id,
+            self.side,
+            &from[..count],
+        );
         let cut = {
-            let mut state = self.net.state.borrow_mut();
-            let split = state.weather.split;
-            if count > 1 && state.dice.chance(split) {
-                state.dice.range(1, count as u64 - 1) as usize
+            let mut state = self.network.state.borrow_mut();
+            let split_ratio = state.conditions.split_ratio;
+            if count > 1 && state.rng.chance(split_ratio) {
+                state.rng.range(1, count as u64 - 1) as usize
             } else {
                 0
             }
         };
         let bytes = Bytes::copy_from_slice(&from[..count]);
         if cut > 0 {
-            self.net
-                .send(&self.conn, self.side, Packet::Data(bytes.slice(..cut)));
+            self.network.send(
+                &self.connection,
+                self.side,
+                Packet::Data(bytes.slice(..cut)),
+            );
         }
-        self.net
-            .send(&self.conn, self.side, Packet::Data(bytes.slice(cut..)));
+        self.network.send(
+            &self.connection,
+            self.side,
+            Packet::Data(bytes.slice(cut..)),
+        );
         Poll::Ready(Ok(count))
     }
 
     fn poll_end(&self) -> Poll<io::Result<()>> {
         let had_ended = std::mem::replace(
-            &mut self.conn.pipes[index(self.side)].borrow_mut().writer_left,
+            &mut self.connection.pipes[side_index(self.side)]
+                .borrow_mut()
+                .writer_left,
             true,
         );
         if !had_ended {
-            self.net.send(&self.conn, self.side, Packet::Fin);
+            self.network.send(&self.connection, self.side, Packet::Fin);
         }
         Poll::Ready(Ok(()))
     }
 }
 
-impl Drop for SimStream {
+impl Drop for SimulatedStream {
     fn drop(&mut self) {
-        let mine = index(self.side);
+        let mine = side_index(self.side);
         let power = {
-            let state = self.net.state.borrow();
-            let machine = &state.machines[self.conn.nodes[mine].0 as usize];
-            if machine.life == self.conn.lives[mine] {
+            let state = self.network.state.borrow();
+            let machine = &state.machines[self.connection.nodes[mine].0 as usize];
+            if machine.incarnation == self.connection.incarnations[mine] {
                 machine.power
             } else {
                 Power::Off
             }
         };
-        let unread = !self.conn.pipes[index(self.side.other())]
+        let unread = !self.connection.pipes[side_index(self.side.other())]
             .borrow()
             .buffer
             .is_empty();
         self.leave(match power {
-            Power::Off => Leaving::Silent,
-            Power::Dying => Leaving::Reset,
-            Power::On if unread || !self.is_held.get() => Leaving::Reset,
-            Power::On => Leaving::Fin,
+            Power::Off => CloseKind::Silent,
+            Power::Dying => CloseKind::Reset,
+            Power::On if unread || !self.holds_descriptor.get() => CloseKind::Reset,
+            Power::On => CloseKind::Fin,
         });
     }
 }
@@ -831,19 +861,19 @@
 }
 
 /// One half of a connection.
-pub struct Half<'a>(&'a SimStream);
+pub struct Half<'a>(&'a SimulatedStream);
 
-as_socket!(SimStream, stream => stream);
+as_socket!(SimulatedStream, stream => stream);
 as_socket!(Half<'_>, half => half.0);
 
 impl environment::ReadStream for Half<'_> {
     fn has_peer_closed(&self) -> bool {
-        let pipe = self.0.conn.pipes[index(self.0.side.other())].borrow();
+        let pipe = self.0.connection.pipes[side_index(self.0.side.other())].borrow();
         pipe.ended || pipe.reset
     }
 }
 
-impl environment::Stream for SimStream {
+impl environment::Stream for SimulatedStream {
     type Reader<'a> = Half<'a>;
     type Writer<'a> = Half<'a>;
 
@@ -856,7 +886,7 @@
     }
 
     fn has_no_pending_input(&self) -> bool {
-        let pipe = self.conn.pipes[index(self.side.other())].borrow();
+        let pipe = self.connection.pipes[side_index(self.side.other())].borrow();
         pipe.buffer.is_empty() && !pipe.ended && !pipe.reset
     }
 
@@ -864,19 +894,19 @@
 }
 
 /// A UDP socket.
-pub struct SimDatagrams {
-    net: Net,
-    addr: SocketAddr,
+pub struct SimulatedDatagramSocket {
+    network: Network,
+    address: SocketAddr,
     mailbox: Rc<Mailbox>,
 }
 
-impl environment::DatagramSocket for SimDatagrams {
+impl environment::DatagramSocket for SimulatedDatagramSocket {
     async fn send_to(&self, bytes: &[u8], to: SocketAddr) -> io::Result<usize> {
         if bytes.len() > LONGEST_DATAGRAM {
             return Err(io::Error::other("message too long"));
         }
-        self.net
-            .send_datagram((self.mailbox.node, self.addr), bytes, to);
+        self.network
+            .send_datagram((self.mailbox.node, self.address), bytes, to);
         Ok(bytes.len())
     }
 
@@ -897,56 +927,63 @@
     }
 }
 
-impl Drop for SimDatagrams {
+impl Drop for SimulatedDatagramSocket {
     fn drop(&mut self) {
-        self.net.state.borrow_mut().datagrams.remove(&self.addr);
+        self.network
+            .state
+            .borrow_mut()
+            .datagrams
+            .remove(&self.address);
     }
 }
 
 /// The world as a process on one machine sees it.
 #[derive(Clone)]
 pub struct SimulatedEnvironment {
-    net: Net,
+    network: Network,
     node: Node,
 }
 
 impl environment::Environment for SimulatedEnvironment {
-    type Stream = SimStream;
-    type Listener = SimListener;
-    type DatagramSocket = SimDatagrams;
+    type Stream = SimulatedStream;
+    type Listener = SimulatedListener;
+    type DatagramSocket = SimulatedDatagramSocket;
 
     fn now(&self) -> Instant {
-        self.net.epoch + Duration::from_micros(self.net.exec.now())
+        self.network.epoch + Duration::from_micros(self.network.executor.now())
     }
 
     fn unix_now(&self) -> Duration {
-        let offset = self.net.state.borrow().machines[self.node.0 as usize].clock_offset;
-        let time = crate::UNIX_START + self.net.exec.now();
+        let offset = self.network.state.borrow().machines[self.node.0 as usize].clock_offset;
+        let time = crate::UNIX_START + self.network.executor.now();
         Duration::from_micros(time.saturating_add_signed(offset))
     }
 
     fn sleep_until(&self, at: Instant) -> impl Future<Output = ()> {
-        let time = at.saturating_duration_since(self.net.epoch);
+        let time = at.saturating_duration_since(self.network.epoch);
         // The clock counts whole microseconds; a timer is never early.
-        self.net
-            .exec
+        self.network
+            .executor
             .sleep_until(time.as_nanos().div_ceil(1_000) as Time)
     }
 
     fn spawn(&self, task: impl Future<Output = ()> + 'static) {
-        self.net.exec.spawn(self.node, task);
+        self.network.executor.spawn(self.node, task);
     }
 
-    fn connect(&self, to: SocketAddr) -> impl Future<Output = io::Result<SimStream>> {
-        self.net.dial(self.node, to)
+    fn connect(&self, to: SocketAddr) -> impl Future<Output = io::Result<SimulatedStream>> {
+        self.network.dial(self.node, to)
     }
 
-    fn accept(&self, listener: &SimListener) -> impl Future<Output = io::Result<SimStream>> {
+    fn accept(
+        &self,
+        listener: &SimulatedListener,
+    ) -> impl Future<Output = io::Result<SimulatedStream>> {
         listener.accept()
     }
 
-    async fn bind(&self, at: SocketAddr) -> io::Result<SimDatagrams> {
-        let mut state = self.net.state.borrow_mut();
+    async fn bind(&self, at: SocketAddr) -> io::Result<SimulatedDatagramSocket> {
+        let mut state = self.network.state.borrow_mut();
         if state.datagrams.contains_key(&at) {
             return Err(io::ErrorKind::AddrInUse.into());
         }
@@ -956,9 +993,9 @@
             waker: RefCell::default(),
         });
         state.datagrams.insert(at, mailbox.clone());
-        Ok(SimDatagrams {
-            net: self.net.clone(),
-            addr: at,
+        Ok(SimulatedDatagramSocket {
+            network: self.network.clone(),
+            address: at,
             mailbox,
         })
     }
--- a/crates/router-simulation/src/rng.rs
+++ b/crates/router-simulation/src/rng.rs
@@ -5,12 +5,12 @@
 
 /// One stream of random numbers. Each part of a world has its own, so that a change in one leaves the others alone.
 #[derive(Clone, Debug)]
-pub struct Dice(Pcg64Mcg);
+pub struct SeededRng(Pcg64Mcg);
 
-impl Dice {
+impl SeededRng {
     /// The stream of this number under a seed.
-    pub fn new(seed: u64, stream: u64) -> Dice {
-        Dice(Pcg64Mcg::seed_from_u64(
+    pub fn new(seed: u64, stream: u64) -> SeededRng {
+        SeededRng(Pcg64Mcg::seed_from_u64(
             seed.wrapping_mul(0x9E37_79B9_7F4A_7C15)
                 .wrapping_add(stream),
         ))
@@ -46,7 +46,7 @@
     }
 
     /// A place in a list of so many; 0 for an empty one.
-    pub fn place(&mut self, count: usize) -> usize {
+    pub fn index(&mut self, count: usize) -> usize {
         self.range(0, count.saturating_sub(1) as u64) as usize
     }
 
