--- a/crates/load-balancer/src/admin_overrides.rs
+++ b/crates/load-balancer/src/admin_overrides.rs
@@ -1,14 +1,14 @@
-//! What operators said of servers, kept by name apart from the list. What follows is decided in `src/life.rs`.
+//! What operators said of servers, by name and apart from the endpoint list.
 
-use crate::api::{Micros, ServerId};
-use crate::state::Router;
+use crate::ids::ServerId;
+use crate::time::Micros;
 use std::collections::BTreeMap;
 
-/// Servers of which the operators' word is kept. More are no fleet's; the word that was given first is forgotten, and
-/// those that are out last of all.
-const WORDS: usize = 4096;
+/// Servers whose override is remembered: more than any fleet has. A further one replaces the oldest of those that
+/// are enabled, else one that is disabled.
+const OVERRIDE_COUNT: usize = 4096;
 
-/// The operators' last word on a server.
+/// The operators' latest word on a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdminOverride {
     /// Nothing new is sent to it.
@@ -17,43 +17,44 @@
     EnabledAt(Micros),
 }
 
-/// What the operators said, by server. It outlives the list's entries.
+/// The overrides by server; they outlive the entries of the endpoint list.
 #[derive(Debug, Default)]
-pub(crate) struct Words(BTreeMap<ServerId, AdminOverride>);
+pub(crate) struct AdminOverrides(BTreeMap<ServerId, AdminOverride>);
 
-impl Words {
-    /// Called out, and not back yet.
-    pub fn is_out(&self, server: &ServerId) -> bool {
+impl AdminOverrides {
+    /// Whether a server is disabled and not enabled since.
+    pub fn is_disabled(&self, server: &ServerId) -> bool {
         self.0.get(server) == Some(&AdminOverride::Disabled)
     }
 
-    /// When it was put back; 0 if never.
-    pub fn back_at(&self, server: &ServerId) -> Micros {
-        if let Some(AdminOverride::EnabledAt(at)) = self.0.get(server) {
-            *at
-        } else {
-            Micros(0)
+    /// When a server was enabled last; 0 if never.
+    pub fn enabled_at(&self, server: &ServerId) -> Micros {
+        match self.0.get(server) {
+            Some(AdminOverride::EnabledAt(at)) => *at,
+            _ => Micros(0),
         }
     }
 
-    /// The operators said this.
-    pub fn set(&mut self, server: ServerId, word: AdminOverride) {
-        if self.0.len() >= WORDS && !self.0.contains_key(&server) {
-            let oldest = self.0.iter().min_by_key(|(_, word)| match word {
-                AdminOverride::EnabledAt(at) => *at,
-                AdminOverride::Disabled => Micros::MAX,
-            });
-            if let Some(name) = oldest.map(|(name, _)| name.clone()) {
-                self.0.remove(&name);
-            }
+    /// Sets the override of a server.
+    pub fn set(&mut self, server: ServerId, value: AdminOverride) {
+        if self.0.len() >= OVERRIDE_COUNT && !self.0.contains_key(&server) {
+            self.remove_oldest();
+        }
+        self.0.insert(server, value);
+    }
+
+    fn remove_oldest(&mut self) {
+        let oldest = self.0.iter().min_by_key(|(_, value)| match value {
+            AdminOverride::EnabledAt(at) => *at,
+            AdminOverride::Disabled => Micros::MAX,
+        });
+        if let Some(name) = oldest.map(|(name, _)| name.clone()) {
+            self.0.remove(&name);
         }
-        self.0.insert(server, word);
     }
-}
 
-impl Router {
-    /// What the operators said of each server that they spoke of, for a successor or for a file.
-    pub fn admin_overrides(&self) -> impl Iterator<Item = (&ServerId, AdminOverride)> {
-        self.words.0.iter().map(|(server, word)| (server, *word))
+    /// Each server with an override.
+    pub fn iter(&self) -> impl Iterator<Item = (&ServerId, AdminOverride)> {
+        self.0.iter().map(|(server, value)| (server, *value))
     }
 }
--- /dev/null
+++ b/crates/load-balancer/src/attempt_feedback.rs
@@ -0,0 +1,284 @@
+//! What does the end of an attempt tell of its server's limit, and of the limit on origin fetches?
+//!
+//! Inputs: how the attempt ended and after which time (µs), whether it counted as a fetch, the latency objective
+//! (µs), the state of both limits. Answer: an adjustment of the server's limit for one cause, and one of the limit
+//! on fetches. Reason: how long hits take tells of the server; what fetches take beyond that, or fail, tells of the
+//! origin. One must not be punished for the other.
+
+use crate::concurrency_limit::{INITIAL_TOTAL_COUNT, LIMIT_DECREASE_RATIO, SLOW_RATIO};
+use crate::endpoints::Server;
+use crate::origin_fetch_limit::OriginFetchLimit;
+use crate::pending::Attempt;
+use crate::request::{AttemptEnd, CacheStatus, ConnectionUse, Outcome};
+use crate::time::Micros;
+
+/// A server that fails or rejects everything keeps this limit: a trickle that finds out when it recovers.
+const TRICKLE_LIMIT: f64 = 0.05;
+/// A server in a jam is still sent this many requests at a time by all routers together, and one by each at most.
+const MIN_TOTAL_COUNT: f64 = 4.0;
+/// Answers over which the typical latency is averaged.
+const LATENCY_SPAN: u64 = 8;
+/// The same where routers are many: each sees too little of a server to average.
+const LATENCY_SPAN_MANY_ROUTERS: u64 = 1;
+
+/// What feedback depends on besides the attempt and its server.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct FeedbackContext {
+    pub now: Micros,
+    pub router_count: f64,
+    /// The tightest latency objective of all classes.
+    pub shortest_objective: Micros,
+    /// That of the request's class.
+    pub latency_objective: Micros,
+    /// How long hits take at any server.
+    pub typical_latency: Micros,
+    /// Servers reject new connections for want of slots.
+    pub are_slots_scarce: bool,
+    /// An origin that is sent too much stops for some seconds.
+    pub origin_collapses_under_overload: bool,
+}
+
+impl FeedbackContext {
+    /// Whether routers are so many that each sees too little of a server to learn in time.
+    fn has_many_routers(&self) -> bool {
+        self.router_count > INITIAL_TOTAL_COUNT
+    }
+
+    fn min_limit(&self) -> f64 {
+        (MIN_TOTAL_COUNT / self.router_count).min(1.0)
+    }
+
+    /// An answer that takes longer is slow.
+    fn slow_latency(&self) -> Micros {
+        self.latency_objective.scaled(SLOW_RATIO)
+    }
+}
+
+/// The one cause for which a server's limit is adjusted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum ServerLesson {
+    /// The end tells nothing of the server.
+    Nothing,
+    /// An origin answered a router that fetches for itself.
+    OriginLatency,
+    /// The time of the answer tells whether requests wait at the server.
+    Latency,
+    /// The server rejects requests or cannot be reached.
+    Unavailable,
+}
+
+/// The end of one attempt, and what the limits were before it is taken in.
+pub(crate) struct AttemptFeedback<'a> {
+    end: &'a AttemptEnd,
+    context: FeedbackContext,
+    is_fetch: bool,
+    popularity: usize,
+    /// The time beyond a hit at that server.
+    beyond_hit: Micros,
+    is_served: bool,
+    is_timed_out: bool,
+    /// It lacked the object, as far as it told.
+    is_miss: bool,
+    /// It was served without a fetch by a cache server.
+    is_hit: bool,
+    is_quick: bool,
+    /// It was served on a new connection: its time holds a handshake.
+    has_handshake: bool,
+    /// The server failed to respond several times in a row.
+    has_failed_repeatedly: bool,
+    /// If it hangs, the origin is at fault.
+    is_blamed_on_origin: bool,
+}
+
+impl<'a> AttemptFeedback<'a> {
+    /// Of an attempt at `server` that ended so; the server's responsiveness is up to date.
+    pub fn new(
+        end: &'a AttemptEnd,
+        attempt: &Attempt,
+        server: &Server,
+        origin_fetches: &OriginFetchLimit,
+        context: FeedbackContext,
+    ) -> AttemptFeedback<'a> {
+        let is_served = end.outcome == Outcome::Success;
+        let is_miss = matches!(
+            end.cache_status,
+            Some(CacheStatus::Miss | CacheStatus::MissPending)
+        );
+        let has_failed_repeatedly = server.responsiveness.has_failed_repeatedly();
+        let is_in_time = end.elapsed <= context.slow_latency();
+        AttemptFeedback {
+            end,
+            context,
+            is_fetch: attempt.is_fetch,
+            popularity: attempt.popularity,
+            beyond_hit: end.elapsed.since(server.typical_latency),
+            is_served,
+            is_timed_out: end.outcome == Outcome::TimedOut,
+            is_miss,
+            is_hit: is_served && !is_miss && !server.is_origin,
+            // A quick miss frees a server too: most answers may be misses.
+            is_quick: is_in_time && (is_served || end.outcome == Outcome::Miss),
+            has_handshake: end.connection_use == ConnectionUse::New && is_served,
+            has_failed_repeatedly,
+            is_blamed_on_origin: !has_failed_repeatedly
+                && is_origin_suspected(attempt.is_fetch, origin_fetches, &context),
+        }
+    }
+
+    /// Adjusts the server's limit for the one cause that the end shows.
+    pub fn apply_to_server(&self, server: &mut Server) {
+        match self.server_lesson(server) {
+            ServerLesson::Nothing => {}
+            ServerLesson::OriginLatency => self.apply_origin_latency(server),
+            ServerLesson::Latency => self.apply_latency(server),
+            ServerLesson::Unavailable => self.apply_unavailable(server),
+        }
+    }
+
+    fn server_lesson(&self, server: &Server) -> ServerLesson {
+        let is_below_initial = server.limit.limit < server.limit.initial;
+        let is_recovering = self.is_quick && is_below_initial;
+        let is_late_at_server = self.is_timed_out && !self.is_blamed_on_origin;
+        match self.end.outcome {
+            Outcome::Cancelled | Outcome::NotSent => ServerLesson::Nothing,
+            Outcome::Overloaded if self.lacks_connection_slot() => ServerLesson::Nothing,
+            _ if server.is_origin => ServerLesson::OriginLatency,
+            // Guards against taking a handshake (TLS, a long way, a busy listener) for the server's slowness. A
+            // server that ends each connection after one answer is judged by time-outs and rejections alone.
+            _ if self.has_handshake && !self.is_quick => ServerLesson::Nothing,
+            _ if self.is_hit || is_recovering || is_late_at_server => ServerLesson::Latency,
+            // One connection may be reset anywhere; the next tells whether the server is down.
+            Outcome::Unreachable if !self.has_failed_repeatedly => ServerLesson::Nothing,
+            Outcome::Overloaded | Outcome::Unreachable => ServerLesson::Unavailable,
+            _ => ServerLesson::Nothing,
+        }
+    }
+
+    /// A new connection that is rejected for want of slots says nothing of the work that the server has.
+    fn lacks_connection_slot(&self) -> bool {
+        self.end.connection_use == ConnectionUse::New && self.context.are_slots_scarce
+    }
+
+    /// An origin's queue must not outlast the tightest objective among those that wait in it.
+    fn apply_origin_latency(&self, server: &mut Server) {
+        let is_late = self.end.elapsed > self.context.shortest_objective || !self.is_served;
+        server
+            .limit
+            .record_answer(self.context.now, is_late, TRICKLE_LIMIT);
+    }
+
+    /// An answer past the objective counts whatever the server reports: it may be slow by itself.
+    fn apply_latency(&self, server: &mut Server) {
+        let now = self.context.now;
+        let objective = self.context.latency_objective;
+        let elapsed = self.end.elapsed;
+        let latency = if self.is_timed_out {
+            elapsed.scaled(2.0)
+        } else {
+            elapsed
+        };
+        server.queue.record_latency(latency);
+        let shows_queue = elapsed > objective || server.queue.has_queue(now, objective);
+        let is_slow = elapsed > self.context.slow_latency() && shows_queue;
+        let min_limit = self.context.min_limit();
+        server
+            .limit
+            .record_answer(now, self.is_timed_out || is_slow, min_limit);
+        if !self.has_handshake {
+            let span = if self.context.has_many_routers() {
+                LATENCY_SPAN_MANY_ROUTERS
+            } else {
+                LATENCY_SPAN
+            };
+            server.typical_latency = server.typical_latency.toward(elapsed, span);
+        }
+    }
+
+    fn apply_unavailable(&self, server: &mut Server) {
+        let min_limit = TRICKLE_LIMIT * self.context.min_limit();
+        server.limit.record_rejection(self.context.now, min_limit);
+        server.typical_latency = server.typical_latency.max(self.context.typical_latency);
+        if self.end.outcome == Outcome::Unreachable {
+            server.possible_restart_at = self.context.now;
+        }
+    }
+
+    /// The typical latency of hits at any server, with this answer taken in.
+    pub fn updated_typical_latency(&self) -> Micros {
+        if self.is_hit && !self.has_handshake {
+            let typical_latency = self.context.typical_latency;
+            typical_latency.toward(self.end.elapsed, LATENCY_SPAN)
+        } else {
+            self.context.typical_latency
+        }
+    }
+
+    /// Adjusts the limit on origin fetches.
+    pub fn apply_to_origin(&self, origin_fetches: &mut OriginFetchLimit) {
+        if !self.is_fetch {
+            return;
+        }
+        if self.is_served && self.end.cache_status.is_some() {
+            origin_fetches.record_cache_status(self.popularity, self.is_miss);
+        }
+        match self.end.outcome {
+            Outcome::Success => self.apply_served_fetch(origin_fetches),
+            Outcome::TimedOut => self.apply_late_fetch(origin_fetches),
+            Outcome::Failure => self.apply_failed_fetch(origin_fetches),
+            _ => {}
+        }
+    }
+
+    fn sent_at(&self) -> Micros {
+        self.context.now.since(self.end.elapsed)
+    }
+
+    /// A late answer on a new connection may be late by its handshake.
+    fn apply_served_fetch(&self, origin_fetches: &mut OriginFetchLimit) {
+        let is_in_time = self.beyond_hit <= self.context.latency_objective;
+        let is_known_hit = self.end.cache_status == Some(CacheStatus::Hit);
+        let is_late_by_handshake = self.has_handshake && !is_in_time;
+        if !is_known_hit && !is_late_by_handshake {
+            origin_fetches.record_served(self.sent_at(), self.beyond_hit, is_in_time);
+        }
+    }
+
+    fn apply_late_fetch(&self, origin_fetches: &mut OriginFetchLimit) {
+        if self.is_blamed_on_origin {
+            let is_in_time = self.beyond_hit <= self.context.slow_latency();
+            origin_fetches.record_abandoned(
+                self.context.now,
+                self.end.elapsed,
+                self.beyond_hit,
+                is_in_time,
+            );
+        } else if !self.has_failed_repeatedly {
+            origin_fetches.record_late();
+        }
+    }
+
+    /// A quick error cost the origin nothing, unless too many of them stop it.
+    fn apply_failed_fetch(&self, origin_fetches: &mut OriginFetchLimit) {
+        let is_slow = self.beyond_hit > self.context.slow_latency();
+        if self.is_miss && (is_slow || self.context.origin_collapses_under_overload) {
+            origin_fetches.record_failed(self.sent_at());
+        }
+    }
+}
+
+/// Whether the origin is to blame for a request that hangs. Where each router sees little, fetches must have failed
+/// before.
+fn is_origin_suspected(
+    is_fetch: bool,
+    origin_fetches: &OriginFetchLimit,
+    context: &FeedbackContext,
+) -> bool {
+    let has_many_routers = context.has_many_routers();
+    let trusted_limit = if has_many_routers {
+        1.0 - LIMIT_DECREASE_RATIO
+    } else {
+        origin_fetches.initial
+    };
+    let is_limit_reduced = origin_fetches.limit < trusted_limit;
+    is_limit_reduced || (is_fetch && (!has_many_routers || origin_fetches.is_slow()))
+}
--- a/crates/load-balancer/src/concurrency_limit.rs
+++ b/crates/load-balancer/src/concurrency_limit.rs
@@ -1,127 +1,154 @@
-//! What a router believes that a server bears, and how far a request may draw on it.
+//! How many requests may one router have in flight at one server?
 //!
-//! Guards against two mistakes of a router that sees a server once in some seconds. It took one late answer
-//! for the server's state until it saw the next, half a minute later: here a belief falls back to what the
-//! settings alone tell as it ages. And it refused two of three where half was meant, since a least gap
-//! between requests that come at random loses each pause: here what was not used is saved, up to a bound, and
-//! what is worth more draws ahead of what is worth less. Hurts where a server differs from the others for
-//! long and is seen seldom: each look at it is nearly a new one.
+//! Inputs: answers of the server (slow or not), rejections by it, the time (µs). Answer: a limit in requests; below
+//! one it is a pace, one request in so much time. Reason: quick answers raise the limit a little while it is in
+//! use, slow ones cut it (additive increase, bounded decrease). Observations age: a router that seldom sees a
+//! server would otherwise take one late answer for the server's state. A pace saves up what was not used, since a
+//! strict gap between random arrivals loses every pause.
 
-use crate::api::Micros;
+use crate::time::Micros;
 
-/// How far one slow answer cuts a limit, and as a share of it under one; a whole round of them about halves
-/// it.
-pub(crate) const CUT: f64 = 0.5;
-/// The share of slow answers at which a limit rests: some requests are heavy, and no server is at fault.
-pub(crate) const SLOW_TOLERATED: f64 = 0.1;
-/// An observation counts for about so long: troubles of a server last some tens of seconds.
-const MEMORY: Micros = Micros::from_millis(30_000);
-/// Observations, less what their age takes off, that make a belief the router's own knowledge.
-const WELL_SEEN: f64 = 3.0;
-/// Requests that may be saved up at a limit under one, and drawn ahead by what is worth most.
-const SAVED: f64 = 3.0;
+/// How much one slow answer takes off a limit, in requests; below one, as a ratio of the limit.
+pub(crate) const LIMIT_DECREASE_RATIO: f64 = 0.5;
+/// Ratio of slow answers at which a limit rests: some requests are heavy without any fault of the server.
+const TOLERATED_SLOW_RATIO: f64 = 0.1;
+/// Time constant with which observations fade.
+const OBSERVATION_DECAY: Micros = Micros::from_millis(30_000);
+/// Observations, less what their age takes off, that make the limit well founded.
+const WELL_FOUNDED_COUNT: f64 = 3.0;
+/// Requests that a pace may save up, and that the highest priority may draw ahead.
+const SAVED_COUNT: f64 = 3.0;
+/// Requests in flight to one server that all routers together start with.
+pub(crate) const INITIAL_TOTAL_COUNT: f64 = 16.0;
+/// An answer that takes longer than this ratio of the latency objective is slow: what waits longer is late.
+pub(crate) const SLOW_RATIO: f64 = 0.5;
 
-/// An adaptive concurrency limit: quick answers raise it a little while it is in use, slow ones cut it.
+/// An adaptive concurrency limit for one server.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Gauge {
+pub(crate) struct ConcurrencyLimit {
     pub in_flight: u32,
-    /// As of `seen`.
+    /// The limit as of `observed_at`, in requests.
     pub limit: f64,
-    /// Where the limit starts, and drifts back to when unused.
-    pub first: f64,
-    /// Observations, each less what its age took off, as of `seen`.
+    /// Where the limit starts, and drifts back to as observations age.
+    pub initial: f64,
+    /// Observations, each less what its age took off, as of `observed_at`.
     weight: f64,
-    seen: Micros,
-    /// The server itself said so, by turning requests away: that holds until it says otherwise.
-    told: bool,
-    /// Up to when the limit's allowance is used, where it spaces requests out.
-    paid: Micros,
-    /// When the last request went out.
-    drawn: Micros,
+    observed_at: Micros,
+    /// The server itself rejected requests: that holds until it answers otherwise.
+    reported_by_server: bool,
+    /// Up to when the allowance of a pace is used.
+    paid_until: Micros,
+    /// When the last request was sent.
+    last_sent_at: Micros,
 }
 
-impl Gauge {
-    /// One that has seen nothing.
-    pub fn new(in_flight: u32, first: f64) -> Gauge {
-        Gauge {
+impl ConcurrencyLimit {
+    /// A limit without observations, with so many requests already in flight.
+    pub fn new(in_flight: u32, initial: f64) -> ConcurrencyLimit {
+        ConcurrencyLimit {
             in_flight,
-            limit: first,
-            first,
-            ..Gauge::default()
+            limit: initial,
+            initial,
+            ..ConcurrencyLimit::default()
         }
     }
 
-    /// `chance` in [0, 1) lets part of the requests through where the limit is under one.
-    pub fn has_room(&self, stretch: f64, chance: f64) -> bool {
-        let limit = self.limit * stretch;
-        let at_once = if self.limit < 1.0 { self.first } else { limit };
+    /// Whether one more request fits now. `chance` in [0, 1) lets a part of them through while the limit is below
+    /// one.
+    pub fn has_capacity(&self, multiplier: f64, chance: f64) -> bool {
+        let limit = self.limit * multiplier;
+        let at_once = if self.limit < 1.0 {
+            self.initial
+        } else {
+            limit
+        };
         f64::from(self.in_flight) < at_once && chance < limit
     }
 
-    /// What is left at `now` of the weight that observations had.
-    fn left(&self, now: Micros) -> f64 {
-        if self.told {
-            1.0
-        } else {
-            (-now.since(self.seen).as_secs_f64() / MEMORY.as_secs_f64()).exp()
+    /// What age has left of the observations, 0 to 1.
+    fn remaining_weight(&self, now: Micros) -> f64 {
+        if self.reported_by_server {
+            return 1.0;
         }
+        let age = now.since(self.observed_at);
+        (-age.as_secs_f64() / OBSERVATION_DECAY.as_secs_f64()).exp()
     }
 
-    /// The limit at `now`: what was seen by what is left of it, the start for the rest.
-    pub fn believed(&self, now: Micros) -> f64 {
-        self.first * (self.limit / self.first).powf(self.left(now))
+    /// The limit now: observed by the weight that is left, initial for the rest.
+    pub fn current(&self, now: Micros) -> f64 {
+        self.initial * (self.limit / self.initial).powf(self.remaining_weight(now))
     }
 
-    /// Whether the belief is this router's own knowledge, not a hunch; what is at work there counts too, and
-    /// so does the server's own word.
-    pub fn is_well_seen(&self, now: Micros) -> bool {
-        self.told || self.weight * self.left(now) + f64::from(self.in_flight) >= WELL_SEEN
+    /// Whether the limit rests on enough observations. Requests in flight count as such, and so does the server's
+    /// own rejection.
+    pub fn is_well_founded(&self, now: Micros) -> bool {
+        if self.reported_by_server {
+            return true;
+        }
+        let observations = self.weight * self.remaining_weight(now);
+        observations + f64::from(self.in_flight) >= WELL_FOUNDED_COUNT
     }
 
-    /// The limit is what another process of this router knew, as if it had been seen just now.
-    pub fn recalled(&mut self, now: Micros) {
-        (self.weight, self.seen, self.told) = (1.0, now, false);
+    /// Takes over the limit of a previous process as if it had been observed now.
+    pub fn restore(&mut self, now: Micros, limit: f64) {
+        self.limit = limit;
+        self.weight = 1.0;
+        self.observed_at = now;
+        self.reported_by_server = false;
     }
 
-    /// An answer came, slow or not.
-    pub fn learn(&mut self, now: Micros, slow: bool, least: f64) {
-        self.limit = self.believed(now);
-        self.weight = self.weight * self.left(now) + 1.0;
-        self.told = false;
-        self.seen = now;
-        if slow {
-            self.limit = (self.limit - CUT * self.limit.min(1.0)).max(least.min(self.limit));
-            // What was saved was saved for a server that was well.
-            self.paid = self.paid.max(self.drawn);
+    /// Adjusts the limit to an answer, slow or not; it falls no lower than `minimum`.
+    pub fn record_answer(&mut self, now: Micros, is_slow: bool, minimum: f64) {
+        self.limit = self.current(now);
+        self.weight = self.weight * self.remaining_weight(now) + 1.0;
+        self.reported_by_server = false;
+        self.observed_at = now;
+        if is_slow {
+            self.decrease(minimum);
         } else if f64::from(self.in_flight + 1) * 2.0 >= self.limit {
-            self.limit += CUT * SLOW_TOLERATED / (1.0 - SLOW_TOLERATED);
-        } else if self.limit > self.first {
-            self.limit -= CUT * SLOW_TOLERATED;
+            self.limit +=
+                LIMIT_DECREASE_RATIO * TOLERATED_SLOW_RATIO / (1.0 - TOLERATED_SLOW_RATIO);
+        } else if self.limit > self.initial {
+            self.limit -= LIMIT_DECREASE_RATIO * TOLERATED_SLOW_RATIO;
         }
     }
 
-    /// The server turned one away.
-    pub fn turned_away(&mut self, now: Micros, least: f64) {
-        self.learn(now, true, least);
-        self.told = true;
+    fn decrease(&mut self, minimum: f64) {
+        let decreased = self.limit - LIMIT_DECREASE_RATIO * self.limit.min(1.0);
+        self.limit = decreased.max(minimum.min(self.limit));
+        // The allowance was saved up for a server that was well.
+        self.paid_until = self.paid_until.max(self.last_sent_at);
     }
 
-    /// Whether one more is due, at one every `gap`, if it ranks at `rank` among what was asked for lately (0
-    /// least worth, 1 most).
-    pub fn is_due(&self, now: Micros, gap: Micros, rank: f64) -> bool {
-        let ahead = SAVED * (2.0 * rank - 1.0);
-        self.paid.plus(gap.scaled((1.0 - ahead).max(0.0)))
-            <= now.plus(gap.scaled((ahead - 1.0).max(0.0)))
+    /// Adjusts the limit to a rejection by the server.
+    pub fn record_rejection(&mut self, now: Micros, minimum: f64) {
+        self.record_answer(now, true, minimum);
+        self.reported_by_server = true;
     }
 
-    /// One went out, at one every `gap`; 0 where nothing spaces them out.
-    pub fn draw(&mut self, now: Micros, gap: Micros) {
-        self.drawn = now;
-        let saved = Micros(now.0.saturating_sub(gap.scaled(SAVED + 1.0).0));
-        self.paid = if gap == Micros(0) {
+    /// Whether one more request may be sent at a pace of one every `interval`. `rank` is its priority among recent
+    /// requests, 0 (lowest) to 1: a high one draws ahead of the pace, a low one waits for saved allowance.
+    pub fn may_send_at_pace(&self, now: Micros, interval: Micros, rank: f64) -> bool {
+        let ahead = SAVED_COUNT * (2.0 * rank - 1.0);
+        let needed = interval.scaled((1.0 - ahead).max(0.0));
+        let drawn_ahead = interval.scaled((ahead - 1.0).max(0.0));
+        self.paid_until.plus(needed) <= now.plus(drawn_ahead)
+    }
+
+    /// Records a request sent at a pace of one every `interval`; 0 where no pace holds.
+    pub fn record_send(&mut self, now: Micros, interval: Micros) {
+        self.in_flight += 1;
+        self.last_sent_at = now;
+        self.paid_until = if interval == Micros(0) {
             now
         } else {
-            self.paid.max(saved).plus(gap)
+            let earliest = Micros(now.0.saturating_sub(interval.scaled(SAVED_COUNT + 1.0).0));
+            self.paid_until.max(earliest).plus(interval)
         };
     }
+
+    /// Records that a request is no longer in flight.
+    pub fn record_end(&mut self) {
+        self.in_flight -= 1;
+    }
 }
--- a/crates/load-balancer/src/deployment.rs
+++ b/crates/load-balancer/src/deployment.rs
@@ -1,41 +1,64 @@
-//! The settings of a router, from pairs of a dotted path and a value: the adapter finds them in its first message,
-//! the router in its configuration. Keys that are not read here are passed over.
+//! Reader of a router's settings from pairs of a dotted path and a value.
 //!
-//! What a deployment may leave out, and what then holds: `peers_total` 1, `over_share_worth` 1, `customers` none, a
-//! class's `credit` 1 and `late_value` 0, `invariants.drain_close` none,
-//! `weight_kind` off, `limits.max_attempts` 1, what `limits` allows: no, `limits.max_retry_after` 0,
-//! `specifics.mode` through, `stats` none, `discovery` automatic, `limits.conn_idle` and `limits.dial_timeout` without end,
-//! `deductions.connection` and `deductions.handshake` 0. All else that is read here must be there.
+//! The simulator sends the pairs in its first message, the router program has them in its configuration; the paths
+//! are a protocol. Unknown paths are ignored.
+//!
+//! Paths that may be left out, with their defaults: `peers_total` 1, `over_share_worth` 1, `customers` none, a
+//! class's `credit` 1 and `late_value` 0, `invariants.drain_close` none, `weight_kind` unknown,
+//! `limits.max_attempts` 1, the flags of `limits` false, `limits.max_retry_after` 0, `specifics.mode` through,
+//! `stats` none, `discovery` automatic, `limits.conn_idle` and `limits.dial_timeout` without end,
+//! `deductions.connection` and `deductions.handshake` 0. All others that are read here are required.
 
-use crate::api::*;
+use crate::ids::{KindId, ZoneId};
 use crate::load_report::LoadReportFormat;
+use crate::settings::{
+    CacheMode, Class, ConnectionCosts, DeduplicationScope, Discovery, Idempotency, Limits, Rules,
+    Settings, Tenant, Weights,
+};
+use crate::time::Micros;
 use std::collections::HashMap;
-use std::fmt;
-
-/// A setting that is missing or cannot be read, in one plain sentence.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct DeploymentError(String);
 
-impl DeploymentError {
-    fn new(text: String) -> Self {
-        DeploymentError(text)
-    }
+/// A setting that is missing or cannot be read.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum DeploymentError {
+    /// A required setting is missing.
+    #[error("setting {path} is missing")]
+    Missing {
+        /// Of the setting.
+        path: String,
+    },
+    /// A value is not a finite number of at least zero.
+    #[error("setting {path}: '{value}' is not a number of at least zero")]
+    NotANumber {
+        /// Of the setting.
+        path: String,
+        /// As it was given.
+        value: String,
+    },
+    /// A value is not a flag.
+    #[error("setting {path}: '{value}' is neither true nor false")]
+    NotAFlag {
+        /// Of the setting.
+        path: String,
+        /// As it was given.
+        value: String,
+    },
+    /// A value is none of the known words.
+    #[error("setting {path}: '{value}' is not known")]
+    UnknownWord {
+        /// Of the setting.
+        path: String,
+        /// As it was given.
+        value: String,
+    },
 }
 
-impl fmt::Display for DeploymentError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(&self.0)
-    }
-}
-
-impl std::error::Error for DeploymentError {}
-
 /// The names that a deployment uses where the library takes numbers.
 #[derive(Clone, Debug)]
 pub struct Names {
-    /// Of the classes, in the order of [`ClassId`].
+    /// Of the classes, in the order of [`ClassId`](crate::ClassId).
     pub classes: Vec<String>,
-    /// Of the tenants, in the order of [`TenantId`].
+    /// Of the tenants, in the order of [`TenantId`](crate::TenantId).
     pub tenants: Vec<String>,
     /// Of the zones, in the order of [`ZoneId`].
     pub zones: Vec<String>,
@@ -46,123 +69,147 @@
 /// What a deployment tells a router.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    /// The settings of the decision module.
+    /// The settings of the decision library.
     pub settings: Settings,
     /// The names behind its numbers.
     pub names: Names,
-    /// A connection that is not up after this long never will be.
+    /// A connection that is not established after this long counts as unreachable.
     pub dial_timeout: Micros,
-    /// What the load reports in answers hold; empty where answers bring none.
+    /// The fields of the load reports in answers; empty where answers carry none.
     pub reports: LoadReportFormat,
 }
 
+/// Values and their names, in one order.
+struct Named<T> {
+    values: Vec<T>,
+    names: Vec<String>,
+}
+
+impl<T> Named<T> {
+    fn new() -> Named<T> {
+        Named {
+            values: Vec::new(),
+            names: Vec::new(),
+        }
+    }
+}
+
+/// The pairs by path.
 struct Params<'a>(HashMap<&'a str, &'a str>);
 
 impl<'a> Params<'a> {
+    fn optional(&self, path: &str) -> Option<&'a str> {
+        self.0.get(path).copied()
+    }
+
     fn text(&self, path: &str) -> Result<&'a str, DeploymentError> {
-        self.0
-            .get(path)
-            .copied()
-            .ok_or_else(|| DeploymentError::new(format!("setting {path} is missing")))
+        self.optional(path)
+            .ok_or_else(|| DeploymentError::Missing { path: path.into() })
     }
 
     fn number(&self, path: &str) -> Result<f64, DeploymentError> {
         let text = self.text(path)?;
         match text.parse() {
             Ok(value) if f64::is_finite(value) && value >= 0.0 => Ok(value),
-            _ => Err(DeploymentError::new(format!(
-                "setting {path}: '{text}' is not a number of at least zero"
-            ))),
+            _ => Err(DeploymentError::NotANumber {
+                path: path.into(),
+                value: text.into(),
+            }),
         }
     }
 
-    /// A number that a deployment may leave out.
     fn number_or(&self, path: &str, default: f64) -> Result<f64, DeploymentError> {
-        if self.0.contains_key(path) {
-            self.number(path)
-        } else {
-            Ok(default)
+        match self.optional(path) {
+            Some(_) => self.number(path),
+            None => Ok(default),
         }
     }
 
     fn flag_or(&self, path: &str, default: bool) -> Result<bool, DeploymentError> {
-        match self.0.get(path).copied() {
+        match self.optional(path) {
             None => Ok(default),
             Some("true" | "1") => Ok(true),
             Some("false" | "0") => Ok(false),
-            Some(text) => Err(DeploymentError::new(format!(
-                "setting {path}: '{text}' is neither true nor false"
-            ))),
+            Some(text) => Err(DeploymentError::NotAFlag {
+                path: path.into(),
+                value: text.into(),
+            }),
         }
     }
 
+    /// A time, in seconds.
     fn time(&self, path: &str) -> Result<Micros, DeploymentError> {
         Ok(Micros::from_secs_f64(self.number(path)?))
     }
 
-    /// A time that a deployment may leave out.
     fn optional_time(&self, path: &str) -> Result<Option<Micros>, DeploymentError> {
-        if self.0.contains_key(path) {
-            self.time(path).map(Some)
-        } else {
-            Ok(None)
-        }
+        self.optional(path).map(|_| self.time(path)).transpose()
     }
 
+    /// Words separated by commas.
     fn list(&self, path: &str) -> Vec<String> {
-        let text = self.0.get(path).copied().unwrap_or("");
+        let text = self.optional(path).unwrap_or("");
         text.split(',')
-            .filter(|s| !s.is_empty())
+            .filter(|word| !word.is_empty())
             .map(str::to_string)
             .collect()
     }
 }
 
+fn unknown_word(path: impl Into<String>, value: &str) -> DeploymentError {
+    DeploymentError::UnknownWord {
+        path: path.into(),
+        value: value.into(),
+    }
+}
+
 /// Reads the pairs.
+///
+/// # Errors
+///
+/// The first setting that is missing or cannot be read.
 pub fn read<'a>(
     pairs: impl IntoIterator<Item = (&'a str, &'a str)>,
 ) -> Result<Deployment, DeploymentError> {
     let params = Params(pairs.into_iter().collect());
-    let zones = params.list("zones");
-    let kinds = params.list("kinds");
-    let (classes, class_names) = classes(&params)?;
-    let (tenants, tenant_names) = tenants(&params)?;
-    let zone = params
-        .0
-        .get("zone")
-        .and_then(|zone| zones.iter().position(|z| z == zone))
-        .map(ZoneId);
-    let settings = Settings {
+    let classes = classes(&params)?;
+    let tenants = tenants(&params)?;
+    let names = Names {
+        classes: classes.names,
+        tenants: tenants.names,
+        zones: params.list("zones"),
+        kinds: params.list("kinds"),
+    };
+    let settings = settings(&params, classes.values, tenants.values, &names.zones)?;
+    let dial_timeout = params
+        .optional_time("limits.dial_timeout")?
+        .unwrap_or(Micros::MAX);
+    Ok(Deployment {
+        settings,
+        names,
+        dial_timeout,
+        reports: reports(&params),
+    })
+}
+
+fn settings(
+    params: &Params<'_>,
+    classes: Vec<Class>,
+    tenants: Vec<Tenant>,
+    zones: &[String],
+) -> Result<Settings, DeploymentError> {
+    let collapse_multiple = "specifics.origin_fall_multiple";
+    Ok(Settings {
         routers: params.number_or("peers_total", 1.0)? as u32,
-        zone,
+        zone: zone(params, zones),
         classes,
         tenants,
         over_quota_weight: params.number_or("over_share_worth", 1.0)?,
-        mode: mode(&params)?,
-        discovery: discovery(&params)?,
-        weights: match params.0.get("weight_kind").copied() {
-            Some("rough") => Weights::Rough,
-            Some("nominal") => Weights::Nominal,
-            _ => Weights::Unknown,
-        },
-        rules: Rules {
-            answer_grace: params.time("invariants.grace_to_answer")?,
-            drain_grace: params.time("invariants.drain_grace")?,
-            initial_capacity_ratio: params.number("invariants.cold_from")?,
-            slow_start_duration: params.time("invariants.cold")?,
-            overload_multiple: params.number("invariants.overload_factor")?,
-            overload_duration: params.time("invariants.fall")?,
-            drain_close: params.optional_time("invariants.drain_close")?,
-        },
-        limits: Limits {
-            max_attempts: params.number_or("limits.max_attempts", 1.0)? as u32,
-            cancel: params.flag_or("limits.cancel", false)?,
-            hedging: params.flag_or("limits.may_duplicate", false)?,
-            retry_after: params.flag_or("limits.retry_after", false)?,
-            max_retry_after: Micros::from_secs_f64(
-                params.number_or("limits.max_retry_after", 0.0)?,
-            ),
-        },
+        mode: mode(params)?,
+        discovery: discovery(params)?,
+        weights: weights(params),
+        rules: rules(params)?,
+        limits: limits(params)?,
         connection_idle: params
             .optional_time("limits.conn_idle")?
             .unwrap_or(Micros::MAX),
@@ -170,119 +217,138 @@
             connection: params.number_or("deductions.connection", 0.0)?,
             handshake: params.number_or("deductions.handshake", 0.0)?,
         },
-        origin_collapses_under_overload: params.number_or("specifics.origin_fall_multiple", 1.0)?
-            > 0.0,
-    };
-    let names = Names {
-        classes: class_names,
-        tenants: tenant_names,
-        zones,
-        kinds,
-    };
-    let dial_timeout = params
-        .optional_time("limits.dial_timeout")?
-        .unwrap_or(Micros::MAX);
-    Ok(Deployment {
-        settings,
-        names,
-        dial_timeout,
-        reports: reports(&params),
+        origin_collapses_under_overload: params.number_or(collapse_multiple, 1.0)? > 0.0,
+    })
+}
+
+fn zone(params: &Params<'_>, zones: &[String]) -> Option<ZoneId> {
+    let name = params.optional("zone")?;
+    zones.iter().position(|zone| zone == name).map(ZoneId)
+}
+
+fn weights(params: &Params<'_>) -> Weights {
+    match params.optional("weight_kind") {
+        Some("rough") => Weights::Rough,
+        Some("nominal") => Weights::Nominal,
+        _ => Weights::Unknown,
+    }
+}
+
+fn rules(params: &Params<'_>) -> Result<Rules, DeploymentError> {
+    Ok(Rules {
+        answer_grace: params.time("invariants.grace_to_answer")?,
+        drain_grace: params.time("invariants.drain_grace")?,
+        initial_capacity_ratio: params.number("invariants.cold_from")?,
+        slow_start_duration: params.time("invariants.cold")?,
+        overload_multiple: params.number("invariants.overload_factor")?,
+        overload_duration: params.time("invariants.fall")?,
+        drain_close: params.optional_time("invariants.drain_close")?,
+    })
+}
+
+fn limits(params: &Params<'_>) -> Result<Limits, DeploymentError> {
+    Ok(Limits {
+        max_attempts: params.number_or("limits.max_attempts", 1.0)? as u32,
+        cancel: params.flag_or("limits.cancel", false)?,
+        hedging: params.flag_or("limits.may_duplicate", false)?,
+        retry_after: params.flag_or("limits.retry_after", false)?,
+        max_retry_after: params
+            .optional_time("limits.max_retry_after")?
+            .unwrap_or_default(),
     })
 }
 
-fn classes(params: &Params<'_>) -> Result<(Vec<Class>, Vec<String>), DeploymentError> {
+fn classes(params: &Params<'_>) -> Result<Named<Class>, DeploymentError> {
     let count = params.number("request_classes.count")? as usize;
-    let mut classes = (Vec::new(), Vec::new());
-    for i in 0..count {
-        let path = |field: &str| format!("request_classes.{i}.{field}");
-        let idempotency = match params.text(&path("effect"))? {
-            "idempotent" => Idempotency::Idempotent,
-            "deduplicated" => Idempotency::Keyed {
-                scope: match params.text(&path("group"))? {
-                    "all" => DeduplicationScope::All,
-                    "zone" => DeduplicationScope::Zone,
-                    "cell" => DeduplicationScope::Cell,
-                    other => {
-                        return Err(DeploymentError::new(format!(
-                            "setting {}: '{other}' is not known",
-                            path("group")
-                        )));
-                    }
-                },
-                deduplication_window: params.time(&path("memory_span"))?,
-            },
-            "at_most_once" => Idempotency::NotIdempotent,
-            other => {
-                return Err(DeploymentError::new(format!(
-                    "setting {}: '{other}' is not known",
-                    path("effect")
-                )));
-            }
-        };
-        classes.0.push(Class {
+    let mut classes = Named::new();
+    for index in 0..count {
+        let path = |field: &str| format!("request_classes.{index}.{field}");
+        let idempotency = idempotency(params, &path)?;
+        classes.values.push(Class {
             latency_objective: params.time(&path("target"))?,
             deadline: params.time(&path("give_up"))?,
             priority_weight: params.number_or(&path("credit"), 1.0)?,
             late_weight: params.number_or(&path("late_value"), 0.0)?,
             idempotency,
         });
-        classes.1.push(params.text(&path("name"))?.to_string());
+        classes.names.push(params.text(&path("name"))?.to_string());
     }
     Ok(classes)
 }
 
-fn tenants(params: &Params<'_>) -> Result<(Vec<Tenant>, Vec<String>), DeploymentError> {
+fn idempotency(
+    params: &Params<'_>,
+    path: &dyn Fn(&str) -> String,
+) -> Result<Idempotency, DeploymentError> {
+    match params.text(&path("effect"))? {
+        "idempotent" => Ok(Idempotency::Idempotent),
+        "deduplicated" => Ok(Idempotency::Keyed {
+            scope: deduplication_scope(params, &path("group"))?,
+            deduplication_window: params.time(&path("memory_span"))?,
+        }),
+        "at_most_once" => Ok(Idempotency::NotIdempotent),
+        other => Err(unknown_word(path("effect"), other)),
+    }
+}
+
+fn deduplication_scope(
+    params: &Params<'_>,
+    path: &str,
+) -> Result<DeduplicationScope, DeploymentError> {
+    match params.text(path)? {
+        "all" => Ok(DeduplicationScope::All),
+        "zone" => Ok(DeduplicationScope::Zone),
+        "cell" => Ok(DeduplicationScope::Cell),
+        other => Err(unknown_word(path, other)),
+    }
+}
+
+fn tenants(params: &Params<'_>) -> Result<Named<Tenant>, DeploymentError> {
     let count = params.number_or("customers.count", 0.0)? as usize;
-    let mut tenants = (Vec::new(), Vec::new());
-    for i in 0..count {
-        let path = |field: &str| format!("customers.{i}.{field}");
-        tenants.0.push(Tenant {
+    let mut tenants = Named::new();
+    for index in 0..count {
+        let path = |field: &str| format!("customers.{index}.{field}");
+        tenants.values.push(Tenant {
             quota_per_s: params.number(&path("quota_per_s"))?,
             share: params.number_or(&path("share"), 0.0)?,
         });
-        tenants.1.push(params.text(&path("name"))?.to_string());
+        tenants.names.push(params.text(&path("name"))?.to_string());
     }
     Ok(tenants)
 }
 
 fn mode(params: &Params<'_>) -> Result<CacheMode, DeploymentError> {
-    match params.0.get("specifics.mode").copied() {
+    match params.optional("specifics.mode") {
         None | Some("through") => Ok(CacheMode::Through),
         Some("aside") => {
             let origin = KindId(params.number("specifics.origin_kind")? as usize);
             Ok(CacheMode::Aside { origin })
         }
-        Some(other) => Err(DeploymentError::new(format!(
-            "setting specifics.mode: '{other}' is not known"
-        ))),
+        Some(other) => Err(unknown_word("specifics.mode", other)),
     }
 }
 
-/// Reports that come with probes alone are none: this router sends no probes.
+/// Reports that come with probes are left out: this router sends no probes.
 fn reports(params: &Params<'_>) -> LoadReportFormat {
-    let meaning = |path: &str| params.0.get(path).copied().unwrap_or("");
+    let meaning = |path: &str| params.optional(path).unwrap_or("");
     let names = if meaning("stats.how") == "inline" {
         params.list("stats.columns")
     } else {
         Vec::new()
     };
-    LoadReportFormat::new(
-        &names,
-        [
-            meaning("specifics.report_x0"),
-            meaning("specifics.report_x1"),
-        ],
-    )
+    let own_meanings = [
+        meaning("specifics.report_x0"),
+        meaning("specifics.report_x1"),
+    ];
+    LoadReportFormat::new(&names, own_meanings)
 }
 
 fn discovery(params: &Params<'_>) -> Result<Discovery, DeploymentError> {
-    match params.0.get("discovery").copied() {
+    match params.optional("discovery") {
         None | Some("automatic") => Ok(Discovery::Push),
         Some("subscribe") => Ok(Discovery::Subscribe {
             poll_within: params.time("invariants.ask_within")?,
         }),
-        Some(other) => Err(DeploymentError::new(format!(
-            "setting discovery: '{other}' is not known"
-        ))),
+        Some(other) => Err(unknown_word("discovery", other)),
     }
 }
--- a/crates/load-balancer/src/diagnostics.rs
+++ b/crates/load-balancer/src/diagnostics.rs
@@ -1,8 +1,13 @@
-//! What a router believes at one moment, as figures for traces and metrics. Nothing is decided by it.
+//! The state of a router at one moment, as figures for traces and metrics. A measure only.
 
-use crate::api::Micros;
+use crate::admin_overrides::AdminOverride;
 use crate::availability::Availability;
-use crate::state::{CandidateVerdict, Router};
+use crate::endpoints::Server;
+use crate::idle_connection_lifetime::FleetTraffic;
+use crate::ids::ServerId;
+use crate::placement::CandidateVerdict;
+use crate::router::Router;
+use crate::time::Micros;
 
 /// The figures that decide how much a router sends, and where.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -39,43 +44,89 @@
     pub unplaced: [u64; CandidateVerdict::ALL.len()],
 }
 
+/// How much a [`Router`] keeps state for; for metrics and tests.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct TrackedCounts {
+    /// Requests without a final answer, or with an attempt in flight.
+    pub requests: usize,
+    /// Servers, those included that left the list a short time ago.
+    pub servers: usize,
+}
+
 impl Router {
-    /// What this router believes now.
+    /// The state of this router now.
     pub fn diagnostics(&self) -> Diagnostics {
-        let ready = || self.servers.iter().filter(|s| s.is_ready() && !s.is_origin);
-        let limits = || ready().map(|s| s.load.believed(self.now));
-        let (count, sum) = (ready().count(), limits().sum::<f64>());
-        let least = if count == 0 {
+        let limits = || self.servers.accepting().map(|s| s.limit.current(self.now));
+        let accepting = limits().count();
+        let limit_sum = limits().sum::<f64>();
+        let limit_min = if accepting == 0 {
             0.0
         } else {
             limits().fold(f64::INFINITY, f64::min)
         };
+        let miss_ratios = self.origin_fetches.miss_ratios();
+        let in_flight = self.servers.accepting().map(|s| s.limit.in_flight);
+        let with_spare_capacity = self
+            .servers
+            .accepting()
+            .filter(|s| s.queue.reports_spare_capacity(self.now));
         Diagnostics {
-            pending_requests: self.held.len(),
-            fetches_in_flight: self.fetches.out,
-            fetch_limit: self.fetches.limit,
-            miss_ratio: self.fetches.misses.iter().sum::<f64>() / self.fetches.misses.len() as f64,
-            late_failure_ratio: self.late_failures,
-            retry_tokens: self.retry_tokens,
-            typical_hit_latency: self.usual,
-            attempts_in_flight: ready().map(|s| s.load.in_flight).sum(),
-            limit_min: least,
-            limit_mean: sum / count.max(1) as f64,
+            pending_requests: self.pending.len(),
+            fetches_in_flight: self.origin_fetches.in_flight,
+            fetch_limit: self.origin_fetches.limit,
+            miss_ratio: miss_ratios.iter().sum::<f64>() / miss_ratios.len() as f64,
+            late_failure_ratio: self.failure_attribution.late_failure_ratio(),
+            retry_tokens: self.retry_budget.tokens(),
+            typical_hit_latency: self.typical_latency,
+            attempts_in_flight: in_flight.sum(),
+            limit_min,
+            limit_mean: limit_sum / accepting.max(1) as f64,
             limit_max: limits().fold(0.0, f64::max),
-            accepting: count,
-            spare_capacity_reported: ready().filter(|s| s.queue.is_at_ease(self.now)).count(),
-            verdicts: self.verdicts,
-            unplaced: self.unplaced,
+            accepting,
+            spare_capacity_reported: with_spare_capacity.count(),
+            verdicts: self.verdict_counts.verdicts,
+            unplaced: self.verdict_counts.unplaced,
         }
     }
 
-    /// Listed servers that this router avoids now: called out by hand, or silent.
+    /// Listed cache servers that this router avoids now: disabled by an operator, or unresponsive.
     pub fn avoided_endpoints(&self) -> usize {
-        let listed = self.servers.iter().filter(|s| !s.is_gone() && !s.is_origin);
-        listed
-            .filter(|s| {
-                s.availability() == Availability::Disabled || (s.is_ready() && self.is_silent(s))
-            })
-            .count()
+        let is_avoided = |server: &&Server| match server.availability() {
+            Availability::Disabled => true,
+            Availability::Accepting => server.is_unresponsive(self.now, self.shortest_objective),
+            Availability::Draining | Availability::Removed => false,
+        };
+        let cache_servers = self.servers.iter().filter(|server| !server.is_origin);
+        cache_servers.filter(is_avoided).count()
+    }
+
+    /// What a server may be used for now; `None` if this router does not know it.
+    pub fn availability(&self, server: &ServerId) -> Option<Availability> {
+        let index = self.servers.index_of(&server.0)?;
+        Some(self.servers[index].availability())
+    }
+
+    /// What the operators said of each server that they spoke of, for a successor or for a file.
+    pub fn admin_overrides(&self) -> impl Iterator<Item = (&ServerId, AdminOverride)> {
+        self.admin_overrides.iter()
+    }
+
+    /// How many requests and servers the router keeps state for.
+    pub fn tracked_counts(&self) -> TrackedCounts {
+        TrackedCounts {
+            requests: self.pending.len(),
+            servers: self.servers.len(),
+        }
+    }
+
+    /// How long a connection to a server may stay idle before it is closed.
+    pub fn idle_connection_lifetime(&self) -> Micros {
+        let traffic = FleetTraffic {
+            router_count: f64::from(self.settings.routers),
+            ready_server_count: self.ring.server_count() as f64,
+            mean_interarrival: self.traffic.mean_interarrival(),
+        };
+        self.idle_connections
+            .lifetime(self.settings.connection_costs, &traffic)
     }
 }
--- a/crates/load-balancer/src/key_locations.rs
+++ b/crates/load-balancer/src/key_locations.rs
@@ -1,51 +1,76 @@
-//! Which server last served a key: what tells likely hits from likely misses. Nothing is decided by it.
+//! Which servers lately served which keys: tells likely hits from likely misses. A measure only.
 
-/// Keys that are remembered; a power of two. A further one takes the place of an older one.
-const KNOWN_KEYS: usize = 4096;
-/// No server.
-const NONE: usize = usize::MAX;
+/// Entries; a power of two. A further one replaces an older one.
+const ENTRY_COUNT: usize = 4096;
+/// Spreads the servers of one key over the table (golden ratio, as in Fibonacci hashing).
+const SERVER_STRIDE: usize = 0x9E37_79B1;
+/// The server of an empty entry.
+const NO_SERVER: usize = usize::MAX;
 
-/// By place: the place and the server that last served it.
+/// A key that a server holds.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct KeyLocation {
+    /// Ring position of the key.
+    pub ring_position: u32,
+    /// Index in the server table.
+    pub server: usize,
+}
+
+/// An entry that holds nothing.
+const EMPTY: KeyLocation = KeyLocation {
+    ring_position: 0,
+    server: NO_SERVER,
+};
+
+/// A table of fixed size, by ring position and server.
 #[derive(Debug)]
-pub(crate) struct Known(Vec<(u32, usize)>);
+pub(crate) struct KeyLocations(Vec<KeyLocation>);
 
-impl Known {
-    /// Nothing is known.
-    pub fn new() -> Known {
-        Known(vec![(0, NONE); KNOWN_KEYS])
+impl KeyLocations {
+    /// An empty table.
+    pub fn new() -> KeyLocations {
+        KeyLocations(vec![EMPTY; ENTRY_COUNT])
     }
 
-    fn slot(place: u32, index: usize) -> usize {
-        (place as usize).wrapping_add(index.wrapping_mul(0x9E37_79B1)) % KNOWN_KEYS
+    fn entry_index(ring_position: u32, server: usize) -> usize {
+        let spread = server.wrapping_mul(SERVER_STRIDE);
+        (ring_position as usize).wrapping_add(spread) % ENTRY_COUNT
     }
 
-    /// A server served a place.
-    pub fn learn(&mut self, place: u32, index: usize) {
-        self.0[Known::slot(place, index)] = (place, index);
+    /// Records that a server served a key.
+    pub fn record_served(&mut self, ring_position: u32, server: usize) {
+        self.0[KeyLocations::entry_index(ring_position, server)] = KeyLocation {
+            ring_position,
+            server,
+        };
     }
 
-    /// A server turned out to lack a place.
-    pub fn unlearn(&mut self, place: u32, index: usize) {
-        if self.is_at(place, index) {
-            self.0[Known::slot(place, index)] = (0, NONE);
+    /// Records that a server lacks a key.
+    pub fn record_missing(&mut self, ring_position: u32, server: usize) {
+        if self.is_at(ring_position, server) {
+            self.0[KeyLocations::entry_index(ring_position, server)] = EMPTY;
         }
     }
 
-    /// Another process is in this server's place now, and holds nothing.
-    pub fn forget(&mut self, index: usize) {
-        self.0
-            .iter_mut()
-            .filter(|known| known.1 == index)
-            .for_each(|known| known.1 = NONE);
+    /// Forgets the keys of a server: another process takes its index and holds nothing.
+    pub fn forget_server(&mut self, server: usize) {
+        for location in self.0.iter_mut().filter(|known| known.server == server) {
+            location.server = NO_SERVER;
+        }
     }
 
-    /// Whether the server served the place, and nothing spoke against it since.
-    pub fn is_at(&self, place: u32, index: usize) -> bool {
-        self.0[Known::slot(place, index)] == (place, index)
+    /// Whether a server served a key, and was not found to lack it since.
+    pub fn is_at(&self, ring_position: u32, server: usize) -> bool {
+        let location = KeyLocation {
+            ring_position,
+            server,
+        };
+        self.0[KeyLocations::entry_index(ring_position, server)] == location
     }
 
-    /// Each place and its server.
-    pub fn iter(&self) -> impl Iterator<Item = (u32, usize)> {
-        self.0.iter().copied().filter(|known| known.1 != NONE)
+    /// Each key and its server.
+    pub fn iter(&self) -> impl Iterator<Item = KeyLocation> {
+        let is_used = |location: &KeyLocation| location.server != NO_SERVER;
+        self.0.iter().copied().filter(is_used)
     }
 }
--- a/crates/load-balancer/src/lib.rs
+++ b/crates/load-balancer/src/lib.rs
@@ -1,7 +1,7 @@
 //! The decisions of a client-side router for fleets of cache servers.
 //!
 //! Every router builds the same consistent-hash ring of the ready servers and so agrees with the others on the
-//! server of a key, without a word between them. [`Router`] does no I/O and holds no clock: it takes events with
+//! server of a key, without a message between them. [`Router`] does no I/O and holds no clock: it takes events with
 //! their time and returns actions.
 //!
 //! ```
@@ -39,33 +39,60 @@
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { id: RequestId(1), .. })));
 //! # Ok::<(), SettingsError>(())
 //! ```
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
+mod action;
 mod admin_overrides;
-mod api;
+mod admission;
+mod attempt_feedback;
 mod availability;
-mod balance;
 mod concurrency_limit;
+mod deadline;
 pub mod deployment;
 mod diagnostics;
+mod endpoint;
+mod endpoints;
+mod event;
+mod failure_attribution;
 mod idle_connection_lifetime;
+mod ids;
 mod key_locations;
 mod load_report;
+mod moving_average;
 mod origin_fetch_limit;
+mod outlier;
+mod pending;
+mod placement;
 mod queue_estimate;
+mod random;
 mod rejected_requests;
-mod ring_points;
+mod rejection;
+mod request;
+mod retry;
+mod ring;
+mod router;
+mod settings;
+mod slow_start;
 mod stale_connections;
-mod state;
 mod subscription;
+mod time;
+mod timer;
 mod traffic_estimate;
 mod warm_state;
 
+pub use action::Action;
 pub use admin_overrides::AdminOverride;
-pub use api::*;
 pub use availability::Availability;
-pub use diagnostics::Diagnostics;
+pub use diagnostics::{Diagnostics, TrackedCounts};
+pub use endpoint::{Endpoint, EndpointState, EndpointUpdate};
+pub use event::Event;
+pub use ids::{AttemptNumber, CellId, ClassId, KindId, RequestId, ServerId, TenantId, ZoneId};
 pub use load_report::{LoadReport, LoadReportFormat};
-pub use state::{CandidateVerdict, Router, TrackedCounts};
+pub use placement::CandidateVerdict;
+pub use request::{AttemptEnd, CacheStatus, ConnectionUse, Outcome, Request};
+pub use router::Router;
+pub use settings::{
+    CacheMode, Class, ConnectionCosts, DeduplicationScope, Discovery, Idempotency, Limits, Rules,
+    Settings, SettingsError, Tenant, Weights,
+};
+pub use time::Micros;
 pub use warm_state::WarmState;
--- a/crates/load-balancer/src/load_report.rs
+++ b/crates/load-balancer/src/load_report.rs
@@ -1,42 +1,57 @@
-//! What cache servers say of themselves: the load report that some deployments attach to each answer.
+//! Load reports: what cache servers tell of themselves, with each answer of some deployments.
 //!
-//! The settings name the fields and their order (`stats.columns`, `specifics.report_x0` and `..x1`). Reports are
-//! late and noisy, and a server may be wrong about itself: what cannot be a figure of its kind is left out here, and
-//! what the rest is worth is decided in `src/reports.rs`.
+//! The settings name the fields and their order (`stats.columns`, `specifics.report_x0` and `..x1`). Reports are late
+//! and noisy; a figure that cannot be one of its kind is left out here.
 
-use crate::api::Micros;
+use crate::time::Micros;
 
 /// Fields that are read of one report; a deployment names four at most.
-const MOST_FIELDS: usize = 8;
-/// No server holds, queues or fetches more; a figure past it is noise.
-const MOST_REQUESTS: f64 = 1e6;
-/// No server takes longer for one request, in milliseconds; a figure past it is noise.
-const LONGEST_SERVICE: f64 = 600_000.0;
-/// How busy cores are, as a share: what is past it is noise (a percentage, say).
-const MOST_BUSY: f64 = 1.5;
-
-/// One server's report; each figure only where it came and can be one.
+const FIELD_COUNT: usize = 8;
+/// The largest credible number of requests in a queue or of fetches.
+const MAX_REQUEST_COUNT: f64 = 1e6;
+/// The largest credible service time.
+const MAX_SERVICE_MS: f64 = 600_000.0;
+/// The largest credible busy share of cores: more is noise, or a percentage.
+const MAX_BUSY_RATIO: f64 = 1.5;
+/// Milliseconds in a second.
+const MS_PER_S: f64 = 1e3;
+
+/// The load report of one server; each figure only where it came and is credible.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     /// The busy share of its cores, 0 to 1 but for noise.
     pub cpu_utilization: Option<f64>,
     /// Requests that wait for a core.
     pub queue_length: Option<f64>,
-    /// What a request takes there lately, without waiting.
+    /// How long a request takes there lately, without waiting.
     pub service_time: Option<Micros>,
-    /// Fetches from the origin that it has out.
+    /// Fetches from the origin that it has in flight.
     pub fetches_in_flight: Option<f64>,
 }
 
-/// A field that a report may have.
+/// A field of a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Field {
     CpuUtilization,
-    Queue,
-    Service,
-    Fetches,
-    /// One that no decision has a use for.
-    Other,
+    QueueLength,
+    ServiceTime,
+    FetchesInFlight,
+    /// One that no decision uses.
+    Unused,
+}
+
+/// A field and its name in the text of a report.
+#[derive(Clone, Debug, PartialEq, Eq)]
+struct Column {
+    name: String,
+    field: Field,
+}
+
+impl Column {
+    /// Whether a report calls it so: as the settings do, or by the other name of the same field.
+    fn is_called(&self, name: &str) -> bool {
+        self.name == name || name_on_sockets(&self.name) == name
+    }
 }
 
 impl LoadReport {
@@ -44,88 +59,89 @@
         let Ok(value) = text.trim().parse::<f64>() else {
             return;
         };
-        let within = |most: f64| Some(value).filter(|v| (0.0..=most).contains(v));
+        let up_to = |max: f64| Some(value).filter(|value| (0.0..=max).contains(value));
         match field {
-            Field::CpuUtilization => self.cpu_utilization = within(MOST_BUSY),
-            Field::Queue => self.queue_length = within(MOST_REQUESTS),
-            Field::Service => {
-                self.service_time =
-                    within(LONGEST_SERVICE).map(|millis| Micros::from_secs_f64(millis / 1e3));
+            Field::CpuUtilization => self.cpu_utilization = up_to(MAX_BUSY_RATIO),
+            Field::QueueLength => self.queue_length = up_to(MAX_REQUEST_COUNT),
+            Field::ServiceTime => {
+                let time = |millis: f64| Micros::from_secs_f64(millis / MS_PER_S);
+                self.service_time = up_to(MAX_SERVICE_MS).map(time);
             }
-            Field::Fetches => self.fetches_in_flight = within(MOST_REQUESTS),
-            Field::Other => {}
+            Field::FetchesInFlight => self.fetches_in_flight = up_to(MAX_REQUEST_COUNT),
+            Field::Unused => {}
         }
     }
+
+    /// The report, unless nothing in it was credible.
+    fn non_empty(self) -> Option<LoadReport> {
+        (self != LoadReport::default()).then_some(self)
+    }
 }
 
-/// The fields of a deployment's reports, under the name that each has in a report's text and in their order.
+/// The fields of a deployment's reports, in their order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct LoadReportFormat(Vec<(String, Field)>);
+pub struct LoadReportFormat(Vec<Column>);
 
 impl LoadReportFormat {
-    /// From the settings: the names in order, and what `x0` and `x1` are where they are named.
+    /// From the settings: the names in order, and what `x0` and `x1` mean where they are among them.
     pub fn new(names: &[String], meanings: [&str; 2]) -> LoadReportFormat {
-        let own = |meaning: &str| {
-            if meaning == "fetches_out" {
-                Field::Fetches
-            } else {
-                Field::Other
-            }
-        };
-        let field = |name: &str| match name {
-            "utilization" | "util" => Field::CpuUtilization,
-            "backlog" | "queue" => Field::Queue,
-            "recent_ms" | "latency_ms" => Field::Service,
-            "x0" => own(meanings[0]),
-            "x1" => own(meanings[1]),
-            _ => Field::Other,
+        let column = |name: &String| Column {
+            name: name.clone(),
+            field: field(name, meanings),
         };
-        LoadReportFormat(
-            names
-                .iter()
-                .take(MOST_FIELDS)
-                .map(|name| (name.clone(), field(name)))
-                .collect(),
-        )
+        LoadReportFormat(names.iter().take(FIELD_COUNT).map(column).collect())
     }
 
-    /// Whether answers bring reports at all.
+    /// Whether answers carry no reports.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// A row of values set apart by commas, in the order of the fields.
+    /// Reads a row of values separated by commas, in the order of the fields. `None` if nothing in it is credible.
     pub fn read_row(&self, row: &str) -> Option<LoadReport> {
-        let mut load = LoadReport::default();
-        self.0
-            .iter()
-            .zip(row.split(','))
-            .for_each(|((_, field), text)| load.set(*field, text));
-        Some(load).filter(|load| *load != LoadReport::default())
+        let mut report = LoadReport::default();
+        for (column, text) in self.0.iter().zip(row.split(',')) {
+            report.set(column.field, text);
+        }
+        report.non_empty()
     }
 
-    /// Names and values as on the sockets: `util=0.61,queue=2`. The settings may call a field otherwise than the
-    /// reports do, so both names count.
+    /// Reads names and values as on the sockets, such as `util=0.61,queue=2`. `None` if nothing in it is credible.
     pub fn read_pairs(&self, text: &str) -> Option<LoadReport> {
-        let mut load = LoadReport::default();
-        for (name, value) in text
-            .split(',')
-            .take(MOST_FIELDS)
-            .filter_map(|pair| pair.split_once('='))
-        {
+        let mut report = LoadReport::default();
+        let pairs = text.split(',').take(FIELD_COUNT);
+        for (name, value) in pairs.filter_map(|pair| pair.split_once('=')) {
             let name = name.trim();
-            let known = self
-                .0
-                .iter()
-                .find(|(known, _)| known == name || also_called(known) == name);
-            known.iter().for_each(|(_, field)| load.set(*field, value));
+            if let Some(column) = self.0.iter().find(|column| column.is_called(name)) {
+                report.set(column.field, value);
+            }
         }
-        Some(load).filter(|load| *load != LoadReport::default())
+        report.non_empty()
+    }
+}
+
+/// The field of a name in the settings.
+fn field(name: &str, meanings: [&str; 2]) -> Field {
+    match name {
+        "utilization" | "util" => Field::CpuUtilization,
+        "backlog" | "queue" => Field::QueueLength,
+        "recent_ms" | "latency_ms" => Field::ServiceTime,
+        "x0" => own_field(meanings[0]),
+        "x1" => own_field(meanings[1]),
+        _ => Field::Unused,
+    }
+}
+
+/// The field of a meaning that the settings give to `x0` or `x1`.
+fn own_field(meaning: &str) -> Field {
+    match meaning {
+        "fetches_out" => Field::FetchesInFlight,
+        _ => Field::Unused,
     }
 }
 
-/// The simulator's settings and the sockets' reports have different names for the same fields.
-fn also_called(name: &str) -> &str {
+/// The settings and the reports on sockets have different names for the same fields.
+fn name_on_sockets(name: &str) -> &str {
     match name {
         "utilization" => "util",
         "backlog" => "queue",
--- a/crates/load-balancer/src/origin_fetch_limit.rs
+++ b/crates/load-balancer/src/origin_fetch_limit.rs
@@ -1,213 +1,277 @@
-//! How many fetches the origin behind the cache servers is asked for at a time.
+//! How many fetches may one router have outstanding at the origin behind the cache servers?
 //!
-//! Guards against the jam that feeds itself: an origin slower than its load answers nobody in time, clients
-//! ask again, and as copies expire ever more requests are fetches. Nobody tells the origin's capacity, and
-//! no router sees what the others ask of it. So each router bounds the fetches that it has out, and what was
-//! given up still counts: the origin goes on with it. Routes nothing; `src/balance.rs` asks it before it
-//! sends what may be a fetch.
-
-use crate::api::Micros;
-
-/// Kinds of keys by how often they were asked for here lately: once, twice, up to four times, more often.
-/// What many ask for is likelier to be kept, by another router's fetch.
-pub(crate) const FAMILIAR: usize = 4;
-/// How far one late fetch cuts the limit, in fetches and, under one, as a share of it.
-const CUT: f64 = 0.5;
-/// The share of late fetches at which the limit rests while there is a queue.
-const TOLERATED: f64 = 0.1;
-/// Fetches that take this many times their least show a queue; some are late at any origin, which tells
-/// nothing.
-const QUEUE: f64 = 2.0;
-/// What a fetch adds to a limit in use while there is no queue.
-const GROW: f64 = 0.1;
-/// A limit under one was cut by a collapse: each fetch that is in time again doubles it.
-const REGROW: f64 = 2.0;
-/// What each cut takes off the memory of a limit before it: a slow origin of many seconds is the new normal.
-const FORGET: f64 = 1.0 / 64.0;
-/// The share of late fetches above which the origin is at fault, not a server: one of a few may hang.
-const LATE: f64 = 0.3;
-/// The share of failed fetches above which they cut the limit: servers fail some by themselves.
-const FAILED: f64 = 0.2;
-/// However late all fetches are, a limit falls no lower, so that it takes few good ones to grow again.
-const LEAST: f64 = 0.05;
-/// All routers together try one fetch for every ten hits that the servers could serve one at a time, however
-/// slow the origin: else nobody learns that it is well again.
-const TRICKLE: f64 = 0.1;
-/// Fetches over which shares of them are averaged.
-const SPAN: f64 = 16.0;
-/// The same for late ones: a jam builds up within fewer.
+//! Inputs: how long fetches take beyond hits (µs), which are late or fail, which attempts turn out to be fetches at
+//! all, the time (µs). Answer: whether a request that may be a fetch can be sent now. Reason: an origin slower than
+//! its load answers nobody in time, clients retry, and as cached copies expire ever more requests are fetches.
+//! Nobody announces the origin's capacity and no router sees the others' fetches, so each bounds its own; a fetch
+//! that was given up still counts, since the origin goes on with it.
+
+use crate::moving_average::MovingAverage;
+use crate::time::Micros;
+
+/// Levels of popularity: keys requested once lately, twice, up to four times, more often.
+pub(crate) const POPULARITY_LEVEL_COUNT: usize = 4;
+/// Recent requests for a key above which it belongs to the next level.
+const POPULARITY_THRESHOLDS: [f64; POPULARITY_LEVEL_COUNT - 1] = [1.5, 2.5, 4.5];
+/// Fetches for each server that all routers without observations may have in flight.
+const INITIAL_COUNT_PER_SERVER: f64 = 8.0;
+/// How much one late fetch takes off the limit, in fetches; below one, as a ratio of the limit.
+const DECREASE_RATIO: f64 = 0.5;
+/// Ratio of late fetches at which the limit rests while the origin has a queue.
+const TOLERATED_LATE_RATIO: f64 = 0.1;
+/// Fetches that take this multiple of their usual minimum show a queue; some are late at any origin.
+const QUEUE_LATENCY_RATIO: f64 = 2.0;
+/// What a fetch adds to a limit in use while there is no queue, in fetches.
+const INCREASE_COUNT: f64 = 0.1;
+/// A fetch in time multiplies a limit below one by this: such a limit is left over from a collapse.
+const RECOVERY_RATIO: f64 = 2.0;
+/// What each decrease takes off the remembered limit: an origin that stays slow is the new normal.
+const FORGET_RATIO: f64 = 1.0 / 64.0;
+/// Ratio of late fetches above which the origin is at fault, not a server: one of a few may hang.
+const SLOW_ORIGIN_LATE_RATIO: f64 = 0.3;
+/// Ratio of failed fetches above which they decrease the limit: servers fail some by themselves.
+const TOLERATED_FAILURE_RATIO: f64 = 0.2;
+/// The lowest limit, so that few good fetches suffice to raise it again.
+const MIN_LIMIT: f64 = 0.05;
+/// All routers together try at least one fetch for this ratio of the hits that the servers could serve one at a
+/// time; else nobody learns that the origin is well again.
+const PROBE_RATIO: f64 = 0.1;
+/// Fetches over which miss and failure ratios are averaged.
+const RATIO_SPAN: f64 = 16.0;
+/// The same for late fetches: a jam builds up within fewer.
 const LATE_SPAN: f64 = 8.0;
-/// The longest that a fetch given up is taken to go on: a stopped origin drops what it holds.
-const LONGEST: Micros = Micros::from_millis(5_000);
-/// Fetches given up that are remembered, 2 KiB: more would be out only in a flood of writes.
-const ABANDONED: usize = 256;
+/// Fetches over which their time is averaged.
+const LATENCY_SPAN: u64 = 8;
+/// Fetches over which the minimum of that rises.
+const MIN_LATENCY_SPAN: u64 = 512;
+/// The longest that an abandoned fetch is taken to go on: a stopped origin drops what it holds.
+const MAX_FETCH_TIME: Micros = Micros::from_millis(5_000);
+/// Abandoned fetches that are remembered (2 KiB).
+const ABANDONED_COUNT: usize = 256;
+
+/// The popularity level of a key with so many recent requests.
+pub(crate) fn popularity_level(recent_requests: f64) -> usize {
+    let is_above = |threshold: &&f64| recent_requests > **threshold;
+    POPULARITY_THRESHOLDS.iter().filter(is_above).count()
+}
 
 /// What a request that may be a fetch can use of the limit.
-pub(crate) struct Claim {
-    /// Which kind of key it is for.
-    pub familiar: usize,
-    /// How much of the limit it may use.
-    pub stretch: f64,
-    /// The time in which the servers could serve one hit for each router.
-    pub round: Micros,
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct FetchRequest {
+    /// Popularity level of its key.
+    pub popularity: usize,
+    /// How much of the limit it may use, as a multiple.
+    pub limit_multiplier: f64,
+    /// The time in which the servers can serve one hit for each router.
+    pub hit_round: Micros,
 }
 
-/// One router's view of the origin.
-#[derive(Debug, Default)]
-pub(crate) struct Origin {
-    /// Attempts out that most likely are fetches.
-    pub out: u32,
-    /// How many may be.
+/// One router's limit on fetches from the origin.
+#[derive(Debug)]
+pub(crate) struct OriginFetchLimit {
+    /// Attempts in flight that most likely are fetches.
+    pub in_flight: u32,
+    /// How many may be, in fetches; below one it is a pace.
     pub limit: f64,
-    /// What it was before cuts; forgotten over many of them.
-    goal: f64,
-    /// Where the limit of a router without servers starts; under it, what hangs is laid to the origin.
-    pub first: f64,
-    /// The share of such attempts that were fetches, smoothed, by kind of key.
-    pub misses: [f64; FAMILIAR],
-    /// How long fetches take beyond hits, smoothed; those given up count twice their time.
-    time: Micros,
-    /// What that is at an origin that is well: the least of it, rising slowly.
-    base: Micros,
-    /// Half the shortest time in which an answer is of use: at an origin that takes twice this for a fetch
-    /// none is, whatever it took at its best.
-    useful: Micros,
-    /// The share of fetches that fail, smoothed.
-    failures: f64,
-    /// The share of fetches that are late, smoothed.
-    late: f64,
-    /// When the latest attempt that was a fetch for sure was sent.
-    last: Micros,
-    /// When those given up will have ended.
-    abandoned: Vec<Micros>,
+    /// The limit before decreases; forgotten over many of them.
+    remembered_limit: f64,
+    /// The limit of a router that knows no servers yet; below it, hanging requests are the origin's fault.
+    pub initial: f64,
+    /// Ratio of such attempts that were fetches, by popularity level.
+    miss_ratios: [MovingAverage; POPULARITY_LEVEL_COUNT],
+    /// How long fetches take beyond hits; an abandoned one counts twice its time.
+    latency: Micros,
+    /// The minimum of that, rising slowly: the latency of an origin that is well.
+    min_latency: Micros,
+    /// Half the shortest time in which an answer is of use.
+    useful_latency: Micros,
+    failure_ratio: MovingAverage,
+    late_ratio: MovingAverage,
+    /// When the latest attempt was sent that was a fetch for sure.
+    last_fetch_at: Micros,
+    /// When the abandoned fetches will have ended.
+    abandoned_fetches: Vec<Micros>,
 }
 
-impl Origin {
-    /// An origin of which nothing is known; at one that takes twice `useful` for a fetch, none is of use.
-    pub fn new(first: f64, useful: Micros) -> Origin {
-        Origin {
-            limit: first,
-            goal: first,
-            first,
-            misses: [1.0; FAMILIAR],
-            useful,
-            ..Origin::default()
+impl OriginFetchLimit {
+    /// A limit without observations. At an origin that takes twice `useful_latency` for a fetch, none is of use.
+    pub fn new(initial: f64, useful_latency: Micros) -> OriginFetchLimit {
+        OriginFetchLimit {
+            in_flight: 0,
+            limit: initial,
+            remembered_limit: initial,
+            initial,
+            miss_ratios: [MovingAverage::new(1.0, RATIO_SPAN); POPULARITY_LEVEL_COUNT],
+            latency: Micros(0),
+            min_latency: Micros(0),
+            useful_latency,
+            failure_ratio: MovingAverage::new(0.0, RATIO_SPAN),
+            late_ratio: MovingAverage::new(0.0, LATE_SPAN),
+            last_fetch_at: Micros(0),
+            abandoned_fetches: Vec::new(),
         }
     }
 
-    /// Whether one more may go out. `young` of those out, by kind of key, may yet turn out to be hits, as
-    /// often as such requests did lately.
-    pub fn has_room(&mut self, now: Micros, young: &[u32; FAMILIAR], claim: &Claim) -> bool {
-        self.abandoned.retain(|&end| end > now);
-        let undecided = young.iter().sum::<u32>();
-        let likely: f64 = young
+    /// Starts the limit anew, once the first servers are known.
+    pub fn start(&mut self, ready_servers: usize, router_count: f64) {
+        let share = INITIAL_COUNT_PER_SERVER * ready_servers as f64 / router_count;
+        self.limit = self.initial.max(share);
+    }
+
+    /// Whether one more may be sent. Of the attempts in flight, `undecided` (by popularity level) may yet turn out
+    /// to be hits, as often as such requests did lately.
+    pub fn has_capacity(
+        &mut self,
+        now: Micros,
+        undecided: &[u32; POPULARITY_LEVEL_COUNT],
+        request: &FetchRequest,
+    ) -> bool {
+        self.abandoned_fetches.retain(|&end| end > now);
+        let undecided_count = undecided.iter().sum::<u32>();
+        let expected_fetches: f64 = undecided
             .iter()
-            .zip(&self.misses)
-            .map(|(&n, &share)| f64::from(n) * share)
+            .zip(&self.miss_ratios)
+            .map(|(&count, ratio)| f64::from(count) * ratio.value())
             .sum();
-        let sure = self.out.saturating_sub(undecided);
-        let limit = self.limit * claim.stretch;
+        let certain_fetches = self.in_flight.saturating_sub(undecided_count);
         if self.limit >= 1.0 {
-            return f64::from(sure) + self.abandoned.len() as f64 + likely < limit;
+            let limit = self.limit * request.limit_multiplier;
+            let abandoned = self.abandoned_fetches.len() as f64;
+            return f64::from(certain_fetches) + abandoned + expected_fetches < limit;
+        }
+        let expected_with_this = expected_fetches + self.miss_ratios[request.popularity].value();
+        let is_alone = undecided_count == 0 || expected_with_this <= 1.0;
+        certain_fetches == 0 && is_alone && self.may_fetch_at_pace(now, request)
+    }
+
+    /// Below one, the limit spaces fetches out, so that many routers together do not crowd the origin.
+    fn may_fetch_at_pace(&self, now: Micros, request: &FetchRequest) -> bool {
+        let multiplier = request.limit_multiplier.max(MIN_LIMIT);
+        let interval = self
+            .latency
+            .max(self.useful_latency)
+            .scaled(1.0 / (self.limit * multiplier));
+        let max_interval = request.hit_round.scaled(1.0 / (PROBE_RATIO * multiplier));
+        now.since(self.last_fetch_at) >= interval.min(max_interval)
+    }
+
+    /// Ratio of fetches by popularity level.
+    pub fn miss_ratios(&self) -> [f64; POPULARITY_LEVEL_COUNT] {
+        self.miss_ratios.map(|ratio| ratio.value())
+    }
+
+    /// Takes over the miss ratios of a previous process, unless one is no ratio.
+    pub fn restore_miss_ratios(&mut self, ratios: [f64; POPULARITY_LEVEL_COUNT]) {
+        if !ratios.iter().all(|ratio| (0.0..=1.0).contains(ratio)) {
+            return;
+        }
+        for (average, ratio) in self.miss_ratios.iter_mut().zip(ratios) {
+            average.restore(ratio);
         }
-        // Under one, the limit spaces fetches out, so that many routers together do not crowd the origin.
-        let stretch = claim.stretch.max(LEAST);
-        let gap = self
-            .time
-            .max(self.useful)
-            .scaled(1.0 / (self.limit * stretch));
-        let longest = claim.round.scaled(1.0 / (TRICKLE * stretch));
-        let alone = undecided == 0 || likely + self.misses[claim.familiar] <= 1.0;
-        sure == 0 && alone && now.since(self.last) >= gap.min(longest)
-    }
-
-    /// One of those turned out to be a fetch, or not.
-    pub fn told(&mut self, familiar: usize, missed: bool) {
-        lean(&mut self.misses[familiar], missed, SPAN);
-    }
-
-    /// An attempt, sent at `sent`, was a fetch and was served, `beyond` the time of a hit.
-    pub fn fetched(&mut self, sent: Micros, beyond: Micros, in_time: bool) {
-        lean(&mut self.failures, false, SPAN);
-        self.last = self.last.max(sent);
-        self.took(beyond);
-        self.learn(in_time, beyond);
-    }
-
-    /// One was given up after `took`; what has taken so long most likely takes as long again.
-    pub fn gave_up(&mut self, now: Micros, took: Micros, beyond: Micros, in_time: bool) {
-        self.last = self.last.max(Micros(now.0.saturating_sub(took.0)));
-        self.took(beyond.scaled(2.0).min(LONGEST));
-        if self.abandoned.len() < ABANDONED {
-            self.abandoned.push(now.plus(took.min(LONGEST)));
+    }
+
+    /// Records that an attempt of a popularity level turned out to be a fetch, or not.
+    pub fn record_cache_status(&mut self, popularity: usize, is_miss: bool) {
+        self.miss_ratios[popularity].observe_event(is_miss);
+    }
+
+    /// Records a fetch that was served, `beyond_hit` more than the time of a hit.
+    pub fn record_served(&mut self, sent_at: Micros, beyond_hit: Micros, is_in_time: bool) {
+        self.failure_ratio.observe_event(false);
+        self.last_fetch_at = self.last_fetch_at.max(sent_at);
+        self.record_latency(beyond_hit);
+        self.adjust(is_in_time, beyond_hit);
+    }
+
+    /// Records a fetch that was abandoned `elapsed` after it was sent; it most likely takes as long again.
+    pub fn record_abandoned(
+        &mut self,
+        now: Micros,
+        elapsed: Micros,
+        beyond_hit: Micros,
+        is_in_time: bool,
+    ) {
+        let sent_at = Micros(now.0.saturating_sub(elapsed.0));
+        self.last_fetch_at = self.last_fetch_at.max(sent_at);
+        self.record_latency(beyond_hit.scaled(2.0).min(MAX_FETCH_TIME));
+        if self.abandoned_fetches.len() < ABANDONED_COUNT {
+            let end = now.plus(elapsed.min(MAX_FETCH_TIME));
+            self.abandoned_fetches.push(end);
         }
-        self.learn(in_time, Micros::MAX);
+        self.adjust(is_in_time, Micros::MAX);
     }
 
-    /// One was late, but as far as is known for its server's fault.
-    pub fn late(&mut self) {
-        lean(&mut self.late, true, LATE_SPAN);
+    /// Records a late fetch that is laid to its server.
+    pub fn record_late(&mut self) {
+        self.late_ratio.observe_event(true);
     }
 
-    /// One, sent at `sent`, ended in an error that cost the origin its time or tells that it is full.
-    pub fn failed(&mut self, sent: Micros) {
-        self.last = self.last.max(sent);
-        lean(&mut self.failures, true, SPAN);
-        if self.failures > FAILED {
-            self.cut();
+    /// Records a fetch that ended in an error which cost the origin its time or tells that it is full.
+    pub fn record_failed(&mut self, sent_at: Micros) {
+        self.last_fetch_at = self.last_fetch_at.max(sent_at);
+        self.failure_ratio.observe_event(true);
+        if self.failure_ratio.value() > TOLERATED_FAILURE_RATIO {
+            self.decrease();
         }
     }
 
-    /// Many of the latest fetches were late, wherever they were sent: not one server's doing.
+    /// Whether many of the latest fetches were late, at whichever server: the origin is at fault.
     pub fn is_slow(&self) -> bool {
-        self.late > LATE
+        self.late_ratio.value() > SLOW_ORIGIN_LATE_RATIO
     }
 
-    /// Fetches take longer on the whole than at an origin that is well.
+    /// Whether fetches take longer on the whole than at an origin that is well.
     pub fn has_queue(&self) -> bool {
-        self.time > self.base.scaled(QUEUE).min(self.useful.scaled(2.0))
+        let queue_latency = self.min_latency.scaled(QUEUE_LATENCY_RATIO);
+        self.latency > queue_latency.min(self.useful_latency.scaled(2.0))
     }
 
-    fn learn(&mut self, in_time: bool, took: Micros) {
-        lean(&mut self.late, !in_time, LATE_SPAN);
-        let queue = self.has_queue();
-        if queue && !in_time {
-            self.cut();
+    fn adjust(&mut self, is_in_time: bool, beyond_hit: Micros) {
+        self.late_ratio.observe_event(!is_in_time);
+        let has_queue = self.has_queue();
+        if has_queue && !is_in_time {
+            self.decrease();
         } else if self.limit < 1.0 {
-            // One that took about its least met no queue: routers of many cannot wait for several of them.
-            let met_none = took <= self.base.scaled(QUEUE);
-            self.limit = if met_none { 1.0 } else { self.limit * REGROW };
-        } else if !queue && self.limit < self.goal * CUT {
-            self.limit += CUT;
-        } else if f64::from(self.out + 1) * 2.0 >= self.limit {
-            self.limit += if queue {
-                CUT * TOLERATED / (1.0 - TOLERATED)
+            self.recover(beyond_hit);
+        } else if !has_queue && self.limit < self.remembered_limit * DECREASE_RATIO {
+            self.limit += DECREASE_RATIO;
+        } else if f64::from(self.in_flight + 1) * 2.0 >= self.limit {
+            self.limit += if has_queue {
+                DECREASE_RATIO * TOLERATED_LATE_RATIO / (1.0 - TOLERATED_LATE_RATIO)
             } else {
-                GROW
+                INCREASE_COUNT
             };
         }
     }
 
-    /// A limit far above what is used would take long to come down to where it protects anything. One
-    /// that starts low is used little and is no sign of that.
-    fn cut(&mut self) {
-        self.goal = self.goal.max(self.limit) * (1.0 - FORGET);
-        let limit = self
-            .limit
-            .min((f64::from(self.out + 1) * 2.0).max(self.first));
-        self.limit = (limit - CUT * limit.min(1.0)).max(LEAST.min(self.limit));
+    /// Raises a limit below one: to one after a fetch that met no queue, since where routers are many each sees
+    /// too few fetches to wait for several.
+    fn recover(&mut self, beyond_hit: Micros) {
+        let met_no_queue = beyond_hit <= self.min_latency.scaled(QUEUE_LATENCY_RATIO);
+        self.limit = if met_no_queue {
+            1.0
+        } else {
+            self.limit * RECOVERY_RATIO
+        };
     }
 
-    fn took(&mut self, took: Micros) {
-        if self.base == Micros(0) {
-            (self.time, self.base) = (took, took);
-        }
-        self.time = self.time.toward(took, 8);
-        self.base = self.base.toward(self.time, 512).min(self.time);
+    /// Decreases the limit, first to near what is in use: a limit far above that protects nothing. An initial
+    /// limit is hardly in use and stays.
+    fn decrease(&mut self) {
+        self.remembered_limit = self.remembered_limit.max(self.limit) * (1.0 - FORGET_RATIO);
+        let in_use = f64::from(self.in_flight + 1) * 2.0;
+        let limit = self.limit.min(in_use.max(self.initial));
+        let decreased = limit - DECREASE_RATIO * limit.min(1.0);
+        self.limit = decreased.max(MIN_LIMIT.min(self.limit));
     }
-}
 
-/// Moves a smoothed share toward what was seen.
-fn lean(share: &mut f64, seen: bool, span: f64) {
-    *share += (f64::from(u8::from(seen)) - *share) / span;
+    fn record_latency(&mut self, beyond_hit: Micros) {
+        if self.min_latency == Micros(0) {
+            self.latency = beyond_hit;
+            self.min_latency = beyond_hit;
+        }
+        self.latency = self.latency.toward(beyond_hit, LATENCY_SPAN);
+        let risen = self.min_latency.toward(self.latency, MIN_LATENCY_SPAN);
+        self.min_latency = risen.min(self.latency);
+    }
 }
--- a/crates/load-balancer/src/queue_estimate.rs
+++ b/crates/load-balancer/src/queue_estimate.rs
@@ -1,77 +1,92 @@
-//! Whether requests wait at a server.
+//! Do requests wait at a server?
 //!
-//! Guards against two mistakes. A server that is slow by nature answers late by the clients' aims although
-//! nothing waits there: a limit cut for that gives its keys away for nothing, and each key that moves is a
-//! fetch and drives out another. And where routers are many, each sees a server too seldom to know that it
-//! has room. A server that reports its load tells both; for others the time that its answers take, against
-//! the least of it, has to do.
+//! Inputs: the load reports of the server, how long its answers take (µs), the latency objective (µs), the time
+//! (µs). Answer: whether it has a queue, and whether it reports spare capacity. Reason: a server that is slow by
+//! nature answers late although nothing waits there; a limit cut for that gives its keys away, and each key that
+//! moves is a fetch. Where routers are many, each sees a server too seldom to know that it has capacity.
 
-use crate::api::Micros;
 use crate::load_report::LoadReport;
+use crate::time::Micros;
 
-/// A report counts for so long after the answer that brought it: servers refresh it about once a second.
-const FRESH: Micros = Micros::from_millis(2_000);
-/// Fewer waiting requests than this are none: reports are noisy.
-const NO_QUEUE: f64 = 0.5;
-/// Cores busier than this have no room, even if nothing waits at that moment.
-const ROOM: f64 = 0.9;
-/// Answers that take this many times their least show a queue, where nobody tells.
-const QUEUE: f64 = 1.4;
-/// And so long that a server that says otherwise is not believed: a frozen or a lying report.
-const DISBELIEF: f64 = 3.0;
-/// Answers over which their time is averaged; the least of it rises as slowly as over so many.
-const TIME_SPAN: u64 = 8;
-const LEAST_SPAN: u64 = 256;
+/// How long a load report counts after the answer that brought it: servers refresh it about once a second.
+const REPORT_LIFETIME: Micros = Micros::from_millis(2_000);
+/// Fewer waiting requests than this are no queue: reports are noisy.
+const MIN_QUEUE_COUNT: f64 = 0.5;
+/// A server busier than this share of its cores has no spare capacity, even if nothing waits.
+const BUSY_RATIO: f64 = 0.9;
+/// Answers that take this multiple of their minimum show a queue, where there is no report.
+const QUEUE_LATENCY_RATIO: f64 = 1.4;
+/// Answers that take this multiple of their minimum disprove a report of spare capacity: it is frozen or wrong.
+const DISPROOF_LATENCY_RATIO: f64 = 3.0;
+/// Answers over which their time is averaged.
+const LATENCY_SPAN: u64 = 8;
+/// Answers over which the minimum of that rises.
+const MIN_LATENCY_SPAN: u64 = 256;
+
+/// A load report and when it came.
+#[derive(Clone, Copy, Debug)]
+struct ReceivedReport {
+    at: Micros,
+    report: LoadReport,
+}
 
 /// What one router knows of the queue at one server.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Queue {
-    /// What the server said last, and when that came.
-    said: Option<(Micros, LoadReport)>,
-    /// How long answers without a fetch take, smoothed; what was given up counts twice its time.
-    time: Micros,
-    /// The least of that, rising slowly.
-    least: Micros,
+pub(crate) struct QueueEstimate {
+    last_report: Option<ReceivedReport>,
+    /// How long answers without a fetch take; one that was given up counts twice its time.
+    latency: Micros,
+    /// The minimum of that, rising slowly.
+    min_latency: Micros,
 }
 
-impl Queue {
-    /// An answer brought this report.
-    pub fn said(&mut self, now: Micros, load: LoadReport) {
-        self.said = Some((now, load));
+impl QueueEstimate {
+    /// Records the load report of an answer.
+    pub fn record_report(&mut self, now: Micros, report: LoadReport) {
+        self.last_report = Some(ReceivedReport { at: now, report });
     }
 
-    /// An answer took so long.
-    pub fn took(&mut self, took: Micros) {
-        if self.least == Micros(0) {
-            (self.time, self.least) = (took, took);
+    /// Records how long an answer took.
+    pub fn record_latency(&mut self, latency: Micros) {
+        if self.min_latency == Micros(0) {
+            self.latency = latency;
+            self.min_latency = latency;
         }
-        self.time = self.time.toward(took, TIME_SPAN);
-        self.least = self.least.toward(self.time, LEAST_SPAN).min(self.time);
+        self.latency = self.latency.toward(latency, LATENCY_SPAN);
+        let risen = self.min_latency.toward(self.latency, MIN_LATENCY_SPAN);
+        self.min_latency = risen.min(self.latency);
     }
 
-    /// By its own word of late, and nothing speaks against it, the server would begin one more at once.
-    pub fn is_at_ease(&self, now: Micros) -> bool {
-        self.word(now) == Some(true)
+    /// Whether the server credibly reports that it would begin one more request at once.
+    pub fn reports_spare_capacity(&self, now: Micros) -> bool {
+        self.reported_spare_capacity(now) == Some(true)
     }
 
-    /// Requests wait there, or answers take longer than an aim whatever the reason.
-    pub fn is_there(&self, now: Micros, latency_objective: Micros) -> bool {
-        match self.word(now) {
-            Some(at_ease) => !at_ease,
-            None => self.takes(QUEUE) || self.time > latency_objective,
+    /// Whether requests wait there, or answers take longer than the objective for whatever reason.
+    pub fn has_queue(&self, now: Micros, latency_objective: Micros) -> bool {
+        match self.reported_spare_capacity(now) {
+            Some(has_spare_capacity) => !has_spare_capacity,
+            None => self.exceeds_minimum(QUEUE_LATENCY_RATIO) || self.latency > latency_objective,
         }
     }
 
-    /// What it said of itself; `None` where it said nothing lately, or what cannot be.
-    fn word(&self, now: Micros) -> Option<bool> {
-        let (_, load) = self.said.filter(|&(at, _)| now.since(at) < FRESH)?;
-        load.queue_length.or(load.cpu_utilization)?;
-        let at_ease = load.queue_length.is_none_or(|queue| queue < NO_QUEUE)
-            && load.cpu_utilization.is_none_or(|busy| busy < ROOM);
-        (!at_ease || !self.takes(DISBELIEF)).then_some(at_ease)
+    /// What the server reports; `None` without a recent and credible report.
+    fn reported_spare_capacity(&self, now: Micros) -> Option<bool> {
+        let received = self
+            .last_report
+            .filter(|received| now.since(received.at) < REPORT_LIFETIME)?;
+        let report = received.report;
+        report.queue_length.or(report.cpu_utilization)?;
+        let has_no_queue = report
+            .queue_length
+            .is_none_or(|queue| queue < MIN_QUEUE_COUNT);
+        let is_not_busy = report.cpu_utilization.is_none_or(|busy| busy < BUSY_RATIO);
+        let has_spare_capacity = has_no_queue && is_not_busy;
+        let is_disproved = has_spare_capacity && self.exceeds_minimum(DISPROOF_LATENCY_RATIO);
+        (!is_disproved).then_some(has_spare_capacity)
     }
 
-    fn takes(&self, times: f64) -> bool {
-        self.time > self.least.scaled(times)
+    fn exceeds_minimum(&self, ratio: f64) -> bool {
+        self.latency > self.min_latency.scaled(ratio)
     }
 }
--- /dev/null
+++ b/crates/load-balancer/src/router/attempts.rs
@@ -0,0 +1,381 @@
+//! Attempts of requests: finding a server, sending, and learning from the end.
+
+use super::Router;
+use crate::action::Action;
+use crate::admission::Priority;
+use crate::attempt_feedback::{AttemptFeedback, FeedbackContext};
+use crate::concurrency_limit::SLOW_RATIO;
+use crate::ids::AttemptNumber;
+use crate::origin_fetch_limit::FetchRequest;
+use crate::pending::{Attempt, AttemptState, PendingRequest};
+use crate::placement::{
+    CandidateWalk, FetchPermission, FleetUsage, MIGRATION_LIMIT_RATIO, Placement, PlacementInputs,
+    hot_key_replicas, replicas_to_pass,
+};
+use crate::request::{AttemptEnd, ConnectionUse, Outcome};
+use crate::retry::{self, AttemptTarget, AttemptTimeout};
+use crate::settings::CacheMode;
+use crate::slow_start::SlowStart;
+use crate::stale_connections::met_stale_connection;
+use crate::time::Micros;
+
+/// An attempt in flight for less than this multiple of the typical latency may yet turn out to be a hit.
+const UNDECIDED_LATENCY_RATIO: f64 = 2.0;
+/// The rank of a write: it can run anywhere and need not press into a server at capacity.
+const WRITE_RANK: f64 = 0.5;
+
+impl Router {
+    /// The index of the server for the next attempt of a request.
+    pub(super) fn choose_server(&mut self, pending: &PendingRequest) -> Option<usize> {
+        let limit_multiplier = self.priority_context().limit_multiplier(pending);
+        let chance = self.random.next_fraction();
+        let is_through = self.settings.mode == CacheMode::Through;
+        if !is_through && (pending.request.write || pending.has_missed) {
+            return self.choose_origin(limit_multiplier, chance);
+        }
+        let fetch = self.fetch_permission(pending, limit_multiplier);
+        let placement = self.place(pending, limit_multiplier, fetch)?;
+        if placement.costs_retry_token {
+            self.retry_budget.spend_token();
+        }
+        Some(placement.server)
+    }
+
+    fn choose_origin(&self, limit_multiplier: f64, chance: f64) -> Option<usize> {
+        self.servers.iter().position(|server| {
+            server.is_origin
+                && server.is_accepting()
+                && server.limit.has_capacity(limit_multiplier, chance)
+        })
+    }
+
+    /// Whether a request may be an origin fetch, at its owner and elsewhere. A router that fetches for itself asks
+    /// caches without limit. A fetch elsewhere evicts another key besides: with a queue at the origin it is served
+    /// last, and it costs a retry token unless a write has to be fetched anyway.
+    fn fetch_permission(
+        &mut self,
+        pending: &PendingRequest,
+        limit_multiplier: f64,
+    ) -> FetchPermission {
+        let is_paid = pending.request.write || self.retry_budget.has_token();
+        if self.settings.mode != CacheMode::Through {
+            return FetchPermission {
+                at_owner: true,
+                elsewhere: is_paid,
+            };
+        }
+        let at_owner = self.may_fetch(pending, limit_multiplier);
+        let migration_ratio = if self.origin_fetches.has_queue() {
+            MIGRATION_LIMIT_RATIO
+        } else {
+            1.0
+        };
+        let may_migrate = at_owner && self.may_fetch(pending, limit_multiplier * migration_ratio);
+        FetchPermission {
+            at_owner,
+            elsewhere: may_migrate && is_paid,
+        }
+    }
+
+    fn may_fetch(&mut self, pending: &PendingRequest, limit_multiplier: f64) -> bool {
+        let undecided_time = self.typical_latency.scaled(UNDECIDED_LATENCY_RATIO);
+        let undecided = self
+            .pending
+            .undecided_fetches(self.now.since(undecided_time));
+        let ready_servers = self.ring.server_count().max(1) as f64;
+        let hit_round = self
+            .typical_latency
+            .scaled(self.router_count() / ready_servers);
+        let request = FetchRequest {
+            popularity: pending.popularity,
+            limit_multiplier,
+            hit_round,
+        };
+        self.origin_fetches
+            .has_capacity(self.now, &undecided, &request)
+    }
+
+    /// Walks over the candidates on the ring.
+    fn place(
+        &mut self,
+        pending: &PendingRequest,
+        limit_multiplier: f64,
+        fetch: FetchPermission,
+    ) -> Option<Placement> {
+        let ready_servers = self.ring.server_count();
+        let key_share = self.traffic.key_share(pending.ring_position);
+        let replicas = hot_key_replicas(key_share, ready_servers);
+        let to_pass = replicas_to_pass(pending, replicas, self.replica_offset, ready_servers);
+        let mut counts = std::mem::take(&mut self.verdict_counts);
+        let inputs = self.placement_inputs(pending, limit_multiplier, fetch);
+        let placement = CandidateWalk::new(inputs, to_pass).run(&self.ring, &mut counts);
+        self.verdict_counts = counts;
+        placement
+    }
+
+    fn placement_inputs<'a>(
+        &'a self,
+        pending: &'a PendingRequest,
+        limit_multiplier: f64,
+        fetch: FetchPermission,
+    ) -> PlacementInputs<'a> {
+        let rules = &self.settings.rules;
+        let weights = self.settings.weights;
+        let rank = if pending.request.write {
+            WRITE_RANK
+        } else {
+            self.priority_context()
+                .priority_rank(pending, limit_multiplier)
+        };
+        PlacementInputs {
+            pending,
+            servers: &self.servers,
+            key_locations: &self.key_locations,
+            now: self.now,
+            weights,
+            shortest_objective: self.shortest_objective,
+            slow_start: SlowStart {
+                now: self.now,
+                rules,
+                router_count: self.router_count(),
+                typical_latency: self.typical_latency,
+            },
+            limits: self.server_limits(),
+            priority: Priority {
+                limit_multiplier,
+                rank,
+            },
+            fetch,
+            fleet: FleetUsage::of(&self.servers, self.now, rules, weights),
+            ready_servers: self.ring.server_count(),
+        }
+    }
+
+    /// Sends an attempt; the only place that does, so that its conditions hold whatever chose the server. False if
+    /// they do not.
+    pub(super) fn send(&mut self, pending: &mut PendingRequest, index: usize) -> bool {
+        if !self.may_send(pending, index) {
+            return false;
+        }
+        let is_fetch = self.is_likely_fetch(pending, index);
+        let idle = self.take_idle_connection(index);
+        let class = self.class(pending);
+        let start_within = retry::deduplication_window_left(pending, class, self.now);
+        pending.attempts.push(Attempt {
+            server: index,
+            sent_at: self.now,
+            state: AttemptState::InFlight,
+            is_fetch,
+            popularity: pending.popularity,
+            idle,
+            met_stale_connection: false,
+        });
+        self.record_send(index, is_fetch);
+        let timeout = self.attempt_timeout(pending, index);
+        self.actions.push(Action::Send {
+            id: pending.request.id,
+            server: self.servers[index].endpoint.server.clone(),
+            timeout,
+            start_within,
+        });
+        true
+    }
+
+    fn may_send(&self, pending: &PendingRequest, index: usize) -> bool {
+        let server = &self.servers[index];
+        retry::may_send_attempt(pending, &self.settings.limits, self.now)
+            && server.is_accepting()
+            && self.may_run_at(pending, index)
+    }
+
+    fn may_run_at(&self, pending: &PendingRequest, index: usize) -> bool {
+        let Some(first) = pending.first_possible_run() else {
+            return true;
+        };
+        retry::idempotency_allows(
+            self.class(pending).idempotency,
+            &self.servers[first.server].endpoint,
+            self.now.since(first.sent_at),
+            &self.servers[index].endpoint,
+        )
+    }
+
+    fn is_likely_fetch(&self, pending: &PendingRequest, index: usize) -> bool {
+        let is_cached = self.key_locations.is_at(pending.ring_position, index);
+        self.settings.mode == CacheMode::Through && (pending.request.write || !is_cached)
+    }
+
+    /// How long the connection of the next attempt has been idle, if it is reused. Stale ones are closed first.
+    fn take_idle_connection(&mut self, index: usize) -> Option<Micros> {
+        let server = &self.servers[index];
+        let idle = server.idle_time(self.now, self.settings.connection_idle)?;
+        if self.stale_connections.are_stale(self.now, idle) {
+            let server = server.endpoint.server.clone();
+            self.actions.push(Action::CloseIdle { server });
+            return None;
+        }
+        Some(idle)
+    }
+
+    fn record_send(&mut self, index: usize, is_fetch: bool) {
+        let now = self.now;
+        let interval = self.server_limits().paced_interval(&self.servers[index]);
+        let server = &mut self.servers[index];
+        server.limit.record_send(now, interval);
+        server.last_used_at = now;
+        server.last_sent_at = now;
+        server.slow_start_credit = 1.0;
+        if is_fetch {
+            self.origin_fetches.in_flight += 1;
+        } else {
+            server.responsiveness.record_send(now);
+        }
+    }
+
+    fn attempt_timeout(&self, pending: &PendingRequest, index: usize) -> Option<Micros> {
+        let server = &self.servers[index];
+        let timeout = AttemptTimeout {
+            pending,
+            class: self.class(pending),
+            limits: &self.settings.limits,
+            budget: &self.retry_budget,
+            now: self.now,
+        };
+        timeout.for_target(AttemptTarget {
+            typical_latency: self.typical_latency.max(server.typical_latency),
+            is_unresponsive: server.is_unresponsive(self.now, self.shortest_objective),
+            is_origin: server.is_origin,
+        })
+    }
+
+    pub(super) fn on_attempt_ended(&mut self, end: AttemptEnd) {
+        let Some(mut pending) = self.pending.remove(end.id) else {
+            return;
+        };
+        if let Some(attempt) = self.end_attempt(&mut pending, end.attempt, &end) {
+            let typical_latency = self.typical_latency;
+            let mode = self.settings.mode;
+            let end = self
+                .failure_attribution
+                .attribute(end, mode, typical_latency);
+            self.learn(&pending, &attempt, &end);
+            pending.is_answered |= end.complete;
+            pending.has_missed |= end.outcome == Outcome::Miss;
+            if !pending.is_answered && !pending.has_attempt_in_flight() {
+                self.retry_or_answer(&mut pending, &attempt, &end);
+            }
+        }
+        self.pending.keep(pending);
+    }
+
+    /// Marks an attempt as ended; `None` if it was not in flight.
+    fn end_attempt(
+        &self,
+        pending: &mut PendingRequest,
+        number: AttemptNumber,
+        end: &AttemptEnd,
+    ) -> Option<Attempt> {
+        let attempt = pending.attempt_in_flight(number)?;
+        let typical_latency = self.servers[attempt.server].typical_latency;
+        attempt.met_stale_connection = met_stale_connection(end, typical_latency);
+        attempt.state = if end.outcome.never_ran() {
+            AttemptState::NeverRan
+        } else {
+            AttemptState::MayHaveRun
+        };
+        Some(*attempt)
+    }
+
+    fn retry_or_answer(
+        &mut self,
+        pending: &mut PendingRequest,
+        attempt: &Attempt,
+        end: &AttemptEnd,
+    ) {
+        let has_time = retry::has_time_for_retry(pending, self.class(pending), self.now);
+        let budget = &mut self.retry_budget;
+        if has_time && retry::should_retry(end, attempt.met_stale_connection, budget) {
+            self.place_or_answer(pending);
+        } else {
+            self.answer(pending);
+        }
+    }
+
+    /// Everything that the end of an attempt tells.
+    fn learn(&mut self, pending: &PendingRequest, attempt: &Attempt, end: &AttemptEnd) {
+        let now = self.now;
+        let server = &mut self.servers[attempt.server];
+        server.last_used_at = now;
+        if let Some(report) = end.load {
+            server.queue.record_report(now, report);
+        }
+        self.stale_connections.record_end(now, attempt.idle, end);
+        self.idle_connections.record_end(end);
+        self.learn_hot_key(pending, end);
+        self.release(attempt.server, attempt.is_fetch);
+        let shortest_objective = self.shortest_objective;
+        self.servers[attempt.server]
+            .responsiveness
+            .record_end(end, shortest_objective);
+        self.learn_limits(pending, attempt, end);
+        if end.outcome == Outcome::Success {
+            self.retry_budget.record_success();
+        }
+        self.learn_key_location(pending, attempt, end);
+    }
+
+    /// Where an answer was lost or late, the key is likelier to be hot than its share here tells.
+    fn learn_hot_key(&mut self, pending: &PendingRequest, end: &AttemptEnd) {
+        let slow_latency = self.class(pending).latency_objective.scaled(SLOW_RATIO);
+        let has_no_handshake = end.connection_use != ConnectionUse::New;
+        if end.elapsed > slow_latency && has_no_handshake {
+            self.traffic.record_hot_key(pending.ring_position);
+        }
+    }
+
+    /// An attempt is no longer in flight, or is forgotten.
+    pub(super) fn release(&mut self, index: usize, is_fetch: bool) {
+        self.servers[index].limit.record_end();
+        if is_fetch {
+            self.origin_fetches.in_flight -= 1;
+        }
+        self.close_idle_if_leaving(index);
+    }
+
+    fn learn_limits(&mut self, pending: &PendingRequest, attempt: &Attempt, end: &AttemptEnd) {
+        let context = FeedbackContext {
+            now: self.now,
+            router_count: self.router_count(),
+            shortest_objective: self.shortest_objective,
+            latency_objective: self.class(pending).latency_objective,
+            typical_latency: self.typical_latency,
+            are_slots_scarce: self.idle_connections.are_slots_scarce(),
+            origin_collapses_under_overload: self.settings.origin_collapses_under_overload,
+        };
+        let server = &mut self.servers[attempt.server];
+        let feedback = AttemptFeedback::new(end, attempt, server, &self.origin_fetches, context);
+        feedback.apply_to_server(server);
+        feedback.apply_to_origin(&mut self.origin_fetches);
+        self.typical_latency = feedback.updated_typical_latency();
+    }
+
+    /// What an origin answers is cached at the server where the request missed.
+    fn learn_key_location(
+        &mut self,
+        pending: &PendingRequest,
+        attempt: &Attempt,
+        end: &AttemptEnd,
+    ) {
+        let cache_server = pending
+            .last_cache_server(&self.servers)
+            .unwrap_or(attempt.server);
+        let is_missing = end.cache_status.is_some() || end.outcome == Outcome::TimedOut;
+        if end.outcome == Outcome::Success {
+            self.key_locations
+                .record_served(pending.ring_position, cache_server);
+        } else if is_missing {
+            self.key_locations
+                .record_missing(pending.ring_position, cache_server);
+        }
+    }
+}
--- /dev/null
+++ b/crates/load-balancer/src/router/fleet.rs
@@ -0,0 +1,177 @@
+//! Events of the fleet: the endpoint list, the operators' overrides, the subscription to the list.
+
+use super::Router;
+use crate::action::Action;
+use crate::admin_overrides::AdminOverride;
+use crate::concurrency_limit::ConcurrencyLimit;
+use crate::endpoint::{Endpoint, EndpointUpdate};
+use crate::endpoints::Server;
+use crate::ids::{RequestId, ServerId};
+use crate::ring::{RingPoint, server_positions};
+use crate::settings::{CacheMode, Discovery};
+use crate::subscription::SubscriptionStep;
+use crate::time::Micros;
+use crate::timer::TimerPurpose;
+
+/// The index of a server that left is reused once nothing was sent there for this multiple of the longest deadline.
+const INDEX_REUSE_RATIO: f64 = 2.0;
+
+impl Router {
+    pub(super) fn on_endpoints_changed(
+        &mut self,
+        update: EndpointUpdate,
+        endpoints: Vec<Endpoint>,
+    ) {
+        if matches!(update, EndpointUpdate::Snapshot | EndpointUpdate::Restored) {
+            self.servers.mark_all_removed();
+        }
+        for endpoint in endpoints {
+            self.on_endpoint(endpoint);
+        }
+        self.on_availability_changed();
+        if let Discovery::Subscribe { poll_within } = self.settings.discovery {
+            self.on_subscription_update(update, poll_within);
+        }
+    }
+
+    fn on_endpoint(&mut self, endpoint: Endpoint) {
+        let Some(endpoint) = self.servers.update_known_process(endpoint) else {
+            return;
+        };
+        let deadlines = self.settings.classes.iter().map(|class| class.deadline);
+        let longest_deadline = deadlines.max().unwrap_or_default();
+        let unused_since = self.now.since(longest_deadline.scaled(INDEX_REUSE_RATIO));
+        let index = self.servers.index_for(&endpoint.server, unused_since);
+        self.install_process(index, endpoint);
+    }
+
+    /// Puts a process without observations at an index: it is sent little at first and holds no keys.
+    fn install_process(&mut self, index: usize, endpoint: Endpoint) {
+        let name = endpoint.server.clone();
+        let is_origin = matches!(
+            self.settings.mode,
+            CacheMode::Aside { origin } if endpoint.kind == Some(origin)
+        );
+        let ring_positions = if is_origin {
+            Vec::new()
+        } else {
+            server_positions(&name)
+        };
+        let limit = ConcurrencyLimit::new(0, self.initial_limit);
+        let mut server = Server::new(endpoint, ring_positions, limit);
+        server.is_origin = is_origin;
+        // Routers that hear of it together do not all send at once.
+        server.slow_start_credit = self.random.next_fraction();
+        server.last_sent_at = self.now;
+        server.is_disabled = self.admin_overrides.is_disabled(&name);
+        server.possible_restart_at = self.admin_overrides.enabled_at(&name);
+        if index < self.servers.len() {
+            self.key_locations.forget_server(index);
+        }
+        self.servers.replace(index, server);
+    }
+
+    /// Nothing new goes to the server until it is enabled. What is in flight ends as it would; idle connections are
+    /// closed, since the process may be replaced meanwhile.
+    pub(super) fn on_server_disabled(&mut self, server: ServerId) {
+        self.admin_overrides
+            .set(server.clone(), AdminOverride::Disabled);
+        if let Some(index) = self.servers.index_of(&server.0) {
+            self.servers[index].is_disabled = true;
+            self.actions.push(Action::CloseIdle { server });
+            self.on_availability_changed();
+        }
+    }
+
+    /// The server was enabled at `at`. Whatever the list says of its start, its process may be new. For a server
+    /// that is not disabled nothing changes, unless another process of this router was told earlier.
+    pub(super) fn on_server_enabled(&mut self, server: ServerId, at: Micros) {
+        let is_disabled = self.admin_overrides.is_disabled(&server);
+        let is_news = at < self.now && at > self.admin_overrides.enabled_at(&server);
+        if !is_disabled && !is_news {
+            return;
+        }
+        self.admin_overrides
+            .set(server.clone(), AdminOverride::EnabledAt(at));
+        if let Some(index) = self.servers.index_of(&server.0) {
+            let endpoint = self.servers[index].endpoint.clone();
+            self.actions.push(Action::CloseIdle { server });
+            self.install_process(index, endpoint);
+            self.on_availability_changed();
+        }
+    }
+
+    /// What servers may be used for has changed, by the list or by the operators.
+    fn on_availability_changed(&mut self) {
+        self.servers.update_mean_weight();
+        let is_ring_current = self
+            .servers
+            .iter()
+            .all(|server| server.is_accepting() == server.is_on_ring);
+        if is_ring_current {
+            return;
+        }
+        let had_no_servers = self.ring.is_empty();
+        self.update_ring();
+        if had_no_servers {
+            let router_count = self.router_count();
+            self.origin_fetches
+                .start(self.ring.server_count(), router_count);
+        }
+    }
+
+    /// Only the points of servers that come or go change.
+    fn update_ring(&mut self) {
+        let mut added = Vec::new();
+        for index in 0..self.servers.len() {
+            let server = &mut self.servers[index];
+            let is_accepting = server.is_accepting();
+            let was_on_ring = std::mem::replace(&mut server.is_on_ring, is_accepting);
+            if was_on_ring {
+                self.close_idle_if_leaving(index);
+            } else if is_accepting {
+                let point = |&position: &u32| RingPoint {
+                    position,
+                    server: index,
+                };
+                added.extend(server.ring_positions.iter().map(point));
+            }
+        }
+        let servers = &self.servers;
+        self.ring.update(
+            added,
+            |index| servers[index].is_accepting(),
+            |index| &servers[index].endpoint.server,
+        );
+    }
+
+    /// Where the deployment asks for it, idle connections to a server that takes nothing new are closed: at the
+    /// notice, and as its attempts end.
+    pub(super) fn close_idle_if_leaving(&mut self, index: usize) {
+        let server = &self.servers[index];
+        if self.settings.rules.drain_close.is_some() && !server.is_accepting() {
+            self.actions.push(Action::CloseIdle {
+                server: server.endpoint.server.clone(),
+            });
+        }
+    }
+
+    fn on_subscription_update(&mut self, update: EndpointUpdate, poll_within: Micros) {
+        let step = self
+            .subscription
+            .on_update(update, poll_within, &mut self.random);
+        match step {
+            SubscriptionStep::None => {}
+            SubscriptionStep::Subscribe => self.subscribe(),
+            SubscriptionStep::RetryAfter(after) => {
+                self.set_timer(after, RequestId(0), TimerPurpose::Subscription);
+            }
+        }
+    }
+
+    pub(super) fn subscribe(&mut self) {
+        if self.subscription.request() {
+            self.actions.push(Action::Subscribe);
+        }
+    }
+}
--- /dev/null
+++ b/crates/load-balancer/src/slow_start.rs
@@ -0,0 +1,69 @@
+//! How much of its full load may a server take that warms up?
+//!
+//! Inputs: when its process started or may have restarted (µs), when it was last sent a request (µs), the rules.
+//! Answer: its progress and the fraction of its capacity, 0 to 1, and whether it may be sent one more request.
+//! Reason: a server with cold caches falls over under its full share, and many routers together push it over
+//! before any of them hears that it is slow.
+
+use crate::concurrency_limit::INITIAL_TOTAL_COUNT;
+use crate::endpoints::Server;
+use crate::settings::Rules;
+use crate::time::Micros;
+
+/// All routers together send at most this ratio of the work that overloads a server which warms up.
+const SAFE_WORK_RATIO: f64 = 0.75;
+
+impl Server {
+    /// How much of its slow start is over: 1 once `slow_start_duration` has passed since its start.
+    pub fn slow_start_progress(&self, at: Micros, rules: &Rules) -> f64 {
+        let started = self.endpoint.started.max(self.possible_restart_at);
+        let elapsed = at.since(started).as_secs_f64();
+        let progress = elapsed / rules.slow_start_duration.as_secs_f64();
+        if started == Micros(0) || progress.is_nan() {
+            1.0
+        } else {
+            progress.min(1.0)
+        }
+    }
+
+    /// The fraction of its capacity that it has at least.
+    pub fn capacity_fraction(&self, at: Micros, rules: &Rules) -> f64 {
+        let initial = rules.initial_capacity_ratio;
+        initial + (1.0 - initial) * self.slow_start_progress(at, rules)
+    }
+}
+
+/// What the allowance of servers that warm up depends on besides the server.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct SlowStart<'a> {
+    pub now: Micros,
+    pub rules: &'a Rules,
+    pub router_count: f64,
+    /// How long hits take at any server.
+    pub typical_latency: Micros,
+}
+
+impl SlowStart<'_> {
+    /// Whether a server may be sent one more request of this cost: it is warm, or its allowance covers it.
+    pub fn allows(&self, server: &Server, cost: Option<Micros>) -> bool {
+        server.slow_start_progress(self.now, self.rules) >= 1.0 || self.has_allowance(server, cost)
+    }
+
+    /// Where routers are few their concurrency limits see to a server, unless a request costs so much that what
+    /// they let through at once is more than it can stand. Otherwise the allowance since the last request must
+    /// cover one more.
+    fn has_allowance(&self, server: &Server, cost: Option<Micros>) -> bool {
+        let halfway = server.last_sent_at.plus(self.now).scaled(0.5);
+        let capacity = server.capacity_fraction(halfway, self.rules);
+        let safe_work = SAFE_WORK_RATIO * self.rules.overload_multiple * capacity;
+        let work_at_once = cost.unwrap_or_default().scaled(INITIAL_TOTAL_COUNT);
+        let is_limited_already = self.router_count <= INITIAL_TOTAL_COUNT
+            && work_at_once <= self.rules.overload_duration.scaled(safe_work);
+        if is_limited_already {
+            return true;
+        }
+        let allowance_ratio = safe_work / self.router_count;
+        let allowance = self.now.since(server.last_sent_at).scaled(allowance_ratio);
+        allowance >= self.typical_latency.scaled(server.slow_start_credit)
+    }
+}
--- a/crates/load-balancer/src/stale_connections.rs
+++ b/crates/load-balancer/src/stale_connections.rs
@@ -1,66 +1,76 @@
-//! How long a kept connection may have been idle before it is used again.
+//! Is a connection that has been idle for some time still usable?
 //!
-//! Guards against connections dropped unseen while idle (a firewall, a peer's own limit): a request sent on one is
-//! lost. Hurts where connections break for another reason just after a pause: some are closed for nothing, for
-//! [`STALE_TIME`].
+//! Inputs: how attempts on idle connections end, and how long those had been idle (µs). Answer: whether
+//! connections idle for so long are closed before use; and whether an attempt met a connection that was dead
+//! already. Reason: a firewall or a peer drops idle connections unseen, and a request sent on one is lost.
 
-use crate::api::{AttemptEnd, Micros, Outcome};
+use crate::request::{AttemptEnd, ConnectionUse, Outcome};
+use crate::time::Micros;
 
-/// Silent idle connections, less those that answered, after which silence is laid to being idle.
-const DOUBT: u32 = 3;
-/// How far below the idle time of one that failed others are held to be dead.
-const MARGIN: f64 = 0.5;
-/// What drops idle connections unseen waits this long at least: what fails sooner after its last use failed for
-/// another reason.
-const LEAST_IDLE: Micros = Micros::from_millis(1_000);
-/// How long connections idle for half as long as one that failed are closed before use.
-const STALE_TIME: Micros = Micros::from_millis(20_000);
+/// Attempts on idle connections without a response, less those with one, after which idleness is at fault.
+const SUSPICION_COUNT: u32 = 3;
+/// Connections idle for this ratio of the idle time of one that failed are taken to be dead too.
+const STALE_RATIO: f64 = 0.5;
+/// What drops idle connections unseen waits this long at least: an earlier failure has another cause.
+const MIN_STALE_IDLE: Micros = Micros::from_millis(1_000);
+/// How long idle connections are closed before use after one failed.
+const STALE_MEMORY: Micros = Micros::from_millis(20_000);
 
-/// What is known of kept connections, of whichever server.
+/// From which idle time on connections are stale, at whichever server.
 #[derive(Debug)]
-pub(crate) struct Kept {
-    /// Those idle for as long as this are not used before `until`.
-    stale: Micros,
+pub(crate) struct StaleConnections {
+    /// Connections idle for as long as this are not used before `until`.
+    min_idle: Micros,
     until: Micros,
-    /// Silence on idle connections lately, less answers.
-    doubt: u32,
+    /// Attempts on idle connections without a response, less those with one.
+    suspicions: u32,
 }
 
-impl Kept {
+impl StaleConnections {
     /// Nothing is known.
-    pub fn new() -> Kept {
-        Kept {
-            stale: Micros::MAX,
+    pub fn new() -> StaleConnections {
+        StaleConnections {
+            min_idle: Micros::MAX,
             until: Micros(0),
-            doubt: 0,
+            suspicions: 0,
         }
     }
 
-    /// Whether those idle for so long are most likely dead.
-    pub fn are_dead(&self, now: Micros, idle: Micros) -> bool {
-        idle >= self.stale && now < self.until
+    /// Whether connections that have been idle for so long are most likely dead.
+    pub fn are_stale(&self, now: Micros, idle: Micros) -> bool {
+        idle >= self.min_idle && now < self.until
     }
 
-    /// An attempt ended on a connection that had been idle. A broken one is proof; silence has other causes too: it
-    /// takes more of it than of answers. What breaks once an answer has begun was spoilt by the server, on a
-    /// connection that was well.
-    pub fn learn(&mut self, now: Micros, idle: Option<Micros>, end: &AttemptEnd) {
-        let Some(idle) = idle.filter(|&idle| idle >= LEAST_IDLE) else {
+    /// Records how an attempt ended whose connection had been idle for `idle`. A lost connection is proof; no
+    /// response has other causes too and needs repetition. A response that breaks off was the server's fault.
+    pub fn record_end(&mut self, now: Micros, idle: Option<Micros>, end: &AttemptEnd) {
+        let Some(idle) = idle.filter(|&idle| idle >= MIN_STALE_IDLE) else {
             return;
         };
-        self.doubt = match end.outcome {
-            Outcome::TimedOut if !end.response_started => (self.doubt + 1).min(DOUBT),
-            Outcome::ConnectionLost if !end.response_started => DOUBT,
-            _ => self.doubt.saturating_sub(1),
+        self.suspicions = match end.outcome {
+            Outcome::TimedOut if !end.response_started => {
+                (self.suspicions + 1).min(SUSPICION_COUNT)
+            }
+            Outcome::ConnectionLost if !end.response_started => SUSPICION_COUNT,
+            _ => self.suspicions.saturating_sub(1),
         };
-        if self.doubt == DOUBT {
+        if self.suspicions == SUSPICION_COUNT {
             let known = if now < self.until {
-                self.stale
+                self.min_idle
             } else {
                 Micros::MAX
             };
-            self.stale = known.min(idle.scaled(MARGIN).max(LEAST_IDLE));
-            self.until = now.plus(STALE_TIME);
+            self.min_idle = known.min(idle.scaled(STALE_RATIO).max(MIN_STALE_IDLE));
+            self.until = now.plus(STALE_MEMORY);
         }
     }
 }
+
+/// Whether an attempt met a reused connection that was dead already: it broke sooner than any answer comes. No work
+/// was done and the key is cached there, so the next attempt at the same server is free, on another connection.
+/// Guards against taking a connection's end (idle limit, firewall, restart) for the server's.
+pub(crate) fn met_stale_connection(end: &AttemptEnd, typical_latency: Micros) -> bool {
+    let is_reused = matches!(end.connection_use, ConnectionUse::Reused(_));
+    let is_early = end.elapsed.scaled(2.0) <= typical_latency;
+    end.outcome == Outcome::ConnectionLost && !end.response_started && is_reused && is_early
+}
--- a/crates/load-balancer/src/subscription.rs
+++ b/crates/load-balancer/src/subscription.rs
@@ -1,49 +1,79 @@
-//! Asking for the list of servers: when a router subscribes, and how soon again after a call that failed.
+//! When does a router subscribe to the endpoint list, and how soon again after a failure?
+//!
+//! Inputs: updates of the list, the longest time without a poll (µs), a random fraction. Answer: subscribe now,
+//! after some time, or not at all. Reason: routers must not poll together, and each must poll well before it counts
+//! as told.
 
-use crate::api::*;
-use crate::balance::TIMER_ASK;
-use crate::state::Router;
+use crate::endpoint::EndpointUpdate;
+use crate::random::Random;
+use crate::time::Micros;
 
-/// A failed call for the list is repeated within this share of `ask_within`, growing to half of it.
-const ASK_AGAIN: f64 = 0.05;
+/// The first retry follows within this ratio of the longest time without a poll, doubled by each further failure.
+const FIRST_RETRY_RATIO: f64 = 0.05;
+/// The ratio at which retries stop growing.
+const MAX_RETRY_RATIO: f64 = 0.5;
+/// Doublings after which the ratio is past its bound anyway.
+const MAX_DOUBLING_COUNT: u32 = 4;
 
-/// Where a router stands with the list that must be asked for.
+/// What follows from an update.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum SubscriptionStep {
+    /// The subscription stands.
+    None,
+    /// Subscribe, unless a call is under way.
+    Subscribe,
+    /// Subscribe after this time.
+    RetryAfter(Micros),
+}
+
+/// The subscription of a router to the endpoint list.
 #[derive(Debug, Default)]
-pub(crate) struct Asking {
-    pub subscribed: bool,
-    pub asked: bool,
-    pub failures: u32,
+pub(crate) struct Subscription {
+    is_subscribed: bool,
+    is_requested: bool,
+    consecutive_failures: u32,
 }
 
-impl Router {
-    /// Subscribes at the start and when that is lost, with jitter and ever later, so that routers do not ask
-    /// together; always well before the router would be deemed told.
-    pub(crate) fn on_list_answer(&mut self, update: EndpointUpdate, poll_within: Micros) {
+impl Subscription {
+    /// Takes in an update of the list.
+    pub fn on_update(
+        &mut self,
+        update: EndpointUpdate,
+        poll_within: Micros,
+        random: &mut Random,
+    ) -> SubscriptionStep {
         match update {
-            EndpointUpdate::Restored => self.ask(),
+            EndpointUpdate::Restored => SubscriptionStep::Subscribe,
             EndpointUpdate::WatchLost => {
-                let failures = self.asking.failures.saturating_add(1);
-                self.asking = Asking {
-                    failures,
-                    ..Asking::default()
+                let consecutive_failures = self.consecutive_failures.saturating_add(1);
+                *self = Subscription {
+                    consecutive_failures,
+                    ..Subscription::default()
                 };
-                let share = (ASK_AGAIN * f64::from(1u32 << failures.min(4))).min(0.5);
-                let after = poll_within.scaled(share * (0.5 + 0.5 * self.random.next()));
-                self.set_timer(after, RequestId(0), TIMER_ASK);
+                SubscriptionStep::RetryAfter(self.retry_after(poll_within, random))
             }
-            _ => {
-                self.asking = Asking {
-                    subscribed: true,
-                    ..Asking::default()
-                }
+            EndpointUpdate::Delta | EndpointUpdate::Snapshot => {
+                *self = Subscription {
+                    is_subscribed: true,
+                    ..Subscription::default()
+                };
+                SubscriptionStep::None
             }
         }
     }
 
-    pub(crate) fn ask(&mut self) {
-        if !self.asking.subscribed && !self.asking.asked {
-            self.asking.asked = true;
-            self.out.push(Action::Subscribe);
-        }
+    /// Exponential backoff with jitter.
+    fn retry_after(&self, poll_within: Micros, random: &mut Random) -> Micros {
+        let doublings = self.consecutive_failures.min(MAX_DOUBLING_COUNT);
+        let ratio = (FIRST_RETRY_RATIO * f64::from(1_u32 << doublings)).min(MAX_RETRY_RATIO);
+        let jitter = 0.5 + 0.5 * random.next_fraction();
+        poll_within.scaled(ratio * jitter)
+    }
+
+    /// Whether to subscribe now: not while subscribed or while a call is under way. Marks the call as under way.
+    pub fn request(&mut self) -> bool {
+        let is_needed = !self.is_subscribed && !self.is_requested;
+        self.is_requested |= is_needed;
+        is_needed
     }
 }
--- a/crates/load-balancer/src/traffic_estimate.rs
+++ b/crates/load-balancer/src/traffic_estimate.rs
@@ -1,89 +1,200 @@
-//! What is asked for lately at this router: how often each key, by which class and tenant, how fast. A measure only: what
-//! follows from it is decided in `src/balance.rs`.
+//! What is requested at this router lately: how often each key, by which class and tenant, how fast. A measure only.
 
-use crate::api::{Micros, Settings, TenantId};
+use crate::ids::{ClassId, TenantId};
+use crate::moving_average::MovingAverage;
+use crate::settings::Settings;
+use crate::time::Micros;
 use std::collections::HashMap;
 
-/// Requests over which the mix of tenants and of keys and the mean worth are averaged.
-pub(crate) const MIX_SPAN: f64 = 200.0;
-/// Longer gaps between requests are a pause and tell nothing of this router's pace.
-const LONGEST_GAP: Micros = Micros::from_millis(1_000);
-/// Requests over which the pace is averaged.
-const PACE_SPAN: u64 = 32;
+/// Requests over which the mix of tenants, classes and keys is averaged.
+const MIX_SPAN: f64 = 200.0;
+/// Requests for unknown keys that are assumed besides, so that a small sample makes no key hot.
+const ASSUMED_OTHER_COUNT: f64 = MIX_SPAN / 8.0;
+/// A longer gap between requests is a pause and tells nothing of their pace.
+const MAX_INTERARRIVAL: Micros = Micros::from_millis(1_000);
+/// Requests over which their pace is averaged.
+const INTERARRIVAL_SPAN: u64 = 32;
+/// What is left of all counts of requests once they add up to the span.
+const COUNT_DECAY_RATIO: f64 = 0.5;
+/// A key with fewer decayed requests than this is forgotten.
+const MIN_KEY_COUNT: f64 = 0.5;
 
-/// See the module.
+/// The recent traffic of one router.
 #[derive(Debug)]
-pub(crate) struct Demand {
-    /// How often each place was asked for lately, and all of them together.
-    pub popular: HashMap<u32, f64>,
-    pub asked_for: f64,
-    pub mean_worth: f64,
-    /// Each class's part of the requests lately.
-    pub asked: Vec<f64>,
-    /// Each tenant's part of them.
-    pub mix: Vec<f64>,
-    /// The time between this router's requests, smoothed, and when the last one came.
-    pub pace: Micros,
-    last_came: Micros,
+pub(crate) struct TrafficEstimate {
+    /// Recent requests by ring position of the key.
+    key_counts: HashMap<u32, f64>,
+    /// All of them together.
+    total_count: f64,
+    mean_priority_weight: MovingAverage,
+    /// Share of each class in the requests.
+    class_shares: Vec<MovingAverage>,
+    /// Share of each tenant in the requests.
+    tenant_shares: Vec<MovingAverage>,
+    /// The time between requests.
+    mean_interarrival: Micros,
+    last_arrived_at: Micros,
 }
 
-impl Demand {
-    /// Before the first request: what the settings alone tell.
-    pub fn new(settings: &Settings) -> Demand {
-        let classes = settings.classes.len();
-        Demand {
-            popular: HashMap::new(),
-            asked_for: 0.0,
-            mean_worth: settings
-                .classes
+impl TrafficEstimate {
+    /// What the settings alone tell, before the first request.
+    pub fn new(settings: &Settings) -> TrafficEstimate {
+        let class_count = settings.classes.len();
+        let equal_share = 1.0 / class_count.max(1) as f64;
+        let min_weight = settings
+            .classes
+            .iter()
+            .map(|class| class.priority_weight)
+            .fold(f64::INFINITY, f64::min);
+        let tenant_share = |share: f64| MovingAverage::new(share, MIX_SPAN);
+        TrafficEstimate {
+            key_counts: HashMap::new(),
+            total_count: 0.0,
+            mean_priority_weight: MovingAverage::new(min_weight, MIX_SPAN),
+            class_shares: vec![MovingAverage::new(equal_share, MIX_SPAN); class_count],
+            tenant_shares: settings
+                .tenants
                 .iter()
-                .map(|c| c.priority_weight)
-                .fold(f64::INFINITY, f64::min),
-            asked: vec![1.0 / classes.max(1) as f64; classes],
-            mix: settings.tenants.iter().map(|t| t.share).collect(),
-            pace: Micros(0),
-            last_came: Micros(0),
+                .map(|tenant| tenant_share(tenant.share))
+                .collect(),
+            mean_interarrival: Micros(0),
+            last_arrived_at: Micros(0),
         }
     }
 
-    /// A request of this class came for a place; how often it was asked for lately, this time included.
-    pub fn came(&mut self, now: Micros, (class, worth): (usize, f64), place: u32) -> f64 {
-        self.mean_worth += (worth - self.mean_worth) / MIX_SPAN;
-        for (other, share) in self.asked.iter_mut().enumerate() {
-            *share += (f64::from(u8::from(other == class)) - *share) / MIX_SPAN;
+    /// Records a request and returns how often its key was requested lately, this time included.
+    pub fn record_request(
+        &mut self,
+        now: Micros,
+        class: ClassId,
+        priority_weight: f64,
+        ring_position: u32,
+    ) -> f64 {
+        self.mean_priority_weight.observe(priority_weight);
+        for (other, share) in self.class_shares.iter_mut().enumerate() {
+            share.observe_event(other == class.0);
         }
-        let gap = now.since(self.last_came).min(LONGEST_GAP);
-        (self.pace, self.last_came) = (self.pace.toward(gap, PACE_SPAN), now);
-        if self.asked_for >= MIX_SPAN {
-            self.asked_for *= 0.5;
-            self.popular.values_mut().for_each(|count| *count *= 0.5);
-            self.popular.retain(|_, count| *count >= 0.5);
+        let interarrival = now.since(self.last_arrived_at).min(MAX_INTERARRIVAL);
+        self.mean_interarrival = self
+            .mean_interarrival
+            .toward(interarrival, INTERARRIVAL_SPAN);
+        self.last_arrived_at = now;
+        if self.total_count >= MIX_SPAN {
+            self.decay_counts();
         }
-        self.asked_for += 1.0;
-        let count = self.popular.entry(place).or_insert(0.0);
+        self.total_count += 1.0;
+        let count = self.key_counts.entry(ring_position).or_insert(0.0);
         *count += 1.0;
         *count
     }
 
-    /// It came for this tenant.
-    pub fn came_of(&mut self, tenant: Option<TenantId>) {
-        for (i, part) in self.mix.iter_mut().enumerate().filter(|_| tenant.is_some()) {
-            *part += (f64::from(u8::from(tenant == Some(TenantId(i)))) - *part) / MIX_SPAN;
+    fn decay_counts(&mut self) {
+        self.total_count *= COUNT_DECAY_RATIO;
+        self.key_counts.retain(|_, count| {
+            *count *= COUNT_DECAY_RATIO;
+            *count >= MIN_KEY_COUNT
+        });
+    }
+
+    /// Records a request of a tenant.
+    pub fn record_tenant(&mut self, tenant: Option<TenantId>) {
+        let Some(tenant) = tenant else {
+            return;
+        };
+        for (other, share) in self.tenant_shares.iter_mut().enumerate() {
+            share.observe_event(other == tenant.0);
+        }
+    }
+
+    /// Records that a key is likelier to be hot than its share here tells.
+    pub fn record_hot_key(&mut self, ring_position: u32) {
+        if let Some(count) = self.key_counts.get_mut(&ring_position) {
+            *count += 1.0;
         }
     }
 
-    /// The share of all that goes to a place; asked for once is no evidence.
-    pub fn share(&self, place: u32) -> f64 {
-        let count = self
-            .popular
-            .get(&place)
-            .map_or(0.0, |count| count - 1.0)
-            .max(0.0);
-        count / (self.asked_for + MIX_SPAN / 8.0)
+    /// The share of a key in all requests, 0 to 1. A single request is no evidence.
+    pub fn key_share(&self, ring_position: u32) -> f64 {
+        let repeats = self
+            .key_counts
+            .get(&ring_position)
+            .map_or(0.0, |count| count - 1.0);
+        repeats.max(0.0) / (self.total_count + ASSUMED_OTHER_COUNT)
+    }
+
+    /// The mean priority weight of requests.
+    pub fn mean_priority_weight(&self) -> f64 {
+        self.mean_priority_weight.value()
+    }
+
+    /// The mean time between requests.
+    pub fn mean_interarrival(&self) -> Micros {
+        self.mean_interarrival
+    }
+
+    /// The share of each class in the requests, in the order of the settings.
+    pub fn class_shares(&self) -> impl Iterator<Item = f64> {
+        self.class_shares.iter().map(MovingAverage::value)
+    }
+
+    /// The share of each tenant in the requests, in the order of the settings.
+    pub fn tenant_shares(&self) -> impl Iterator<Item = f64> {
+        self.tenant_shares.iter().map(MovingAverage::value)
+    }
+
+    /// The share of one tenant; `None` for one that the settings do not name.
+    pub fn tenant_share(&self, tenant: TenantId) -> Option<f64> {
+        self.tenant_shares.get(tenant.0).map(MovingAverage::value)
     }
 
-    /// A place is likelier to be hot than its share here tells.
-    pub fn seems_hot(&mut self, place: u32) {
-        self.popular.entry(place).and_modify(|count| *count += 1.0);
+    /// Recent requests by ring position of the key, sorted by that.
+    pub fn key_counts(&self) -> Vec<(u32, f64)> {
+        let mut counts: Vec<(u32, f64)> = self
+            .key_counts
+            .iter()
+            .map(|(&position, &count)| (position, count))
+            .collect();
+        counts.sort_unstable_by_key(|&(position, _)| position);
+        counts
+    }
+
+    /// All recent requests.
+    pub fn total_count(&self) -> f64 {
+        self.total_count
+    }
+
+    /// Takes over the counts by ring position of a previous process.
+    pub fn restore_key_counts(&mut self, counts: impl Iterator<Item = (u32, f64)>) {
+        self.key_counts = counts.collect();
+    }
+
+    /// Takes over the count of all requests of a previous process.
+    pub fn restore_total_count(&mut self, count: f64) {
+        self.total_count = count;
+    }
+
+    /// Takes over the mean priority weight of a previous process.
+    pub fn restore_mean_priority_weight(&mut self, weight: f64) {
+        self.mean_priority_weight.restore(weight);
+    }
+
+    /// Takes over the shares of classes of a previous process, if they fit the settings.
+    pub fn restore_class_shares(&mut self, shares: &[f64]) {
+        restore_shares(&mut self.class_shares, shares);
+    }
+
+    /// Takes over the shares of tenants of a previous process, if they fit the settings.
+    pub fn restore_tenant_shares(&mut self, shares: &[f64]) {
+        restore_shares(&mut self.tenant_shares, shares);
+    }
+}
+
+fn restore_shares(averages: &mut [MovingAverage], shares: &[f64]) {
+    let is_share = |share: &f64| (0.0..=1.0).contains(share);
+    if shares.len() != averages.len() || !shares.iter().all(is_share) {
+        return;
+    }
+    for (average, share) in averages.iter_mut().zip(shares) {
+        average.restore(*share);
     }
 }
--- a/crates/load-balancer/src/warm_state.rs
+++ b/crates/load-balancer/src/warm_state.rs
@@ -1,153 +1,169 @@
-//! What a router learnt that its successor would have to learn anew: how much each server bears, which key is kept
-//! where, what is asked for, how the origin does.
+//! What a router learnt that its successor would have to learn anew: server limits, locations of keys, recent traffic,
+//! the limit on origin fetches.
 //!
-//! Guards against a process that begins as if the fleet were new to it while its clients are the same: it takes known keys
-//! for fetches and cold servers' budgets for unused. Decides nothing; a part that does not fit what the list says now is
-//! left out.
+//! A measure only. Guards against a process that starts as if the fleet were new to it while its clients are the same:
+//! it takes known keys for fetches. A part that does not fit the present endpoint list is left out.
 
-use crate::api::Micros;
-use crate::state::Router;
+use crate::endpoints::Server;
+use crate::router::Router;
+use crate::time::Micros;
 use serde::{Deserialize, Serialize};
 
-/// More is no router's: what a form holds beyond is left out.
-const SERVERS: usize = 8192;
-const KEYS: usize = 65_536;
+/// Servers that are restored at most: more than any fleet has.
+const SERVER_COUNT: usize = 8192;
+/// Keys that are restored at most: more than a router keeps.
+const KEY_COUNT: usize = 65_536;
+/// A restored latency is cut to this: more is no latency of hits.
+const MAX_LATENCY: Micros = Micros::from_millis(60_000);
+/// A restored number from here on is damaged.
+const SOUND_BOUND: f64 = 1e9;
 
-/// What was learnt of one process of a server.
+/// What was learnt of one process of a server. Stored by position: the order and types of fields are fixed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-struct LearntServer {
+struct WarmServer {
     name: String,
+    /// Microseconds, as all times here.
     started: u64,
     limit: f64,
-    usual: u64,
-    down_at: u64,
-    last_sent: u64,
-    due: f64,
+    typical_latency: u64,
+    possible_restart_at: u64,
+    last_sent_at: u64,
+    slow_start_credit: f64,
 }
 
-/// See the module. Times are on the clock of the events that a router was given.
+/// What a router hands to its successor. Times are in microseconds on the clock of the events that it was given.
+///
+/// Stored by position: the order and types of fields are fixed.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct WarmState {
-    servers: Vec<LearntServer>,
-    /// A key's place, and the number of its server above.
-    known: Vec<(u32, u32)>,
-    popular: Vec<(u32, f64)>,
-    asked_for: f64,
-    usual: u64,
-    fetches: f64,
-    misses: Vec<f64>,
-    mean_worth: f64,
-    asked: Vec<f64>,
-    mix: Vec<f64>,
+    servers: Vec<WarmServer>,
+    /// Ring position of a key, and the index of its server in `servers`.
+    key_locations: Vec<(u32, u32)>,
+    /// Ring position of a key, and its recent requests.
+    key_counts: Vec<(u32, f64)>,
+    total_count: f64,
+    typical_latency: u64,
+    origin_fetch_limit: f64,
+    miss_ratios: Vec<f64>,
+    mean_priority_weight: f64,
+    class_shares: Vec<f64>,
+    tenant_shares: Vec<f64>,
     retry_tokens: f64,
 }
 
-/// A share or a count as it can be used.
+/// Whether a share or a count can be used.
 fn is_sound(value: f64) -> bool {
-    value.is_finite() && (0.0..1e9).contains(&value)
+    value.is_finite() && (0.0..SOUND_BOUND).contains(&value)
+}
+
+/// Whether a value can be used that must not be zero.
+fn is_sound_and_positive(value: f64) -> bool {
+    is_sound(value) && value > 0.0
 }
 
 impl Router {
     /// What this router learnt so far.
     pub fn warm_state(&self) -> WarmState {
-        let server = |s: &crate::state::Server| LearntServer {
-            name: s.member.server.to_string(),
-            started: s.member.started.0,
-            limit: s.load.believed(self.now),
-            usual: s.usual.0,
-            down_at: s.down_at.0,
-            last_sent: s.last_sent.0,
-            due: s.due,
-        };
-        let mut popular: Vec<(u32, f64)> = self
-            .demand
-            .popular
-            .iter()
-            .map(|(&place, &count)| (place, count))
-            .collect();
-        popular.sort_unstable_by_key(|&(place, _)| place);
-        let known = self
-            .known
+        let is_listed = |server: &usize| *server < self.servers.len();
+        let key_locations = self
+            .key_locations
             .iter()
-            .filter(|(_, index)| *index < self.servers.len());
+            .filter(|location| is_listed(&location.server))
+            .map(|location| (location.ring_position, location.server as u32));
         WarmState {
-            servers: self.servers.iter().map(server).collect(),
-            known: known.map(|(place, index)| (place, index as u32)).collect(),
-            popular,
-            asked_for: self.demand.asked_for,
-            usual: self.usual.0,
-            fetches: self.fetches.limit,
-            misses: self.fetches.misses.to_vec(),
-            mean_worth: self.demand.mean_worth,
-            asked: self.demand.asked.clone(),
-            mix: self.demand.mix.clone(),
-            retry_tokens: self.retry_tokens,
+            servers: self.servers.iter().map(|s| self.warm_server(s)).collect(),
+            key_locations: key_locations.collect(),
+            key_counts: self.traffic.key_counts(),
+            total_count: self.traffic.total_count(),
+            typical_latency: self.typical_latency.0,
+            origin_fetch_limit: self.origin_fetches.limit,
+            miss_ratios: self.origin_fetches.miss_ratios().to_vec(),
+            mean_priority_weight: self.traffic.mean_priority_weight(),
+            class_shares: self.traffic.class_shares().collect(),
+            tenant_shares: self.traffic.tenant_shares().collect(),
+            retry_tokens: self.retry_budget.tokens(),
         }
     }
 
-    /// Takes what another process of this router learnt, after its list and the operators' word. A server that has been
-    /// started anew since is met as new.
-    pub fn restore_warm_state(&mut self, now: Micros, learnt: WarmState) {
+    fn warm_server(&self, server: &Server) -> WarmServer {
+        WarmServer {
+            name: server.endpoint.server.to_string(),
+            started: server.endpoint.started.0,
+            limit: server.limit.current(self.now),
+            typical_latency: server.typical_latency.0,
+            possible_restart_at: server.possible_restart_at.0,
+            last_sent_at: server.last_sent_at.0,
+            slow_start_credit: server.slow_start_credit,
+        }
+    }
+
+    /// Takes over what a previous process of this router learnt, after the endpoint list and the operators' overrides.
+    /// A server that was started anew since counts as new.
+    pub fn restore_warm_state(&mut self, now: Micros, state: WarmState) {
         self.now = self.now.max(now);
-        let mut places = Vec::new();
-        for old in learnt.servers.into_iter().take(SERVERS) {
-            let place = self.by_name.get(old.name.as_str()).copied();
-            let place = place.filter(|&i| self.servers[i].member.started == Micros(old.started));
-            places.push(place);
-            let Some(server) = place.map(|i| &mut self.servers[i]) else {
-                continue;
-            };
-            if is_sound(old.limit) && old.limit > 0.0 {
-                server.load.limit = old.limit;
-                server.load.recalled(now);
+        let mut indices = Vec::new();
+        for warm in state.servers.iter().take(SERVER_COUNT) {
+            let index = self.index_of_same_process(warm);
+            if let Some(index) = index {
+                restore_server(&mut self.servers[index], now, warm);
             }
-            server.usual = Micros(old.usual).min(Micros::from_millis(60_000));
-            server.down_at = server.down_at.max(Micros(old.down_at).min(now));
-            server.last_sent = Micros(old.last_sent).min(now);
-            server.due = if is_sound(old.due) {
-                old.due.min(1.0)
-            } else {
-                server.due
-            };
+            indices.push(index);
         }
-        for (place, index) in learnt.known.into_iter().take(KEYS) {
-            if let Some(Some(index)) = places.get(index as usize) {
-                self.known.learn(place, *index);
+        for &(ring_position, server) in state.key_locations.iter().take(KEY_COUNT) {
+            if let Some(Some(index)) = indices.get(server as usize) {
+                self.key_locations.record_served(ring_position, *index);
             }
         }
-        let popular = learnt
-            .popular
-            .into_iter()
-            .filter(|(_, count)| is_sound(*count));
-        self.demand.popular = popular.take(KEYS).collect();
-        if is_sound(learnt.asked_for) {
-            self.demand.asked_for = learnt.asked_for;
+        self.restore_traffic(&state);
+        self.restore_limits(state);
+    }
+
+    fn index_of_same_process(&self, warm: &WarmServer) -> Option<usize> {
+        let index = self.servers.index_of(&warm.name)?;
+        let is_same = self.servers[index].endpoint.started == Micros(warm.started);
+        is_same.then_some(index)
+    }
+
+    fn restore_traffic(&mut self, state: &WarmState) {
+        let is_sound_count = |&(_, count): &(u32, f64)| is_sound(count);
+        let key_counts = state.key_counts.iter().copied().filter(is_sound_count);
+        self.traffic.restore_key_counts(key_counts.take(KEY_COUNT));
+        if is_sound(state.total_count) {
+            self.traffic.restore_total_count(state.total_count);
         }
-        if learnt.usual > 0 {
-            self.usual = Micros(learnt.usual).min(self.shortest_aim);
+        if is_sound_and_positive(state.mean_priority_weight) {
+            self.traffic
+                .restore_mean_priority_weight(state.mean_priority_weight);
         }
-        if is_sound(learnt.fetches) && learnt.fetches > 0.0 {
-            self.fetches.limit = learnt.fetches;
+        self.traffic.restore_class_shares(&state.class_shares);
+        self.traffic.restore_tenant_shares(&state.tenant_shares);
+    }
+
+    fn restore_limits(&mut self, state: WarmState) {
+        if state.typical_latency > 0 {
+            self.typical_latency = Micros(state.typical_latency).min(self.shortest_objective);
         }
-        if let Ok(misses) = <[f64; crate::origin_fetch_limit::FAMILIAR]>::try_from(learnt.misses)
-            && misses.iter().all(|share| (0.0..=1.0).contains(share))
-        {
-            self.fetches.misses = misses;
+        if is_sound_and_positive(state.origin_fetch_limit) {
+            self.origin_fetches.limit = state.origin_fetch_limit;
         }
-        if is_sound(learnt.mean_worth) && learnt.mean_worth > 0.0 {
-            self.demand.mean_worth = learnt.mean_worth;
+        if let Ok(ratios) = state.miss_ratios.try_into() {
+            self.origin_fetches.restore_miss_ratios(ratios);
         }
-        let shares = |mine: &mut Vec<f64>, theirs: Vec<f64>| {
-            if theirs.len() == mine.len() && theirs.iter().all(|share| (0.0..=1.0).contains(share))
-            {
-                *mine = theirs;
-            }
-        };
-        shares(&mut self.demand.asked, learnt.asked);
-        shares(&mut self.demand.mix, learnt.mix);
-        // Both processes are one router: what is left of its further attempts is not given out twice.
-        if is_sound(learnt.retry_tokens) {
-            self.retry_tokens = self.retry_tokens.min(learnt.retry_tokens);
+        if is_sound(state.retry_tokens) {
+            self.retry_budget.restore(state.retry_tokens);
         }
     }
 }
+
+fn restore_server(server: &mut Server, now: Micros, warm: &WarmServer) {
+    if is_sound_and_positive(warm.limit) {
+        server.limit.restore(now, warm.limit);
+    }
+    server.typical_latency = Micros(warm.typical_latency).min(MAX_LATENCY);
+    let possible_restart_at = Micros(warm.possible_restart_at).min(now);
+    server.possible_restart_at = server.possible_restart_at.max(possible_restart_at);
+    server.last_sent_at = Micros(warm.last_sent_at).min(now);
+    if is_sound(warm.slow_start_credit) {
+        server.slow_start_credit = warm.slow_start_credit.min(1.0);
+    }
+}
