--- a/crates/cache-router/tests/router_discovery.rs
+++ b/crates/cache-router/tests/router_discovery.rs
@@ -36,7 +36,7 @@
             client.ask("read", "00000000000000aa").contains("s-b")
         });
         assert!(router.is_running(), "{what}");
-        assert!(router.log_has("discovery: watch"), "{what}: logged");
+        assert!(router.log_has("discovery watch lost: "), "{what}: logged");
     }
 }
 
@@ -228,7 +228,7 @@
             .ask("read", "00000000000000aa")
             .contains("s-a")
     );
-    assert!(router.log_has("discovery: watch silent for too long"));
+    assert!(router.log_has("discovery watch lost: no answer within 2.5 s"));
 }
 
 #[test]
--- a/crates/cache-router/tests/router_signals.rs
+++ b/crates/cache-router/tests/router_signals.rs
@@ -192,7 +192,9 @@
     let mut config = config(first.addr, &[old.entry("up")]);
     config["settings"]["invariants"]["ask_within"] = 1_000.0.into();
     let router = Router::start(&config);
-    wait_until("the call has failed", || router.log_has("discovery: watch"));
+    wait_until("the call has failed", || {
+        router.log_has("discovery watch lost: ")
+    });
     config["discovery"] = second.addr.to_string().into();
     router.reload(&config.to_string());
     let mut client = router.client();
--- a/crates/router-runtime/src/clients.rs
+++ b/crates/router-runtime/src/clients.rs
@@ -3,9 +3,9 @@
 
 mod conversation;
 
-use crate::coalescing_stage::CoalescingStage;
 use crate::environment::Environment;
-use crate::metrics::Tally;
+use crate::metrics::RouterMetrics;
+use crate::stage::RequestStage;
 use crate::write_memory_budget::LargeCommands;
 use bytes::BytesMut;
 use conversation::End;
@@ -35,21 +35,21 @@
 /// How long to leave the listener alone after it failed, out of descriptors for instance.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-pub struct Clients<W: Environment> {
-    world: W,
-    joiner: Rc<CoalescingStage<W>>,
+pub struct Clients<E: Environment> {
+    environment: E,
+    requests: Rc<dyn RequestStage>,
     names: Rc<Names>,
     classes: Vec<Class>,
     most: usize,
     /// In the order in which they came, so that equal days go alike.
     open: RefCell<BTreeMap<u64, Rc<Client>>>,
     last: Cell<u64>,
-    life: Rc<Cell<Lifecycle>>,
-    tally: Rc<Tally>,
+    lifecycle: Rc<Cell<Lifecycle>>,
+    metrics: Rc<RouterMetrics>,
     /// Taken off the listener and not begun, for want of a place.
-    arrived: RefCell<Option<W::Stream>>,
+    arrived: RefCell<Option<E::Stream>>,
     /// Who takes the connections that are passed on.
-    successor: RefCell<Option<mpsc::UnboundedSender<IdleConnection<W::Stream>>>>,
+    successor: RefCell<Option<mpsc::UnboundedSender<IdleConnection<E::Stream>>>>,
     ended: Notify,
     /// The process ends: nothing more is read.
     finishing: Cell<bool>,
@@ -89,26 +89,26 @@
     evicted: Cell<bool>,
 }
 
-impl<W: Environment> Clients<W> {
+impl<E: Environment> Clients<E> {
     pub fn new(
-        joiner: Rc<CoalescingStage<W>>,
+        requests: Rc<dyn RequestStage>,
         names: Rc<Names>,
         classes: Vec<Class>,
         most: usize,
-        (life, tally): (Rc<Cell<Lifecycle>>, Rc<Tally>),
+        (lifecycle, metrics): (Rc<Cell<Lifecycle>>, Rc<RouterMetrics>),
         large: Rc<LargeCommands>,
-        world: W,
+        environment: E,
     ) -> Rc<Self> {
         Rc::new(Clients {
-            world,
-            joiner,
+            environment,
+            requests,
             names,
             classes,
             most,
             open: RefCell::default(),
             last: Cell::new(0),
-            life,
-            tally,
+            lifecycle,
+            metrics,
             arrived: RefCell::default(),
             successor: RefCell::default(),
             ended: Notify::new(),
@@ -119,30 +119,31 @@
 
     /// Accepts clients, for as long as it is polled and this process is to. Past the limit the next ones wait until
     /// there is room. Left off at any moment, it loses nobody.
-    pub async fn accept(self: &Rc<Self>, listener: &W::Listener) {
+    pub async fn accept(self: &Rc<Self>, listener: &E::Listener) {
         let mut failing = false;
         loop {
             if self.arrived.borrow().is_some() {
                 while self.open.borrow().len() >= self.most {
                     self.make_room();
                     let _ = self
-                        .world
+                        .environment
                         .timeout(ACCEPT_PAUSE, self.ended.notified())
                         .await;
                 }
                 self.start_arrived();
             }
-            match self.world.accept(listener).await {
+            match self.environment.accept(listener).await {
                 Ok(stream) => {
                     failing = false;
                     *self.arrived.borrow_mut() = Some(stream);
                 }
                 Err(error) => {
                     if !std::mem::replace(&mut failing, true) {
-                        self.world.log(format_args!("accepting a client: {error}"));
+                        self.environment
+                            .log(format_args!("accepting a client: {error}"));
                     }
                     self.make_room();
-                    self.world.sleep(ACCEPT_PAUSE).await;
+                    self.environment.sleep(ACCEPT_PAUSE).await;
                 }
             }
         }
@@ -150,11 +151,11 @@
 
     /// Takes what stands in the listener's queue, before that is closed: the machine has accepted it, and would reset it.
     /// There may be some more than there are places for, as long as there are descriptors: nobody comes behind them.
-    pub async fn accept_rest(self: &Rc<Self>, listener: &W::Listener) {
+    pub async fn accept_rest(self: &Rc<Self>, listener: &E::Listener) {
         self.start_arrived();
         while let Ok(Ok(stream)) = self
-            .world
-            .timeout(AT_ONCE, self.world.accept(listener))
+            .environment
+            .timeout(AT_ONCE, self.environment.accept(listener))
             .await
         {
             self.start(IdleConnection {
@@ -183,7 +184,7 @@
     }
 
     /// Serves a connection that this process has accepted or another one has passed on.
-    pub fn start(self: &Rc<Self>, idle_connection: IdleConnection<W::Stream>) {
+    pub fn start(self: &Rc<Self>, idle_connection: IdleConnection<E::Stream>) {
         let id = self.last.get() + 1;
         self.last.set(id);
         let client = Rc::new(Client {
@@ -193,17 +194,17 @@
             has_sent_command: Cell::new(idle_connection.has_sent_command),
             begun: Cell::new(None),
             unknown: Cell::new(0),
-            used: Cell::new(self.world.now()),
+            used: Cell::new(self.environment.now()),
             waiting: RefCell::default(),
             stopped: Cell::new(false),
             evicted: Cell::new(false),
         });
         self.open.borrow_mut().insert(id, client.clone());
         let clients = self.clone();
-        self.world.spawn(async move {
+        self.environment.spawn(async move {
             clients.serve(idle_connection, &client).await;
             for id in client.waiting.take() {
-                clients.joiner.gone(id);
+                clients.requests.client_disconnected(id);
             }
             clients.open.borrow_mut().remove(&id);
             clients.ended.notify_one();
@@ -216,7 +217,7 @@
     /// each newcomer would be closed for the next, before its first command is read. Hurts clients that rest when
     /// hundreds connect and say nothing: they must connect again.
     fn make_room(&self) {
-        let now = self.world.now();
+        let now = self.environment.now();
         let rank = |client: &Client| {
             let since = client.begun.get().unwrap_or(client.used.get());
             let silent = !client.has_sent_command.get() || client.begun.get().is_some();
@@ -248,8 +249,8 @@
     /// router has them connect again, which loses no request.
     pub async fn close_resting(self: Rc<Self>) {
         loop {
-            self.world.sleep(RESTING_ROUND).await;
-            let (open, now) = (self.open.borrow(), self.world.now());
+            self.environment.sleep(RESTING_ROUND).await;
+            let (open, now) = (self.open.borrow(), self.environment.now());
             let rests = |client: &&Rc<Client>| {
                 let idle =
                     client.owed.get() == 0 && client.begun.get().is_none() && !client.closing.get();
@@ -267,7 +268,7 @@
         }
     }
 
-    /// The life of the process has changed: each connection looks what it gets now.
+    /// The lifecycle of the process has changed: each connection looks what it gets now.
     pub fn look_up(&self) {
         self.open
             .borrow()
@@ -275,10 +276,10 @@
             .for_each(|client| client.changed.notify_one());
     }
 
-    /// Who takes what comes to rest, where the life of the process says that it is passed on.
+    /// Who takes what comes to rest, where the lifecycle of the process says that it is passed on.
     pub fn pass_to(
         self: &Rc<Self>,
-        successor: Option<mpsc::UnboundedSender<IdleConnection<W::Stream>>>,
+        successor: Option<mpsc::UnboundedSender<IdleConnection<E::Stream>>>,
     ) {
         *self.successor.borrow_mut() = successor;
         self.start_arrived();
@@ -287,8 +288,8 @@
     /// Gives a connection at rest to the successor; back if there is none.
     fn pass_on(
         &self,
-        idle_connection: IdleConnection<W::Stream>,
-    ) -> Result<(), IdleConnection<W::Stream>> {
+        idle_connection: IdleConnection<E::Stream>,
+    ) -> Result<(), IdleConnection<E::Stream>> {
         match &*self.successor.borrow() {
             Some(successor) => successor.send(idle_connection).map_err(|back| back.0),
             None => Err(idle_connection),
@@ -296,8 +297,8 @@
     }
 
     /// The counts of this process.
-    pub fn tally(&self) -> &Rc<Tally> {
-        &self.tally
+    pub fn metrics(&self) -> &Rc<RouterMetrics> {
+        &self.metrics
     }
 
     /// Returns when all connections are closed or passed on.
@@ -307,7 +308,7 @@
         }
     }
 
-    async fn serve(&self, mut idle_connection: IdleConnection<W::Stream>, client: &Client) {
+    async fn serve(&self, mut idle_connection: IdleConnection<E::Stream>, client: &Client) {
         loop {
             let IdleConnection { stream, unread, .. } = idle_connection;
             let (stream, end) = self.serve_until_rest(stream, unread, client).await;
@@ -325,8 +326,8 @@
                 Ok(()) => return,
                 Err(back) => idle_connection = back,
             }
-            // The successor has gone in this moment, and the life of this process says so soon.
-            self.world.sleep(ACCEPT_PAUSE).await;
+            // The successor has gone in this moment, and the lifecycle of this process says so soon.
+            self.environment.sleep(ACCEPT_PAUSE).await;
         }
     }
 
--- a/crates/router-runtime/src/clients/conversation.rs
+++ b/crates/router-runtime/src/clients/conversation.rs
@@ -1,12 +1,12 @@
 //! What is said on one client's connection: commands in, and answers out in the order of the commands.
 
 use super::{COMMAND_LIMIT, Client, Clients};
-use crate::dispatcher::{Answer, ClientRequest, duration};
+use crate::clock::duration;
 use crate::environment::{Environment, ReadStream, Stream};
-use crate::metrics::{End as Fate, Tally};
-use crate::mutation::{self, Mutation};
+use crate::metrics::{End as Fate, RouterMetrics};
+use crate::mutation::hooks;
+use crate::request::{BodyPiece, ClientRequest, Response, SubmittedRequest};
 use crate::resp::{Command, CommandReader, READ_SIZE, RespError};
-use crate::servers::Piece;
 use crate::write_memory_budget::Large;
 use bytes::{Bytes, BytesMut};
 use load_balancer::*;
@@ -43,20 +43,20 @@
     Now(Bytes),
     /// After this one the connection ends: what follows can't be told apart, or is not worth reading.
     Last(Bytes),
-    Later(Asked, oneshot::Receiver<Answer>, Option<Large>),
+    Later(Asked, oneshot::Receiver<Response>, Option<Large>),
 }
 
 /// A request that was taken. Dropped before it has ended, its client has gone.
 struct Asked {
     id: RequestId,
     class: ClassId,
-    tally: Rc<Tally>,
+    metrics: Rc<RouterMetrics>,
     fate: Option<Fate>,
 }
 
 impl Drop for Asked {
     fn drop(&mut self) {
-        self.tally.ended(self.class.0, self.fate);
+        self.metrics.ended(self.class.0, self.fate);
     }
 }
 
@@ -74,13 +74,13 @@
     Rests(BytesMut),
 }
 
-impl<W: Environment> Clients<W> {
+impl<E: Environment> Clients<E> {
     pub(super) async fn serve_until_rest(
         &self,
-        mut stream: W::Stream,
+        mut stream: E::Stream,
         unread: BytesMut,
         client: &Client,
-    ) -> (W::Stream, End) {
+    ) -> (E::Stream, End) {
         if stream.set_nodelay().is_err() {
             return (stream, End::Left);
         }
@@ -102,7 +102,7 @@
                     () = &mut writing => {}
                     () = self.departed(&reader) => {
                         // It may still read what it did wrong, but waits for nothing.
-                        client.waiting.take().into_iter().for_each(|id| self.joiner.gone(id));
+                        client.waiting.take().into_iter().for_each(|id| self.requests.client_disconnected(id));
                         writing.await;
                     }
                 }
@@ -115,7 +115,7 @@
     /// Reads commands until no more are to be read.
     async fn read_commands(
         &self,
-        stream: &mut <W::Stream as Stream>::Reader<'_>,
+        stream: &mut <E::Stream as Stream>::Reader<'_>,
         mut buffer: BytesMut,
         owed: mpsc::Sender<Owed>,
         client: &Client,
@@ -158,14 +158,14 @@
                 // An idle client holds no buffer of the size of its last command.
                 buffer = BytesMut::new();
             } else if client.begun.get().is_none() {
-                client.begun.set(Some(self.world.now()));
+                client.begun.set(Some(self.environment.now()));
             }
             if self.finishing.get() {
                 return End::Finished;
             }
-            let life = self.life.get();
+            let lifecycle = self.lifecycle.get();
             let (is_owed, may_read_more) = (client.owed.get() > 0, self.may_read_more(client));
-            if life.idle_connection_policy() == IdleConnectionPolicy::HandOver && !is_owed {
+            if lifecycle.idle_connection_policy() == IdleConnectionPolicy::HandOver && !is_owed {
                 return End::Rests(buffer);
             }
             if client.stopped.get() && !is_owed {
@@ -178,14 +178,14 @@
             }
             buffer.reserve(READ_SIZE.max(missing));
             if reader.is_in_value() && progress.is_none() {
-                progress = Some(self.world.now());
+                progress = Some(self.environment.now());
             }
             let has_room = large.as_ref().is_none_or(Large::may_read);
             let is_new = !client.has_sent_command.get()
-                && life.idle_connection_policy() == IdleConnectionPolicy::Close;
+                && lifecycle.idle_connection_policy() == IdleConnectionPolicy::Close;
             let closes = client.closing.get()
                 || !matches!(
-                    life.idle_connection_policy(),
+                    lifecycle.idle_connection_policy(),
                     IdleConnectionPolicy::Keep | IdleConnectionPolicy::HandOver
                 );
             let may_close = closes && !is_new && !is_owed && buffer.is_empty();
@@ -198,8 +198,14 @@
                 (None, false) => Some(client.used.get() + COMMAND_LIMIT),
                 (None, true) => (client.owed.get() == 0).then(|| client.used.get() + IDLE_LIMIT),
             };
-            let drops =
-                mutation::is_active(Mutation::DropsPipelined) && closes && client.owed.get() > 1;
+            let is_done = may_close || client.evicted.get();
+            let early_end = hooks::early_end(
+                is_done.then_some(End::Done),
+                closes,
+                client.owed.get(),
+                End::Left,
+            );
+            let has_early_end = early_end.is_some();
             let reads = may_read_more && has_room;
             let look = async {
                 if reads {
@@ -217,16 +223,15 @@
                 read = look => match read {
                     Ok(count) if count > 0 => {
                         large.iter_mut().for_each(|large| large.arrived(count));
-                        progress = progress.map(|_| self.world.now());
+                        progress = progress.map(|_| self.environment.now());
                         if client.has_sent_command.get() {
-                            client.used.set(self.world.now());
+                            client.used.set(self.environment.now());
                         }
                     }
                     _ => return End::Left,
                 },
-                () = std::future::ready(()), if drops => return End::Left,
-                () = std::future::ready(()), if may_close || client.evicted.get() => return End::Done,
-                () = self.world.sleep_until(limit.unwrap_or_else(|| self.world.now())), if limit.is_some() => return End::Done,
+                end = std::future::ready(early_end), if has_early_end => return end.unwrap_or(End::Done),
+                () = self.environment.sleep_until(limit.unwrap_or_else(|| self.environment.now())), if limit.is_some() => return End::Done,
                 () = client.changed.notified() => {}
                 () = self.large.freed(), if !has_room => {}
             }
@@ -236,24 +241,24 @@
     /// Returns once the client has left, for where it is not read on. Guards against requests that are sent on for nobody,
     /// since the end stands behind commands that are not read yet.
     async fn departed(&self, stream: &impl ReadStream) {
-        while !stream.has_peer_closed() || mutation::is_active(Mutation::OverlooksDepartures) {
-            self.world.sleep(DEPARTED_ROUND).await;
+        while !hooks::has_disconnected(stream.has_peer_closed()) {
+            self.environment.sleep(DEPARTED_ROUND).await;
         }
     }
 
     /// Whether this client's next command is taken. While the router is drained a command that has begun is, and one
     /// that comes while nothing is owed; a client that is never at rest is stopped after a while.
     fn may_read_more(&self, client: &Client) -> bool {
-        let life = self.life.get();
+        let lifecycle = self.lifecycle.get();
         if self.finishing.get() {
             return false;
         }
-        if life.is_handed_over() || !life.is_drained() {
+        if lifecycle.is_handed_over() || !lifecycle.is_drained() {
             client.stopped.set(false);
-            return !life.is_handed_over();
+            return !lifecycle.is_handed_over();
         }
         let rests = client.owed.get() == 0 || client.begun.get().is_some();
-        let stops = !rests && !life.may_read_more(self.joiner.now());
+        let stops = !rests && !lifecycle.may_read_more(self.requests.now());
         client.stopped.set(client.stopped.get() || stops);
         !client.stopped.get()
     }
@@ -265,23 +270,23 @@
         match &words[0].to_ascii_uppercase()[..] {
             b"C.GET" | b"C.SET" => {
                 let ask = Command::new(words).and_then(|command| self.ask(command));
-                match ask.map(|ask| (ask.class, self.joiner.request(ask))) {
-                    Ok((class, Some((id, answer)))) => {
-                        self.tally.began();
+                match ask.map(|ask| (ask.class, self.requests.submit(ask))) {
+                    Ok((class, Some(SubmittedRequest { id, response }))) => {
+                        self.metrics.began();
                         let asked = Asked {
                             id,
                             class,
-                            tally: self.tally.clone(),
+                            metrics: self.metrics.clone(),
                             fate: None,
                         };
                         client.waiting.borrow_mut().insert(id);
-                        Owed::Later(asked, answer, large)
+                        Owed::Later(asked, response, large)
                     }
                     Ok((_, None)) => Owed::Last(error("ERR a request of this id is open")),
                     Err(text) => Owed::Last(error(text)),
                 }
             }
-            b"PING" if self.life.get().reports_healthy() => {
+            b"PING" if self.lifecycle.get().reports_healthy() => {
                 Owed::Now(Bytes::from_static(b"+PONG\r\n"))
             }
             b"PING" => Owed::Now(Bytes::from_static(b"-ERR drained\r\n")),
@@ -333,7 +338,7 @@
     /// Writes answers in the order of the commands, each in one go.
     async fn write_answers(
         &self,
-        mut writer: <W::Stream as Stream>::Writer<'_>,
+        mut writer: <E::Stream as Stream>::Writer<'_>,
         mut answers: mpsc::Receiver<Owed>,
         client: &Client,
     ) {
@@ -342,19 +347,21 @@
                 Owed::Now(bytes) | Owed::Last(bytes) => bytes,
                 Owed::Later(mut asked, answer, _large) => {
                     // The sender is never dropped without an answer; should it be, the client must not wait.
-                    let answer = answer.await.unwrap_or(Answer::Failed);
+                    let answer = answer.await.unwrap_or(Response::Failed);
                     client.waiting.borrow_mut().remove(&asked.id);
                     let (fate, bytes) = match answer {
-                        Answer::Served(bytes) => (Fate::Passed, bytes),
-                        Answer::Rejected(Some(after)) => (
+                        Response::Served(bytes) => (Fate::Passed, bytes),
+                        Response::Rejected(Some(after)) => (
                             Fate::Dropped,
                             Bytes::from(format!("-BUSY {}\r\n", after.0.div_ceil(1_000))),
                         ),
-                        Answer::Rejected(None) => (Fate::Dropped, Bytes::from_static(b"-BUSY\r\n")),
-                        Answer::Failed => {
+                        Response::Rejected(None) => {
+                            (Fate::Dropped, Bytes::from_static(b"-BUSY\r\n"))
+                        }
+                        Response::Failed => {
                             (Fate::BadGateway, Bytes::from_static(b"-ERR failed\r\n"))
                         }
-                        Answer::Long(mut pieces) => {
+                        Response::Streamed(mut pieces) => {
                             match self.write_long(&mut writer, &mut pieces).await {
                                 Some(last) => (Fate::Passed, last),
                                 // Its client tells by the connection's end that it is not whole.
@@ -366,26 +373,22 @@
                     bytes
                 }
             };
-            let bytes = if mutation::is_active(Mutation::AnswersTwice) {
-                [&bytes[..], &bytes[..]].concat().into()
-            } else {
-                bytes
-            };
+            let bytes = hooks::response_bytes(bytes);
             if !self.write(&mut writer, &bytes).await {
                 return;
             }
             client.owed.set(client.owed.get() - 1);
-            client.used.set(self.world.now());
+            client.used.set(self.environment.now());
             client.changed.notify_one();
         }
     }
 
     /// Writes all of it, at whatever pace the client takes it; false if it takes no more.
-    async fn write(&self, writer: &mut <W::Stream as Stream>::Writer<'_>, bytes: &[u8]) -> bool {
+    async fn write(&self, writer: &mut <E::Stream as Stream>::Writer<'_>, bytes: &[u8]) -> bool {
         let mut written = 0;
         while written < bytes.len() {
             match self
-                .world
+                .environment
                 .timeout(WRITE_LIMIT, writer.write(&bytes[written..]))
                 .await
             {
@@ -399,24 +402,24 @@
     /// Writes a long value as it comes, but for its last piece, which is given back; none if it was broken off.
     async fn write_long(
         &self,
-        writer: &mut <W::Stream as Stream>::Writer<'_>,
-        pieces: &mut mpsc::Receiver<Piece>,
+        writer: &mut <E::Stream as Stream>::Writer<'_>,
+        pieces: &mut mpsc::Receiver<BodyPiece>,
     ) -> Option<Bytes> {
         loop {
             match pieces.recv().await? {
-                Piece::Last(bytes) => return Some(bytes),
-                Piece::Bytes(bytes) if self.write(writer, &bytes).await => {}
-                Piece::Bytes(_) => return None,
+                BodyPiece::Last(bytes) => return Some(bytes),
+                BodyPiece::More(bytes) if self.write(writer, &bytes).await => {}
+                BodyPiece::More(_) => return None,
             }
         }
     }
 
     /// Ends sending, and leaves the client time to read that. What it still sends is not read, so that it may send it anew
     /// elsewhere.
-    pub(super) async fn part(&self, mut stream: W::Stream) {
+    pub(super) async fn part(&self, mut stream: E::Stream) {
         if stream.shutdown().await.is_ok() {
             let _ = self
-                .world
+                .environment
                 .timeout(DRAIN_LIMIT, self.departed(&stream.split().0))
                 .await;
         }
@@ -424,7 +427,7 @@
 
     /// Ends sending and reads on for a moment. Closed with bytes unread, a connection is reset, and what was last written
     /// to it may be lost with that.
-    pub(super) async fn drain(&self, mut stream: W::Stream) {
+    pub(super) async fn drain(&self, mut stream: E::Stream) {
         let all = async {
             let (mut left, mut bytes) = (DRAIN_BYTES, [0; READ_SIZE]);
             stream.shutdown().await?;
@@ -437,7 +440,7 @@
             io::Result::Ok(())
         };
         // However it ends, the connection is closed now.
-        let _ = self.world.timeout(DRAIN_LIMIT, all).await;
+        let _ = self.environment.timeout(DRAIN_LIMIT, all).await;
     }
 }
 
--- a/crates/router-runtime/src/coalescing_stage.rs
+++ b/crates/router-runtime/src/coalescing_stage.rs
@@ -1,14 +1,17 @@
-//! Between the fronts and the driver: reads that ask for the same share a flight. It keeps the senders of those who
-//! wait and carries out what [`request_coalescing`] decides.
+//! The stage that coalesces reads: reads that ask for the same share a flight.
 //!
-//! Where joining is off it passes requests on and nothing else.
+//! It keeps the response channels of the waiters and carries out what [`request_coalescing`] decides. Without rules it
+//! passes requests on and nothing else. It relies on one thread: its state is borrowed within a call and never across
+//! an await.
 
-use crate::dispatcher::{Answer, ClientRequest, CoalescingEvent, Dispatcher};
+use crate::dispatcher::Dispatcher;
 use crate::environment::Environment;
-use crate::mutation::{self, Mutation};
+use crate::mutation::hooks;
+use crate::request::{ClientRequest, Response, SubmittedRequest};
+use crate::stage::{RequestStage, StageEvent};
 use load_balancer::{Micros, RequestId};
 use request_coalescing::{
-    Action, Coalescer, CoalescingRules, Counters, Event, FlightOutcome, Read,
+    Action, Coalescer, CoalescingRules, Counters, Event, FlightId, FlightOutcome, Read,
 };
 use rustc_hash::FxHashMap;
 use std::cell::RefCell;
@@ -16,301 +19,342 @@
 use std::time::Instant;
 use tokio::sync::{Notify, oneshot};
 
-/// Fields of the protocol that do not change an answer: the class, which is told apart already, who asks, how long it
-/// waits, what it costs, whether it is a repeat, and the key of an effect that a read has not.
-const LEFT_OUT: [&str; 6] = ["c", "t", "d", "h", "r", "k"];
+/// Fields of the protocol that do not change an answer: class (told apart already), tenant, deadline, cost hint, retry
+/// and idempotency key.
+const IGNORED_FIELDS: [&str; 6] = ["c", "t", "d", "h", "r", "k"];
 
-/// The answer that each waiter of a flight is sent.
-struct Waiting {
-    reply: oneshot::Sender<Answer>,
-    /// The client's id, claimed until then.
-    name: Rc<[u8]>,
-    #[cfg(feature = "mutations")]
-    ask: (ClientRequest, Micros),
+/// The field that names the tenant.
+const TENANT_FIELD: &str = "t";
+
+/// A read that waits for a flight.
+struct Waiter {
+    response: oneshot::Sender<Response>,
+    /// The client's id, claimed until the response.
+    client_id: Rc<[u8]>,
+    request: hooks::WaiterRequest,
 }
 
 struct State {
-    joining: Coalescer,
-    waiting: FxHashMap<RequestId, Waiting>,
-    /// Kept for its room.
+    coalescer: Coalescer,
+    waiters: FxHashMap<RequestId, Waiter>,
+    /// Empty between events; kept for its capacity.
     actions: Vec<Action>,
 }
 
-struct On {
+/// What the stage needs where coalescing is on.
+struct Coalescing {
     rules: CoalescingRules,
     may_cancel: bool,
     state: RefCell<State>,
-    /// A waiter is due earlier than any before.
-    due: Notify,
+    /// The earliest deadline of a waiter has moved forward.
+    deadline_moved: Notify,
+}
+
+/// What an event is about, for the actions that it causes.
+enum Subject {
+    None,
+    /// The read that has arrived.
+    Request(ClientRequest),
+    /// The response of the flight that has ended.
+    Response(Response),
+}
+
+/// How many reads wait for how many flights, and what coalescing came to since the start.
+pub struct CoalescingUsage {
+    /// Counts since the start of the process.
+    pub counters: Counters,
+    /// Reads that wait now.
+    pub waiters: usize,
+    /// Flights that reads wait for now.
+    pub flights: usize,
 }
 
 /// See the module.
-pub struct CoalescingStage<W: Environment> {
-    world: W,
-    driver: Rc<Dispatcher<W>>,
-    on: Option<On>,
+pub struct CoalescingStage<E: Environment> {
+    environment: E,
+    dispatcher: Rc<Dispatcher<E>>,
+    /// `None`: coalescing is off.
+    coalescing: Option<Coalescing>,
 }
 
-impl<W: Environment> CoalescingStage<W> {
-    /// With rules, joining is on.
+impl<E: Environment> CoalescingStage<E> {
+    /// A stage that coalesces by these rules, or passes all requests on. `may_cancel`: attempts for nobody are
+    /// cancelled.
     pub fn new(
-        driver: Rc<Dispatcher<W>>,
+        dispatcher: Rc<Dispatcher<E>>,
         rules: Option<CoalescingRules>,
         may_cancel: bool,
-        world: W,
+        environment: E,
     ) -> Rc<Self> {
-        let on = rules.map(|rules| {
-            let joining = Coalescer::new(rules.bounds, &rules.classes).advising(rules.advice);
-            let state = State {
-                joining,
-                waiting: FxHashMap::default(),
-                actions: Vec::new(),
-            };
-            On {
-                rules,
-                may_cancel,
-                state: RefCell::new(state),
-                due: Notify::new(),
-            }
+        let stage = Rc::new(CoalescingStage {
+            environment,
+            dispatcher,
+            coalescing: rules.map(|rules| Coalescing::new(rules, may_cancel)),
         });
-        let joiner = Rc::new(CoalescingStage { world, driver, on });
-        if joiner.on.is_some() {
-            let listener = Rc::downgrade(&joiner);
-            joiner.driver.listen(move || {
-                let joiner = listener.upgrade();
-                if let Some((joiner, on)) = joiner
-                    .as_ref()
-                    .and_then(|joiner| Some((joiner, joiner.on.as_ref()?)))
-                {
-                    joiner.settle(on);
+        if stage.coalescing.is_some() {
+            let listener = Rc::downgrade(&stage);
+            stage.dispatcher.listen(move || {
+                if let Some(stage) = listener.upgrade() {
+                    stage.take_stage_events();
                 }
             });
         }
-        joiner
-    }
-
-    /// Takes a request; its one final answer comes on the receiver. None if a request of that id waits already.
-    pub fn request(&self, ask: ClientRequest) -> Option<(RequestId, oneshot::Receiver<Answer>)> {
-        let Some(on) = &self.on else {
-            return self.driver.request(ask);
-        };
-        let joins = on
-            .rules
-            .joined
-            .get(ask.class.0)
-            .is_some_and(|&joined| joined);
-        if ask.command.is_write() && !mutation::is_active(Mutation::JoinsWrites) {
-            if !mutation::is_active(Mutation::JoinsAcrossWrites) {
-                self.handle(
-                    on,
-                    Event::Write {
-                        key: ask.command.key(),
-                    },
-                    None,
-                    None,
-                );
-            }
-            return self.driver.write(ask);
-        }
-        if joins || mutation::is_active(Mutation::JoinsWrites) {
-            self.join(on, ask)
-        } else {
-            self.driver.request(ask)
-        }
+        stage
     }
 
-    fn join(&self, on: &On, ask: ClientRequest) -> Option<(RequestId, oneshot::Receiver<Answer>)> {
-        let name = self.driver.claim(ask.command.id())?;
-        let (reply, answer) = oneshot::channel();
-        let id = self.driver.fresh_id();
-        let (key, class, tenant) = (ask.command.key().clone(), ask.class, ask.tenant);
-        let what = ask.command.variant(|field| {
-            (LEFT_OUT.contains(&field) && !(field == "t" && on.rules.per_tenant))
-                || on.rules.ignore.iter().any(|ignored| ignored == field)
-        });
-        let expires = self.driver.now().plus(ask.wait);
-        #[cfg(feature = "mutations")]
-        let waiting = Waiting {
-            reply,
-            name,
-            ask: (ask.clone(), expires),
+    fn join(&self, coalescing: &Coalescing, request: ClientRequest) -> Option<SubmittedRequest> {
+        let client_id = self.dispatcher.claim_client_id(request.command.id())?;
+        let (sender, response) = oneshot::channel();
+        let id = self.dispatcher.next_id();
+        let key = request.command.key().clone();
+        let variant = coalescing.variant(&request);
+        let expires = self.dispatcher.now().plus(request.wait);
+        let waiter = Waiter {
+            response: sender,
+            client_id,
+            request: hooks::WaiterRequest::new(&request, expires),
         };
-        #[cfg(not(feature = "mutations"))]
-        let waiting = Waiting { reply, name };
-        on.state.borrow_mut().waiting.insert(id, waiting);
+        coalescing.state.borrow_mut().waiters.insert(id, waiter);
         let read = Read {
             id,
-            class,
-            tenant,
+            class: request.class,
+            tenant: request.tenant,
             key: &key,
-            what: &what,
+            what: &variant,
             expires,
         };
-        self.handle(on, Event::Read(read), Some(ask), None);
-        Some((id, answer))
-    }
-
-    /// Now, on the module's clock.
-    pub fn now(&self) -> Micros {
-        self.driver.now()
-    }
-
-    /// The client has left: nothing more is owed.
-    pub fn gone(&self, id: RequestId) {
-        let Some(on) = &self.on else {
-            return self.driver.gone(id);
-        };
-        let waiting = on.state.borrow_mut().waiting.remove(&id);
-        match waiting {
-            Some(waiting) => {
-                self.driver.release(&waiting.name);
-                self.handle(on, Event::ClientDisconnected { id }, None, None);
-            }
-            None => self.driver.gone(id),
-        }
+        self.handle(coalescing, Event::Read(read), Subject::Request(request));
+        Some(SubmittedRequest { id, response })
     }
 
-    /// Tells waiters when their own time is up, for as long as the program runs.
+    /// Answers waiters whose own deadline passes, for as long as the process runs.
     pub async fn run(self: Rc<Self>) {
-        let Some(on) = &self.on else { return };
+        let Some(coalescing) = &self.coalescing else {
+            return;
+        };
         loop {
-            let due = self.next_due(on);
+            let due = self.next_waiter_deadline(coalescing);
             tokio::select! {
                 biased;
-                () = on.due.notified() => {}
-                () = self.world.sleep_until(due.unwrap_or_else(|| self.world.now())), if due.is_some() => {}
-            }
-            if !mutation::is_active(Mutation::HoldsWaiters) {
-                self.handle(on, Event::Due, None, None);
+                () = coalescing.deadline_moved.notified() => {}
+                () = self.environment.sleep_until(due.unwrap_or_else(|| self.environment.now())), if due.is_some() => {}
             }
+            hooks::expire_waiters(|| self.handle(coalescing, Event::Due, Subject::None));
         }
     }
 
-    fn next_due(&self, on: &On) -> Option<Instant> {
-        let due = on
-            .state
-            .borrow()
-            .joining
-            .next_due()
-            .filter(|_| !mutation::is_active(Mutation::HoldsWaiters))?;
-        Some(self.driver.instant(due))
+    fn next_waiter_deadline(&self, coalescing: &Coalescing) -> Option<Instant> {
+        let deadline = coalescing.state.borrow().coalescer.next_due();
+        let deadline = hooks::next_waiter_deadline(deadline)?;
+        Some(self.dispatcher.instant(deadline))
     }
 
-    /// Takes what has just happened to flights: one that has its answer takes no more.
-    fn settle(&self, on: &On) {
-        while let Some(news) = self.driver.news() {
-            match news {
-                CoalescingEvent::Wrote(_) if mutation::is_active(Mutation::JoinsAcrossWrites) => {}
-                CoalescingEvent::Wrote(key) => {
-                    self.handle(on, Event::Write { key: &key }, None, None)
-                }
-                CoalescingEvent::Retried(flight) => {
-                    self.handle(on, Event::Retried { flight }, None, None)
+    /// Takes what has happened to flights since the last call.
+    fn take_stage_events(&self) {
+        let Some(coalescing) = &self.coalescing else {
+            return;
+        };
+        while let Some(event) = self.dispatcher.next_stage_event() {
+            match event {
+                StageEvent::WriteEnded(key) => self.separate_reads(coalescing, &key),
+                StageEvent::Retried(id) => {
+                    let flight = FlightId(id);
+                    self.handle(coalescing, Event::Retried { flight }, Subject::None);
                 }
-                CoalescingEvent::Ended(flight, answer) => {
-                    let how = match answer {
-                        Answer::Served(_) | Answer::Long(_) => FlightOutcome::Served,
-                        Answer::Rejected(after) => FlightOutcome::Rejected(after),
-                        Answer::Failed => FlightOutcome::Failed,
+                StageEvent::Ended(id, response) => {
+                    let event = Event::Ended {
+                        flight: FlightId(id),
+                        how: flight_outcome(&response),
                     };
-                    self.handle(on, Event::Ended { flight, how }, None, Some(answer));
+                    self.handle(coalescing, event, Subject::Response(response));
                 }
             }
         }
     }
 
-    /// Feeds the module one event and carries out what it wants done. `ask` is the read that has just come, `answer` that
-    /// of the flight that has just ended.
-    fn handle(
-        &self,
-        on: &On,
-        event: Event<'_>,
-        mut ask: Option<ClientRequest>,
-        answer: Option<Answer>,
-    ) {
-        let (mut actions, first) = {
-            let mut state = on.state.borrow_mut();
-            let mut actions = std::mem::take(&mut state.actions);
-            let first = state.joining.next_due();
-            state.joining.handle(self.driver.now(), event, &mut actions);
-            (actions, first)
+    /// A write begins or ends: reads on its key that come later do not join flights that are out.
+    fn separate_reads(&self, coalescing: &Coalescing, key: &[u8]) {
+        hooks::separate_reads(|| self.handle(coalescing, Event::Write { key }, Subject::None));
+    }
+
+    /// Gives the coalescer an event and carries out its actions.
+    fn handle(&self, coalescing: &Coalescing, event: Event<'_>, subject: Subject) {
+        let (mut request, response) = match subject {
+            Subject::None => (None, None),
+            Subject::Request(request) => (Some(request), None),
+            Subject::Response(response) => (None, Some(response)),
         };
+        let now = self.dispatcher.now();
+        let mut actions = std::mem::take(&mut coalescing.state.borrow_mut().actions);
+        let deadline_before = coalescing.state.borrow().coalescer.next_due();
+        coalescing
+            .state
+            .borrow_mut()
+            .coalescer
+            .handle(now, event, &mut actions);
         for action in actions.drain(..) {
             match action {
                 Action::Open { flight } => {
-                    if let Some(ask) = ask.take() {
-                        self.driver.flight(flight, ask);
+                    if let Some(request) = request.take() {
+                        self.dispatcher.open_shared(flight.0, request);
                     }
                 }
                 Action::Join {
                     flight,
                     tenant,
                     expires,
-                } => self.driver.join(flight, tenant, expires),
+                } => self.dispatcher.join_shared(flight.0, tenant, expires),
                 Action::Alone { id } => {
-                    let waiting = on.state.borrow_mut().waiting.remove(&id);
-                    if let (Some(waiting), Some(ask)) = (waiting, ask.take()) {
-                        self.driver.alone(id, ask, waiting.reply);
+                    let waiter = coalescing.remove_waiter(id);
+                    if let (Some(waiter), Some(request)) = (waiter, request.take()) {
+                        self.dispatcher.submit_claimed(id, request, waiter.response);
                     }
                 }
-                Action::Answer { id, how } => self.answer(on, id, how, answer.as_ref()),
-                Action::Shorten { flight, expires } => self.driver.shorten(flight, expires),
-                Action::Withdraw { flight } => self.driver.withdraw(flight, on.may_cancel),
+                Action::Answer { id, how } => {
+                    self.answer_waiter(coalescing, id, how, response.as_ref());
+                }
+                Action::Shorten { flight, expires } => {
+                    self.dispatcher.shorten_shared(flight.0, expires);
+                }
+                Action::Withdraw { flight } => {
+                    self.dispatcher
+                        .withdraw_shared(flight.0, coalescing.may_cancel);
+                }
             }
         }
-        let mut state = on.state.borrow_mut();
-        state.actions = actions;
-        if state
-            .joining
-            .next_due()
-            .is_some_and(|due| first.is_none_or(|first| due < first))
-        {
-            on.due.notify_one();
-        }
+        coalescing.state.borrow_mut().actions = actions;
+        coalescing.wake_if_earlier_than(deadline_before);
     }
 
-    /// The one place where a waiter gets its final answer.
-    fn answer(&self, on: &On, id: RequestId, how: FlightOutcome, answer: Option<&Answer>) {
-        let Some(waiting) = on.state.borrow_mut().waiting.remove(&id) else {
+    /// The one place where a waiter gets its final response.
+    fn answer_waiter(
+        &self,
+        coalescing: &Coalescing,
+        id: RequestId,
+        outcome: FlightOutcome,
+        response: Option<&Response>,
+    ) {
+        let Some(waiter) = coalescing.remove_waiter(id) else {
             return;
         };
-        #[cfg(feature = "mutations")]
-        if mutation::is_active(Mutation::Stampedes)
-            && answer.is_some()
-            && how != FlightOutcome::Served
+        if response.is_some()
+            && outcome != FlightOutcome::Served
+            && let Some(request) = waiter.request.after_failed_flight(self.dispatcher.now())
         {
-            let (ask, expires) = waiting.ask;
-            let (id, wait) = (self.driver.fresh_id(), expires.since(self.driver.now()));
-            return self
-                .driver
-                .alone(id, ClientRequest { wait, ..ask }, waiting.reply);
+            let id = self.dispatcher.next_id();
+            return self.dispatcher.submit_claimed(id, request, waiter.response);
         }
-        self.driver.release(&waiting.name);
-        let answer = match (how, answer) {
-            // A handle on the same bytes, however many wait for them.
-            (FlightOutcome::Served, Some(Answer::Served(bytes))) => Answer::Served(bytes.clone()),
-            (FlightOutcome::Rejected(after), _) => Answer::Rejected(after),
-            _ => Answer::Failed,
+        self.dispatcher.release_client_id(&waiter.client_id);
+        let response = match (outcome, response) {
+            // All waiters share the same bytes.
+            (FlightOutcome::Served, Some(Response::Served(bytes))) => {
+                Response::Served(bytes.clone())
+            }
+            (FlightOutcome::Rejected(after), _) => Response::Rejected(after),
+            _ => Response::Failed,
         };
-        // The client may have left in this moment; its connection says so by itself.
-        let _ = waiting.reply.send(answer);
+        // A client that disconnects at this moment is noticed by its connection.
+        let _ = waiter.response.send(response);
     }
 
-    /// What passed, and how many wait for how many flights; none where joining is off.
-    pub fn counters(&self) -> Option<(Counters, usize, usize)> {
-        let on = self.on.as_ref()?;
-        let state = on.state.borrow();
-        let (waiters, flights) = state.joining.held();
-        Some((state.joining.counters(), waiters, flights))
+    /// What coalescing came to and who waits now; `None` where it is off.
+    pub fn usage(&self) -> Option<CoalescingUsage> {
+        let state = self.coalescing.as_ref()?.state.borrow();
+        let (waiters, flights) = state.coalescer.held();
+        Some(CoalescingUsage {
+            counters: state.coalescer.counters(),
+            waiters,
+            flights,
+        })
     }
 
     /// The age of the oldest flight.
-    pub fn oldest(&self) -> Option<Micros> {
-        self.on
-            .as_ref()?
-            .state
-            .borrow()
-            .joining
-            .oldest(self.driver.now())
+    pub fn oldest_flight_age(&self) -> Option<Micros> {
+        let state = self.coalescing.as_ref()?.state.borrow();
+        state.coalescer.oldest(self.dispatcher.now())
+    }
+}
+
+impl<E: Environment> RequestStage for CoalescingStage<E> {
+    fn submit(&self, request: ClientRequest) -> Option<SubmittedRequest> {
+        let Some(coalescing) = &self.coalescing else {
+            return self.dispatcher.submit(request);
+        };
+        if hooks::is_write(request.command.is_write()) {
+            self.separate_reads(coalescing, request.command.key());
+            return self.dispatcher.submit_write(request);
+        }
+        if coalescing.is_coalesced(&request) {
+            self.join(coalescing, request)
+        } else {
+            self.dispatcher.submit(request)
+        }
+    }
+
+    fn client_disconnected(&self, id: RequestId) {
+        let Some(coalescing) = &self.coalescing else {
+            return self.dispatcher.client_disconnected(id);
+        };
+        let Some(waiter) = coalescing.remove_waiter(id) else {
+            return self.dispatcher.client_disconnected(id);
+        };
+        self.dispatcher.release_client_id(&waiter.client_id);
+        self.handle(coalescing, Event::ClientDisconnected { id }, Subject::None);
+    }
+
+    fn now(&self) -> Micros {
+        self.dispatcher.now()
+    }
+}
+
+impl Coalescing {
+    fn new(rules: CoalescingRules, may_cancel: bool) -> Self {
+        let coalescer = Coalescer::new(rules.bounds, &rules.classes).advising(rules.advice);
+        let state = State {
+            coalescer,
+            waiters: FxHashMap::default(),
+            actions: Vec::new(),
+        };
+        Coalescing {
+            rules,
+            may_cancel,
+            state: RefCell::new(state),
+            deadline_moved: Notify::new(),
+        }
+    }
+
+    /// Whether reads of this request's class are coalesced.
+    fn is_coalesced(&self, request: &ClientRequest) -> bool {
+        let joined = self.rules.joined.get(request.class.0);
+        hooks::is_coalesced(joined.is_some_and(|&joined| joined))
+    }
+
+    /// What tells a read from others of its class and key.
+    fn variant(&self, request: &ClientRequest) -> Vec<u8> {
+        request.command.variant(|field| {
+            let by_tenant = field == TENANT_FIELD && self.rules.per_tenant;
+            (IGNORED_FIELDS.contains(&field) && !by_tenant)
+                || self.rules.ignore.iter().any(|ignored| ignored == field)
+        })
+    }
+
+    fn remove_waiter(&self, id: RequestId) -> Option<Waiter> {
+        self.state.borrow_mut().waiters.remove(&id)
+    }
+
+    /// Wakes the task that waits for the earliest deadline of a waiter, if that is earlier now.
+    fn wake_if_earlier_than(&self, deadline_before: Option<Micros>) {
+        let deadline = self.state.borrow().coalescer.next_due();
+        if deadline.is_some_and(|deadline| deadline_before.is_none_or(|before| deadline < before)) {
+            self.deadline_moved.notify_one();
+        }
+    }
+}
+
+fn flight_outcome(response: &Response) -> FlightOutcome {
+    match response {
+        Response::Served(_) | Response::Streamed(_) => FlightOutcome::Served,
+        Response::Rejected(after) => FlightOutcome::Rejected(*after),
+        Response::Failed => FlightOutcome::Failed,
     }
 }
--- /dev/null
+++ b/crates/router-runtime/src/discovery/error.rs
@@ -0,0 +1,37 @@
+//! Why a watch on the list of servers ends.
+
+use crate::endpoint_list::ListError;
+use hyper::StatusCode;
+use std::time::Duration;
+
+/// Why a watch ended.
+#[derive(Debug, thiserror::Error)]
+pub enum WatchError {
+    /// The connection failed.
+    #[error("{0}")]
+    Connect(#[source] std::io::Error),
+    /// The connection was not up within its limit.
+    #[error("no connection within {} s", .0.as_secs_f64())]
+    ConnectTimeout(Duration),
+    /// The answer broke off or is no HTTP.
+    #[error("{0}")]
+    Http(#[from] hyper::Error),
+    /// Discovery answered with another status than 200.
+    #[error("answered {0}")]
+    Status(StatusCode),
+    /// What came is no list.
+    #[error("{0}")]
+    List(#[from] ListError),
+    /// The request cannot be written.
+    #[error("malformed request: {0}")]
+    Request(#[from] hyper::http::Error),
+    /// Discovery ended the watch.
+    #[error("closed by the server")]
+    Closed,
+    /// The call was not answered within its limit.
+    #[error("no answer within {} s", .0.as_secs_f64())]
+    AnswerTimeout(Duration),
+    /// Nothing came for too long.
+    #[error("no data for {} s", .0.as_secs_f64())]
+    Silent(Duration),
+}
--- /dev/null
+++ b/crates/router-runtime/src/dispatcher/attempts.rs
@@ -0,0 +1,209 @@
+//! Attempts: sent as the decision library says, ended once each.
+
+use super::open_requests::ResponseSink;
+use super::{Dispatcher, State};
+use crate::environment::Environment;
+use crate::mutation::hooks;
+use crate::request::Response;
+use crate::servers::{AttemptContext, AttemptLimit, AttemptOwner, AttemptResult, BodyConsumer};
+use load_balancer::{
+    AttemptEnd, AttemptNumber, Availability, Event, Micros, Outcome, RequestId, ServerId,
+};
+use std::cell::Cell;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::{mpsc, oneshot};
+
+/// What the decision library wants sent.
+pub(super) struct AttemptOrder {
+    /// The request.
+    pub id: RequestId,
+    /// Where it goes.
+    pub server: ServerId,
+    /// How long the attempt may take; `None`: until the request's deadline.
+    pub timeout: Option<Micros>,
+    /// How long until its last byte is written, or none of it counts.
+    pub start_within: Option<Micros>,
+}
+
+/// An attempt that is in flight.
+struct InFlight {
+    id: RequestId,
+    number: AttemptNumber,
+    started: Micros,
+    cancelled: oneshot::Receiver<()>,
+    /// Its last byte has been written.
+    is_sent: Rc<Cell<bool>>,
+}
+
+impl<E: Environment> Dispatcher<E> {
+    /// Starts an attempt. Nothing goes out for a request that has its response or no time left.
+    pub(super) fn send(self: &Rc<Self>, state: &mut State, order: AttemptOrder) {
+        let id = order.id;
+        let Some(request) = state.requests.get_mut(id) else {
+            return;
+        };
+        let number = AttemptNumber(request.attempts.len() as u32);
+        let started = self.clock.now();
+        let end = order.timeout.map_or(request.expires, |timeout| {
+            started.plus(timeout).min(request.expires)
+        });
+        let is_answered = request.sink.is_none();
+        if is_answered || end <= started {
+            request.attempts.push(None);
+            state.events.push_back(Event::AttemptEnded(AttemptEnd {
+                complete: is_answered,
+                ..AttemptEnd::new(id, number, Outcome::NotSent, Micros(0))
+            }));
+            return;
+        }
+        let (cancel, cancelled) = oneshot::channel();
+        request.attempts.push(Some(cancel));
+        let start_by = order.start_within.map(|within| started.plus(within));
+        let shared_end = request.shared_end.clone();
+        let limit = AttemptLimit {
+            start_by: start_by.map(|at| self.clock.instant(at)),
+            until: self.clock.instant(end),
+            extended_until: shared_end.filter(|_| order.timeout.is_none()),
+        };
+        let command = request.command.clone();
+        if number.0 > 0 && matches!(request.sink, Some(ResponseSink::Stage)) {
+            state.requests.shared_retried(id);
+        }
+        let is_sent = Rc::new(Cell::new(false));
+        let context = AttemptContext {
+            owner: self.clone(),
+            id,
+            attempt: number,
+            limit,
+            is_sent: is_sent.clone(),
+        };
+        let attempt = || {
+            let upstream = self.upstream.clone();
+            upstream.attempt(order.server.clone(), command.clone(), context.clone())
+        };
+        hooks::attempt_sent(&self.environment, attempt);
+        let in_flight = InFlight {
+            id,
+            number,
+            started,
+            cancelled,
+            is_sent,
+        };
+        self.run_attempt(attempt(), in_flight);
+    }
+
+    /// Runs an attempt. The task ends with the attempt, at the latest at its limit, or when it is cancelled.
+    fn run_attempt(
+        self: &Rc<Self>,
+        attempt: impl Future<Output = AttemptResult> + 'static,
+        in_flight: InFlight,
+    ) {
+        let dispatcher = self.clone();
+        self.environment.spawn(async move {
+            let result = tokio::select! {
+                biased;
+                result = attempt => result,
+                // An attempt whose client stalls has ended before, and goes on.
+                Ok(()) = in_flight.cancelled => match in_flight.is_sent.get() {
+                    true => Outcome::Cancelled.into(),
+                    false => Outcome::NotSent.into(),
+                },
+            };
+            let end = result.streaming_since.map_or_else(
+                || dispatcher.clock.now(),
+                |since| dispatcher.clock.micros(since),
+            );
+            let elapsed = end.since(in_flight.started);
+            dispatcher.attempt_ended(in_flight.id, in_flight.number, result, elapsed);
+        });
+    }
+
+    /// The one place where an attempt ends. The first that serves gives the request its response.
+    fn attempt_ended(
+        self: &Rc<Self>,
+        id: RequestId,
+        number: AttemptNumber,
+        result: AttemptResult,
+        elapsed: Micros,
+    ) {
+        let AttemptResult {
+            outcome,
+            cache_status,
+            answer,
+            response_started,
+            connection_use,
+            load,
+            streaming_since: _,
+        } = result;
+        let complete = self.record_end(id, number, answer.map(Response::Served));
+        self.upstream
+            .metrics()
+            .attempt_ended(outcome, connection_use, cache_status);
+        self.handle(Event::AttemptEnded(AttemptEnd {
+            id,
+            attempt: number,
+            outcome,
+            complete,
+            elapsed,
+            cache_status,
+            response_started,
+            connection_use,
+            load,
+        }));
+        self.remove_if_over(id);
+    }
+
+    /// Marks an attempt as ended and passes its response on; whether the request has its response.
+    fn record_end(&self, id: RequestId, number: AttemptNumber, response: Option<Response>) -> bool {
+        let mut state = self.state.borrow_mut();
+        if let Some(response) = response {
+            state.requests.respond(id, response);
+        }
+        let Some(request) = state.requests.get_mut(id) else {
+            return true;
+        };
+        request.attempts[number.0 as usize] = None;
+        request.sink.is_none()
+    }
+}
+
+impl<E: Environment> AttemptOwner for Dispatcher<E> {
+    fn may_send(&self, server: &ServerId) -> bool {
+        self.availability(server) == Some(Availability::Accepting)
+    }
+
+    fn is_wanted(&self, id: RequestId, attempt: AttemptNumber) -> bool {
+        let state = self.state.borrow();
+        let is_wanted = state.requests.get(id).is_some_and(|request| {
+            request.sink.is_some() && request.has_in_flight(attempt.0 as usize)
+        });
+        hooks::is_wanted(is_wanted)
+    }
+
+    fn begin_streaming(self: Rc<Self>, id: RequestId, attempt: AttemptNumber) -> BodyConsumer {
+        let pieces = {
+            let mut state = self.state.borrow_mut();
+            match state.requests.get(id).map(|request| &request.sink) {
+                Some(Some(ResponseSink::Stage)) => return BodyConsumer::Buffer,
+                Some(Some(_)) => {}
+                _ => return BodyConsumer::Nobody,
+            }
+            // One piece on its way beside the one that is read: the server goes at the client's pace.
+            let (pieces, body) = mpsc::channel(1);
+            state.requests.respond(id, Response::Streamed(body));
+            pieces
+        };
+        self.handle(Event::StreamStarted { id, attempt });
+        BodyConsumer::Stream(pieces)
+    }
+
+    fn client_stalled(self: Rc<Self>, id: RequestId, attempt: AttemptNumber, took: Duration) {
+        let result = AttemptResult {
+            response_started: true,
+            ..Outcome::Success.into()
+        };
+        let elapsed = Micros(took.as_micros() as u64);
+        self.attempt_ended(id, attempt, result, elapsed);
+    }
+}
--- a/crates/router-runtime/src/endpoint_list.rs
+++ b/crates/router-runtime/src/endpoint_list.rs
@@ -5,11 +5,10 @@
 
 use bytes::{Buf, BytesMut};
 use serde::{Deserialize, Serialize};
-use std::fmt;
 use std::net::SocketAddr;
 
 /// A longer object is no list of any fleet, in bytes.
-const LONGEST: usize = 4 * 1024 * 1024;
+const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
 
 /// A list, or the changes to one, as discovery writes it.
 #[derive(Debug, Default, Deserialize, Serialize)]
@@ -57,29 +56,20 @@
     1.0
 }
 
-/// Why an answer cannot be read on.
-#[derive(Debug)]
+/// Why the rest of an answer cannot be read.
+#[derive(Debug, thiserror::Error)]
 pub enum ListError {
     /// An object is longer than any list.
+    #[error("a list of more than {MAX_LIST_BYTES} bytes")]
     TooLong,
-    /// What came is no list: what is wrong, and where.
-    Malformed(serde_json::Error),
-    /// What came is not even an object.
+    /// An object is no list: what is wrong, and where.
+    #[error("malformed list: {0}")]
+    Malformed(#[source] serde_json::Error),
+    /// What came is no object: its first byte.
+    #[error("malformed list: begins with '{}'", .0.escape_ascii())]
     NoObject(u8),
 }
 
-impl fmt::Display for ListError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            ListError::TooLong => write!(f, "a list of more than {LONGEST} bytes"),
-            ListError::Malformed(error) => write!(f, "malformed list: {error}"),
-            ListError::NoObject(byte) => {
-                write!(f, "malformed list: begins with '{}'", byte.escape_ascii())
-            }
-        }
-    }
-}
-
 /// What has come of an answer and is not read yet.
 #[derive(Debug, Default)]
 pub struct Lists {
@@ -124,7 +114,7 @@
                 _ => self.may_be_whole = false,
             }
         }
-        if self.bytes.len() > LONGEST {
+        if self.bytes.len() > MAX_LIST_BYTES {
             Err(ListError::TooLong)
         } else {
             Ok(None)
@@ -225,6 +215,6 @@
             lists.feed(&[b' '; 64 * 1024]);
             lists.next().is_err()
         });
-        assert_eq!(fed, Some(LONGEST / (64 * 1024) - 1));
+        assert_eq!(fed, Some(MAX_LIST_BYTES / (64 * 1024) - 1));
     }
 }
--- a/crates/router-runtime/src/metrics.rs
+++ b/crates/router-runtime/src/metrics.rs
@@ -15,6 +15,44 @@
     BadGateway,
 }
 
+/// What a router shows operators. Counts begin at 0 with the process.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct Metrics {
+    /// By class, under its name.
+    pub requests_by_class: Vec<(String, ClassCounts)>,
+    /// Attempts whose last byte was written to a cache server.
+    pub attempts_written: u64,
+    /// Requests that were taken and have not ended.
+    pub in_progress: usize,
+    /// Cache servers in the list.
+    pub endpoints_listed: usize,
+    /// Those of them that this router avoids now: disabled by an operator, or unresponsive.
+    pub endpoints_avoided: usize,
+}
+
+/// What a router holds at this moment; for tests and for operators.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct ResourceUsage {
+    /// Requests that wait for their final response.
+    pub unanswered_requests: usize,
+    /// Requests that wait for their response or whose attempts have not all ended.
+    pub open_requests: usize,
+    /// Timers that are not due yet.
+    pub timers: usize,
+    /// Requests that the decision library tracks.
+    pub tracked_requests: usize,
+    /// Servers that the decision library tracks.
+    pub tracked_servers: usize,
+    /// Connections of clients.
+    pub client_connections: usize,
+    /// Idle connections to cache servers.
+    pub idle_upstream_connections: usize,
+    /// Reads that wait for a flight.
+    pub coalesced_waiters: usize,
+    /// Flights that reads wait for.
+    pub coalesced_flights: usize,
+}
+
 /// Counts of one class since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClassCounts {
@@ -28,7 +66,7 @@
 
 /// The counts of one process.
 #[derive(Debug, Default)]
-pub struct Tally {
+pub struct RouterMetrics {
     ends: RefCell<Vec<ClassCounts>>,
     attempts_written: Cell<u64>,
     in_progress: Cell<usize>,
@@ -65,12 +103,12 @@
     pub misses: u64,
 }
 
-impl Tally {
+impl RouterMetrics {
     /// With this many classes.
-    pub fn new(classes: usize) -> Tally {
-        Tally {
+    pub fn new(classes: usize) -> RouterMetrics {
+        RouterMetrics {
             ends: RefCell::new(vec![ClassCounts::default(); classes]),
-            ..Tally::default()
+            ..RouterMetrics::default()
         }
     }
 
@@ -95,7 +133,7 @@
     }
 
     /// An attempt was written whole to a cache server.
-    pub fn tried(&self) {
+    pub fn attempt_written(&self) {
         self.attempts_written.set(self.attempts_written.get() + 1);
     }
 
@@ -106,7 +144,7 @@
     }
 
     /// A connection to a cache server was opened, or could not be.
-    pub fn opened(&self, is_open: bool) {
+    pub fn connection_opened(&self, is_open: bool) {
         self.count(|attempts| {
             if is_open {
                 attempts.opened += 1
@@ -117,7 +155,7 @@
     }
 
     /// Discovery was called.
-    pub fn called(&self) {
+    pub fn discovery_called(&self) {
         self.count(|attempts| attempts.calls += 1);
     }
 
--- a/crates/router-runtime/src/mutation.rs
+++ b/crates/router-runtime/src/mutation.rs
@@ -1,68 +1,73 @@
-//! Deliberate defects for mutation testing: the simulation has to catch each of them. Without the feature `mutations`,
-//! which service builds leave out, there are none and every query is answered at compile time.
+//! Deliberate defects for mutation testing: the simulation has to catch each of them.
+//!
+//! Production code calls the functions of `hooks`. Without the feature `mutations`, which service builds leave out,
+//! each of them is the identity.
+
+pub(crate) mod hooks;
 
 /// A defect that can be activated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutation {
-    /// Each answer is written twice.
+    /// Each response is written twice.
     AnswersTwice,
-    /// At SIGTERM, connections on which several answers are owed are dropped.
+    /// At SIGTERM, connections on which several responses are pending are dropped.
     DropsPipelined,
-    /// Clients are thought to wait 100 ms longer than they say.
+    /// Deadlines of clients count as 100 ms later.
     DeadlinesLate,
-    /// Each attempt is followed by a copy that nobody asked for.
+    /// Each attempt is followed by an unrequested copy.
     SendsAfterAnswer,
-    /// What waited for its connection is sent although its client has left.
+    /// An attempt that waited for its connection is sent although its client has disconnected.
     SendsAfterDeparture,
-    /// A connection to the process before is kept for the one that the list names now.
+    /// A connection to the previous process of a server is kept for the process that the list names now.
     KeepsOldConnections,
-    /// A connection on which an answer is still to come is used for the next request.
+    /// A connection whose response is still to come is used for the next request.
     ReusesTimedOut,
-    /// A reset after the last byte counts as proof that nothing ran.
+    /// A reset after the last byte counts as proof that the request did not run.
     RepeatsUnsafe,
-    /// What may have run is refused as harmless.
+    /// A request that may have run is rejected instead of failed.
     RefusesWhatRan,
-    /// Keyed requests are repeated as if they were remembered for ever.
+    /// Keyed requests are retried as if their deduplication window never ended.
     RepeatsPastMemory,
-    /// Keyed requests of a zone are repeated in other zones.
+    /// Keyed requests of a zone are retried in other zones.
     LeavesTheGroup,
-    /// Drains and removals reach the decisions 251 ms after they came.
+    /// Drains and removals reach the decision library 251 ms late.
     DrainsLate,
-    /// Clients that leave while they are not read on are not noticed.
+    /// Disconnects of clients that are not being read are not noticed.
     OverlooksDepartures,
-    /// What is owed when the process has to end is left without an answer.
+    /// Requests that are pending when the process has to end get no response.
     DropsOwedAtTheEnd,
-    /// A watch on which lists are pushed is kept although it has fallen silent.
+    /// A silent watch in push mode is kept.
     KeepsSilentPush,
     /// Servers that the list removes are kept.
     KeepsRemoved,
-    /// All servers count as started long ago.
+    /// All servers count as started long ago: none is warmed up.
     ForgetsColdness,
-    /// A server that comes back counts as the process that it was.
+    /// A restarted server counts as the same process.
     MissesRestart,
-    /// Timers that have fired are set once more, for an hour later.
+    /// Fired timers are set once more, for an hour later.
     LeaksTimers,
-    /// Connections that broke are kept.
+    /// Broken connections are kept open.
     LeaksConnections,
-    /// Requests are not forgotten when they are over.
+    /// Finished requests are kept in memory.
     LeaksRequests,
-    /// A list that names a server as up lifts the operators' ban.
+    /// A list that names a server as up lifts the operators' override.
     ListLiftsBans,
-    /// A process that is started anew does not take up the bans.
+    /// A restarted process ignores the operators' overrides.
     ForgetsBans,
-    /// Writes of any class are joined like reads.
+    /// Writes of any class are coalesced like reads.
     JoinsWrites,
-    /// A write does not end joining on its key.
+    /// A write does not end coalescing on its key.
     JoinsAcrossWrites,
-    /// Those who wait for a flight wait for its end, also past their own deadlines.
+    /// Waiters of a flight wait for its end, also past their own deadlines.
     HoldsWaiters,
-    /// After a failed flight each of its waiters is sent on alone.
+    /// After a failed flight each of its waiters sends a request of its own.
     Stampedes,
 }
 
 impl Mutation {
-    /// Those that drawn days show. Orders that are too rare for that are scenes: a silent push watch that is kept, owed
-    /// answers dropped at the end, a connection of the old process that is kept, a departure that is overlooked.
+    /// The mutations that randomly drawn runs catch. Scenarios catch the others, whose faults are too rare in drawn
+    /// runs: [`Mutation::KeepsSilentPush`], [`Mutation::DropsOwedAtTheEnd`], [`Mutation::KeepsOldConnections`] and
+    /// [`Mutation::OverlooksDepartures`].
     pub const ALL: [Mutation; 23] = [
         Mutation::AnswersTwice,
         Mutation::DropsPipelined,
@@ -88,10 +93,8 @@
         Mutation::HoldsWaiters,
         Mutation::Stampedes,
     ];
-}
 
-impl Mutation {
-    /// Whether it shows only where reads are joined.
+    /// Whether the defect shows only where reads are coalesced.
     pub fn is_of_joining(self) -> bool {
         use Mutation::{HoldsWaiters, JoinsAcrossWrites, JoinsWrites, Stampedes};
         matches!(
@@ -114,12 +117,12 @@
 
 /// Whether this mutation is active.
 #[cfg(feature = "mutations")]
-pub(crate) fn is_active(mutation: Mutation) -> bool {
+fn is_active(mutation: Mutation) -> bool {
     ACTIVE.get() == Some(mutation)
 }
 
 /// Whether this mutation is active: never.
 #[cfg(not(feature = "mutations"))]
-pub(crate) const fn is_active(_bug: Mutation) -> bool {
+const fn is_active(_mutation: Mutation) -> bool {
     false
 }
--- /dev/null
+++ b/crates/router-runtime/src/mutation/hooks.rs
@@ -0,0 +1,303 @@
+//! The sites at which a mutation changes what the runtime does, one function a site. Without an active mutation each
+//! gives back what it is given.
+
+use super::{Mutation, is_active};
+use crate::endpoint_list::{Health, Host};
+use crate::environment::Environment;
+use crate::request::ClientRequest;
+use bytes::Bytes;
+use load_balancer::{
+    Action, AdminOverride, DeduplicationScope, Endpoint, EndpointState, EndpointUpdate, Event,
+    Idempotency, Micros, Outcome, ServerId, Settings,
+};
+use std::time::{Duration, Instant};
+
+/// Past the end of any simulated run.
+const BEYOND_RUN: Duration = Duration::from_secs(3_600);
+
+/// The settings that the decision library gets.
+pub(crate) fn settings(mut settings: Settings) -> Settings {
+    for class in &mut settings.classes {
+        let Idempotency::Keyed {
+            scope,
+            deduplication_window,
+        } = &mut class.idempotency
+        else {
+            continue;
+        };
+        if is_active(Mutation::RepeatsPastMemory) {
+            *deduplication_window = deduplication_window.scaled(1_000.0);
+        }
+        if is_active(Mutation::LeavesTheGroup) {
+            *scope = DeduplicationScope::All;
+        }
+    }
+    settings
+}
+
+/// An event on its way to the decision library.
+pub(crate) fn event(mut event: Event) -> Event {
+    if is_active(Mutation::RepeatsUnsafe)
+        && let Event::AttemptEnded(end) = &mut event
+        && end.outcome == Outcome::ConnectionLost
+    {
+        end.outcome = Outcome::Unreachable;
+    }
+    event
+}
+
+/// An action on its way from the decision library.
+pub(crate) fn action(action: Action) -> Action {
+    match action {
+        Action::Fail { id } if is_active(Mutation::RefusesWhatRan) => Action::Reject {
+            id,
+            retry_after: None,
+        },
+        action => action,
+    }
+}
+
+/// The deadline of a request that has arrived.
+pub(crate) fn deadline(deadline: Micros) -> Micros {
+    if is_active(Mutation::DeadlinesLate) {
+        deadline.plus(Micros::from_millis(100))
+    } else {
+        deadline
+    }
+}
+
+/// When to set a timer again that has fired: never.
+pub(crate) fn fired_timer(now: Instant) -> Option<Instant> {
+    is_active(Mutation::LeaksTimers).then(|| now + BEYOND_RUN)
+}
+
+/// Whether a request that has ended is removed from memory.
+pub(crate) fn is_removed(is_over: bool) -> bool {
+    is_over && !is_active(Mutation::LeaksRequests)
+}
+
+/// Whether an attempt that has not begun is still wanted.
+pub(crate) fn is_wanted(is_wanted: bool) -> bool {
+    is_wanted || is_active(Mutation::SendsAfterAnswer) || is_active(Mutation::SendsAfterDeparture)
+}
+
+/// An attempt goes out, once.
+pub(crate) fn attempt_sent<E, A, F>(environment: &E, attempt: A)
+where
+    E: Environment,
+    A: FnOnce() -> F,
+    F: Future + 'static,
+{
+    if is_active(Mutation::SendsAfterAnswer) {
+        let copy = attempt();
+        let clock = environment.clone();
+        environment.spawn(async move {
+            clock.sleep(Duration::from_millis(200)).await;
+            copy.await;
+        });
+    }
+}
+
+/// By when a watch has to say something.
+pub(crate) fn silence_deadline(deadline: Instant, is_push: bool, now: Instant) -> Instant {
+    if is_active(Mutation::KeepsSilentPush) && is_push {
+        now + BEYOND_RUN
+    } else {
+        deadline
+    }
+}
+
+/// The hosts of a list, as they are applied now. `apply_later` gets those that are held back.
+pub(crate) fn hosts<E: Environment>(
+    environment: &E,
+    update: EndpointUpdate,
+    mut hosts: Vec<Host>,
+    apply_later: impl FnOnce(Vec<Host>) + 'static,
+) -> Vec<Host> {
+    if is_active(Mutation::DrainsLate) && update != EndpointUpdate::Restored {
+        let (up, late): (Vec<Host>, Vec<Host>) = hosts
+            .into_iter()
+            .partition(|host| host.health == Health::Up);
+        if !late.is_empty() {
+            let clock = environment.clone();
+            environment.spawn(async move {
+                clock.sleep(Duration::from_millis(251)).await;
+                apply_later(late);
+            });
+        }
+        return up;
+    }
+    if is_active(Mutation::KeepsRemoved) {
+        hosts.retain(|host| host.health != Health::Removed);
+    }
+    for host in &mut hosts {
+        if is_active(Mutation::ForgetsColdness) {
+            host.born_ms = 0;
+        }
+        if is_active(Mutation::MissesRestart) {
+            host.born_ms = host.born_ms.min(1);
+        }
+    }
+    hosts
+}
+
+/// Servers that a list names.
+pub(crate) fn endpoints_listed(endpoints: &[Endpoint], mut enable: impl FnMut(&ServerId)) {
+    if !is_active(Mutation::ListLiftsBans) {
+        return;
+    }
+    for endpoint in endpoints {
+        if endpoint.state == EndpointState::Ready {
+            enable(&endpoint.server);
+        }
+    }
+}
+
+/// The operators' overrides that a new process takes over.
+pub(crate) fn admin_overrides(
+    overrides: impl IntoIterator<Item = (ServerId, AdminOverride)>,
+) -> impl Iterator<Item = (ServerId, AdminOverride)> {
+    overrides
+        .into_iter()
+        .filter(|_| !is_active(Mutation::ForgetsBans))
+}
+
+/// Answers what is pending when the process has to end.
+pub(crate) fn fail_pending(fail: impl FnOnce()) {
+    if !is_active(Mutation::DropsOwedAtTheEnd) {
+        fail();
+    }
+}
+
+/// Whether a connection leads to the process that the list names.
+pub(crate) fn is_same_process(is_same: bool) -> bool {
+    is_same || is_active(Mutation::KeepsOldConnections)
+}
+
+/// A connection whose attempt has timed out.
+pub(crate) fn timed_out_connection<C>(connection: C, reuse: impl FnOnce(C)) {
+    if is_active(Mutation::ReusesTimedOut) {
+        reuse(connection);
+    }
+}
+
+/// Takes connections that broke, to close them.
+pub(crate) struct BrokenConnections<C> {
+    #[cfg(feature = "mutations")]
+    leaked: std::cell::RefCell<Vec<C>>,
+    #[cfg(not(feature = "mutations"))]
+    connection: std::marker::PhantomData<C>,
+}
+
+impl<C> BrokenConnections<C> {
+    /// None have broken yet.
+    pub(crate) fn new() -> Self {
+        BrokenConnections {
+            #[cfg(feature = "mutations")]
+            leaked: std::cell::RefCell::default(),
+            #[cfg(not(feature = "mutations"))]
+            connection: std::marker::PhantomData,
+        }
+    }
+
+    /// Closes a connection.
+    #[cfg_attr(not(feature = "mutations"), allow(clippy::unused_self))]
+    pub(crate) fn close(&self, connection: C) {
+        #[cfg(feature = "mutations")]
+        if is_active(Mutation::LeaksConnections) {
+            self.leaked.borrow_mut().push(connection);
+            return;
+        }
+        drop(connection);
+    }
+}
+
+/// Whether a command counts as a write for coalescing.
+pub(crate) fn is_write(is_write: bool) -> bool {
+    is_write && !is_active(Mutation::JoinsWrites)
+}
+
+/// Whether requests of a class are coalesced.
+pub(crate) fn is_coalesced(is_coalesced: bool) -> bool {
+    is_coalesced || is_active(Mutation::JoinsWrites)
+}
+
+/// A write separates the reads before it from those after it.
+pub(crate) fn separate_reads(separate: impl FnOnce()) {
+    if !is_active(Mutation::JoinsAcrossWrites) {
+        separate();
+    }
+}
+
+/// When the next waiter's own deadline is.
+pub(crate) fn next_waiter_deadline(deadline: Option<Micros>) -> Option<Micros> {
+    deadline.filter(|_| !is_active(Mutation::HoldsWaiters))
+}
+
+/// Answers waiters whose own deadline has passed.
+pub(crate) fn expire_waiters(expire: impl FnOnce()) {
+    if !is_active(Mutation::HoldsWaiters) {
+        expire();
+    }
+}
+
+/// What is kept of a coalesced read beside its waiter: nothing.
+pub(crate) struct WaiterRequest {
+    #[cfg(feature = "mutations")]
+    request: ClientRequest,
+    #[cfg(feature = "mutations")]
+    deadline: Micros,
+}
+
+impl WaiterRequest {
+    /// Of a read that has arrived.
+    #[cfg_attr(not(feature = "mutations"), allow(unused_variables))]
+    pub(crate) fn new(request: &ClientRequest, deadline: Micros) -> Self {
+        WaiterRequest {
+            #[cfg(feature = "mutations")]
+            request: request.clone(),
+            #[cfg(feature = "mutations")]
+            deadline,
+        }
+    }
+
+    /// The request that the waiter of a failed flight sends by itself: none.
+    #[cfg_attr(
+        not(feature = "mutations"),
+        allow(unused_variables, clippy::unused_self, clippy::unnecessary_wraps)
+    )]
+    pub(crate) fn after_failed_flight(self, now: Micros) -> Option<ClientRequest> {
+        #[cfg(feature = "mutations")]
+        if is_active(Mutation::Stampedes) {
+            let wait = self.deadline.since(now);
+            return Some(ClientRequest {
+                wait,
+                ..self.request
+            });
+        }
+        None
+    }
+}
+
+/// How reading a connection ends before the client has sent more.
+pub(crate) fn early_end<T>(end: Option<T>, is_closing: bool, pending: usize, drop: T) -> Option<T> {
+    if is_active(Mutation::DropsPipelined) && is_closing && pending > 1 {
+        Some(drop)
+    } else {
+        end
+    }
+}
+
+/// Whether a client that is not being read has disconnected.
+pub(crate) fn has_disconnected(has_disconnected: bool) -> bool {
+    has_disconnected && !is_active(Mutation::OverlooksDepartures)
+}
+
+/// The bytes of a response as they are written.
+pub(crate) fn response_bytes(bytes: Bytes) -> Bytes {
+    if is_active(Mutation::AnswersTwice) {
+        [&bytes[..], &bytes[..]].concat().into()
+    } else {
+        bytes
+    }
+}
--- /dev/null
+++ b/crates/router-runtime/src/request.rs
@@ -0,0 +1,55 @@
+//! A client's request and its response, as connections, stages and the dispatcher pass them on.
+
+use crate::resp::Command;
+use bytes::Bytes;
+use load_balancer::{ClassId, Micros, RequestId, TenantId};
+use tokio::sync::{mpsc, oneshot};
+
+/// A request as its client sent it. The dispatcher gives it its [`RequestId`].
+#[derive(Clone)]
+pub struct ClientRequest {
+    /// Its class, by its place in the settings.
+    pub class: ClassId,
+    /// Its tenant; `None`: none, or one that the settings do not name.
+    pub tenant: Option<TenantId>,
+    /// Its place on the consistent-hash ring.
+    pub key: u64,
+    /// How long its client waits.
+    pub wait: Micros,
+    /// How long its client expects it to take.
+    pub cost_hint: Option<Micros>,
+    /// Whether its client has sent it before.
+    pub retry: bool,
+    /// The command for the cache server.
+    pub command: Command,
+}
+
+/// The one final response to a request.
+#[derive(Debug)]
+pub enum Response {
+    /// The whole answer of a cache server.
+    Served(Bytes),
+    /// A long answer, passed on as it arrives. Only where a single client waits for it.
+    Streamed(mpsc::Receiver<BodyPiece>),
+    /// Rejected without having run; the client may try again after this time.
+    Rejected(Option<Micros>),
+    /// Failed: it may have run.
+    Failed,
+}
+
+/// One piece of a streamed answer.
+#[derive(Debug)]
+pub enum BodyPiece {
+    /// More follows. Where none does, the answer is broken off.
+    More(Bytes),
+    /// The end of the answer.
+    Last(Bytes),
+}
+
+/// A request that was taken.
+pub struct SubmittedRequest {
+    /// Names it within this process.
+    pub id: RequestId,
+    /// Gets its response, once.
+    pub response: oneshot::Receiver<Response>,
+}
--- a/crates/router-runtime/src/runtime.rs
+++ b/crates/router-runtime/src/runtime.rs
@@ -1,19 +1,20 @@
 //! One router from its start to its end: what runs beside what, and what SIGTERM means.
 
 use crate::clients::{Clients, IdleConnection};
+use crate::clock::duration;
 use crate::coalescing_stage::CoalescingStage;
-use crate::discovery::Discovery;
-use crate::dispatcher::{Dispatcher, duration};
+use crate::discovery::{Discovery, DiscoveryConfig};
+use crate::dispatcher::Dispatcher;
 use crate::endpoint_list::EndpointList;
 use crate::environment::Environment;
-use crate::metrics::{AttemptCounts, ClassCounts, Tally};
-use crate::mutation::{self, Mutation};
-use crate::servers::{self, Servers};
+use crate::metrics::{AttemptCounts, Metrics, ResourceUsage, RouterMetrics};
+use crate::mutation::hooks;
+use crate::servers::{self, UpstreamPools};
 use crate::write_memory_budget::LargeCommands;
 use load_balancer::deployment::Deployment;
 use load_balancer::{
-    AdminOverride, Availability, DeduplicationScope, Diagnostics, Discovery as Listing,
-    Idempotency, Micros, Router, ServerId, WarmState,
+    AdminOverride, Availability, Diagnostics, Discovery as Listing, Micros, Router, ServerId,
+    WarmState,
 };
 use process_lifecycle::{Lifecycle, LifecycleEvent};
 use request_coalescing::{CoalescingRules, Counters};
@@ -57,29 +58,6 @@
     pub coalescing: Option<CoalescingRules>,
 }
 
-/// What a router holds at this moment; for tests and for operators.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ResourceUsage {
-    /// Requests that wait for their final answer.
-    pub unanswered_requests: usize,
-    /// Requests and attempts that the engine remembers.
-    pub open_requests: usize,
-    /// Timers that are not due yet.
-    pub timers: usize,
-    /// Requests that the decision library remembers.
-    pub tracked_requests: usize,
-    /// Servers that the decision library remembers.
-    pub tracked_servers: usize,
-    /// Connections of clients.
-    pub client_connections: usize,
-    /// Idle connections to cache servers.
-    pub idle_upstream_connections: usize,
-    /// Reads that wait for a flight.
-    pub coalesced_waiters: usize,
-    /// Flights that reads wait for.
-    pub coalesced_flights: usize,
-}
-
 /// How a router ended.
 #[derive(Clone, Copy, Debug)]
 pub struct ShutdownReport {
@@ -92,60 +70,32 @@
 }
 
 /// One router.
-pub struct RouterRuntime<W: Environment> {
-    world: W,
-    driver: Rc<Dispatcher<W>>,
-    servers: Rc<Servers<W>>,
-    discovery: Rc<Discovery<W>>,
-    joiner: Rc<CoalescingStage<W>>,
-    clients: Rc<Clients<W>>,
+pub struct RouterRuntime<E: Environment> {
+    environment: E,
+    dispatcher: Rc<Dispatcher<E>>,
+    upstream: Rc<UpstreamPools<E>>,
+    discovery: Rc<Discovery<E>>,
+    coalescing: Rc<CoalescingStage<E>>,
+    clients: Rc<Clients<E>>,
     classes: Vec<String>,
-    life: Rc<Cell<Lifecycle>>,
+    lifecycle: Rc<Cell<Lifecycle>>,
     lifecycle_changed: Notify,
     longest: Duration,
 }
 
-/// What a router shows operators. Counts begin at 0 with the process.
-#[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Metrics {
-    /// By class, under its name.
-    pub requests_by_class: Vec<(String, ClassCounts)>,
-    /// Attempts that were written whole to cache servers.
-    pub attempts_written: u64,
-    /// Requests taken and not ended.
-    pub in_progress: usize,
-    /// Cache servers in the list.
-    pub endpoints_listed: usize,
-    /// Those of them that this router avoids now, by hand or since they say nothing.
-    pub endpoints_avoided: usize,
-}
-
-impl<W: Environment> RouterRuntime<W> {
+impl<E: Environment> RouterRuntime<E> {
     /// A router that has read its settings and its last list, and listens to nobody yet.
     ///
     /// # Errors
     /// One plain sentence on the setting that cannot be used.
-    pub fn new(world: W, config: RouterConfig) -> Result<RouterRuntime<W>, String> {
+    pub fn new(environment: E, config: RouterConfig) -> Result<RouterRuntime<E>, String> {
         let Deployment {
-            mut settings,
+            settings,
             names,
             dial_timeout,
             reports,
         } = config.deployment;
-        for class in &mut settings.classes {
-            if let Idempotency::Keyed {
-                scope,
-                deduplication_window,
-            } = &mut class.idempotency
-            {
-                if mutation::is_active(Mutation::RepeatsPastMemory) {
-                    *deduplication_window = deduplication_window.scaled(1_000.0);
-                }
-                if mutation::is_active(Mutation::LeavesTheGroup) {
-                    *scope = DeduplicationScope::All;
-                }
-            }
-        }
+        let settings = hooks::settings(settings);
         let most = config.descriptor_limit.saturating_sub(RESERVED) / 2;
         if most == 0 {
             return Err(format!(
@@ -168,48 +118,54 @@
                 .unwrap_or_default(),
         );
         let may_cancel = settings.limits.cancel;
-        let pushed = settings.discovery == Listing::Push;
+        let is_push = settings.discovery == Listing::Push;
         let router = Router::new(settings, config.seed).map_err(|e| e.to_string())?;
         let names = Rc::new(names);
         let class_names = names.classes.clone();
-        let tally = Rc::new(Tally::new(classes.len()));
-        let life: Rc<Cell<Lifecycle>> = Rc::default();
-        let servers = Servers::new(limits, reports, tally.clone(), world.clone());
-        let driver = Dispatcher::new(router, servers.clone(), world.clone());
+        let metrics = Rc::new(RouterMetrics::new(classes.len()));
+        let lifecycle: Rc<Cell<Lifecycle>> = Rc::default();
+        let upstream = UpstreamPools::new(limits, reports, metrics.clone(), environment.clone());
+        let dispatcher = Dispatcher::new(router, upstream.clone(), environment.clone());
         let discovery = Discovery::new(
-            config.discovery,
-            names.clone(),
-            pushed,
-            driver.clone(),
-            servers.clone(),
-            world.clone(),
+            DiscoveryConfig {
+                addr: config.discovery,
+                names: names.clone(),
+                is_push,
+            },
+            dispatcher.clone(),
+            upstream.clone(),
+            environment.clone(),
+        );
+        let coalescing = CoalescingStage::new(
+            dispatcher.clone(),
+            config.coalescing,
+            may_cancel,
+            environment.clone(),
         );
-        let joiner =
-            CoalescingStage::new(driver.clone(), config.coalescing, may_cancel, world.clone());
         let large = LargeCommands::of_memory(config.memory_bytes);
-        let shared = (life.clone(), tally);
+        let shared = (lifecycle.clone(), metrics);
         let clients = Clients::new(
-            joiner.clone(),
+            coalescing.clone(),
             names,
             classes,
             most,
             shared,
             large,
-            world.clone(),
+            environment.clone(),
         );
         // Before the first client is answered, so that no request finds an empty ring.
-        discovery.known(config.initial_endpoints);
+        discovery.restore(config.initial_endpoints);
         let lifecycle_changed = Notify::new();
         let classes = class_names;
         Ok(RouterRuntime {
-            world,
-            driver,
-            servers,
+            environment,
+            dispatcher,
+            upstream,
             discovery,
-            joiner,
+            coalescing,
             clients,
             classes,
-            life,
+            lifecycle,
             lifecycle_changed,
             longest,
         })
@@ -218,21 +174,21 @@
     /// How this process stands.
     pub fn lifecycle(&self) -> Lifecycle {
         if self
-            .life
+            .lifecycle
             .get()
-            .after(self.driver.now(), LifecycleEvent::EndpointsKnown)
-            != self.life.get()
-            && self.servers.listed() > 0
+            .after(self.dispatcher.now(), LifecycleEvent::EndpointsKnown)
+            != self.lifecycle.get()
+            && self.upstream.listed() > 0
         {
             self.live(LifecycleEvent::EndpointsKnown);
         }
-        self.life.get()
+        self.lifecycle.get()
     }
 
     /// Something happens to the process.
     fn live(&self, event: LifecycleEvent) {
-        self.life
-            .set(self.life.get().after(self.driver.now(), event));
+        self.lifecycle
+            .set(self.lifecycle.get().after(self.dispatcher.now(), event));
         self.lifecycle_changed.notify_one();
         self.clients.look_up();
     }
@@ -254,24 +210,24 @@
 
     /// Puts it back, cold; false if nobody has told of it.
     pub fn enable_server(&self, server: &str) -> bool {
-        self.override_server(server, AdminOverride::EnabledAt(self.driver.now()))
+        self.override_server(server, AdminOverride::EnabledAt(self.dispatcher.now()))
     }
 
     /// Takes a word on a server that is listed, or that operators spoke of while it was; false of another.
     fn override_server(&self, server: &str, word: AdminOverride) -> bool {
         let server = ServerId::from(server);
         let is_listed = self
-            .driver
+            .dispatcher
             .availability(&server)
             .is_some_and(|standing| standing != Availability::Removed);
         let is_known = is_listed
             || self
-                .driver
+                .dispatcher
                 .admin_overrides()
                 .iter()
                 .any(|(named, _)| *named == server);
         if is_known {
-            self.driver.apply_admin_override(server, word);
+            self.dispatcher.apply_admin_override(server, word);
         }
         is_known
     }
@@ -281,26 +237,24 @@
         &self,
         words: impl IntoIterator<Item = (ServerId, AdminOverride)>,
     ) {
-        if !mutation::is_active(Mutation::ForgetsBans) {
-            words
-                .into_iter()
-                .for_each(|(server, word)| self.driver.apply_admin_override(server, word));
+        for (server, admin_override) in hooks::admin_overrides(words) {
+            self.dispatcher.apply_admin_override(server, admin_override);
         }
     }
 
     /// All that operators said of servers.
     pub fn admin_overrides(&self) -> Vec<(ServerId, AdminOverride)> {
-        self.driver.admin_overrides()
+        self.dispatcher.admin_overrides()
     }
 
     /// What the decision module learnt so far.
     pub fn warm_state(&self) -> WarmState {
-        self.driver.warm_state()
+        self.dispatcher.warm_state()
     }
 
     /// What another process of this router learnt; after what operators told it.
     pub fn restore_warm_state(&self, learnt: WarmState) {
-        self.driver.restore_warm_state(learnt);
+        self.dispatcher.restore_warm_state(learnt);
     }
 
     /// Where the list comes from, and how it stands.
@@ -310,33 +264,36 @@
 
     /// What operators are shown.
     pub fn metrics(&self) -> Metrics {
-        let (by_class, attempts_written, in_progress) = self.clients.tally().read();
+        let (by_class, attempts_written, in_progress) = self.clients.metrics().read();
         Metrics {
             requests_by_class: self.classes.iter().cloned().zip(by_class).collect(),
             attempts_written,
             in_progress,
-            endpoints_listed: self.servers.listed(),
-            endpoints_avoided: self.driver.avoided_endpoints(),
+            endpoints_listed: self.upstream.listed(),
+            endpoints_avoided: self.dispatcher.avoided_endpoints(),
         }
     }
 
     /// What attempts came to since the start, and what the decision module believes now.
     pub fn attempts(&self) -> (AttemptCounts, Diagnostics) {
-        (self.servers.tally().attempts(), self.driver.diagnostics())
+        (
+            self.upstream.metrics().attempts(),
+            self.dispatcher.diagnostics(),
+        )
     }
 
     /// Leaves half of the places for connections to cache servers to another process of this router, or takes them
     /// back.
     pub fn share_connection_slots(&self, shared: bool) {
         if shared {
-            self.servers.cede_half()
+            self.upstream.cede_half()
         } else {
-            self.servers.take_back()
+            self.upstream.take_back()
         }
     }
 
     /// Another process has taken over the listener: connections are given to it as they come to rest.
-    pub fn hand_over_to(&self, successor: mpsc::UnboundedSender<IdleConnection<W::Stream>>) {
+    pub fn hand_over_to(&self, successor: mpsc::UnboundedSender<IdleConnection<E::Stream>>) {
         self.clients.pass_to(Some(successor));
         self.live(LifecycleEvent::SuccessorServes);
     }
@@ -348,7 +305,7 @@
     }
 
     /// Serves a connection that another process has given up.
-    pub fn adopt_connection(&self, idle_connection: IdleConnection<W::Stream>) {
+    pub fn adopt_connection(&self, idle_connection: IdleConnection<E::Stream>) {
         self.clients.start(idle_connection);
     }
 
@@ -359,27 +316,30 @@
 
     /// What it holds now.
     pub fn resource_usage(&self) -> ResourceUsage {
-        let (_, waiters, flights) = self.joiner.counters().unwrap_or_default();
+        let (waiters, flights) = self
+            .coalescing
+            .usage()
+            .map_or((0, 0), |usage| (usage.waiters, usage.flights));
         ResourceUsage {
             client_connections: self.clients.count(),
-            idle_upstream_connections: self.servers.idle(),
+            idle_upstream_connections: self.upstream.idle(),
             coalesced_waiters: waiters,
             coalesced_flights: flights,
-            ..self.driver.resource_usage()
+            ..self.dispatcher.resource_usage()
         }
     }
 
     /// What joining came to so far, and the age of the oldest flight that is out; `None` where joining is off.
     pub fn coalescing_counters(&self) -> Option<(Counters, Option<Micros>)> {
-        self.joiner
-            .counters()
-            .map(|(counters, ..)| (counters, self.joiner.oldest()))
+        self.coalescing
+            .usage()
+            .map(|usage| (usage.counters, self.coalescing.oldest_flight_age()))
     }
 
     /// Accepts clients whenever this process is to.
-    async fn accept(&self, listener: &W::Listener) {
+    async fn accept(&self, listener: &E::Listener) {
         loop {
-            if self.life.get().accepts() {
+            if self.lifecycle.get().accepts() {
                 tokio::select! {
                     biased;
                     () = self.lifecycle_changed.notified() => {}
@@ -394,30 +354,32 @@
     /// Serves until `stop` returns, and then until nothing is owed or the time for that is over.
     pub async fn run(
         &self,
-        listener: W::Listener,
+        listener: E::Listener,
         stop: impl Future<Output = ()>,
     ) -> ShutdownReport {
-        let world = &self.world;
-        world.spawn(self.discovery.clone().run());
-        world.spawn(self.driver.clone().run_timers());
-        world.spawn(self.joiner.clone().run());
-        let driver = self.driver.clone();
-        world.spawn(
-            self.servers
+        let environment = &self.environment;
+        environment.spawn(self.discovery.clone().run());
+        environment.spawn(self.dispatcher.clone().run_timers());
+        environment.spawn(self.coalescing.clone().run());
+        let dispatcher = self.dispatcher.clone();
+        environment.spawn(
+            self.upstream
                 .clone()
-                .retire_idle(move || driver.idle_connection_lifetime()),
+                .retire_idle(move || dispatcher.idle_connection_lifetime()),
         );
-        world.spawn(self.clients.clone().close_resting());
+        environment.spawn(self.clients.clone().close_resting());
         tokio::select! {
             biased;
             () = stop => {}
             () = self.accept(&listener) => {}
         }
         // Those that come now are served too: the front hears of the end only by and by.
-        let start = world.now();
-        if !self.life.get().is_handed_over() {
-            let _ = world.timeout(STILL_ACCEPTING, self.accept(&listener)).await;
-            if !self.life.get().is_handed_over() {
+        let start = environment.now();
+        if !self.lifecycle.get().is_handed_over() {
+            let _ = environment
+                .timeout(STILL_ACCEPTING, self.accept(&listener))
+                .await;
+            if !self.lifecycle.get().is_handed_over() {
                 self.clients.accept_rest(&listener).await;
             }
         }
@@ -429,20 +391,18 @@
             unanswered: 0,
             exit_deadline: killed - EXIT_EARLY,
         };
-        if world
+        if environment
             .timeout_at(killed - LAST_CALL, self.clients.all_ended())
             .await
             .is_err()
         {
-            stopped.failed = self.driver.resource_usage().unanswered_requests;
-            if !mutation::is_active(Mutation::DropsOwedAtTheEnd) {
-                self.driver.fail_all();
-            }
+            stopped.failed = self.dispatcher.resource_usage().unanswered_requests;
+            hooks::fail_pending(|| self.dispatcher.fail_all());
             self.clients.finish();
-            let _ = world
+            let _ = environment
                 .timeout_at(stopped.exit_deadline, self.clients.all_ended())
                 .await;
-            stopped.unanswered = self.driver.resource_usage().unanswered_requests;
+            stopped.unanswered = self.dispatcher.resource_usage().unanswered_requests;
         }
         // Nothing more is passed on.
         self.clients.pass_to(None);
--- a/crates/router-runtime/src/servers.rs
+++ b/crates/router-runtime/src/servers.rs
@@ -1,8 +1,9 @@
 //! Connections to the cache servers: pools, attempts, and what comes back as an [`Outcome`].
 
 use crate::environment::{Environment, Stream};
-use crate::metrics::Tally;
-use crate::mutation::{self, Mutation};
+use crate::metrics::RouterMetrics;
+use crate::mutation::hooks;
+use crate::request::BodyPiece;
 use crate::resp::{Command, LongReader, Part, READ_SIZE, Reply, ReplyReader, Report};
 use bytes::{Bytes, BytesMut};
 use load_balancer::{
@@ -51,18 +52,18 @@
 
 /// How long an attempt may take.
 #[derive(Clone, Debug)]
-pub struct Limit {
+pub struct AttemptLimit {
     /// Its last byte is written by then, or none of it counts.
     pub start_by: Option<Instant>,
     /// It has ended by then ...
     pub until: Instant,
     /// ... or by then, if that is later: it may move while the attempt is out.
-    pub lengthened: Option<Rc<Cell<Instant>>>,
+    pub extended_until: Option<Rc<Cell<Instant>>>,
 }
 
-impl Limit {
+impl AttemptLimit {
     fn until(&self) -> Instant {
-        self.lengthened
+        self.extended_until
             .as_ref()
             .map_or(self.until, |later| later.get().max(self.until))
     }
@@ -74,7 +75,7 @@
 }
 
 /// How an attempt ended, and the answer if it served the request.
-pub struct Ended {
+pub struct AttemptResult {
     pub outcome: Outcome,
     pub cache_status: Option<CacheStatus>,
     pub answer: Option<Bytes>,
@@ -85,103 +86,93 @@
     /// What the server said of itself.
     pub load: Option<LoadReport>,
     /// When a value began to come that was passed on from then on: how long its rest took is its client's matter.
-    pub began: Option<Instant>,
+    pub streaming_since: Option<Instant>,
 }
 
-impl From<Outcome> for Ended {
+impl From<Outcome> for AttemptResult {
     fn from(outcome: Outcome) -> Self {
-        Ended {
+        AttemptResult {
             outcome,
             cache_status: None,
             answer: None,
             response_started: false,
             connection_use: ConnectionUse::Unknown,
             load: None,
-            began: None,
+            streaming_since: None,
         }
     }
 }
 
-/// One piece of an answer that is passed on as it comes.
-#[derive(Debug)]
-pub enum Piece {
-    /// More follows. Where none does, the answer is broken off.
-    Bytes(Bytes),
-    /// The end of the answer.
-    Last(Bytes),
-}
-
 /// What becomes of a long value.
-pub enum Takes {
+pub enum BodyConsumer {
     /// It is passed on piece by piece.
-    Pieces(mpsc::Sender<Piece>),
+    Stream(mpsc::Sender<BodyPiece>),
     /// It is wanted whole: several wait for it.
-    Whole,
+    Buffer,
     /// Nobody waits for it.
     Nobody,
 }
 
 /// Whom attempts are made for: the decision module, behind its driver.
-pub trait Owner {
+pub trait AttemptOwner {
     /// Whether something new may go to a server now.
     fn may_send(&self, server: &ServerId) -> bool;
     /// Whether this attempt is still wanted: its request waits for an answer, and the attempt was not called off.
-    fn wants(&self, id: RequestId, attempt: AttemptNumber) -> bool;
+    fn is_wanted(&self, id: RequestId, attempt: AttemptNumber) -> bool;
     /// A long value has begun to come: from here on the request has its answer.
-    fn begins(self: Rc<Self>, id: RequestId, attempt: AttemptNumber) -> Takes;
+    fn begin_streaming(self: Rc<Self>, id: RequestId, attempt: AttemptNumber) -> BodyConsumer;
     /// The client takes the value so slowly that the server's work has ended long since: it had begun to come after
     /// `took`. The attempt counts as ended; how its read went stays unknown.
-    fn held_up(self: Rc<Self>, id: RequestId, attempt: AttemptNumber, took: Duration);
+    fn client_stalled(self: Rc<Self>, id: RequestId, attempt: AttemptNumber, took: Duration);
 }
 
 /// One attempt: whose it is, and what it may take.
 #[derive(Clone)]
-pub struct Errand {
-    pub owner: Rc<dyn Owner>,
+pub struct AttemptContext {
+    pub owner: Rc<dyn AttemptOwner>,
     pub id: RequestId,
     pub attempt: AttemptNumber,
-    pub limit: Limit,
+    pub limit: AttemptLimit,
     /// Its last byte has been written: from then on it may run.
-    pub is_out: Rc<Cell<bool>>,
+    pub is_sent: Rc<Cell<bool>>,
 }
 
-impl Errand {
+impl AttemptContext {
     fn is_wanted(&self) -> bool {
-        self.owner.wants(self.id, self.attempt)
+        self.owner.is_wanted(self.id, self.attempt)
     }
 }
 
 /// Where the pieces of a long value go, and whom to tell that the client holds them up.
 struct Passing<H> {
-    pieces: mpsc::Sender<Piece>,
+    pieces: mpsc::Sender<BodyPiece>,
     held_up: H,
 }
 
 /// The cache servers of the list, each with its idle connections.
-pub struct Servers<W: Environment> {
-    world: W,
+pub struct UpstreamPools<E: Environment> {
+    environment: E,
     /// In the order of their names, so that equal days go alike.
-    pools: RefCell<BTreeMap<ServerId, Pool<W>>>,
+    pools: RefCell<BTreeMap<ServerId, Pool<E>>>,
     limits: Limits,
     /// What load reports hold.
     reports: LoadReportFormat,
     room: Arc<Semaphore>,
     /// Places that are left to another process.
     ceded: Cell<usize>,
-    tally: Rc<Tally>,
-    /// Empty but for a mutation.
-    leaked: RefCell<Vec<Connection<W>>>,
+    metrics: Rc<RouterMetrics>,
+    broken: hooks::BrokenConnections<Connection<E>>,
 }
 
-struct Pool<W: Environment> {
+struct Pool<E: Environment> {
     addr: SocketAddr,
     born_ms: u64,
     /// The most recently used last.
-    idle: Vec<(Connection<W>, Instant)>,
+    idle: Vec<(Connection<E>, Instant)>,
 }
 
-struct Connection<W: Environment> {
-    stream: W::Stream,
+struct Connection<E: Environment> {
+    stream: E::Stream,
     received: BytesMut,
     /// Where it leads, and to which process there: both may change while it is out.
     addr: SocketAddr,
@@ -193,34 +184,38 @@
     _room: OwnedSemaphorePermit,
 }
 
-impl<W: Environment> Pool<W> {
+impl<E: Environment> Pool<E> {
     /// Whether a connection leads to the process that the list names. An answer of the process before may come after the
     /// list has told of the new one: its connection ends with it.
-    fn is_of(&self, connection: &Connection<W>) -> bool {
-        let is_old = self.born_ms != connection.born_ms
-            && !mutation::is_active(Mutation::KeepsOldConnections);
-        self.addr == connection.addr && !is_old
+    fn is_of(&self, connection: &Connection<E>) -> bool {
+        let is_same_process = hooks::is_same_process(self.born_ms == connection.born_ms);
+        self.addr == connection.addr && is_same_process
     }
 }
 
-impl<W: Environment> Servers<W> {
-    pub fn new(limits: Limits, reports: LoadReportFormat, tally: Rc<Tally>, world: W) -> Rc<Self> {
+impl<E: Environment> UpstreamPools<E> {
+    pub fn new(
+        limits: Limits,
+        reports: LoadReportFormat,
+        metrics: Rc<RouterMetrics>,
+        environment: E,
+    ) -> Rc<Self> {
         let room = Arc::new(Semaphore::new(limits.connections));
-        Rc::new(Servers {
-            world,
+        Rc::new(UpstreamPools {
+            environment,
             pools: RefCell::default(),
             limits,
             reports,
             room,
             ceded: Cell::new(0),
-            tally,
-            leaked: RefCell::default(),
+            metrics,
+            broken: hooks::BrokenConnections::new(),
         })
     }
 
     /// What attempts came to.
-    pub fn tally(&self) -> &Tally {
-        &self.tally
+    pub fn metrics(&self) -> &RouterMetrics {
+        &self.metrics
     }
 
     /// Idle connections.
@@ -232,7 +227,7 @@
             .sum()
     }
 
-    /// Takes one entry of the list. A new address or a new process leaves the old connections behind.
+    /// BodyConsumer one entry of the list. A new address or a new process leaves the old connections behind.
     pub fn list(&self, server: &ServerId, addr: SocketAddr, state: EndpointState, born_ms: u64) {
         let mut pools = self.pools.borrow_mut();
         if state == EndpointState::Removed {
@@ -268,7 +263,7 @@
         }
     }
 
-    /// Takes all places back.
+    /// BodyConsumer all places back.
     pub fn take_back(&self) {
         self.room.add_permits(self.ceded.take());
     }
@@ -288,7 +283,7 @@
     /// as the program runs. What is there still may be used.
     pub async fn retire_idle(self: Rc<Self>, hold: impl Fn() -> Duration) {
         loop {
-            self.world.sleep(Duration::from_millis(500)).await;
+            self.environment.sleep(Duration::from_millis(500)).await;
             let hold = hold();
             for pool in self.pools.borrow_mut().values_mut() {
                 pool.idle.retain(|(connection, since)| {
@@ -301,7 +296,7 @@
     }
 
     fn age(&self, since: Instant) -> Duration {
-        self.world.now().saturating_duration_since(since)
+        self.environment.now().saturating_duration_since(since)
     }
 
     fn is_fresh(&self, since: Instant) -> bool {
@@ -313,19 +308,19 @@
         self: Rc<Self>,
         server: ServerId,
         command: Rc<Command>,
-        errand: Errand,
-    ) -> Ended {
+        context: AttemptContext,
+    ) -> AttemptResult {
         let (connection, connection_use) = match self.idle_connection(&server) {
             Some((connection, idle)) => (
                 connection,
                 ConnectionUse::Reused(Micros(idle.as_micros() as u64)),
             ),
-            None => match self.connect(&server, &errand).await {
+            None => match self.connect(&server, &context).await {
                 Ok(connection) => (connection, ConnectionUse::New),
                 // Nothing was dialled: that tells nothing of new connections.
                 Err(Outcome::NotSent) => return Outcome::NotSent.into(),
                 Err(outcome) => {
-                    return Ended {
+                    return AttemptResult {
                         connection_use: ConnectionUse::New,
                         ..outcome.into()
                     };
@@ -333,44 +328,49 @@
             },
         };
         // Much may have happened while the connection came up.
-        if !self.may_begin(&server, &connection, &errand) {
+        if !self.may_begin(&server, &connection, &context) {
             self.put_back(&server, connection);
             return Outcome::NotSent.into();
         }
-        Ended {
+        AttemptResult {
             connection_use,
-            ..self.exchange(&server, connection, &command, &errand).await
+            ..self.exchange(&server, connection, &command, &context).await
         }
     }
 
     /// The one question before an attempt's first byte: whether its request still wants it, its server still takes it
     /// where this connection leads, and there is time left. Guards clients that left or were answered meanwhile, the
     /// drain grace, and the memory of a keyed request. A connection that came up for nobody is kept for others.
-    fn may_begin(&self, server: &ServerId, connection: &Connection<W>, errand: &Errand) -> bool {
+    fn may_begin(
+        &self,
+        server: &ServerId,
+        connection: &Connection<E>,
+        context: &AttemptContext,
+    ) -> bool {
         let leads_there = self
             .pools
             .borrow()
             .get(server)
             .is_some_and(|pool| pool.is_of(connection));
         leads_there
-            && errand.owner.may_send(server)
-            && errand.is_wanted()
-            && self.world.now() <= errand.limit.start_by()
+            && context.owner.may_send(server)
+            && context.is_wanted()
+            && self.environment.now() <= context.limit.start_by()
     }
 
     /// One command and its answer on a connection.
     async fn exchange(
         &self,
         server: &ServerId,
-        mut connection: Connection<W>,
+        mut connection: Connection<E>,
         command: &Command,
-        errand: &Errand,
-    ) -> Ended {
-        let limit = &errand.limit;
+        context: &AttemptContext,
+    ) -> AttemptResult {
+        let limit = &context.limit;
         connection.is_used = true;
         let wait = limit
             .until()
-            .saturating_duration_since(self.world.now())
+            .saturating_duration_since(self.environment.now())
             .as_millis()
             .max(1);
         let (bytes, value) = command.encode(wait as u64);
@@ -381,23 +381,23 @@
             let mut written = 0;
             while written < bytes.len() {
                 // Asked each time that the connection takes more: a long value may wait for that.
-                let write = poll_fn(|cx| match errand.is_wanted() {
+                let write = poll_fn(|cx| match context.is_wanted() {
                     true => Pin::new(&mut connection.stream)
                         .poll_write(cx, &bytes[written..])
                         .map(Some),
                     false => Poll::Ready(None),
                 });
                 // Broken or given up before the last byte: a cache server begins nothing that is not whole.
-                match self.world.timeout_at(limit.start_by(), write).await {
+                match self.environment.timeout_at(limit.start_by(), write).await {
                     Ok(Some(Ok(count))) if count > 0 => written += count,
                     Ok(None) => return Outcome::NotSent.into(),
                     _ => return Outcome::Unreachable.into(),
                 }
             }
         }
-        errand.is_out.set(true);
-        self.tally.tried();
-        self.read_answer(server, connection, errand).await
+        context.is_sent.set(true);
+        self.metrics.attempt_written();
+        self.read_answer(server, connection, context).await
     }
 
     /// The answer to the one command that is out on the connection. What is no answer may have run, and ends the
@@ -405,39 +405,43 @@
     async fn read_answer(
         &self,
         server: &ServerId,
-        mut connection: Connection<W>,
-        errand: &Errand,
-    ) -> Ended {
-        let (whole, start) = (&errand.limit, self.world.now());
+        mut connection: Connection<E>,
+        context: &AttemptContext,
+    ) -> AttemptResult {
+        let (whole, start) = (&context.limit, self.environment.now());
         let mut reader = ReplyReader::default();
         let (mut response_started, mut may_pass) = (false, true);
-        let broken = |response_started| Ended {
+        let broken = |response_started| AttemptResult {
             response_started,
             ..Outcome::ConnectionLost.into()
         };
         loop {
             if may_pass && let Some((head, long)) = reader.long(&mut connection.received) {
-                match errand.owner.clone().begins(errand.id, errand.attempt) {
-                    Takes::Pieces(pieces) => {
-                        let began = self.world.now();
+                match context
+                    .owner
+                    .clone()
+                    .begin_streaming(context.id, context.attempt)
+                {
+                    BodyConsumer::Stream(pieces) => {
+                        let began = self.environment.now();
                         let held_up = || {
                             let took = began.saturating_duration_since(start);
-                            errand
+                            context
                                 .owner
                                 .clone()
-                                .held_up(errand.id, errand.attempt, took);
+                                .client_stalled(context.id, context.attempt, took);
                         };
                         let passing = Passing { pieces, held_up };
                         let ended = self
                             .pass_on(server, connection, (head, long), passing)
                             .await;
-                        return Ended {
-                            began: Some(began),
+                        return AttemptResult {
+                            streaming_since: Some(began),
                             ..ended
                         };
                     }
-                    Takes::Nobody => return Outcome::Cancelled.into(),
-                    Takes::Whole => {
+                    BodyConsumer::Nobody => return Outcome::Cancelled.into(),
+                    BodyConsumer::Buffer => {
                         may_pass = false;
                         let rest =
                             std::mem::replace(&mut connection.received, BytesMut::from(&head[..]));
@@ -463,7 +467,7 @@
             };
             let until = whole.until();
             let limit = if response_started {
-                until.min(self.world.now() + pause)
+                until.min(self.environment.now() + pause)
             } else {
                 until
             };
@@ -472,7 +476,7 @@
             } = &mut connection;
             received.reserve(READ_SIZE);
             match self
-                .world
+                .environment
                 .timeout_at(limit, stream.read_buf(received))
                 .await
             {
@@ -487,18 +491,16 @@
                     return self.ended(reader.served_without_report(received));
                 }
                 Err(_) if limit == until => {
-                    if mutation::is_active(Mutation::ReusesTimedOut) {
+                    hooks::timed_out_connection(connection, |connection| {
                         self.put_back(server, connection);
-                    }
-                    return Ended {
+                    });
+                    return AttemptResult {
                         response_started,
                         ..Outcome::TimedOut.into()
                     };
                 }
                 _ => {
-                    if mutation::is_active(Mutation::LeaksConnections) {
-                        self.leaked.borrow_mut().push(connection);
-                    }
+                    self.broken.close(connection);
                     return broken(response_started);
                 }
             }
@@ -510,12 +512,12 @@
     async fn pass_on(
         &self,
         server: &ServerId,
-        mut connection: Connection<W>,
+        mut connection: Connection<E>,
         (head, mut long): (Bytes, LongReader),
         Passing { pieces, held_up }: Passing<impl Fn()>,
-    ) -> Ended {
+    ) -> AttemptResult {
         let mut is_held_up = false;
-        let broken = || Ended {
+        let broken = || AttemptResult {
             response_started: true,
             ..Outcome::ConnectionLost.into()
         };
@@ -524,7 +526,7 @@
             if !next.is_empty() {
                 let sending = pieces.reserve();
                 tokio::pin!(sending);
-                let mut room = self.world.timeout(HELD_UP, &mut sending).await;
+                let mut room = self.environment.timeout(HELD_UP, &mut sending).await;
                 if room.is_err() {
                     if !std::mem::replace(&mut is_held_up, true) {
                         held_up();
@@ -532,7 +534,7 @@
                     room = Ok(sending.await);
                 }
                 match room {
-                    Ok(Ok(room)) => room.send(Piece::Bytes(std::mem::take(&mut next))),
+                    Ok(Ok(room)) => room.send(BodyPiece::More(std::mem::take(&mut next))),
                     // The client has left.
                     _ => return Outcome::Cancelled.into(),
                 }
@@ -551,7 +553,11 @@
                         stream, received, ..
                     } = &mut connection;
                     received.reserve(PIECE_SIZE);
-                    match self.world.timeout(pause, stream.read_buf(received)).await {
+                    match self
+                        .environment
+                        .timeout(pause, stream.read_buf(received))
+                        .await
+                    {
                         Ok(Ok(count)) if count > 0 => connection.stream.acknowledge_immediately(),
                         _ if long.has_value() => break long.without_report(received),
                         _ => return broken(),
@@ -561,20 +567,20 @@
         };
         let ended = self.ended(reply);
         if let Some(last) = &ended.answer
-            && pieces.send(Piece::Last(last.clone())).await.is_err()
+            && pieces.send(BodyPiece::Last(last.clone())).await.is_err()
         {
             return Outcome::Cancelled.into();
         }
         if connection.received.is_empty() {
             self.put_back(server, connection);
         }
-        Ended {
+        AttemptResult {
             answer: None,
             ..ended
         }
     }
 
-    fn ended(&self, reply: Reply) -> Ended {
+    fn ended(&self, reply: Reply) -> AttemptResult {
         let read = |report: Report| {
             let report = report.filter(|_| !self.reports.is_empty())?;
             std::str::from_utf8(&report)
@@ -590,23 +596,23 @@
             Reply::Failed(report) => (Outcome::Failure, None, None, report),
             Reply::Busy(report) => (Outcome::Overloaded, None, None, report),
         };
-        Ended {
+        AttemptResult {
             outcome,
             cache_status,
             answer,
             response_started: true,
             connection_use: ConnectionUse::Unknown,
             load: read(report),
-            began: None,
+            streaming_since: None,
         }
     }
 
     /// The idle connection used last but not just now, so that the others grow old and are retired; and how long it
     /// was idle.
-    fn idle_connection(&self, server: &ServerId) -> Option<(Connection<W>, Duration)> {
+    fn idle_connection(&self, server: &ServerId) -> Option<(Connection<E>, Duration)> {
         let mut pools = self.pools.borrow_mut();
         let idle = &mut pools.get_mut(server)?.idle;
-        let is_settled = |(connection, since): &(Connection<W>, Instant)| {
+        let is_settled = |(connection, since): &(Connection<E>, Instant)| {
             !connection.is_used || self.age(*since) >= QUIET_TIME + connection.round_trip
         };
         while let Some(place) = idle.iter().rposition(is_settled) {
@@ -618,24 +624,28 @@
         None
     }
 
-    fn put_back(&self, server: &ServerId, mut connection: Connection<W>) {
+    fn put_back(&self, server: &ServerId, mut connection: Connection<E>) {
         connection.received = BytesMut::new();
         let mut pools = self.pools.borrow_mut();
         let pool = pools.get_mut(server).filter(|pool| pool.is_of(&connection));
         if let Some(pool) = pool {
-            pool.idle.push((connection, self.world.now()));
+            pool.idle.push((connection, self.environment.now()));
         }
     }
 
-    async fn connect(&self, server: &ServerId, errand: &Errand) -> Result<Connection<W>, Outcome> {
-        let whole = &errand.limit;
+    async fn connect(
+        &self,
+        server: &ServerId,
+        context: &AttemptContext,
+    ) -> Result<Connection<E>, Outcome> {
+        let whole = &context.limit;
         let place = self
             .pools
             .borrow()
             .get(server)
             .map(|pool| (pool.addr, pool.born_ms));
         let (addr, born_ms) = place.ok_or(Outcome::NotSent)?;
-        let limit = self.world.now() + self.limits.dial_timeout;
+        let limit = self.environment.now() + self.limits.dial_timeout;
         let dial = async {
             let room = match self.room.clone().try_acquire_owned() {
                 Ok(room) => room,
@@ -648,11 +658,11 @@
                         .map_err(io::Error::other)?
                 }
             };
-            if !errand.is_wanted() {
+            if !context.is_wanted() {
                 return Ok(None);
             }
-            let start = self.world.now();
-            let stream = self.world.connect(addr).await?;
+            let start = self.environment.now();
+            let stream = self.environment.connect(addr).await?;
             stream.set_nodelay()?;
             let round_trip = self.age(start);
             let received = BytesMut::new();
@@ -675,13 +685,13 @@
                 connection = &mut dial => {
                     // It waited for a place, and nobody wants it any more.
                     let Some(connection) = connection.transpose() else { return Err(Outcome::NotSent) };
-                    self.tally.opened(connection.is_ok());
+                    self.metrics.connection_opened(connection.is_ok());
                     return connection.map_err(|_| Outcome::Unreachable);
                 }
-                () = self.world.sleep_until(limit.min(until)) => {}
+                () = self.environment.sleep_until(limit.min(until)) => {}
             }
             if limit <= until {
-                self.tally.opened(false);
+                self.metrics.connection_opened(false);
                 return Err(Outcome::Unreachable);
             }
             if whole.until() == until {
