--- a/crates/process-lifecycle/src/lib.rs
+++ b/crates/process-lifecycle/src/lib.rs
@@ -1,43 +1,47 @@
-//! The life of one process of the router: starting, serving, handing over to a successor, ending; and, apart from
-//! that, whether operators have drained it.
+//! Lifecycle of one router process, as a state machine without I/O.
 //!
-//! Pure: events and the time in, and for each state one answer to each question that sockets ask. Whoever holds the
-//! sockets only carries it out. Guards against the states that meet: a drain during a replacement, a successor that
-//! dies before it serves, SIGTERM while drained.
+//! ```text
+//!            EndpointsKnown             SuccessorServes
+//!  Starting ----------------> Serving ------------------> HandingOver
+//!     |                          |     <------------------     |
+//!     |                          |        SuccessorLost        |
+//!     | Terminate                | Terminate                   | Terminate
+//!     v                          v                             v
+//!  Ending without successor <----------------------------> Ending with successor
+//!                             SuccessorServes, SuccessorLost
+//! ```
 //!
-//! | event | starting | serving | handing over | ending |
-//! | --- | --- | --- | --- | --- |
-//! | `EndpointsKnown` | serving | - | - | - |
-//! | `SuccessorServes` | handing over | handing over | - | ending, to the successor |
-//! | `SuccessorLost` | - | - | serving | ending, alone |
-//! | `Terminate` | ending, alone | ending, alone | ending, to the successor | - |
+//! A process that is still `Starting` goes to `HandingOver` on `SuccessorServes` as well. An event without an arrow
+//! changes nothing. Whether operators have drained the router is independent of the phase: `DrainRouter` and
+//! `ResumeRouter` count in every phase, and are idempotent.
 //!
-//! `DrainRouter` and `ResumeRouter` are kept in every state, and are idempotent.
+//! The caller reports events with their time and asks what to do with the listener, a `PING`, and a connection.
+//! Phase and drain stand side by side because they meet: a drain during a replacement, a successor that dies before
+//! it serves, SIGTERM while drained.
 
 use load_balancer::Micros;
 
-/// A client that has just connected to a drained router has its first command on the way most likely: it has so long
-/// for it. The front stops sending new ones 0.2 s after it was told no.
+/// Time that a client which connects to a drained router has for its first command. The client was on its way before
+/// it saw a failed health check, which takes it at most 0.2 s.
 pub const NEWCOMER: Micros = Micros::from_millis(500);
-/// For so long after a drain's begin a client that is never at rest is read on; then what it sends is not read, and its
-/// connection is closed after what it is owed. The platform wants its connections closed at 4 s, and a request of the
-/// last 2 s is one too many there.
-pub const READ_ON: Micros = Micros::from_millis(2_100);
+/// Time after the start of a drain in which commands are still read from a connection that is never idle. The platform
+/// wants connections closed after 4 s; a request that is read in the last 2 s of these may be answered too late.
+pub const DRAIN_READ_DURATION: Micros = Micros::from_millis(2_100);
 
-/// What happens to a process.
+/// An event in the life of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LifecycleEvent {
-    /// It knows servers, so that it can serve.
+    /// The process knows cache servers, and can serve.
     EndpointsKnown,
     /// Operators drain the router.
     DrainRouter,
-    /// The drain's end.
+    /// Operators end the drain.
     ResumeRouter,
-    /// Another process has taken over the listener.
+    /// A successor process has taken over the listener.
     SuccessorServes,
-    /// That other process has gone.
+    /// The successor process has ended, or its channel has failed.
     SuccessorLost,
-    /// SIGTERM, and the time in which new clients still come is over.
+    /// SIGTERM was received, and the time in which new clients still connect is over.
     Terminate,
 }
 
@@ -46,108 +50,119 @@
     Starting,
     Serving,
     HandingOver,
-    Ending { succeeded: bool },
+    Ending { has_successor: bool },
 }
 
-/// What a connection gets that is at rest: nothing is owed on it.
+/// What to do with an idle connection: one without an unanswered request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdleConnectionPolicy {
-    /// It stays open.
+    /// Keep it open.
     Keep,
-    /// It is closed; one that has never asked only after [`NEWCOMER`].
+    /// Close it; one that has not sent a command yet only after [`NEWCOMER`].
     Close,
-    /// The same, and one that has never asked at once.
+    /// Close it at once, whether it has sent a command or not.
     CloseNow,
-    /// It is given to the successor.
+    /// Hand it over to the successor process.
     HandOver,
 }
 
-/// One process.
+/// State of one process. A new one is starting and not drained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lifecycle {
     phase: Phase,
-    /// Since when it is drained.
-    drained: Option<Micros>,
+    /// Start of the drain, `None` if the router is not drained.
+    drained_since: Option<Micros>,
 }
 
 impl Default for Lifecycle {
     fn default() -> Self {
         Lifecycle {
             phase: Phase::Starting,
-            drained: None,
+            drained_since: None,
         }
     }
 }
 
 impl Lifecycle {
-    /// The state after an event at `now`.
+    /// The state after `event` at time `now`.
     #[must_use]
     pub fn after(self, now: Micros, event: LifecycleEvent) -> Lifecycle {
-        use Phase::{Ending, HandingOver, Serving, Starting};
-        let phase = match (self.phase, event) {
-            (Starting, LifecycleEvent::EndpointsKnown) => Serving,
-            (Starting | Serving, LifecycleEvent::SuccessorServes) => HandingOver,
-            (Ending { .. }, LifecycleEvent::SuccessorServes) => Ending { succeeded: true },
-            (HandingOver, LifecycleEvent::SuccessorLost) => Serving,
-            (Ending { .. }, LifecycleEvent::SuccessorLost) => Ending { succeeded: false },
-            (phase @ Ending { .. }, LifecycleEvent::Terminate) => phase,
-            (phase, LifecycleEvent::Terminate) => Ending {
-                succeeded: phase == HandingOver,
+        Lifecycle {
+            phase: self.phase.after(event),
+            drained_since: match event {
+                LifecycleEvent::DrainRouter => self.drained_since.or(Some(now)),
+                LifecycleEvent::ResumeRouter => None,
+                _ => self.drained_since,
             },
-            (phase, _) => phase,
-        };
-        let drained = match event {
-            LifecycleEvent::DrainRouter => self.drained.or(Some(now)),
-            LifecycleEvent::ResumeRouter => None,
-            _ => self.drained,
-        };
-        Lifecycle { phase, drained }
+        }
     }
 
-    /// Whether `PING` is answered with yes.
+    /// Whether a health check (`PING`) succeeds.
     pub fn reports_healthy(&self) -> bool {
-        self.drained.is_none()
+        self.drained_since.is_none()
     }
 
-    /// Whether operators have drained it.
+    /// Whether operators have drained the router.
     pub fn is_drained(&self) -> bool {
-        self.drained.is_some()
+        self.drained_since.is_some()
     }
 
-    /// Whether this process can serve: a drained one can, and one that a successor has relieved cannot.
+    /// Whether this process can serve. A drained one can; one whose successor serves cannot.
     pub fn is_ready(&self) -> bool {
         self.phase == Phase::Serving
     }
 
-    /// Whether this process takes clients off the listener.
+    /// Whether this process accepts connections from the listener.
     pub fn accepts(&self) -> bool {
         matches!(self.phase, Phase::Starting | Phase::Serving)
     }
 
-    /// Whether a successor takes what comes to rest.
+    /// Whether a successor process takes the connections that become idle.
     pub fn is_handed_over(&self) -> bool {
         matches!(
             self.phase,
-            Phase::HandingOver | Phase::Ending { succeeded: true }
+            Phase::HandingOver
+                | Phase::Ending {
+                    has_successor: true
+                }
         )
     }
 
-    /// What a connection at rest gets.
+    /// What to do with idle connections.
     pub fn idle_connection_policy(&self) -> IdleConnectionPolicy {
-        match (self.phase, self.drained) {
+        match self.phase {
             _ if self.is_handed_over() => IdleConnectionPolicy::HandOver,
-            (Phase::Ending { .. }, _) => IdleConnectionPolicy::CloseNow,
-            (_, Some(_)) => IdleConnectionPolicy::Close,
+            Phase::Ending { .. } => IdleConnectionPolicy::CloseNow,
+            _ if self.is_drained() => IdleConnectionPolicy::Close,
             _ => IdleConnectionPolicy::Keep,
         }
     }
 
-    /// Whether a connection that is owed answers is read on, or is to come to rest.
+    /// Whether more commands are read at time `now` from a connection with unanswered requests. If not, the
+    /// connection becomes idle once these are answered.
     pub fn may_read_more(&self, now: Micros) -> bool {
-        match self.drained {
+        match self.drained_since {
             _ if self.is_handed_over() => false,
-            Some(since) => now.since(since) < READ_ON,
+            Some(start) => now.since(start) < DRAIN_READ_DURATION,
             None => true,
         }
     }
 }
+
+impl Phase {
+    /// The phase after `event`.
+    fn after(self, event: LifecycleEvent) -> Phase {
+        use LifecycleEvent::{EndpointsKnown, SuccessorLost, SuccessorServes, Terminate};
+        let ending = |has_successor| Phase::Ending { has_successor };
+        match (self, event) {
+            (Phase::Starting, EndpointsKnown) => Phase::Serving,
+            (Phase::Starting | Phase::Serving, SuccessorServes) => Phase::HandingOver,
+            (Phase::HandingOver, SuccessorLost) => Phase::Serving,
+            (Phase::Starting | Phase::Serving, Terminate) => ending(false),
+            (Phase::HandingOver, Terminate) => ending(true),
+            (Phase::Ending { .. }, SuccessorServes) => ending(true),
+            (Phase::Ending { .. }, SuccessorLost) => ending(false),
+            (phase, _) => phase,
+        }
+    }
+}
--- a/crates/process-lifecycle/tests/lifecycle.rs
+++ b/crates/process-lifecycle/tests/lifecycle.rs
@@ -1,39 +1,46 @@
-//! What a process answers in each state, and where states meet.
+//! What a process does with health checks, the listener and connections in each phase, drained or not.
 
 use load_balancer::Micros;
-use process_lifecycle::{IdleConnectionPolicy, Lifecycle, LifecycleEvent, READ_ON};
+use process_lifecycle::{DRAIN_READ_DURATION, IdleConnectionPolicy, Lifecycle, LifecycleEvent};
 
 const START: Micros = Micros::from_millis(1_000);
 
-/// A process after these events, all at one time.
+/// A process after these events, all at `START`.
 fn after(events: &[LifecycleEvent]) -> Lifecycle {
-    events.iter().fold(Lifecycle::default(), |life, &event| {
-        life.after(START, event)
-    })
+    events
+        .iter()
+        .fold(Lifecycle::default(), |lifecycle, &event| {
+            lifecycle.after(START, event)
+        })
 }
 
 #[test]
-fn it_is_ready_once_it_knows_servers() {
+fn a_process_is_ready_once_it_knows_endpoints() {
     assert!(!after(&[]).is_ready() && after(&[]).accepts());
     assert!(after(&[LifecycleEvent::EndpointsKnown]).is_ready());
 }
 
 #[test]
-fn a_drained_process_says_no_and_closes_what_rests_but_can_serve() {
-    let life = after(&[LifecycleEvent::EndpointsKnown, LifecycleEvent::DrainRouter]);
-    assert!(!life.reports_healthy() && life.is_ready() && life.accepts());
-    assert_eq!(life.idle_connection_policy(), IdleConnectionPolicy::Close);
+fn a_drained_process_reports_unhealthy_and_closes_idle_connections_but_can_serve() {
+    let lifecycle = after(&[LifecycleEvent::EndpointsKnown, LifecycleEvent::DrainRouter]);
+    assert!(!lifecycle.reports_healthy() && lifecycle.is_ready() && lifecycle.accepts());
+    assert_eq!(
+        lifecycle.idle_connection_policy(),
+        IdleConnectionPolicy::Close
+    );
 }
 
 #[test]
-fn a_second_evacuation_does_not_begin_the_drain_anew() {
-    let life = after(&[LifecycleEvent::EndpointsKnown, LifecycleEvent::DrainRouter])
-        .after(START.plus(READ_ON), LifecycleEvent::DrainRouter);
-    assert!(life.may_read_more(START) && !life.may_read_more(START.plus(READ_ON)));
+fn a_second_drain_does_not_restart_the_first() {
+    let lifecycle = after(&[LifecycleEvent::EndpointsKnown, LifecycleEvent::DrainRouter])
+        .after(START.plus(DRAIN_READ_DURATION), LifecycleEvent::DrainRouter);
+    assert!(
+        lifecycle.may_read_more(START) && !lifecycle.may_read_more(START.plus(DRAIN_READ_DURATION))
+    );
 }
 
 #[test]
-fn a_rejoin_ends_the_drain_and_unasked_changes_nothing() {
+fn a_resume_ends_the_drain_and_without_one_changes_nothing() {
     let serving = after(&[LifecycleEvent::EndpointsKnown]);
     assert_eq!(
         after(&[
@@ -47,30 +54,30 @@
 }
 
 #[test]
-fn with_a_successor_connections_at_rest_are_passed_on_and_none_is_accepted() {
-    let life = after(&[
+fn with_a_successor_idle_connections_are_handed_over_and_none_is_accepted() {
+    let lifecycle = after(&[
         LifecycleEvent::EndpointsKnown,
         LifecycleEvent::SuccessorServes,
     ]);
     assert_eq!(
         (
-            life.idle_connection_policy(),
-            life.accepts(),
-            life.is_ready()
+            lifecycle.idle_connection_policy(),
+            lifecycle.accepts(),
+            lifecycle.is_ready()
         ),
         (IdleConnectionPolicy::HandOver, false, false)
     );
-    assert!(!life.may_read_more(START));
+    assert!(!lifecycle.may_read_more(START));
 }
 
 #[test]
-fn a_successor_that_dies_gives_the_service_back() {
-    let life = after(&[
+fn a_lost_successor_returns_the_service_to_its_predecessor() {
+    let lifecycle = after(&[
         LifecycleEvent::EndpointsKnown,
         LifecycleEvent::SuccessorServes,
         LifecycleEvent::SuccessorLost,
     ]);
-    assert_eq!(life, after(&[LifecycleEvent::EndpointsKnown]));
+    assert_eq!(lifecycle, after(&[LifecycleEvent::EndpointsKnown]));
     let ending = after(&[
         LifecycleEvent::EndpointsKnown,
         LifecycleEvent::SuccessorServes,
@@ -84,53 +91,56 @@
 }
 
 #[test]
-fn sigterm_while_drained_ends_the_process_and_leaves_the_drain() {
-    let life = after(&[
+fn sigterm_while_drained_closes_connections_and_leaves_the_drain() {
+    let lifecycle = after(&[
         LifecycleEvent::EndpointsKnown,
         LifecycleEvent::DrainRouter,
         LifecycleEvent::Terminate,
     ]);
     assert_eq!(
         (
-            life.idle_connection_policy(),
-            life.reports_healthy(),
-            life.accepts()
+            lifecycle.idle_connection_policy(),
+            lifecycle.reports_healthy(),
+            lifecycle.accepts()
         ),
         (IdleConnectionPolicy::CloseNow, false, false)
     );
 }
 
 #[test]
-fn a_drain_during_a_replacement_goes_to_the_successor_with_the_connections() {
-    let life = after(&[
+fn a_drain_during_a_replacement_still_hands_connections_over() {
+    let lifecycle = after(&[
         LifecycleEvent::EndpointsKnown,
         LifecycleEvent::SuccessorServes,
         LifecycleEvent::DrainRouter,
     ]);
     assert_eq!(
-        (life.idle_connection_policy(), life.reports_healthy()),
+        (
+            lifecycle.idle_connection_policy(),
+            lifecycle.reports_healthy()
+        ),
         (IdleConnectionPolicy::HandOver, false)
     );
 }
 
 #[test]
-fn after_sigterm_with_a_successor_connections_still_go_to_it() {
-    let life = after(&[
+fn after_sigterm_with_a_successor_connections_are_still_handed_over() {
+    let lifecycle = after(&[
         LifecycleEvent::EndpointsKnown,
         LifecycleEvent::SuccessorServes,
         LifecycleEvent::Terminate,
     ]);
     assert_eq!(
-        life.idle_connection_policy(),
+        lifecycle.idle_connection_policy(),
         IdleConnectionPolicy::HandOver
     );
-    let late = after(&[
+    let terminated_first = after(&[
         LifecycleEvent::EndpointsKnown,
         LifecycleEvent::Terminate,
         LifecycleEvent::SuccessorServes,
     ]);
     assert_eq!(
-        late.idle_connection_policy(),
+        terminated_first.idle_connection_policy(),
         IdleConnectionPolicy::HandOver
     );
 }
