--- a/crates/traffic-replay/src/item.rs
+++ b/crates/traffic-replay/src/item.rs
@@ -1,87 +1,92 @@
-//! What a capture holds.
+//! The contents of a capture: header, items and summary.
 
 use crate::CaptureError;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The longest text of an item: the router's own bound on a field, so that all that it can carry fits.
-const TEXT_LONGEST: usize = 1024;
-/// Kinds of malformed input that a summary counts apart, and sources that a header names.
-const NAMES_MOST: usize = 256;
+/// The longest text of an item: the router's bound on a command's field.
+const TEXT_MAXIMUM_BYTES: usize = 1024;
+/// Bounds the sources of a header and the kinds of malformed items in a summary.
+const NAME_MAXIMUM_COUNT: usize = 256;
+/// Counts the malformed items whose kind a summary has no room for.
+const OTHER_KIND: &str = "other";
 
-/// What stands before the items.
+/// The first block of a capture.
+///
+/// The order of the fields is the stored form, here and in [`Item`] and [`Summary`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Header {
-    /// The start of the first item, Unix time in microseconds.
+    /// The capture's start: Unix time in microseconds.
     pub begins_us: i64,
-    /// Where the items come from, as the operator named them; an item holds an index into this list.
+    /// The sources, as the operator names them; an item holds an index into this list.
     pub sources: Vec<String>,
 }
 
-/// One request as it was asked for.
+/// One recorded request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Item {
-    /// When it began, in microseconds since [`Header::begins_us`]; never less than that of the item before.
+    /// When it was sent, in microseconds since [`Header::begins_us`]; never less than that of the item before.
     pub at_us: u64,
     /// Index into [`Header::sources`].
     pub source: u16,
-    /// Whether it writes.
+    /// Whether it is a write.
     pub write: bool,
-    /// Whether it is a client's repeat of an earlier one.
+    /// Whether it is a client's retry of an earlier one.
     pub retry: bool,
-    /// The class, named as in the settings of the router.
+    /// The request class, named as in the router's settings.
     pub class: String,
-    /// What it concerned.
+    /// The key that it reads or writes.
     pub key: String,
-    /// Who asked.
+    /// The tenant that sent it.
     pub tenant: Option<String>,
-    /// A guess at its work, in microseconds.
+    /// The cost hint: its estimated work, in microseconds.
     pub cost_hint_us: Option<u64>,
-    /// Bytes of the value.
+    /// Size of the value, in bytes.
     pub size: Option<u64>,
-    /// What a repeat of it has in common with it.
+    /// The idempotency key, which retries of it share.
     pub idempotency_key: Option<String>,
-    /// The status that it had in its source.
+    /// The status that the source recorded.
     pub status: Option<u16>,
-    /// How long it took in its source, in microseconds.
+    /// The latency that the source recorded, in microseconds.
     pub took_us: Option<u64>,
 }
 
-/// What stands behind the items: all that was read, so that nothing is lost in silence.
+/// The last block of a capture. It accounts for all input, malformed items included.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Summary {
     /// Items in this capture.
     pub items: u64,
-    /// What could not be used, by kind.
+    /// Malformed items of the source, by kind.
     pub malformed: BTreeMap<String, u64>,
 }
 
 impl Header {
-    pub(crate) fn check(&self) -> Result<(), CaptureError> {
-        if self.sources.len() > NAMES_MOST {
+    pub(crate) fn validate(&self) -> Result<(), CaptureError> {
+        if self.sources.len() > NAME_MAXIMUM_COUNT {
             return Err(CaptureError::TooMany {
                 what: "sources",
-                most: NAMES_MOST,
+                most: NAME_MAXIMUM_COUNT,
             });
         }
-        self.sources
-            .iter()
-            .try_for_each(|source| check_text("source", source))
+        for source in &self.sources {
+            validate_text("source", source)?;
+        }
+        Ok(())
     }
 }
 
 impl Item {
-    pub(crate) fn check(&self, header: &Header, last_at_us: u64) -> Result<(), CaptureError> {
-        check_text("class", &self.class)?;
-        check_text("key", &self.key)?;
-        check_text("tenant", self.tenant.as_deref().unwrap_or_default())?;
-        check_text(
+    pub(crate) fn validate(&self, header: &Header, last_at_us: u64) -> Result<(), CaptureError> {
+        validate_text("class", &self.class)?;
+        validate_text("key", &self.key)?;
+        validate_text("tenant", self.tenant.as_deref().unwrap_or_default())?;
+        validate_text(
             "idempotency_key",
             self.idempotency_key.as_deref().unwrap_or_default(),
         )?;
         if usize::from(self.source) >= header.sources.len() {
             return Err(CaptureError::UnknownSource {
-                source: self.source,
+                source_index: self.source,
             });
         }
         if self.at_us < last_at_us {
@@ -95,37 +100,39 @@
 }
 
 impl Summary {
-    /// Counts one malformed item; past 256 kinds all others count as `other`.
+    /// Counts one malformed item. Past 255 kinds, new ones count as `other`, as do kinds of over 1,024 bytes.
     pub fn count_malformed(&mut self, kind: &str) {
-        let known = self.malformed.contains_key(kind) || self.malformed.len() < NAMES_MOST - 1;
-        let kind = if known && kind.len() <= TEXT_LONGEST {
+        let has_entry = self.malformed.contains_key(kind);
+        let has_room = self.malformed.len() < NAME_MAXIMUM_COUNT - 1;
+        let kind = if (has_entry || has_room) && kind.len() <= TEXT_MAXIMUM_BYTES {
             kind
         } else {
-            "other"
+            OTHER_KIND
         };
         let count = self.malformed.entry(kind.to_string()).or_default();
         *count = count.saturating_add(1);
     }
 
-    pub(crate) fn check(&self) -> Result<(), CaptureError> {
-        if self.malformed.len() > NAMES_MOST {
+    pub(crate) fn validate(&self) -> Result<(), CaptureError> {
+        if self.malformed.len() > NAME_MAXIMUM_COUNT {
             return Err(CaptureError::TooMany {
                 what: "kinds of malformed items",
-                most: NAMES_MOST,
+                most: NAME_MAXIMUM_COUNT,
             });
         }
-        self.malformed
-            .keys()
-            .try_for_each(|kind| check_text("kind", kind))
+        for kind in self.malformed.keys() {
+            validate_text("kind", kind)?;
+        }
+        Ok(())
     }
 }
 
-fn check_text(what: &'static str, text: &str) -> Result<(), CaptureError> {
-    if text.len() > TEXT_LONGEST {
+fn validate_text(what: &'static str, text: &str) -> Result<(), CaptureError> {
+    if text.len() > TEXT_MAXIMUM_BYTES {
         return Err(CaptureError::TooLong {
             what,
             bytes: text.len(),
-            most: TEXT_LONGEST,
+            most: TEXT_MAXIMUM_BYTES,
         });
     }
     Ok(())
--- /dev/null
+++ b/crates/traffic-replay/src/log_format/compiler.rs
@@ -0,0 +1,106 @@
+//! Builds a [`LogFormat`] from the literals and fields of a format, left to right.
+
+use super::LogFormat;
+use super::error::{FormatError, FormatProblem};
+use super::field::{Field, OwnedFieldName};
+
+/// The longest format.
+pub(super) const FORMAT_MAXIMUM_BYTES: usize = 4096;
+/// The most fields of a format.
+pub(super) const FIELD_MAXIMUM_COUNT: usize = 64;
+
+/// A format on its way through compilation.
+pub(super) struct FormatCompiler<'a> {
+    format: &'a str,
+    /// Bytes of `format` that are compiled.
+    position: usize,
+    literal_before: Vec<u8>,
+    fields: Vec<Field>,
+}
+
+impl<'a> FormatCompiler<'a> {
+    /// # Errors
+    /// A format of over 4,096 bytes.
+    pub fn new(format: &'a str) -> Result<FormatCompiler<'a>, FormatError> {
+        let compiler = FormatCompiler {
+            format,
+            position: 0,
+            literal_before: Vec::new(),
+            fields: Vec::new(),
+        };
+        if format.len() > FORMAT_MAXIMUM_BYTES {
+            return Err(compiler.error(FormatProblem::TooLong));
+        }
+        Ok(compiler)
+    }
+
+    /// An error at the current position.
+    pub fn error(&self, problem: FormatProblem) -> FormatError {
+        FormatError {
+            column: self.position + 1,
+            problem,
+        }
+    }
+
+    /// What is not compiled yet; `None` at the end.
+    pub fn rest(&self) -> Option<&'a str> {
+        Some(&self.format[self.position..]).filter(|rest| !rest.is_empty())
+    }
+
+    /// Compiles literal text up to this mark, or up to the end.
+    pub fn literal_until(&mut self, mark: char) {
+        let rest = &self.format[self.position..];
+        let end = rest.find(mark).unwrap_or(rest.len());
+        self.literal(&rest[..end], end);
+    }
+
+    /// Adds literal text of the line that stands for this many bytes of the format.
+    pub fn literal(&mut self, text: &str, format_bytes: usize) {
+        let literal = match self.fields.last_mut() {
+            Some(field) => &mut field.literal_after,
+            None => &mut self.literal_before,
+        };
+        literal.extend(text.as_bytes());
+        self.position += format_bytes;
+    }
+
+    /// Adds a field that stands for this many bytes of the format.
+    ///
+    /// # Errors
+    /// A field right behind another, or one too many.
+    pub fn field(&mut self, name: OwnedFieldName, format_bytes: usize) -> Result<(), FormatError> {
+        let previous = self.fields.last();
+        if previous.is_some_and(|field| field.literal_after.is_empty()) {
+            return Err(self.error(FormatProblem::AdjacentFields));
+        }
+        if self.fields.len() == FIELD_MAXIMUM_COUNT {
+            return Err(self.error(FormatProblem::TooManyFields));
+        }
+        let literal = previous.map_or(&self.literal_before, |field| &field.literal_after);
+        let field = Field {
+            name,
+            literal_after: Vec::new(),
+            is_quoted: literal.ends_with(b"\""),
+        };
+        self.fields.push(field);
+        self.position += format_bytes;
+        Ok(())
+    }
+
+    /// The compiled format.
+    ///
+    /// # Errors
+    /// A format without a field.
+    pub fn finish(mut self) -> Result<LogFormat, FormatError> {
+        if self.fields.is_empty() {
+            return Err(self.error(FormatProblem::NoField));
+        }
+        for field in &mut self.fields {
+            field.is_quoted &= field.literal_after.starts_with(b"\"");
+        }
+        Ok(LogFormat {
+            literal_before: self.literal_before,
+            fields: self.fields,
+        })
+    }
+}
--- a/crates/traffic-replay/src/reader.rs
+++ b/crates/traffic-replay/src/reader.rs
@@ -1,139 +1,24 @@
-//! Bytes into items, whatever the bytes are.
+//! Reads captures: bytes into items, whatever the bytes are.
 
-use crate::{
-    BLOCK_HEAD, BLOCK_LONGEST, Header, Item, Kind, MAGIC, MAGIC_LONGEST, MAGIC_NAME, Summary,
-    checksum,
+use crate::block::{
+    BlockHead, BlockKind, HEAD_BYTES, MAGIC, MAGIC_MAXIMUM_BYTES, MAGIC_NAME, PAYLOAD_MAXIMUM_BYTES,
 };
+use crate::{CaptureError, Header, Item, Summary};
+use serde::Deserialize;
 use std::collections::VecDeque;
-use std::fmt;
 
-/// Why a capture can't be written or read on, in one plain sentence. Offsets count bytes from its beginning.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum CaptureError {
-    /// It is no capture.
-    NotACapture,
-    /// It was written by a newer program.
-    Version(String),
-    /// A block is longer than any that is written.
-    BlockTooLong {
-        /// Where the block begins.
-        offset: u64,
-        /// The length that it claims.
-        bytes: u32,
-    },
-    /// A block is not as it was written.
-    Checksum {
-        /// Where the block begins.
-        offset: u64,
-    },
-    /// A whole block holds what no writer writes, or stands where none puts it.
-    Unreadable {
-        /// Where the block begins.
-        offset: u64,
-    },
-    /// It ends before its last block: what was read up to here is good, what followed is lost.
-    Cut {
-        /// Items read.
-        items: u64,
-    },
-    /// Something stands behind its last block.
-    Trailing {
-        /// Where that begins.
-        offset: u64,
-    },
-    /// It holds another number of items than its end says.
-    Count {
-        /// Items read.
-        items: u64,
-        /// Items that its end counts.
-        counted: u64,
-    },
-    /// A text is too long.
-    TooLong {
-        /// Which.
-        what: &'static str,
-        /// Its length.
-        bytes: usize,
-        /// The longest allowed.
-        most: usize,
-    },
-    /// A list is too long.
-    TooMany {
-        /// Of what.
-        what: &'static str,
-        /// The most allowed.
-        most: usize,
-    },
-    /// An item is of a source that the header does not name.
-    UnknownSource {
-        /// Its index.
-        source: u16,
-    },
-    /// An item is earlier than the one before.
-    OutOfOrder {
-        /// Its time.
-        at_us: u64,
-        /// That of the one before.
-        after_us: u64,
-    },
-}
-
-impl fmt::Display for CaptureError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            CaptureError::NotACapture => write!(f, "this is no capture: its first line is another"),
-            CaptureError::Version(line) => {
-                write!(f, "'{line}' is not a version that this program reads")
-            }
-            CaptureError::BlockTooLong { offset, bytes } => {
-                write!(
-                    f,
-                    "the block at byte {offset} claims {bytes} bytes; none has over {BLOCK_LONGEST}"
-                )
-            }
-            CaptureError::Checksum { offset } => {
-                write!(f, "the block at byte {offset} does not match its checksum")
-            }
-            CaptureError::Unreadable { offset } => {
-                write!(f, "the block at byte {offset} cannot be read")
-            }
-            CaptureError::Cut { items } => write!(f, "the capture was cut off after {items} items"),
-            CaptureError::Trailing { offset } => {
-                write!(f, "from byte {offset} on something follows the end")
-            }
-            CaptureError::Count { items, counted } => {
-                write!(f, "the capture holds {items} items and counts {counted}")
-            }
-            CaptureError::TooLong { what, bytes, most } => {
-                write!(f, "a {what} of {bytes} bytes is longer than {most}")
-            }
-            CaptureError::TooMany { what, most } => write!(f, "there are more than {most} {what}"),
-            CaptureError::UnknownSource { source } => {
-                write!(f, "source {source} is not in the header")
-            }
-            CaptureError::OutOfOrder { at_us, after_us } => {
-                write!(
-                    f,
-                    "an item at {at_us} us stands behind one at {after_us} us"
-                )
-            }
-        }
-    }
-}
-
-impl std::error::Error for CaptureError {}
-
-/// What a capture holds, in this order: one header, items, one end.
+/// A part of a capture. They come in this order: one header, items, one end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Piece {
-    /// Its header.
+    /// The header.
     Header(Header),
     /// An item.
     Item(Item),
-    /// Its end.
+    /// The end.
     End(Summary),
 }
 
+/// What the reader expects next.
 #[derive(Debug, Default)]
 enum Stage {
     #[default]
@@ -144,31 +29,99 @@
     Failed(CaptureError),
 }
 
-/// Reads a capture from bytes that come in pieces of any size. Holds one block and its items beside what was fed and
-/// not read yet: feed it little at a time, and call [`CaptureReader::next`] until it wants more.
+/// The items of one block.
+struct ItemBlock {
+    first: Item,
+    rest: VecDeque<Item>,
+}
+
+/// A block whose length and checksum are right.
+struct Block<'a> {
+    kind: BlockKind,
+    payload: &'a [u8],
+    /// Where it begins in the capture.
+    offset: u64,
+}
+
+impl<'a> Block<'a> {
+    fn unreadable(&self) -> CaptureError {
+        CaptureError::Unreadable {
+            offset: self.offset,
+        }
+    }
+
+    /// The value at the beginning of `bytes`, which are a part of the payload, and the bytes behind it.
+    fn decode<T: Deserialize<'a>>(&self, bytes: &'a [u8]) -> Result<(T, &'a [u8]), CaptureError> {
+        postcard::take_from_bytes(bytes).map_err(|_| self.unreadable())
+    }
+
+    /// The one value that the payload holds.
+    fn decode_only<T: Deserialize<'a>>(&self) -> Result<T, CaptureError> {
+        let (value, rest) = self.decode(self.payload)?;
+        if rest.is_empty() {
+            Ok(value)
+        } else {
+            Err(self.unreadable())
+        }
+    }
+
+    /// All items of the payload, the first of which is not earlier than `last_at_us`. A block without items is
+    /// unreadable: no writer writes one.
+    fn decode_items(
+        &self,
+        header: &Header,
+        mut last_at_us: u64,
+    ) -> Result<ItemBlock, CaptureError> {
+        let mut items = VecDeque::new();
+        let mut rest = self.payload;
+        while !rest.is_empty() {
+            let (item, behind) = self.decode::<Item>(rest)?;
+            item.validate(header, last_at_us)?;
+            last_at_us = item.at_us;
+            items.push_back(item);
+            rest = behind;
+        }
+        match items.pop_front() {
+            Some(first) => Ok(ItemBlock { first, rest: items }),
+            None => Err(self.unreadable()),
+        }
+    }
+}
+
+/// Reads a capture from bytes that come in chunks of any size.
+///
+/// It buffers one block and its items beside what was fed and not read yet: feed it little at a time, and call
+/// [`CaptureReader::next`] until it wants more.
 #[derive(Debug, Default)]
 pub struct CaptureReader {
-    fed: Vec<u8>,
-    /// Bytes of `fed` that are done with.
-    used: usize,
-    /// Where `fed` begins in the capture.
-    offset: u64,
+    buffer: Vec<u8>,
+    /// Bytes of `buffer` that are read.
+    consumed: usize,
+    /// Where `buffer` begins in the capture.
+    buffer_offset: u64,
     stage: Stage,
+    /// Items of the last block that [`CaptureReader::next`] has not returned yet.
     items: VecDeque<Item>,
-    read: u64,
+    /// Items of all blocks so far.
+    item_count: u64,
+    /// The time of the last of them.
     last_at_us: u64,
 }
 
 impl CaptureReader {
     /// Takes the next bytes.
     pub fn feed(&mut self, bytes: &[u8]) {
-        self.offset += self.used as u64;
-        self.fed.drain(..std::mem::take(&mut self.used));
-        self.fed.extend_from_slice(bytes);
+        self.buffer_offset += self.consumed as u64;
+        self.buffer.drain(..self.consumed);
+        self.consumed = 0;
+        self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next piece; `None` where more bytes are wanted, or behind the end. An error is final and comes again.
-    #[allow(clippy::should_implement_trait)] // An iterator has no way to tell a wish for more bytes from the end.
+    /// The next piece; `None` if more bytes are needed, or behind the end.
+    ///
+    /// # Errors
+    /// Bytes that are no capture or a damaged one. An error is final: later calls return it again.
+    #[allow(clippy::should_implement_trait)] // An iterator cannot tell a need for more bytes from the end.
     pub fn next(&mut self) -> Result<Option<Piece>, CaptureError> {
         if let Some(item) = self.items.pop_front() {
             return Ok(Some(Piece::Item(item)));
@@ -183,134 +136,145 @@
         piece
     }
 
-    /// To be called when there are no more bytes and all pieces were taken: tells whether the capture was whole.
+    /// Tells whether the capture was complete. To be called when all bytes were fed and all pieces taken.
+    ///
+    /// # Errors
+    /// A capture that is cut, damaged or followed by other bytes, or bytes that are no capture.
     pub fn finish(self) -> Result<(), CaptureError> {
         match self.stage {
-            Stage::Ended if self.fed.len() > self.used => Err(CaptureError::Trailing {
-                offset: self.offset + self.used as u64,
+            Stage::Ended if self.has_unread_bytes() => Err(CaptureError::Trailing {
+                offset: self.offset(),
             }),
             Stage::Ended => Ok(()),
             Stage::Failed(error) => Err(error),
-            Stage::Magic if !MAGIC.starts_with(&self.fed) || self.fed.is_empty() => {
+            Stage::Magic if !MAGIC.starts_with(&self.buffer) || self.buffer.is_empty() => {
                 Err(CaptureError::NotACapture)
             }
-            _ => Err(CaptureError::Cut { items: self.read }),
+            _ => Err(CaptureError::Cut {
+                items: self.item_count,
+            }),
         }
     }
 
+    /// Where the first unread byte stands in the capture.
+    fn offset(&self) -> u64 {
+        self.buffer_offset + self.consumed as u64
+    }
+
+    fn has_unread_bytes(&self) -> bool {
+        self.buffer.len() > self.consumed
+    }
+
     fn read_piece(&mut self) -> Result<Option<Piece>, CaptureError> {
         if matches!(self.stage, Stage::Magic) && !self.read_magic()? {
             return Ok(None);
         }
-        let at = self.offset + self.used as u64;
         if matches!(self.stage, Stage::Ended) {
-            let more = self.fed.len() > self.used;
-            return if more {
-                Err(CaptureError::Trailing { offset: at })
+            return if self.has_unread_bytes() {
+                Err(CaptureError::Trailing {
+                    offset: self.offset(),
+                })
             } else {
                 Ok(None)
             };
         }
-        let Some((kind, payload)) = self.block(at)? else {
+        let Some(block) = self.next_block()? else {
             return Ok(None);
         };
-        let length = payload.len();
-        let unreadable = |_| CaptureError::Unreadable { offset: at };
-        let piece = match (&self.stage, kind) {
-            (Stage::Header, Kind::Header) => {
-                let (header, rest) =
-                    postcard::take_from_bytes::<Header>(payload).map_err(unreadable)?;
-                require(rest.is_empty(), at)?;
-                header.check()?;
-                self.stage = Stage::Items(header.clone());
-                Piece::Header(header)
+        let block_bytes = HEAD_BYTES + block.payload.len();
+        let piece = match (&self.stage, block.kind) {
+            (Stage::Header, BlockKind::Header) => {
+                let header = block.decode_only()?;
+                self.accept_header(header)?
             }
-            (Stage::Items(header), Kind::Items) => {
-                let (mut rest, mut items, mut last_at_us) =
-                    (payload, VecDeque::new(), self.last_at_us);
-                while !rest.is_empty() {
-                    let (item, left) =
-                        postcard::take_from_bytes::<Item>(rest).map_err(unreadable)?;
-                    item.check(header, last_at_us)?;
-                    last_at_us = item.at_us;
-                    items.push_back(item);
-                    rest = left;
-                }
-                (self.items, self.last_at_us) = (items, last_at_us);
-                self.read += self.items.len() as u64;
-                let first = self
-                    .items
-                    .pop_front()
-                    .ok_or(CaptureError::Unreadable { offset: at })?;
-                Piece::Item(first)
+            (Stage::Items(header), BlockKind::Items) => {
+                let items = block.decode_items(header, self.last_at_us)?;
+                self.accept_items(items)
             }
-            (Stage::Items(_), Kind::End) => {
-                let (summary, rest) =
-                    postcard::take_from_bytes::<Summary>(payload).map_err(unreadable)?;
-                require(rest.is_empty(), at)?;
-                summary.check()?;
-                if summary.items != self.read {
-                    return Err(CaptureError::Count {
-                        items: self.read,
-                        counted: summary.items,
-                    });
-                }
-                self.stage = Stage::Ended;
-                Piece::End(summary)
+            (Stage::Items(_), BlockKind::End) => {
+                let summary = block.decode_only()?;
+                self.accept_end(summary)?
             }
-            _ => return Err(CaptureError::Unreadable { offset: at }),
+            _ => return Err(block.unreadable()),
         };
-        self.used += BLOCK_HEAD + length;
+        self.consumed += block_bytes;
         Ok(Some(piece))
     }
 
-    /// Whether the first line is there; one that is too long or another is an error at once.
+    fn accept_header(&mut self, header: Header) -> Result<Piece, CaptureError> {
+        header.validate()?;
+        self.stage = Stage::Items(header.clone());
+        Ok(Piece::Header(header))
+    }
+
+    /// Takes a block's items; returns the first of them.
+    fn accept_items(&mut self, items: ItemBlock) -> Piece {
+        let last = items.rest.back().unwrap_or(&items.first);
+        self.last_at_us = last.at_us;
+        self.item_count += 1 + items.rest.len() as u64;
+        self.items = items.rest;
+        Piece::Item(items.first)
+    }
+
+    fn accept_end(&mut self, summary: Summary) -> Result<Piece, CaptureError> {
+        summary.validate()?;
+        if summary.items != self.item_count {
+            return Err(CaptureError::Count {
+                items: self.item_count,
+                counted: summary.items,
+            });
+        }
+        self.stage = Stage::Ended;
+        Ok(Piece::End(summary))
+    }
+
+    /// Reads the first line; `false` if more bytes are needed. A line that is too long or another is an error at once.
     fn read_magic(&mut self) -> Result<bool, CaptureError> {
-        let line = &self.fed[..self.fed.len().min(MAGIC_LONGEST)];
+        let line = &self.buffer[..self.buffer.len().min(MAGIC_MAXIMUM_BYTES)];
         let common = line.len().min(MAGIC_NAME.len());
         if line[..common] != MAGIC_NAME[..common] {
             return Err(CaptureError::NotACapture);
         }
         match line.iter().position(|&byte| byte == b'\n') {
             Some(end) if line[..=end] == *MAGIC => {
-                (self.used, self.stage) = (MAGIC.len(), Stage::Header);
+                self.consumed = MAGIC.len();
+                self.stage = Stage::Header;
                 Ok(true)
             }
-            Some(end) => Err(CaptureError::Version(
-                String::from_utf8_lossy(&line[..end])
-                    .escape_debug()
-                    .to_string(),
-            )),
-            None if line.len() == MAGIC_LONGEST => Err(CaptureError::NotACapture),
+            Some(end) => {
+                let text = String::from_utf8_lossy(&line[..end]);
+                Err(CaptureError::Version(text.escape_debug().to_string()))
+            }
+            None if line.len() == MAGIC_MAXIMUM_BYTES => Err(CaptureError::NotACapture),
             None => Ok(false),
         }
     }
 
-    /// The kind and the payload of the next block, once it is there whole and matches its checksum.
-    fn block(&self, at: u64) -> Result<Option<(Kind, &[u8])>, CaptureError> {
-        let Some((head, rest)) = self.fed[self.used..].split_first_chunk::<BLOCK_HEAD>() else {
+    /// The next block, once all of it is there.
+    fn next_block(&self) -> Result<Option<Block<'_>>, CaptureError> {
+        let offset = self.offset();
+        let unread = &self.buffer[self.consumed..];
+        let Some((head, rest)) = unread.split_first_chunk::<HEAD_BYTES>() else {
             return Ok(None);
         };
-        let [a, b, c, d, sum @ .., kind] = *head;
-        let bytes = u32::from_le_bytes([a, b, c, d]);
-        if bytes as usize > BLOCK_LONGEST {
-            return Err(CaptureError::BlockTooLong { offset: at, bytes });
+        let head = BlockHead::decode(*head);
+        if head.payload_bytes as usize > PAYLOAD_MAXIMUM_BYTES {
+            return Err(CaptureError::BlockTooLong {
+                offset,
+                bytes: head.payload_bytes,
+            });
         }
-        let Some(payload) = rest.get(..bytes as usize) else {
+        let Some(payload) = rest.get(..head.payload_bytes as usize) else {
             return Ok(None);
         };
-        if checksum(kind, payload) != u32::from_le_bytes(sum) {
-            return Err(CaptureError::Checksum { offset: at });
+        if !head.matches(payload) {
+            return Err(CaptureError::Checksum { offset });
         }
-        let kind = Kind::of(kind).ok_or(CaptureError::Unreadable { offset: at })?;
-        Ok(Some((kind, payload)))
-    }
-}
-
-fn require(holds: bool, offset: u64) -> Result<(), CaptureError> {
-    if holds {
-        Ok(())
-    } else {
-        Err(CaptureError::Unreadable { offset })
+        let kind = head.kind().ok_or(CaptureError::Unreadable { offset })?;
+        Ok(Some(Block {
+            kind,
+            payload,
+            offset,
+        }))
     }
 }
--- a/crates/traffic-replay/src/writer.rs
+++ b/crates/traffic-replay/src/writer.rs
@@ -1,82 +1,86 @@
-//! Items into bytes, a block at a time.
+//! Writes captures: items into bytes, a block at a time.
 
-use crate::{BLOCK_AIM, CaptureError, Header, Item, Kind, MAGIC, Summary, checksum};
+use crate::block::{BlockKind, MAGIC, PAYLOAD_TARGET_BYTES, write_block};
+use crate::{CaptureError, Header, Item, Summary};
 use serde::Serialize;
 
-/// Why encoding cannot fail: nothing that a capture holds has a length that is not known.
-const ALWAYS_A_FORM: &str = "plain data always has a form";
+/// Why encoding cannot fail: all lengths are known beforehand, and memory is the only medium.
+const ENCODING_IS_INFALLIBLE: &str = "plain data can be encoded";
 
-/// Writes a capture. Holds one block at the most beside what [`CaptureWriter::take`] has not taken yet.
+/// Writes a capture. Buffers at most one block beside the bytes that [`CaptureWriter::take`] has not taken yet.
 #[derive(Debug)]
 pub struct CaptureWriter {
     header: Header,
     summary: Summary,
+    /// The time of the last item.
     last_at_us: u64,
-    block: Vec<u8>,
-    out: Vec<u8>,
+    /// Encoded items of the block in progress.
+    payload: Vec<u8>,
+    /// Whole blocks to be taken.
+    ready: Vec<u8>,
 }
 
 impl CaptureWriter {
-    /// A capture with this header; one with more than 256 sources or a name of over 1,024 bytes is an error.
+    /// A capture with this header.
+    ///
+    /// # Errors
+    /// More than 256 sources, or a name of over 1,024 bytes.
     pub fn new(header: Header) -> Result<CaptureWriter, CaptureError> {
-        header.check()?;
-        let mut out = MAGIC.to_vec();
-        close_block(Kind::Header, &encode(&header), &mut out);
+        header.validate()?;
+        let mut ready = MAGIC.to_vec();
+        write_block(BlockKind::Header, &encode(&header), &mut ready);
         Ok(CaptureWriter {
             header,
             summary: Summary::default(),
             last_at_us: 0,
-            block: Vec::new(),
-            out,
+            payload: Vec::new(),
+            ready,
         })
     }
 
-    /// Adds an item. One that is earlier than the last, names no source or has a text of over 1,024 bytes is an error
-    /// and leaves the capture as it was.
+    /// Adds an item.
+    ///
+    /// # Errors
+    /// An item that is earlier than the last one, names no source or has a text of over 1,024 bytes. It is left out,
+    /// and the capture stays usable.
     pub fn push(&mut self, item: &Item) -> Result<(), CaptureError> {
-        item.check(&self.header, self.last_at_us)?;
-        self.block =
-            postcard::to_extend(item, std::mem::take(&mut self.block)).expect(ALWAYS_A_FORM);
+        item.validate(&self.header, self.last_at_us)?;
+        let payload = std::mem::take(&mut self.payload);
+        self.payload = postcard::to_extend(item, payload).expect(ENCODING_IS_INFALLIBLE);
         self.summary.items += 1;
         self.last_at_us = item.at_us;
-        if self.block.len() >= BLOCK_AIM {
-            self.close_items();
+        if self.payload.len() >= PAYLOAD_TARGET_BYTES {
+            self.close_block();
         }
         Ok(())
     }
 
-    /// Counts what could not be used; the counts stand at the capture's end.
+    /// Counts a malformed item; the summary at the capture's end holds the counts.
     pub fn count_malformed(&mut self, kind: &str) {
         self.summary.count_malformed(kind);
     }
 
-    /// The bytes that are ready, to be written out behind those taken before.
+    /// Takes the bytes that are ready, to be written behind those taken before.
     pub fn take(&mut self) -> Vec<u8> {
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.ready)
     }
 
-    /// Ends the capture: the bytes not taken yet.
+    /// Ends the capture; returns the bytes that were not taken yet.
     pub fn finish(mut self) -> Vec<u8> {
-        self.close_items();
-        close_block(Kind::End, &encode(&self.summary), &mut self.out);
-        self.out
+        self.close_block();
+        write_block(BlockKind::End, &encode(&self.summary), &mut self.ready);
+        self.ready
     }
 
-    fn close_items(&mut self) {
-        if !self.block.is_empty() {
-            close_block(Kind::Items, &std::mem::take(&mut self.block), &mut self.out);
+    fn close_block(&mut self) {
+        if self.payload.is_empty() {
+            return;
         }
+        let payload = std::mem::take(&mut self.payload);
+        write_block(BlockKind::Items, &payload, &mut self.ready);
     }
 }
 
-fn encode(what: &impl Serialize) -> Vec<u8> {
-    postcard::to_stdvec(what).expect(ALWAYS_A_FORM)
-}
-
-fn close_block(kind: Kind, payload: &[u8], out: &mut Vec<u8>) {
-    let kind = kind as u8;
-    out.extend((payload.len() as u32).to_le_bytes());
-    out.extend(checksum(kind, payload).to_le_bytes());
-    out.push(kind);
-    out.extend(payload);
+fn encode(value: &impl Serialize) -> Vec<u8> {
+    postcard::to_stdvec(value).expect(ENCODING_IS_INFALLIBLE)
 }
--- a/crates/traffic-replay/tests/capture.rs
+++ b/crates/traffic-replay/tests/capture.rs
@@ -1,4 +1,4 @@
-//! The capture form: what is written is read again, and what is damaged says where.
+//! Captures: what is written is read again, and damage is reported with its place.
 
 use proptest::prelude::*;
 use traffic_replay::*;
@@ -21,16 +21,18 @@
 
 fn capture(items: &[Item]) -> Vec<u8> {
     let mut writer = CaptureWriter::new(header()).expect("a header");
-    items
-        .iter()
-        .for_each(|item| writer.push(item).expect("a usable item"));
+    for item in items {
+        writer.push(item).expect("a usable item");
+    }
     writer.count_malformed("no time");
     writer.finish()
 }
 
 /// Items until the end or the first error, fed in pieces.
 fn read(bytes: &[u8], piece: usize) -> (Vec<Item>, Result<Option<Summary>, CaptureError>) {
-    let (mut reader, mut items, mut summary) = (CaptureReader::default(), Vec::new(), None);
+    let mut reader = CaptureReader::default();
+    let mut items = Vec::new();
+    let mut summary = None;
     for bytes in bytes.chunks(piece) {
         reader.feed(bytes);
         loop {
@@ -82,7 +84,7 @@
 
 proptest! {
     #[test]
-    fn what_is_written_is_read_again(
+    fn a_capture_reads_back_as_it_was_written(
         mut items in prop::collection::vec(any_item(), 0..60),
         piece in 1usize..3_000,
     ) {
@@ -110,7 +112,7 @@
 
 /// Guards a capture whose writer died: the items of whole blocks are used, and the loss is said.
 #[test]
-fn a_capture_cut_anywhere_gives_what_came_before_and_says_so() {
+fn a_capture_cut_anywhere_yields_its_complete_blocks_and_an_error() {
     let items: Vec<Item> = (0..40).map(item).collect();
     let whole = capture(&items);
     for end in 0..whole.len() {
@@ -161,7 +163,7 @@
 }
 
 #[test]
-fn a_newer_form_is_refused_by_its_line() {
+fn a_newer_version_is_rejected_by_its_first_line() {
     let error = read(b"asterport-capture 2\nwhat it holds", 7)
         .1
         .expect_err("a newer form");
@@ -177,7 +179,7 @@
 
 /// Guards memory: a length that no writer writes is refused before anything of it is held.
 #[test]
-fn a_block_that_claims_too_much_is_refused_at_its_head() {
+fn a_block_that_claims_too_much_is_rejected_at_its_head() {
     let mut bytes = b"asterport-capture 1\n".to_vec();
     bytes.extend(u32::MAX.to_le_bytes());
     bytes.extend([0; 5]);
@@ -191,7 +193,7 @@
 }
 
 #[test]
-fn what_follows_the_end_is_an_error() {
+fn bytes_behind_the_end_are_an_error() {
     let mut bytes = capture(&[item(1)]);
     let offset = bytes.len() as u64;
     bytes.push(b'x');
@@ -203,7 +205,7 @@
 }
 
 #[test]
-fn what_follows_the_end_is_an_error_for_who_stops_reading_there() {
+fn bytes_behind_the_end_are_an_error_for_a_reader_that_stops_there() {
     let mut bytes = capture(&[]);
     let offset = bytes.len() as u64;
     bytes.extend(b"xy");
@@ -216,7 +218,7 @@
 
 /// Guards what reads a capture later: a writer takes nothing that a reader would refuse, and stays usable.
 #[test]
-fn an_item_that_cannot_be_kept_is_refused_and_leaves_the_capture_whole() {
+fn an_unusable_item_is_rejected_and_leaves_the_capture_usable() {
     let mut writer = CaptureWriter::new(header()).expect("a header");
     writer.push(&item(10)).expect("a usable item");
     let long = Item {
@@ -244,7 +246,7 @@
     };
     assert_eq!(
         writer.push(&strange),
-        Err(CaptureError::UnknownSource { source: 2 })
+        Err(CaptureError::UnknownSource { source_index: 2 })
     );
     writer
         .push(&item(10))
@@ -258,7 +260,9 @@
 #[test]
 fn kinds_of_malformed_items_are_bounded_and_none_is_lost() {
     let mut summary = Summary::default();
-    (0..10_000).for_each(|i| summary.count_malformed(&format!("kind {i}")));
+    for i in 0..10_000 {
+        summary.count_malformed(&format!("kind {i}"));
+    }
     assert_eq!(summary.malformed.len(), 256);
     assert_eq!(summary.malformed.values().sum::<u64>(), 10_000);
 }
