--- a/crates/router-simulation/src/campaign.rs
+++ b/crates/router-simulation/src/campaign.rs
@@ -1,7 +1,7 @@
 //! Many runs: over several threads, with a summary that does not depend on how many there are.
 
 use crate::fault_plan::{CROWD_READ_COUNT, FaultKind, PAIRS, RunPlan};
-use crate::invariant_checker::{Counts, Rule};
+use crate::invariant_checker::{CalmService, Counts, Rule};
 use crate::run::{Recording, Report, simulate};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -77,7 +77,7 @@
         for (of, &attempts) in self.crowd_attempts.iter_mut().zip(&report.crowd_attempts) {
             *of.entry(attempts).or_default() += 1;
         }
-        let (taken, served) = report.calm;
+        let CalmService { taken, served, .. } = report.calm;
         if (served as f64) < JAMMED_SERVED_RATIO * taken as f64 {
             self.jammed
                 .push((report.seed, served as f64 / taken as f64));
--- a/crates/router-simulation/src/discovery.rs
+++ b/crates/router-simulation/src/discovery.rs
@@ -138,7 +138,7 @@
         };
         self.seq.set(seq);
         drop(entries);
-        self.checker.borrow_mut().listed(
+        self.checker.borrow_mut().endpoint_announced(
             self.executor.now(),
             server,
             health == Health::Up,
--- a/crates/router-simulation/src/fleet.rs
+++ b/crates/router-simulation/src/fleet.rs
@@ -3,7 +3,7 @@
 
 use crate::executor::{Executor, Node, Time};
 use crate::fault_plan::{MILLI, RunPlan, SECOND, ServerPlan};
-use crate::invariant_checker::{InvariantChecker, capacity};
+use crate::invariant_checker::{InvariantChecker, ProcessStart};
 use crate::network::{Network, SimulatedStream};
 use crate::rng::SeededRng;
 use crate::wire::{CacheRequest, Command, FrameDecoder, value_for};
@@ -216,15 +216,10 @@
         self.cached_keys.borrow_mut().clear();
         self.idle.borrow_mut().clear();
         if born_ms > 0 {
-            let plan = &self.fleet.plan;
-            let mut checker = self.fleet.checker.borrow_mut();
-            checker.server_started(
-                now,
-                self.index,
-                born_ms,
-                plan.starting_capacity_ratio,
-                plan.slow_start_duration,
-            );
+            self.fleet
+                .checker
+                .borrow_mut()
+                .server_started(now, self.index, self.process_start());
         }
         let listener = self.fleet.network.listen(self.node, self.address);
         let server = self.clone();
@@ -236,6 +231,14 @@
         });
     }
 
+    fn process_start(&self) -> ProcessStart {
+        ProcessStart {
+            born_ms: self.born_ms.get(),
+            starting_capacity_ratio: self.fleet.plan.starting_capacity_ratio,
+            slow_start_duration: self.fleet.plan.slow_start_duration,
+        }
+    }
+
     /// Ends its process.
     pub fn kill(&self, vanishes: bool) {
         self.fleet.network.kill(self.node, vanishes);
@@ -423,7 +426,6 @@
             return None;
         }
         let now = self.fleet.executor.now();
-        let plan = &self.fleet.plan;
         let mut slots = self.slots.borrow_mut();
         let count = slots.len() as f64;
         let slot = slots.iter_mut().min()?;
@@ -432,7 +434,7 @@
         let part = if self.born_ms.get() == 0 {
             1.0
         } else {
-            capacity(plan.starting_capacity_ratio, plan.slow_start_duration, age)
+            self.process_start().capacity_ratio(age)
         };
         *slot = start + (work * count / (self.plan.speed * part) * (1.0 + slow)) as Time;
         Some(*slot)
--- /dev/null
+++ b/crates/router-simulation/src/invariant_checker/attempts.rs
@@ -0,0 +1,196 @@
+//! Attempts at cache servers, as the wire shows them: each is held against the rules when it goes out, and its state
+//! follows from the server's reply or the connection's end.
+
+use super::connection::{ServerConnection, take_arrived};
+use super::request::{Attempt, AttemptState, RequestState};
+use super::rule::Rule;
+use super::{InvariantChecker, answers, departures, effects};
+use crate::executor::Time;
+use crate::wire::{CacheRequest, Command, Response};
+
+/// The low bits of a request id hold the number of the client's try: 0 for the first.
+const TRIES_PER_REQUEST: u64 = 256;
+
+/// A command that a router has written whole.
+struct SentCommand<'a> {
+    now: Time,
+    connection: u32,
+    router: usize,
+    server: usize,
+    call: &'a CacheRequest,
+}
+
+impl InvariantChecker {
+    /// A router writes bytes to a server.
+    pub(super) fn router_wrote(
+        &mut self,
+        now: Time,
+        connection_id: u32,
+        connection: &mut ServerConnection,
+        bytes: &[u8],
+    ) {
+        let ServerConnection { router, server, .. } = *connection;
+        if connection.commands.buffered_bytes() == 0 {
+            let grace = self.parameters.drain_grace;
+            if let Some(text) = self.drains.check_send(now, (router, server), grace) {
+                self.record_violation(Rule::Drains, now, None, text);
+            }
+        }
+        connection.commands.feed(now, bytes);
+        while let Ok(Some((frame, _))) = connection.commands.next(now) {
+            let Command::CacheRequest(call) = Command::of(&frame) else {
+                continue;
+            };
+            self.trace.note(now, connection_id, Some(call.id), || {
+                let timeout_ms = call.timeout_ms;
+                format!("router {router} sends to server {server}: d={timeout_ms}")
+            });
+            self.attempt_sent(&SentCommand {
+                now,
+                connection: connection_id,
+                router,
+                server,
+                call: &call,
+            });
+            connection.current = Some(call.id);
+        }
+    }
+
+    fn attempt_sent(&mut self, sent: &SentCommand<'_>) {
+        let SentCommand { now, call, .. } = *sent;
+        self.counts.attempts += 1;
+        self.count_for_crowd(call);
+        let Some(request) = self.requests.get(call.id) else {
+            let text = "sent on, but nobody asked for it".into();
+            self.record_violation(Rule::Answered, now, Some(call.id), text);
+            return;
+        };
+        let is_flight = self.coalescing.is_some() && !request.is_write;
+        let departed = departures::check_send(now, request, is_flight);
+        let is_late_first_send = departed
+            .as_ref()
+            .is_some_and(|departed| departed.is_late_first_send);
+        let mut problems = self.check_before_departure(sent, request);
+        problems.extend(departed.map(|departed| (Rule::Departed, departed.text)));
+        let limits = effects::check_attempt_limits(request, &self.parameters);
+        problems.extend(limits.into_iter().map(|text| (Rule::Effects, text)));
+        self.counts.sent_after_departure += u64::from(is_late_first_send);
+        for (rule, text) in problems {
+            self.record_violation(rule, now, Some(call.id), text);
+        }
+        self.add_attempt(sent);
+    }
+
+    /// What is wrong with an attempt as to the request's owner, its answer, and its effect.
+    fn check_before_departure(
+        &self,
+        sent: &SentCommand<'_>,
+        request: &RequestState,
+    ) -> Vec<(Rule, String)> {
+        let SentCommand { now, server, .. } = *sent;
+        let mut problems = Vec::new();
+        let wrong_router = answers::check_router(request, sent.router);
+        problems.extend(wrong_router.map(|text| (Rule::Answered, text)));
+        let mut may_be_answered = false;
+        if let Some(coalescing) = &self.coalescing {
+            let stampede = coalescing.check_attempt(now, &self.requests, request);
+            problems.extend(stampede.map(|text| (Rule::Coalescing, text)));
+            // A flight goes on for the others when its first waiter has its answer.
+            may_be_answered = coalescing.covers(&request.class);
+        }
+        if !may_be_answered {
+            let after_answer = answers::check_unanswered(now, request, server);
+            problems.extend(after_answer.map(|text| (Rule::Answered, text)));
+        }
+        let repeats = effects::check_repeat(now, request, server, &self.server_zones);
+        problems.extend(repeats.into_iter().map(|text| (Rule::Effects, text)));
+        problems
+    }
+
+    fn count_for_crowd(&mut self, call: &CacheRequest) {
+        let is_of_crowd = call.id >= self.parameters.crowds_from;
+        let is_first_try = call.id.is_multiple_of(TRIES_PER_REQUEST);
+        if is_of_crowd && is_first_try && !call.is_write {
+            *self.crowd_attempts.entry(call.key.clone()).or_default() += 1;
+        }
+    }
+
+    fn add_attempt(&mut self, sent: &SentCommand<'_>) {
+        if let Some(request) = self.requests.get_mut(sent.call.id) {
+            request.first_sent_at.get_or_insert(sent.now);
+            request.attempts.push(Attempt {
+                connection: sent.connection,
+                server: sent.server,
+                sent_at: sent.now,
+                state: AttemptState::InFlight,
+                is_connection_open: true,
+            });
+        }
+    }
+
+    /// Bytes of a server are at the router's machine.
+    pub(super) fn reply_arrived(
+        &mut self,
+        now: Time,
+        connection_id: u32,
+        connection: &mut ServerConnection,
+        count: usize,
+    ) {
+        let bytes = take_arrived(&mut connection.in_transit, count);
+        if connection.is_malformed {
+            return;
+        }
+        connection.replies.feed(now, &bytes);
+        loop {
+            let frame = match connection.replies.next(now) {
+                Ok(Some((frame, _))) => frame,
+                Ok(None) => return,
+                Err(_) => {
+                    connection.is_malformed = true;
+                    return;
+                }
+            };
+            let Some(id) = connection.current.take() else {
+                return;
+            };
+            let response = Response::of(&frame);
+            let server = connection.server;
+            self.trace
+                .note(now, connection_id, Some(id), || match &response {
+                    Response::Served(_) => format!("server {server} has served it"),
+                    response => format!("server {server} has answered: {response:?}"),
+                });
+            self.apply_reply(now, connection_id, id, &response);
+        }
+    }
+
+    fn apply_reply(&mut self, now: Time, connection_id: u32, id: u64, response: &Response) {
+        let state = match response {
+            Response::Rejected(_) => AttemptState::NeverRan,
+            Response::Served(_) | Response::Failed => AttemptState::MayHaveRun,
+        };
+        if let Some(attempt) = self.requests.attempt_mut(id, connection_id) {
+            attempt.state = state;
+        }
+        if let (Response::Served(_), Some(request)) = (response, self.requests.get_mut(id)) {
+            request.served_at.get_or_insert(now);
+        }
+    }
+
+    /// The connection of an attempt has ended at the router: what was in flight may have run.
+    pub(super) fn server_connection_closed(
+        &mut self,
+        connection_id: u32,
+        connection: &ServerConnection,
+    ) {
+        let attempt = connection
+            .current
+            .and_then(|id| self.requests.attempt_mut(id, connection_id));
+        if let Some(attempt) = attempt {
+            attempt.is_connection_open = false;
+            if attempt.state == AttemptState::InFlight {
+                attempt.state = AttemptState::MayHaveRun;
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/router-simulation/src/invariant_checker/drains.rs
@@ -0,0 +1,178 @@
+//! Rule 3: nothing new is sent to a server that drains or is gone, once the router has learned of it.
+//!
+//! A router learns of it when the line of the endpoint list is whole at its machine, when an operator disables the
+//! server there, or at the latest [`DEEMED_KNOWN`] after discovery has announced it.
+
+use crate::executor::Time;
+use serde_json::Value;
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+
+/// What discovery announces counts as known this much later, whether or not it arrived: the longest that PROTOCOL lets
+/// a router do without its list.
+const DEEMED_KNOWN: Time = 6_000_000;
+
+/// What a router knows of a server.
+#[derive(Clone, Copy, Debug)]
+struct ServerKnowledge {
+    /// Since when the router counts it as draining or gone.
+    unavailable_since: Option<Time>,
+    /// The start of its process, Unix time in milliseconds.
+    born_ms: u64,
+}
+
+/// What discovery says of a server.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct Announcement {
+    pub(super) is_up: bool,
+    pub(super) born_ms: u64,
+}
+
+/// An announcement that has yet to count as known.
+struct PendingAnnouncement {
+    deemed_known_at: Time,
+    server: usize,
+    announcement: Announcement,
+}
+
+/// A router and a server, by their numbers.
+type Pair = (usize, usize);
+
+/// What routers know of servers.
+pub(super) struct Drains {
+    server_numbers: BTreeMap<String, usize>,
+    knowledge: BTreeMap<Pair, ServerKnowledge>,
+    /// Since when operators have a server disabled. It holds whatever the list says.
+    disabled_since: BTreeMap<Pair, Time>,
+    pending: VecDeque<PendingAnnouncement>,
+    latest: BTreeMap<usize, Announcement>,
+}
+
+impl Drains {
+    pub(super) fn new(server_numbers: BTreeMap<String, usize>) -> Drains {
+        Drains {
+            server_numbers,
+            knowledge: BTreeMap::new(),
+            disabled_since: BTreeMap::new(),
+            pending: VecDeque::new(),
+            latest: BTreeMap::new(),
+        }
+    }
+
+    /// A router starts with this list.
+    pub(super) fn router_started(&mut self, now: Time, router: usize, list: &str) {
+        self.knowledge.retain(|&(other, _), _| other != router);
+        self.apply_list(now, router, list, true);
+    }
+
+    pub(super) fn override_changed(&mut self, now: Time, pair: Pair, is_disabled: bool) {
+        if is_disabled {
+            self.disabled_since.entry(pair).or_insert(now);
+        } else {
+            self.disabled_since.remove(&pair);
+        }
+    }
+
+    pub(super) fn announced(&mut self, now: Time, server: usize, announcement: Announcement) {
+        self.pending.push_back(PendingAnnouncement {
+            deemed_known_at: now + DEEMED_KNOWN,
+            server,
+            announcement,
+        });
+        self.latest.insert(server, announcement);
+    }
+
+    /// Makes known what counts as known by now.
+    pub(super) fn apply_pending(&mut self, now: Time) {
+        let is_due = |pending: &&PendingAnnouncement| pending.deemed_known_at <= now;
+        while self.pending.front().is_some_and(|front| is_due(&front)) {
+            if let Some(pending) = self.pending.pop_front() {
+                self.deem_known(&pending);
+            }
+        }
+    }
+
+    fn deem_known(&mut self, pending: &PendingAnnouncement) {
+        let announcement = pending.announcement;
+        let is_latest = self.latest.get(&pending.server) == Some(&announcement);
+        let routers: BTreeSet<usize> = self.knowledge.keys().map(|pair| pair.0).collect();
+        for router in routers {
+            let known = self.known(router, pending.server, announcement.born_ms);
+            // Knowledge from a later announcement stands.
+            let is_news = known.born_ms <= announcement.born_ms && is_latest;
+            if is_news && !announcement.is_up {
+                known
+                    .unavailable_since
+                    .get_or_insert(pending.deemed_known_at);
+            }
+        }
+    }
+
+    /// A list, or changes to one, that a router knows from now on. What cannot be read tells nothing.
+    pub(super) fn apply_list(&mut self, now: Time, router: usize, line: &str, is_snapshot: bool) {
+        let Ok(list) = serde_json::from_str::<Value>(line) else {
+            return;
+        };
+        let mut listed = BTreeSet::new();
+        for host in list["hosts"].as_array().into_iter().flatten() {
+            let name = host["host"].as_str();
+            let Some(&server) = name.and_then(|name| self.server_numbers.get(name)) else {
+                continue;
+            };
+            listed.insert(server);
+            self.apply_host(now, router, server, host);
+        }
+        if is_snapshot || list["whole"].as_bool().unwrap_or(false) {
+            self.remove_unlisted(now, router, &listed);
+        }
+    }
+
+    fn apply_host(&mut self, now: Time, router: usize, server: usize, host: &Value) {
+        let born_ms = host["born_ms"].as_u64().unwrap_or(0);
+        let known = self.known(router, server, born_ms);
+        known.born_ms = born_ms;
+        if host["health"] == "up" {
+            known.unavailable_since = None;
+        } else {
+            known.unavailable_since.get_or_insert(now);
+        }
+    }
+
+    fn remove_unlisted(&mut self, now: Time, router: usize, listed: &BTreeSet<usize>) {
+        for (&(other, server), known) in &mut self.knowledge {
+            if other == router && !listed.contains(&server) {
+                known.unavailable_since.get_or_insert(now);
+            }
+        }
+    }
+
+    fn known(&mut self, router: usize, server: usize, born_ms: u64) -> &mut ServerKnowledge {
+        let first = ServerKnowledge {
+            unavailable_since: None,
+            born_ms,
+        };
+        self.knowledge.entry((router, server)).or_insert(first)
+    }
+
+    /// Whether a router knows of this start of a server.
+    pub(super) fn knows_start(&self, router: usize, server: usize, born_ms: u64) -> bool {
+        self.knowledge
+            .get(&(router, server))
+            .is_some_and(|known| known.born_ms == born_ms)
+    }
+
+    /// What is wrong with a command whose first byte a router writes to a server now.
+    pub(super) fn check_send(&self, now: Time, pair: Pair, drain_grace: Time) -> Option<String> {
+        let known = self.knowledge.get(&pair);
+        let listed = known.and_then(|known| known.unavailable_since);
+        let disabled = self.disabled_since.get(&pair).copied();
+        let since = listed.into_iter().chain(disabled).min()?;
+        (now > since + drain_grace).then(|| {
+            format!(
+                "router {} sends to server {} {} us after it was told that it drains or is gone",
+                pair.0,
+                pair.1,
+                now - since
+            )
+        })
+    }
+}
--- a/crates/router-simulation/src/network.rs
+++ b/crates/router-simulation/src/network.rs
@@ -62,9 +62,9 @@
     /// Bytes of this end have come to the other's machine.
     fn delivered(&mut self, now: Time, connection: u32, side: Side, count: usize);
     /// This end has left.
-    fn left(&mut self, now: Time, connection: u32, side: Side, how: CloseKind);
+    fn closed(&mut self, now: Time, connection: u32, side: Side, how: CloseKind);
     /// The end or the reset of this end has come to the other's machine.
-    fn end_delivered(&mut self, now: Time, connection: u32, side: Side);
+    fn close_delivered(&mut self, now: Time, connection: u32, side: Side);
     /// A process asked for a descriptor that it may not have.
     fn out_of_descriptors(&mut self, now: Time, node: Node);
 }
@@ -466,11 +466,11 @@
                     }
                     Packet::Fin => {
                         pipe.ended = true;
-                        observer.end_delivered(now, connection.id, side);
+                        observer.close_delivered(now, connection.id, side);
                     }
                     Packet::Reset => {
                         pipe.reset = true;
-                        observer.end_delivered(now, connection.id, side);
+                        observer.close_delivered(now, connection.id, side);
                     }
                 }
             }
@@ -683,7 +683,7 @@
         self.network
             .observer
             .borrow_mut()
-            .left(now, self.connection.id, self.side, how);
+            .closed(now, self.connection.id, self.side, how);
         let had_ended = std::mem::replace(
             &mut self.connection.pipes[mine].borrow_mut().writer_left,
             true,
--- a/crates/router-simulation/src/run.rs
+++ b/crates/router-simulation/src/run.rs
@@ -10,8 +10,9 @@
 };
 use crate::fleet::{FleetState, Server, ServerFaults};
 use crate::invariant_checker::{
-    CoalescingParameters, Counts, DeduplicationScope as CheckedScope,
-    Idempotency as CheckedIdempotency, InvariantChecker, Role, Rule, RuleParameters, Violation,
+    CalmService, CoalescingParameters, Counts, DeduplicationScope as CheckedScope,
+    Idempotency as CheckedIdempotency, InvariantChecker, Role, Rule, RuleParameters,
+    ServerIdentity, Violation,
 };
 use crate::network::{Network, Observer, SimulatedEnvironment};
 use crate::rng::SeededRng;
@@ -40,7 +41,7 @@
     /// What passed.
     pub counts: Counts,
     /// Of the requests taken once all was calm: how many, and how many of them were served.
-    pub calm: (u64, u64),
+    pub calm: CalmService,
     /// How many attempts each crowd had, its clients' own repeats aside, in their order.
     pub crowd_attempts: Vec<u64>,
     /// What was not kept.
@@ -71,15 +72,18 @@
 pub fn simulate(plan: &RunPlan, recording: Recording) -> Report {
     let plan = Rc::new(plan.clone());
     let executor = Executor::new(SeededRng::new(plan.seed, 5));
-    let names: Vec<(String, usize)> = plan
+    let servers: Vec<ServerIdentity> = plan
         .servers
         .iter()
         .enumerate()
-        .map(|(i, server)| (format!("s-{i:02}"), server.zone))
+        .map(|(i, server)| ServerIdentity {
+            name: format!("s-{i:02}"),
+            zone: server.zone,
+        })
         .collect();
     let checker = Rc::new(RefCell::new(InvariantChecker::new(
         rule_parameters(&plan),
-        &names,
+        &servers,
         recording == Recording::Trace,
     )));
     let observer: Rc<RefCell<dyn Observer>> = checker.clone();
@@ -94,7 +98,10 @@
     run.schedule_operator_actions();
     run.schedule_requests();
     run.schedule_crowds();
-    checker.borrow_mut().calm = Some((plan.calm_from, 0, 0));
+    checker.borrow_mut().calm = Some(CalmService {
+        since: plan.calm_from,
+        ..CalmService::default()
+    });
     if executor.run_until(plan.end_time()) {
         run.check_end();
     } else {
@@ -109,13 +116,12 @@
 }
 
 fn report(plan: &RunPlan, checker: &mut InvariantChecker) -> Report {
-    let (_, taken, served) = checker.calm.unwrap_or_default();
     Report {
         seed: plan.seed,
         digest: checker.digest(),
         steps: checker.steps(),
         counts: checker.counts,
-        calm: (taken, served),
+        calm: checker.calm.unwrap_or_default(),
         crowd_attempts: plan
             .crowds
             .iter()
@@ -132,7 +138,7 @@
         .first()
         .map(|request| format!("{:016x}", request.key).into_bytes())
         .unwrap_or_default();
-    checker.crowds.get(&key).copied().unwrap_or(0)
+    checker.crowd_attempts.get(&key).copied().unwrap_or(0)
 }
 
 fn rule_parameters(plan: &RunPlan) -> RuleParameters {
@@ -155,7 +161,7 @@
         overload_multiple: plan.overload_multiple,
         overload_duration: plan.overload_duration,
         window: plan.conditions.window,
-        fall_slack: 6.0 * plan.mean_work,
+        overload_slack: 6.0 * plan.mean_work,
         coalescing: plan.coalescing.then(|| CoalescingParameters {
             class: CLASSES[0].to_string(),
             flights: 2,
@@ -824,7 +830,7 @@
                 checker.record_violation(Rule::ResourceLimits, now, None, text);
             }
         }
-        if let Some((_, taken, served)) = checker.calm
+        if let Some(CalmService { taken, served, .. }) = checker.calm
             && taken >= MIN_CALM_REQUEST_COUNT
             && (served as f64) < MIN_CALM_SERVED_RATIO * taken as f64
         {
--- a/crates/router-simulation/src/scenario.rs
+++ b/crates/router-simulation/src/scenario.rs
@@ -9,7 +9,7 @@
 use crate::fault_plan::{CLASSES, MILLI, SECOND};
 use crate::invariant_checker::{
     CoalescingParameters, DeduplicationScope as CheckedScope, Idempotency as CheckedIdempotency,
-    InvariantChecker, Role, RuleParameters, Violation,
+    InvariantChecker, Role, RuleParameters, ServerIdentity, Violation,
 };
 use crate::network::{
     DatagramConditions, Network, NetworkConditions, Observer, SimulatedEnvironment, SimulatedStream,
@@ -112,8 +112,7 @@
         uses_push_discovery: bool,
     ) -> Scenario {
         let executor = Executor::new(SeededRng::new(seed, 1));
-        let names: Vec<(String, usize)> =
-            (0..servers).map(|i| (format!("s-{i:02}"), i % 2)).collect();
+        let identities = server_identities(servers);
         let coalescing_parameters = CoalescingParameters {
             class: CLASSES[0].to_string(),
             flights: 2,
@@ -122,7 +121,11 @@
             coalescing: is_coalescing.then_some(coalescing_parameters),
             ..rule_parameters()
         };
-        let checker = Rc::new(RefCell::new(InvariantChecker::new(judged, &names, true)));
+        let checker = Rc::new(RefCell::new(InvariantChecker::new(
+            judged,
+            &identities,
+            true,
+        )));
         let conditions = calm();
         let observer: Rc<RefCell<dyn Observer>> = checker.clone();
         let network = Network::new(
@@ -162,7 +165,15 @@
             1,
             true,
             &(0..servers)
-                .map(|i| entry(&names[i].0, peers[i].address, i % 2, "up", 0))
+                .map(|i| {
+                    entry(
+                        &identities[i].name,
+                        peers[i].address,
+                        identities[i].zone,
+                        "up",
+                        0,
+                    )
+                })
                 .collect::<Vec<_>>(),
         );
         checker.borrow_mut().router_started(0, 0, &known);
@@ -592,6 +603,15 @@
     }
 }
 
+/// The servers of a scenario, by turns in one of two zones.
+pub fn server_identities(count: usize) -> Vec<ServerIdentity> {
+    let identity = |index| ServerIdentity {
+        name: format!("s-{index:02}"),
+        zone: index % 2,
+    };
+    (0..count).map(identity).collect()
+}
+
 /// A network on which every way takes [`LATENCY`].
 pub fn calm() -> NetworkConditions {
     let datagrams = DatagramConditions::default();
@@ -627,7 +647,7 @@
         overload_multiple: 2.0,
         overload_duration: SECOND,
         window: calm().window,
-        fall_slack: 0.0,
+        overload_slack: 0.0,
         coalescing: None,
         crowds_from: u64::MAX,
     }
--- a/crates/router-simulation/tests/invariant_checker.rs
+++ b/crates/router-simulation/tests/invariant_checker.rs
@@ -3,10 +3,10 @@
 use router_simulation::executor::{Node, Time};
 use router_simulation::fault_plan::{CLASSES, MILLI, SECOND};
 use router_simulation::invariant_checker::{
-    CoalescingParameters, InvariantChecker, Role, Rule, RuleParameters,
+    CoalescingParameters, InvariantChecker, ProcessStart, Role, Rule, RuleParameters,
 };
 use router_simulation::network::{CloseKind, Observer, Side};
-use router_simulation::scenario::{DEDUPLICATION_WINDOW, rule_parameters};
+use router_simulation::scenario::{DEDUPLICATION_WINDOW, rule_parameters, server_identities};
 use router_simulation::wire::{command, value_for};
 
 const ROUTER: Node = Node(0);
@@ -39,8 +39,7 @@
     }
 
     fn with(rule_parameters: RuleParameters) -> Wire {
-        let names: Vec<(String, usize)> = (0..4).map(|i| (format!("s-{i:02}"), i % 2)).collect();
-        let mut checker = InvariantChecker::new(rule_parameters, &names, true);
+        let mut checker = InvariantChecker::new(rule_parameters, &server_identities(4), true);
         for role in [Role::Router(0), Role::Client]
             .into_iter()
             .chain((0..4).map(Role::Server))
@@ -155,9 +154,10 @@
         wire.client_requests(SECOND, client, 1, 0, 100 * MILLI);
         match what {
             "router dies" => wire.checker.router_died(SECOND + 1, 0),
-            "client leaves" => wire
-                .checker
-                .left(SECOND + 1, client, Side::Dialer, CloseKind::Fin),
+            "client leaves" => {
+                wire.checker
+                    .closed(SECOND + 1, client, Side::Dialer, CloseKind::Fin)
+            }
             _ => {}
         }
         assert_eq!(
@@ -179,7 +179,7 @@
         let count = bytes.len() - usize::from(!arrives);
         wire.checker.delivered(SECOND, client, Side::Dialer, count);
         wire.checker
-            .left(SECOND + 1, client, Side::Listener, CloseKind::Fin);
+            .closed(SECOND + 1, client, Side::Listener, CloseKind::Fin);
         assert_eq!(
             wire.rules(9 * SECOND) == [Rule::Answered],
             lost,
@@ -246,12 +246,12 @@
         "all but the last byte" => {
             wire.say(SECOND, first, Side::Dialer, &bytes[..bytes.len() - 1]);
             wire.checker
-                .end_delivered(SECOND + 1, first, Side::Listener);
+                .close_delivered(SECOND + 1, first, Side::Listener);
         }
         "reset" => {
             wire.say(SECOND, first, Side::Dialer, &bytes);
             wire.checker
-                .end_delivered(SECOND + 1, first, Side::Listener);
+                .close_delivered(SECOND + 1, first, Side::Listener);
         }
         "busy" => {
             wire.say(SECOND, first, Side::Dialer, &bytes);
@@ -310,7 +310,7 @@
         wire.client_requests(SECOND, client, 1, 3, 100 * MILLI);
         wire.router_sends(SECOND, server, 1, 3);
         wire.checker
-            .end_delivered(SECOND + 1, server, Side::Listener);
+            .close_delivered(SECOND + 1, server, Side::Listener);
         wire.replies(SECOND + 2, client, answer);
         assert_eq!(wire.rules(9 * SECOND) == [Rule::Effects], is_violated);
     }
@@ -319,23 +319,10 @@
 #[test]
 fn two_attempts_out_together_break_rule_2_only_where_that_is_not_allowed() {
     for hedging in [true, false] {
-        let mut wire = Wire::new();
-        let names: Vec<(String, usize)> = (0..4).map(|i| (format!("s-{i:02}"), i % 2)).collect();
-        let mut checker = InvariantChecker::new(
-            router_simulation::invariant_checker::RuleParameters {
-                hedging,
-                ..rule_parameters()
-            },
-            &names,
-            true,
-        );
-        for role in [Role::Router(0), Role::Client]
-            .into_iter()
-            .chain((0..4).map(Role::Server))
-        {
-            checker.add_machine(role);
-        }
-        wire.checker = checker;
+        let mut wire = Wire::with(RuleParameters {
+            hedging,
+            ..rule_parameters()
+        });
         let (client, a, b) = (wire.client(0), wire.server(0, 0), wire.server(0, 1));
         wire.client_requests(SECOND, client, 1, 0, 100 * MILLI);
         wire.router_sends(SECOND, a, 1, 0);
@@ -406,7 +393,7 @@
         let known = r#"{"seq":1,"whole":true,"hosts":[{"host":"s-00","health":"up","born_ms":0}]}"#;
         wire.checker.router_started(0, 0, known);
         let (client, server) = (wire.client(0), wire.server(0, 0));
-        wire.checker.listed(SECOND, 0, false, 0);
+        wire.checker.endpoint_announced(SECOND, 0, false, 0);
         wire.client_requests(SECOND + after, client, 1, 0, 100 * MILLI);
         wire.router_sends(SECOND + after, server, 1, 0);
         wire.replies(SECOND + after, client, &served(1));
@@ -423,8 +410,12 @@
 fn pushed(work: f64, knows: bool) -> (bool, Vec<Rule>) {
     let mut wire = Wire::new();
     let watch = wire.open(0, ROUTER, DISCOVERY);
-    wire.checker
-        .server_started(SECOND, 0, 77, 0.5, 1_000_000 * SECOND);
+    let start = ProcessStart {
+        born_ms: 77,
+        starting_capacity_ratio: 0.5,
+        slow_start_duration: 1_000_000 * SECOND,
+    };
+    wire.checker.server_started(SECOND, 0, start);
     if knows {
         wire.announce(SECOND, watch, "up", 77);
     }
--- a/crates/router-simulation/tests/network.rs
+++ b/crates/router-simulation/tests/network.rs
@@ -18,8 +18,8 @@
     fn opened(&mut self, _: Time, _: u32, _: Node, _: Node) {}
     fn written(&mut self, _: Time, _: u32, _: Side, _: &[u8]) {}
     fn delivered(&mut self, _: Time, _: u32, _: Side, _: usize) {}
-    fn left(&mut self, _: Time, _: u32, _: Side, _: CloseKind) {}
-    fn end_delivered(&mut self, _: Time, _: u32, _: Side) {}
+    fn closed(&mut self, _: Time, _: u32, _: Side, _: CloseKind) {}
+    fn close_delivered(&mut self, _: Time, _: u32, _: Side) {}
     fn out_of_descriptors(&mut self, _: Time, _: Node) {}
 }
 
--- a/crates/router-simulation/tests/rare_fault_scenarios.rs
+++ b/crates/router-simulation/tests/rare_fault_scenarios.rs
@@ -34,7 +34,9 @@
     scenario.silence_watches_at(SECOND + 1);
     scenario.run_until(SECOND + 10 * MILLI);
     scenario.announce_at(SECOND + 20 * MILLI, 0, "draining", 0);
-    scenario.checker().listed(SECOND + 20 * MILLI, 0, false, 0);
+    scenario
+        .checker()
+        .endpoint_announced(SECOND + 20 * MILLI, 0, false, 0);
     scenario.run_until(8 * SECOND - 100 * MILLI);
     for key in 0..20 {
         scenario.request_at(8 * SECOND + key * 50 * MILLI, 0, key, SECOND);
--- a/crates/router-simulation/tests/slow_origin.rs
+++ b/crates/router-simulation/tests/slow_origin.rs
@@ -57,7 +57,7 @@
         violations, calm, ..
     } = simulate(plan, Recording::Violations);
     assert!(violations.is_empty(), "{violations:?}");
-    calm.1
+    calm.served
 }
 
 /// Of what is served from 5 s after the end without the faults, at least nine tenths are with them.
