--- a/crates/router-simulation/src/fault_plan.rs
+++ b/crates/router-simulation/src/fault_plan.rs
@@ -244,7 +244,7 @@
     pub routers: Vec<usize>,
     /// The cache servers.
     pub servers: Vec<ServerPlan>,
-    /// The network's network conditions.
+    /// The conditions of the network.
     pub conditions: NetworkConditions,
     /// The mean work of a read.
     pub mean_work: f64,
@@ -341,7 +341,7 @@
                 },
                 split_ratio: rng.between(0.0, 0.3),
                 datagrams: DatagramConditions::default(),
-                window: if rng.chance(0.2) {
+                receive_window: if rng.chance(0.2) {
                     rng.range(200, 8_000) as usize
                 } else {
                     256 * 1024
--- /dev/null
+++ b/crates/router-simulation/src/network/connection.rs
@@ -0,0 +1,222 @@
+//! TCP connections: segments in transit in each direction, and how a connection is opened.
+
+use super::listener::Backlog;
+use super::machine::{Descriptor, Power};
+use super::stream::SimulatedStream;
+use super::{Network, Side};
+use crate::executor::{Node, Time};
+use bytes::{Bytes, BytesMut};
+use std::cell::RefCell;
+use std::collections::VecDeque;
+use std::io;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::task::Waker;
+
+/// A lost segment is delayed by this time, in microseconds: the least retransmission time-out of common stacks.
+const RETRANSMISSION_TIMEOUT: Time = 200_000;
+/// A lost SYN is sent again after this time, in microseconds (RFC 6298, section 2).
+const SYN_RETRANSMISSION_TIMEOUT: Time = 1_000_000;
+
+/// What a segment carries.
+#[derive(Debug)]
+pub(super) enum Packet {
+    Data(Bytes),
+    Fin,
+    Reset,
+}
+
+/// One direction of a connection.
+#[derive(Default)]
+pub(super) struct Pipe {
+    /// Packets by when they arrive, in that order.
+    in_transit: VecDeque<(Time, Packet)>,
+    last_arrival: Time,
+    /// What has arrived and is not read.
+    pub(super) buffer: BytesMut,
+    /// Bytes in transit or unread.
+    pub(super) unread: usize,
+    /// The end has arrived.
+    pub(super) has_ended: bool,
+    /// A reset has arrived.
+    pub(super) is_reset: bool,
+    /// Its writer has sent its last packet.
+    pub(super) writer_closed: bool,
+    /// Nobody reads any more.
+    pub(super) reader_closed: bool,
+    pub(super) reader: Option<Waker>,
+    pub(super) writer: Option<Waker>,
+}
+
+impl Pipe {
+    /// Nothing more can arrive.
+    pub(super) fn is_closed(&self) -> bool {
+        self.has_ended || self.is_reset
+    }
+
+    fn next_arrived(&mut self, now: Time) -> Option<Packet> {
+        let is_arrived = |front: &(Time, Packet)| front.0 <= now;
+        if !self.in_transit.front().is_some_and(is_arrived) {
+            return None;
+        }
+        self.in_transit.pop_front().map(|(_, packet)| packet)
+    }
+}
+
+/// A connection of two machines.
+pub(super) struct Connection {
+    pub(super) id: u32,
+    nodes: [Node; 2],
+    incarnations: [u32; 2],
+    pipes: [RefCell<Pipe>; 2],
+}
+
+impl Connection {
+    /// The machine at an end.
+    pub(super) fn node(&self, side: Side) -> Node {
+        self.nodes[side as usize]
+    }
+
+    /// The incarnation of the process that opened or accepted it at an end.
+    pub(super) fn incarnation(&self, side: Side) -> u32 {
+        self.incarnations[side as usize]
+    }
+
+    /// The direction in which this end writes.
+    pub(super) fn pipe(&self, writer: Side) -> &RefCell<Pipe> {
+        &self.pipes[writer as usize]
+    }
+}
+
+impl Network {
+    /// Sends a packet from one end. Those of one direction arrive in order.
+    pub(super) fn send(&self, connection: &Rc<Connection>, from: Side, packet: Packet) {
+        let (sender, receiver) = (connection.node(from), connection.node(from.other()));
+        let Some(arrival) = self.arrival(sender, receiver, RETRANSMISSION_TIMEOUT) else {
+            return;
+        };
+        let mut pipe = connection.pipe(from).borrow_mut();
+        let arrival = arrival.max(pipe.last_arrival);
+        pipe.last_arrival = arrival;
+        pipe.in_transit.push_back((arrival, packet));
+        drop(pipe);
+        let network = self.clone();
+        let connection = connection.clone();
+        self.executor
+            .call_at(arrival, move || network.deliver(&connection, from));
+    }
+
+    /// Hands over the packets of one end that have arrived.
+    fn deliver(&self, connection: &Rc<Connection>, from: Side) {
+        let mut wakers = Vec::new();
+        let answers_reset = self.receive_packets(connection, from);
+        wakers.extend(connection.pipe(from).borrow_mut().reader.take());
+        if connection.pipe(from).borrow().is_reset {
+            wakers.extend(connection.pipe(from.other()).borrow_mut().writer.take());
+        }
+        for waker in wakers {
+            waker.wake();
+        }
+        if answers_reset {
+            connection.pipe(from.other()).borrow_mut().writer_closed = true;
+            self.send(connection, from.other(), Packet::Reset);
+        }
+    }
+
+    /// Takes the packets that have arrived; whether data came that nobody reads, which is answered by a reset.
+    fn receive_packets(&self, connection: &Connection, from: Side) -> bool {
+        let now = self.executor.now();
+        let receiver = connection.node(from.other());
+        let is_vanished = self.with_machine(receiver, |machine| machine.power == Power::Off);
+        let mut answers_reset = false;
+        let mut pipe = connection.pipe(from).borrow_mut();
+        while let Some(packet) = pipe.next_arrived(now) {
+            if is_vanished {
+                continue;
+            }
+            let mut observer = self.observer.borrow_mut();
+            match packet {
+                Packet::Data(_) if pipe.reader_closed => answers_reset = true,
+                Packet::Data(bytes) => {
+                    observer.delivered(now, connection.id, from, bytes.len());
+                    pipe.buffer.extend_from_slice(&bytes);
+                }
+                Packet::Fin => {
+                    pipe.has_ended = true;
+                    observer.close_delivered(now, connection.id, from);
+                }
+                Packet::Reset => {
+                    pipe.is_reset = true;
+                    observer.close_delivered(now, connection.id, from);
+                }
+            }
+        }
+        answers_reset
+    }
+
+    /// Opens a connection from a machine. Does not return while the other machine does not answer.
+    ///
+    /// # Errors
+    /// Nothing listens at the address, or the process is out of descriptors.
+    pub(super) async fn dial(&self, from: Node, to: SocketAddr) -> io::Result<SimulatedStream> {
+        let descriptor = Descriptor::take(self, from)?;
+        loop {
+            let node = self.state.borrow().nodes_by_address.get(&to).copied();
+            let Some(node) = node else {
+                return Err(io::ErrorKind::ConnectionRefused.into());
+            };
+            let Some(arrival) = self.arrival(from, node, SYN_RETRANSMISSION_TIMEOUT) else {
+                self.executor.sleep(SYN_RETRANSMISSION_TIMEOUT).await;
+                continue;
+            };
+            self.executor.sleep_until(arrival).await;
+            if !self.answers_connects(node) {
+                self.executor.sleep(SYN_RETRANSMISSION_TIMEOUT).await;
+                continue;
+            }
+            if let Some(delay) = self.connect_delay(node) {
+                self.executor.sleep(delay).await;
+            }
+            let backlog = self.state.borrow().listeners.get(&to).cloned();
+            let opened = backlog.map(|backlog| self.open_connection(from, &backlog));
+            let answer = self.arrival(node, from, RETRANSMISSION_TIMEOUT);
+            self.executor.sleep_until(answer.unwrap_or(Time::MAX)).await;
+            let Some(stream) = opened else {
+                return Err(io::ErrorKind::ConnectionRefused.into());
+            };
+            stream.hold(descriptor);
+            return Ok(stream);
+        }
+    }
+
+    fn answers_connects(&self, node: Node) -> bool {
+        let now = self.executor.now();
+        self.with_machine(node, |machine| {
+            machine.power != Power::Off && machine.ignores_connects_until <= now
+        })
+    }
+
+    fn connect_delay(&self, node: Node) -> Option<Time> {
+        let now = self.executor.now();
+        self.with_machine(node, |machine| {
+            (machine.late_connects_until > now).then_some(machine.connect_delay)
+        })
+    }
+
+    fn open_connection(&self, from: Node, backlog: &Backlog) -> SimulatedStream {
+        let nodes = [from, backlog.node];
+        let incarnations = nodes.map(|node| self.with_machine(node, |machine| machine.incarnation));
+        let connection = Rc::new(Connection {
+            id: self.next_connection_id(),
+            nodes,
+            incarnations,
+            pipes: Default::default(),
+        });
+        let now = self.executor.now();
+        self.observer
+            .borrow_mut()
+            .opened(now, connection.id, from, backlog.node);
+        backlog.push(SimulatedStream::new(self, &connection, Side::Listener));
+        SimulatedStream::new(self, &connection, Side::Dialer)
+    }
+}
--- /dev/null
+++ b/crates/router-simulation/src/network/datagram.rs
@@ -0,0 +1,170 @@
+//! UDP: datagrams are lost, doubled and delayed as the network's conditions have it, and never sent again.
+
+use super::Network;
+use super::machine::Power;
+use crate::executor::Node;
+use bytes::Bytes;
+use router_runtime::environment;
+use std::cell::RefCell;
+use std::collections::VecDeque;
+use std::future::poll_fn;
+use std::io;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::task::{Poll, Waker};
+
+/// Datagrams that wait on a socket; further ones are lost, as in a full socket buffer.
+const MAX_QUEUED_DATAGRAM_COUNT: usize = 256;
+/// The longest payload that UDP over IPv4 carries, in bytes (RFC 768, RFC 791).
+const MAX_DATAGRAM_BYTES: usize = 65_507;
+
+/// A datagram and its sender.
+#[derive(Clone)]
+struct Datagram {
+    bytes: Bytes,
+    from: SocketAddr,
+}
+
+/// A UDP socket's buffer.
+pub(super) struct Mailbox {
+    node: Node,
+    queue: RefCell<VecDeque<Datagram>>,
+    waker: RefCell<Option<Waker>>,
+}
+
+impl Mailbox {
+    fn push(&self, datagram: Datagram) {
+        let mut queue = self.queue.borrow_mut();
+        if queue.len() < MAX_QUEUED_DATAGRAM_COUNT {
+            queue.push_back(datagram);
+        }
+        drop(queue);
+        let waker = self.waker.borrow_mut().take();
+        if let Some(waker) = waker {
+            waker.wake();
+        }
+    }
+}
+
+/// A UDP socket.
+pub struct SimulatedDatagramSocket {
+    network: Network,
+    address: SocketAddr,
+    mailbox: Rc<Mailbox>,
+}
+
+impl SimulatedDatagramSocket {
+    /// Binds a socket of a machine.
+    ///
+    /// # Errors
+    /// The address is in use.
+    pub(super) fn bind(
+        network: &Network,
+        node: Node,
+        address: SocketAddr,
+    ) -> io::Result<SimulatedDatagramSocket> {
+        let mut state = network.state.borrow_mut();
+        if state.mailboxes.contains_key(&address) {
+            return Err(io::ErrorKind::AddrInUse.into());
+        }
+        let mailbox = Rc::new(Mailbox {
+            node,
+            queue: RefCell::default(),
+            waker: RefCell::default(),
+        });
+        state.mailboxes.insert(address, mailbox.clone());
+        Ok(SimulatedDatagramSocket {
+            network: network.clone(),
+            address,
+            mailbox,
+        })
+    }
+
+    async fn next_datagram(&self) -> Datagram {
+        let mailbox = &self.mailbox;
+        poll_fn(|context| match mailbox.queue.borrow_mut().pop_front() {
+            Some(datagram) => Poll::Ready(datagram),
+            None => {
+                *mailbox.waker.borrow_mut() = Some(context.waker().clone());
+                Poll::Pending
+            }
+        })
+        .await
+    }
+}
+
+impl environment::DatagramSocket for SimulatedDatagramSocket {
+    async fn send_to(&self, bytes: &[u8], to: SocketAddr) -> io::Result<usize> {
+        if bytes.len() > MAX_DATAGRAM_BYTES {
+            return Err(io::Error::other("message too long"));
+        }
+        let datagram = Datagram {
+            bytes: Bytes::copy_from_slice(bytes),
+            from: self.address,
+        };
+        self.network.send_datagram(self.mailbox.node, &datagram, to);
+        Ok(bytes.len())
+    }
+
+    async fn receive(&self, buffer: &mut [u8]) -> io::Result<(usize, SocketAddr)> {
+        let Datagram { bytes, from } = self.next_datagram().await;
+        let count = bytes.len().min(buffer.len());
+        buffer[..count].copy_from_slice(&bytes[..count]);
+        Ok((count, from))
+    }
+}
+
+impl Drop for SimulatedDatagramSocket {
+    fn drop(&mut self) {
+        let mut state = self.network.state.borrow_mut();
+        state.mailboxes.remove(&self.address);
+    }
+}
+
+impl Network {
+    fn send_datagram(&self, from: Node, datagram: &Datagram, to: SocketAddr) {
+        let Some(mailbox) = self.state.borrow().mailboxes.get(&to).cloned() else {
+            return;
+        };
+        let copy_count = self.draw_copy_count();
+        if self.are_cut_off(from, mailbox.node) {
+            return;
+        }
+        for _ in 0..copy_count {
+            self.send_copy(from, datagram, &mailbox);
+        }
+    }
+
+    /// How many copies of a datagram arrive.
+    fn draw_copy_count(&self) -> usize {
+        let state = &mut *self.state.borrow_mut();
+        let conditions = state.conditions.datagrams;
+        if state.rng.chance(conditions.loss_ratio) {
+            0
+        } else if state.rng.chance(conditions.duplicate_ratio) {
+            2
+        } else {
+            1
+        }
+    }
+
+    fn send_copy(&self, from: Node, datagram: &Datagram, to: &Rc<Mailbox>) {
+        let Some(mut arrival) = self.arrival(from, to.node, 0) else {
+            return;
+        };
+        let state = &mut *self.state.borrow_mut();
+        let conditions = state.conditions.datagrams;
+        if state.rng.chance(conditions.delayed_ratio) {
+            arrival += state.rng.range(1, conditions.max_delay);
+        }
+        let network = self.clone();
+        let mailbox = to.clone();
+        let datagram = datagram.clone();
+        self.executor.call_at(arrival, move || {
+            let is_on = network.with_machine(mailbox.node, |machine| machine.power == Power::On);
+            if is_on {
+                mailbox.push(datagram);
+            }
+        });
+    }
+}
--- /dev/null
+++ b/crates/router-simulation/src/network/environment.rs
@@ -0,0 +1,68 @@
+//! The router's environment on a simulated machine: its sockets, clock and tasks.
+
+use super::Network;
+use super::datagram::SimulatedDatagramSocket;
+use super::listener::SimulatedListener;
+use super::stream::SimulatedStream;
+use crate::UNIX_START;
+use crate::executor::{Node, Time};
+use router_runtime::environment::Environment;
+use std::fmt;
+use std::future::Future;
+use std::io;
+use std::net::SocketAddr;
+use std::time::{Duration, Instant};
+
+/// What a process on one machine sees of the simulation.
+#[derive(Clone)]
+pub struct SimulatedEnvironment {
+    pub(super) network: Network,
+    pub(super) node: Node,
+}
+
+impl Environment for SimulatedEnvironment {
+    type Stream = SimulatedStream;
+    type Listener = SimulatedListener;
+    type DatagramSocket = SimulatedDatagramSocket;
+
+    fn now(&self) -> Instant {
+        self.network.epoch + Duration::from_micros(self.network.executor.now())
+    }
+
+    fn unix_now(&self) -> Duration {
+        let offset = self
+            .network
+            .with_machine(self.node, |machine| machine.clock_offset);
+        let time = UNIX_START + self.network.executor.now();
+        Duration::from_micros(time.saturating_add_signed(offset))
+    }
+
+    fn sleep_until(&self, at: Instant) -> impl Future<Output = ()> {
+        let time = at.saturating_duration_since(self.network.epoch);
+        // The clock counts whole microseconds; a timer is never early.
+        let microseconds = time.as_nanos().div_ceil(1_000) as Time;
+        self.network.executor.sleep_until(microseconds)
+    }
+
+    /// The task belongs to the machine's process and ends with it.
+    fn spawn(&self, task: impl Future<Output = ()> + 'static) {
+        self.network.executor.spawn(self.node, task);
+    }
+
+    fn connect(&self, to: SocketAddr) -> impl Future<Output = io::Result<SimulatedStream>> {
+        self.network.dial(self.node, to)
+    }
+
+    fn accept(
+        &self,
+        listener: &SimulatedListener,
+    ) -> impl Future<Output = io::Result<SimulatedStream>> {
+        listener.accept()
+    }
+
+    async fn bind(&self, at: SocketAddr) -> io::Result<SimulatedDatagramSocket> {
+        SimulatedDatagramSocket::bind(&self.network, self.node, at)
+    }
+
+    fn log(&self, _line: fmt::Arguments<'_>) {}
+}
--- /dev/null
+++ b/crates/router-simulation/src/network/listener.rs
@@ -0,0 +1,103 @@
+//! Listening sockets and their backlogs.
+
+use super::Network;
+use super::machine::Descriptor;
+use super::stream::SimulatedStream;
+use crate::executor::Node;
+use std::cell::RefCell;
+use std::collections::VecDeque;
+use std::future::poll_fn;
+use std::io;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::task::{Poll, Waker};
+
+/// Connections that a machine has taken and its process has not accepted.
+pub(super) struct Backlog {
+    pub(super) node: Node,
+    queue: RefCell<VecDeque<SimulatedStream>>,
+    waker: RefCell<Option<Waker>>,
+}
+
+impl Backlog {
+    pub(super) fn new(node: Node) -> Backlog {
+        Backlog {
+            node,
+            queue: RefCell::default(),
+            waker: RefCell::default(),
+        }
+    }
+
+    pub(super) fn push(&self, stream: SimulatedStream) {
+        self.queue.borrow_mut().push_back(stream);
+        let waker = self.waker.borrow_mut().take();
+        if let Some(waker) = waker {
+            waker.wake();
+        }
+    }
+
+    async fn pop(&self) -> SimulatedStream {
+        poll_fn(|context| match self.queue.borrow_mut().pop_front() {
+            Some(stream) => Poll::Ready(stream),
+            None => {
+                *self.waker.borrow_mut() = Some(context.waker().clone());
+                Poll::Pending
+            }
+        })
+        .await
+    }
+}
+
+/// A listening socket; when dropped, the connections in its backlog are reset.
+pub struct SimulatedListener {
+    network: Network,
+    address: SocketAddr,
+    backlog: Rc<Backlog>,
+}
+
+impl SimulatedListener {
+    pub(super) fn new(
+        network: &Network,
+        address: SocketAddr,
+        backlog: Rc<Backlog>,
+    ) -> SimulatedListener {
+        SimulatedListener {
+            network: network.clone(),
+            address,
+            backlog,
+        }
+    }
+
+    /// Accepts the next connection.
+    ///
+    /// # Errors
+    /// The process is out of descriptors; the connection stays in the backlog.
+    pub async fn accept(&self) -> io::Result<SimulatedStream> {
+        let stream = self.backlog.pop().await;
+        match Descriptor::take(&self.network, self.backlog.node) {
+            Ok(descriptor) => {
+                stream.hold(descriptor);
+                Ok(stream)
+            }
+            Err(error) => {
+                self.backlog.queue.borrow_mut().push_front(stream);
+                Err(error)
+            }
+        }
+    }
+}
+
+impl Drop for SimulatedListener {
+    fn drop(&mut self) {
+        let mut state = self.network.state.borrow_mut();
+        // A later process may listen there already.
+        let current = state.listeners.get(&self.address);
+        if current.is_some_and(|backlog| Rc::ptr_eq(backlog, &self.backlog)) {
+            state.listeners.remove(&self.address);
+        }
+        drop(state);
+        // Dropping a stream sends: no state may be borrowed.
+        let unaccepted = std::mem::take(&mut *self.backlog.queue.borrow_mut());
+        drop(unaccepted);
+    }
+}
--- a/crates/router-simulation/src/run.rs
+++ b/crates/router-simulation/src/run.rs
@@ -160,7 +160,7 @@
         hedging: plan.hedging,
         overload_multiple: plan.overload_multiple,
         overload_duration: plan.overload_duration,
-        window: plan.conditions.window,
+        window: plan.conditions.receive_window,
         overload_slack: 6.0 * plan.mean_work,
         coalescing: plan.coalescing.then(|| CoalescingParameters {
             class: CLASSES[0].to_string(),
@@ -808,7 +808,7 @@
                 continue;
             };
             let usage = runtime.resource_usage();
-            let open = self.network.open(router.node);
+            let open = self.network.open_connections(router.node);
             let left = usage.unanswered_requests
                 + usage.open_requests
                 + usage.tracked_requests
--- a/crates/router-simulation/src/scenario.rs
+++ b/crates/router-simulation/src/scenario.rs
@@ -621,7 +621,7 @@
         jitter_ratio: 0.0,
         loss_ratio: 0.0,
         split_ratio: 0.0,
-        window: 65_536,
+        receive_window: 65_536,
         datagrams,
     }
 }
@@ -646,7 +646,7 @@
         hedging: true,
         overload_multiple: 2.0,
         overload_duration: SECOND,
-        window: calm().window,
+        window: calm().receive_window,
         overload_slack: 0.0,
         coalescing: None,
         crowds_from: u64::MAX,
--- a/crates/router-simulation/tests/network.rs
+++ b/crates/router-simulation/tests/network.rs
@@ -91,7 +91,7 @@
 fn datagrams_are_lost_doubled_and_reordered_by_the_weather_and_alike_for_a_seed() {
     let lost = datagrams(
         DatagramConditions {
-            lost: 0.3,
+            loss_ratio: 0.3,
             ..DatagramConditions::default()
         },
         1,
@@ -111,7 +111,8 @@
     );
     assert!(duplicate_ratio.len() > 110, "{duplicate_ratio:?}");
     let late = DatagramConditions {
-        late: (0.3, 20_000),
+        delayed_ratio: 0.3,
+        max_delay: 20_000,
         ..DatagramConditions::default()
     };
     let reordered = datagrams(late, 1, false);
