--- /dev/null
+++ b/crates/simulator-adapter/src/line.rs
@@ -0,0 +1,159 @@
+//! One line of the simulator's wire: its name and the values that are not read yet.
+
+use crate::error::WireError;
+use load_balancer::{Micros, RequestId};
+use std::str::FromStr;
+
+/// Separates the name and the values of a line.
+const SEPARATOR: char = '\t';
+/// A value that is absent.
+const ABSENT: &str = "-";
+
+/// A line that is being read, value by value.
+pub struct Line<'a> {
+    name: &'a str,
+    /// The values that are not read yet; `None` after the last.
+    rest: Option<&'a str>,
+}
+
+impl<'a> Line<'a> {
+    /// A line, of which the name is read.
+    pub fn new(text: &'a str) -> Self {
+        let (name, rest) = split_first(text);
+        Line { name, rest }
+    }
+
+    /// What kind of line it is.
+    pub fn name(&self) -> &'a str {
+        self.name
+    }
+
+    /// All values that are not read yet.
+    pub fn rest(&self) -> &'a str {
+        self.rest.unwrap_or("")
+    }
+
+    /// Reads a value of any text.
+    pub fn text(&mut self, field: &'static str) -> Result<&'a str, WireError> {
+        let Some(rest) = self.rest else {
+            return Err(WireError::MissingField {
+                line: self.name.into(),
+                field,
+            });
+        };
+        let (value, rest) = split_first(rest);
+        self.rest = rest;
+        Ok(value)
+    }
+
+    /// Reads a value that must be there.
+    pub fn parsed<T: FromStr>(
+        &mut self,
+        field: &'static str,
+        expected: &'static str,
+    ) -> Result<T, WireError> {
+        let value = self.text(field)?;
+        value
+            .parse()
+            .map_err(|_| self.unreadable(field, value, expected))
+    }
+
+    /// Reads a value that may be absent.
+    pub fn optional<T: FromStr>(
+        &mut self,
+        field: &'static str,
+        expected: &'static str,
+    ) -> Result<Option<T>, WireError> {
+        let value = self.text(field)?;
+        if value == ABSENT || value.is_empty() {
+            return Ok(None);
+        }
+        match value.parse() {
+            Ok(parsed) => Ok(Some(parsed)),
+            Err(_) => Err(self.unreadable(field, value, expected)),
+        }
+    }
+
+    /// Reads a whole number.
+    pub fn integer(&mut self, field: &'static str) -> Result<u64, WireError> {
+        self.parsed(field, "a whole number")
+    }
+
+    /// Reads a request's identifier.
+    pub fn request_id(&mut self) -> Result<RequestId, WireError> {
+        Ok(RequestId(self.parsed("id", "a number below 2^32")?))
+    }
+
+    /// Reads a time in seconds.
+    pub fn time(&mut self, field: &'static str) -> Result<Micros, WireError> {
+        let seconds = self.parsed(field, "a time")?;
+        self.checked_time(field, seconds)
+    }
+
+    /// Reads a time in seconds that may be absent.
+    pub fn optional_time(&mut self, field: &'static str) -> Result<Option<Micros>, WireError> {
+        let seconds = self.optional(field, "a time")?;
+        seconds
+            .map(|seconds| self.checked_time(field, seconds))
+            .transpose()
+    }
+
+    fn checked_time(&self, field: &'static str, seconds: f64) -> Result<Micros, WireError> {
+        if !seconds.is_finite() || seconds < 0.0 {
+            return Err(self.unreadable(field, &seconds.to_string(), "a time"));
+        }
+        Ok(Micros::from_secs_f64(seconds))
+    }
+
+    /// Reads a flag; an absent one is false.
+    pub fn flag(&mut self, field: &'static str) -> Result<bool, WireError> {
+        match self.text(field)? {
+            "1" => Ok(true),
+            "0" | ABSENT => Ok(false),
+            other => Err(WireError::NotAFlag {
+                line: self.name.into(),
+                field,
+                value: other.into(),
+            }),
+        }
+    }
+
+    /// Reads one of the `known` names and returns its index; `None` where the value is absent.
+    pub fn one_of(
+        &mut self,
+        field: &'static str,
+        known: &[String],
+    ) -> Result<Option<usize>, WireError> {
+        let value = self.text(field)?;
+        if let Some(index) = known.iter().position(|name| name == value) {
+            return Ok(Some(index));
+        }
+        if value == ABSENT || value == "0" || value.is_empty() {
+            return Ok(None);
+        }
+        Err(self.unreadable(field, value, "in the settings"))
+    }
+
+    /// The error of a value that cannot be read.
+    pub fn unreadable(
+        &self,
+        field: &'static str,
+        value: &str,
+        expected: &'static str,
+    ) -> WireError {
+        WireError::Unreadable {
+            line: self.name.into(),
+            field,
+            value: value.into(),
+            expected,
+        }
+    }
+}
+
+/// The first value of a text, and the others if there are any.
+fn split_first(text: &str) -> (&str, Option<&str>) {
+    match text.split_once(SEPARATOR) {
+        Some((first, rest)) => (first, Some(rest)),
+        None => (text, None),
+    }
+}
--- a/crates/simulator-adapter/src/trace.rs
+++ b/crates/simulator-adapter/src/trace.rs
@@ -1,60 +1,67 @@
-//! What all routers of one process believe and do, a line a second, for finding out how a jam begins and what keeps
-//! it. Counts are of the second before; beliefs are means over the routers.
+//! Trace of all routers of one process, a line a second, for finding out how a jam begins and what keeps it.
+//!
+//! Counts are of the second before; state is the mean over the routers. The names of the columns are read by scripts.
 
 use load_balancer::{Action, CacheStatus, CandidateVerdict, Diagnostics, Event, Micros, Outcome};
 use std::fs::File;
 use std::io::{self, BufWriter, Write};
 
 /// The time between two lines.
-const STEP: Micros = Micros::from_millis(1_000);
+const LINE_INTERVAL: Micros = Micros::from_millis(1_000);
+
+/// Milliseconds in a second.
+const MS_PER_S: f64 = 1e3;
 
 /// What happened since the last line.
 #[derive(Default)]
 struct Counts {
-    asked: u32,
-    again: u32,
+    requests: u32,
+    retries: u32,
     sent: u32,
     served: u32,
     missed: u32,
-    errors: u32,
-    full: u32,
-    late: u32,
-    refused: u32,
+    failed: u32,
+    overloaded: u32,
+    timed_out: u32,
+    rejected: u32,
 }
 
+/// A trace file and what goes into its next line.
 pub struct Trace {
-    to: BufWriter<File>,
-    due: Micros,
+    file: BufWriter<File>,
+    next_line_at: Micros,
     counts: Counts,
     /// Verdicts of all routers up to the last line.
     verdicts: [u64; CandidateVerdict::ALL.len()],
 }
 
 impl Trace {
+    /// Creates the file and writes the names of the columns.
     pub fn create(path: &str) -> io::Result<Trace> {
-        let mut to = BufWriter::new(File::create(path)?);
+        let mut file = BufWriter::new(File::create(path)?);
         let verdicts = CandidateVerdict::ALL
             .map(|verdict| format!("{verdict:?}"))
             .join(" ");
         writeln!(
-            to,
+            file,
             "second asked again sent served missed errors full late refused | held fetches limit misses latefail \
              tokens usual_ms at_work least mean most ready ease | {verdicts}"
         )?;
         Ok(Trace {
-            to,
-            due: Micros(0),
+            file,
+            next_line_at: Micros(0),
             counts: Counts::default(),
             verdicts: Default::default(),
         })
     }
 
-    pub fn event(&mut self, event: &Event) {
+    /// Counts an event.
+    pub fn record_event(&mut self, event: &Event) {
         let counts = &mut self.counts;
         match event {
-            Event::Request(ask) => {
-                counts.asked += 1;
-                counts.again += u32::from(ask.retry);
+            Event::Request(request) => {
+                counts.requests += 1;
+                counts.retries += u32::from(request.retry);
             }
             Event::AttemptEnded(end) => {
                 counts.missed += u32::from(matches!(
@@ -63,9 +70,9 @@
                 ));
                 match end.outcome {
                     Outcome::Success => counts.served += 1,
-                    Outcome::Failure => counts.errors += 1,
-                    Outcome::Overloaded => counts.full += 1,
-                    Outcome::TimedOut => counts.late += 1,
+                    Outcome::Failure => counts.failed += 1,
+                    Outcome::Overloaded => counts.overloaded += 1,
+                    Outcome::TimedOut => counts.timed_out += 1,
                     _ => {}
                 }
             }
@@ -73,57 +80,54 @@
         }
     }
 
-    pub fn action(&mut self, action: &Action) {
+    /// Counts an action.
+    pub fn record_action(&mut self, action: &Action) {
         match action {
             Action::Send { .. } => self.counts.sent += 1,
-            Action::Reject { .. } | Action::Fail { .. } => self.counts.refused += 1,
+            Action::Reject { .. } | Action::Fail { .. } => self.counts.rejected += 1,
             _ => {}
         }
     }
 
+    /// Whether the next line is due.
     pub fn is_due(&self, now: Micros) -> bool {
-        now >= self.due
+        now >= self.next_line_at
     }
 
-    pub fn line(
+    /// Writes a line with the state of all routers.
+    pub fn write_line(
         &mut self,
         now: Micros,
-        views: impl Iterator<Item = Diagnostics>,
+        diagnostics: impl Iterator<Item = Diagnostics>,
     ) -> io::Result<()> {
-        let views: Vec<Diagnostics> = views.collect();
-        self.due = now.plus(STEP);
-        let c = std::mem::take(&mut self.counts);
-        let mean = |of: fn(&Diagnostics) -> f64| {
-            views.iter().map(of).sum::<f64>() / views.len().max(1) as f64
+        let diagnostics: Vec<Diagnostics> = diagnostics.collect();
+        self.next_line_at = now.plus(LINE_INTERVAL);
+        let counts = std::mem::take(&mut self.counts);
+        let mean = |figure: fn(&Diagnostics) -> f64| {
+            diagnostics.iter().map(figure).sum::<f64>() / diagnostics.len().max(1) as f64
         };
-        let before = std::mem::take(&mut self.verdicts);
-        let sum = |i: usize| views.iter().map(|v| v.verdicts[i]).sum::<u64>();
-        self.verdicts = std::array::from_fn(sum);
-        let now_and_before = self.verdicts.iter().zip(&before);
-        let verdicts: String = now_and_before
-            .map(|(now, old)| format!(" {:5}", now.saturating_sub(*old)))
-            .collect();
+        let verdicts = self.verdict_columns(&diagnostics);
         writeln!(
-            self.to,
+            self.file,
             "{:6.1} {:5} {:5} {:5} {:5} {:5} {:5} {:4} {:4} {:5} | {:5.1} {:5.1} {:5.2} {:4.2} {:4.2} {:4.1} {:5.0} \
              {:5.1} {:5.2} {:5.2} {:5.2} {:4.1} {:4.1} |{}",
             now.as_secs_f64(),
-            c.asked,
-            c.again,
-            c.sent,
-            c.served,
-            c.missed,
-            c.errors,
-            c.full,
-            c.late,
-            c.refused,
+            counts.requests,
+            counts.retries,
+            counts.sent,
+            counts.served,
+            counts.missed,
+            counts.failed,
+            counts.overloaded,
+            counts.timed_out,
+            counts.rejected,
             mean(|v| v.pending_requests as f64),
             mean(|v| f64::from(v.fetches_in_flight)),
             mean(|v| v.fetch_limit),
             mean(|v| v.miss_ratio),
             mean(|v| v.late_failure_ratio),
             mean(|v| v.retry_tokens),
-            mean(|v| v.typical_hit_latency.as_secs_f64() * 1e3),
+            mean(|v| v.typical_hit_latency.as_secs_f64() * MS_PER_S),
             mean(|v| f64::from(v.attempts_in_flight)),
             mean(|v| v.limit_min),
             mean(|v| v.limit_mean),
@@ -132,6 +136,17 @@
             mean(|v| v.spare_capacity_reported as f64),
             verdicts,
         )?;
-        self.to.flush()
+        self.file.flush()
+    }
+
+    /// Verdicts since the last line, by kind.
+    fn verdict_columns(&mut self, diagnostics: &[Diagnostics]) -> String {
+        let total = |kind: usize| diagnostics.iter().map(|d| d.verdicts[kind]).sum::<u64>();
+        let before = std::mem::replace(&mut self.verdicts, std::array::from_fn(total));
+        self.verdicts
+            .iter()
+            .zip(&before)
+            .map(|(now, before)| format!(" {:5}", now.saturating_sub(*before)))
+            .collect()
     }
 }
