--- a/crates/load-balancer/tests/admin_overrides.rs
+++ b/crates/load-balancer/tests/admin_overrides.rs
@@ -1,31 +1,31 @@
-//! Servers that operators call out and back: their word holds whatever the list says, and the return is cold.
+//! Servers that operators disable and enable: an override holds whatever the list says, and slow start follows.
 
 mod common;
 
 use common::*;
 use load_balancer::*;
 
-fn exclude(rig: &mut Rig, server: ServerId) -> Vec<Action> {
+fn disable(rig: &mut TestRouter, server: ServerId) -> Vec<Action> {
     rig.event(Event::ServerDisabled { server })
 }
 
-fn include(rig: &mut Rig, server: ServerId) -> Vec<Action> {
+fn enable(rig: &mut TestRouter, server: ServerId) -> Vec<Action> {
     let at = rig.now;
     rig.event(Event::ServerEnabled { server, at })
 }
 
 /// How many of a hundred keys go to the first server.
-fn share(rig: &mut Rig) -> usize {
+fn share(rig: &mut TestRouter) -> usize {
     (0..100)
         .filter(|&key| rig.served_by(key) == Some(name(1)))
         .count()
 }
 
 #[test]
-fn nothing_new_goes_to_a_server_that_is_out() {
-    let mut rig = Rig::new(settings(), ready(3));
+fn nothing_new_goes_to_a_disabled_server() {
+    let mut rig = TestRouter::new(settings(), ready(3));
     assert!(share(&mut rig) > 0);
-    let actions = exclude(&mut rig, name(1));
+    let actions = disable(&mut rig, name(1));
     assert!(
         actions.contains(&Action::CloseIdle { server: name(1) }),
         "{actions:?}"
@@ -38,9 +38,9 @@
 }
 
 #[test]
-fn the_list_does_not_lift_a_ban() {
-    let mut rig = Rig::new(settings(), ready(3));
-    exclude(&mut rig, name(1));
+fn the_endpoint_list_does_not_enable_a_disabled_server() {
+    let mut rig = TestRouter::new(settings(), ready(3));
+    disable(&mut rig, name(1));
     let fresh = Endpoint {
         started: ms(99_000),
         ..Endpoint::ready(name(1))
@@ -50,31 +50,31 @@
         ..Endpoint::ready(name(1))
     };
     for endpoints in [vec![Endpoint::ready(name(1))], vec![gone], vec![fresh]] {
-        rig.list(EndpointUpdate::Delta, endpoints);
+        rig.update_endpoints(EndpointUpdate::Delta, endpoints);
         assert_eq!(share(&mut rig), 0);
     }
-    rig.list(EndpointUpdate::Snapshot, ready(3));
+    rig.update_endpoints(EndpointUpdate::Snapshot, ready(3));
     assert_eq!(share(&mut rig), 0);
 }
 
 #[test]
-fn an_attempt_that_is_out_ends_as_it_would_and_no_further_one_goes_there() {
-    let mut rig = Rig::new(settings(), ready(1));
-    let (id, actions) = rig.ask(0, 7);
+fn an_attempt_in_flight_to_a_disabled_server_ends_and_no_other_follows() {
+    let mut rig = TestRouter::new(settings(), ready(1));
+    let (id, actions) = rig.request(0, 7);
     assert_eq!(sent(&actions), Some(name(1)));
-    exclude(&mut rig, name(1));
-    let (_, actions) = rig.ask(0, 7);
+    disable(&mut rig, name(1));
+    let (_, actions) = rig.request(0, 7);
     assert_eq!(sent(&actions), None);
-    let actions = rig.end(id, 0, Outcome::Success, 20);
-    assert!(!refused(&actions) && !failed(&actions), "{actions:?}");
+    let actions = rig.end_attempt(id, 0, Outcome::Success, 20);
+    assert!(!rejected(&actions) && !failed(&actions), "{actions:?}");
 }
 
 #[test]
-fn one_call_back_ends_two_calls_out() {
-    let mut rig = Rig::new(settings(), ready(3));
-    exclude(&mut rig, name(1));
-    exclude(&mut rig, name(1));
-    include(&mut rig, name(1));
+fn enabling_once_ends_disabling_twice() {
+    let mut rig = TestRouter::new(settings(), ready(3));
+    disable(&mut rig, name(1));
+    disable(&mut rig, name(1));
+    enable(&mut rig, name(1));
     assert_eq!(
         rig.router.availability(&name(1)),
         Some(Availability::Accepting)
@@ -82,22 +82,22 @@
 }
 
 #[test]
-fn the_return_is_cold_though_the_list_names_no_new_start_and_warms_up() {
-    let mut rig = Rig::new(settings(), ready(3));
-    let usual = share(&mut rig);
-    exclude(&mut rig, name(1));
+fn an_enabled_server_goes_through_slow_start_without_a_new_start_on_the_list() {
+    let mut rig = TestRouter::new(settings(), ready(3));
+    let baseline = share(&mut rig);
+    disable(&mut rig, name(1));
     rig.now = rig.now.plus(ms(3_000));
-    include(&mut rig, name(1));
-    assert!(share(&mut rig) * 5 < usual, "it is sent little at first");
+    enable(&mut rig, name(1));
+    assert!(share(&mut rig) * 5 < baseline, "it is sent little at first");
     rig.now = rig.now.plus(ms(31_000));
-    assert_eq!(share(&mut rig), usual);
+    assert_eq!(share(&mut rig), baseline);
 }
 
 #[test]
-fn a_call_back_during_its_warm_up_begins_that_anew() {
-    let mut rig = Rig::new(settings(), ready(3));
-    let usual = share(&mut rig);
-    rig.list(
+fn enabling_during_slow_start_restarts_it() {
+    let mut rig = TestRouter::new(settings(), ready(3));
+    let baseline = share(&mut rig);
+    rig.update_endpoints(
         EndpointUpdate::Delta,
         vec![Endpoint {
             started: rig.now,
@@ -105,28 +105,28 @@
         }],
     );
     rig.now = rig.now.plus(ms(29_000));
-    exclude(&mut rig, name(1));
-    include(&mut rig, name(1));
-    assert!(share(&mut rig) * 5 < usual);
+    disable(&mut rig, name(1));
+    enable(&mut rig, name(1));
+    assert!(share(&mut rig) * 5 < baseline);
 }
 
 #[test]
-fn a_call_back_that_was_not_called_out_changes_nothing() {
-    let mut rig = Rig::new(settings(), ready(3));
-    let usual = share(&mut rig);
-    include(&mut rig, name(1));
-    include(&mut rig, name(1));
+fn enabling_a_server_that_is_not_disabled_changes_nothing() {
+    let mut rig = TestRouter::new(settings(), ready(3));
+    let baseline = share(&mut rig);
+    enable(&mut rig, name(1));
+    enable(&mut rig, name(1));
     assert_eq!(
         (share(&mut rig), rig.router.admin_overrides().count()),
-        (usual, 0)
+        (baseline, 0)
     );
 }
 
 #[test]
-fn a_word_given_before_the_list_names_the_server_holds_once_it_does() {
-    let mut rig = Rig::new(settings(), ready(2));
-    exclude(&mut rig, name(3));
-    rig.list(EndpointUpdate::Delta, vec![Endpoint::ready(name(3))]);
+fn an_override_holds_for_a_server_that_is_listed_later() {
+    let mut rig = TestRouter::new(settings(), ready(2));
+    disable(&mut rig, name(3));
+    rig.update_endpoints(EndpointUpdate::Delta, vec![Endpoint::ready(name(3))]);
     assert_eq!(
         rig.router.availability(&name(3)),
         Some(Availability::Disabled)
@@ -134,39 +134,39 @@
 }
 
 #[test]
-fn a_successor_that_is_told_of_a_call_back_meets_the_server_as_cold() {
-    let mut old = Rig::new(settings(), ready(3));
-    let usual = share(&mut old);
-    exclude(&mut old, name(1));
-    include(&mut old, name(1));
-    let words: Vec<_> = old
+fn a_successor_process_applies_slow_start_to_an_enabled_server() {
+    let mut old = TestRouter::new(settings(), ready(3));
+    let baseline = share(&mut old);
+    disable(&mut old, name(1));
+    enable(&mut old, name(1));
+    let overrides: Vec<_> = old
         .router
         .admin_overrides()
-        .map(|(server, word)| (server.clone(), word))
+        .map(|(server, value)| (server.clone(), value))
         .collect();
-    let mut new = Rig::new(settings(), ready(3));
+    let mut new = TestRouter::new(settings(), ready(3));
     new.now = old.now.plus(ms(1_000));
-    for (server, word) in words {
-        let event = match word {
+    for (server, value) in overrides {
+        let event = match value {
             AdminOverride::Disabled => Event::ServerDisabled { server },
             AdminOverride::EnabledAt(at) => Event::ServerEnabled { server, at },
         };
         new.event(event);
     }
-    assert!(share(&mut new) * 5 < usual);
+    assert!(share(&mut new) * 5 < baseline);
 }
 
 #[test]
-fn with_all_servers_out_requests_wait_and_go_once_one_is_back() {
-    let mut rig = Rig::new(settings(), ready(2));
-    exclude(&mut rig, name(1));
-    exclude(&mut rig, name(2));
-    let (id, actions) = rig.ask(0, 7);
+fn with_all_servers_disabled_requests_wait_until_one_is_enabled() {
+    let mut rig = TestRouter::new(settings(), ready(2));
+    disable(&mut rig, name(1));
+    disable(&mut rig, name(2));
+    let (id, actions) = rig.request(0, 7);
     assert!(
-        sent(&actions).is_none() && !refused(&actions),
+        sent(&actions).is_none() && !rejected(&actions),
         "{actions:?}"
     );
-    include(&mut rig, name(2));
+    enable(&mut rig, name(2));
     rig.now = rig.now.plus(ms(100));
     let timer = u64::from(id.0) << 2 | 1;
     assert_eq!(
@@ -176,30 +176,30 @@
 }
 
 #[test]
-fn a_successor_knows_what_is_kept_where_and_what_each_server_bears() {
-    let mut old = Rig::new(settings(), ready(3));
-    let homes: Vec<_> = (0..100).map(|key| old.served_by(key)).collect();
-    let learnt = old.router.warm_state();
-    let mut new = Rig::new(settings(), ready(3));
+fn a_successor_process_restores_key_locations_and_limits() {
+    let mut old = TestRouter::new(settings(), ready(3));
+    let servers_used: Vec<_> = (0..100).map(|key| old.served_by(key)).collect();
+    let warm_state = old.router.warm_state();
+    let mut new = TestRouter::new(settings(), ready(3));
     let now = old.now;
-    new.router.restore_warm_state(now, learnt.clone());
-    assert_eq!(new.router.warm_state(), learnt);
+    new.router.restore_warm_state(now, warm_state.clone());
+    assert_eq!(new.router.warm_state(), warm_state);
     assert_eq!(
         (0..100).map(|key| new.served_by(key)).collect::<Vec<_>>(),
-        homes
+        servers_used
     );
 }
 
 #[test]
-fn of_a_server_that_was_started_anew_nothing_is_recalled() {
-    let mut old = Rig::new(settings(), ready(2));
-    let usual = share(&mut old);
+fn nothing_is_restored_of_a_restarted_server() {
+    let mut old = TestRouter::new(settings(), ready(2));
+    let baseline = share(&mut old);
     let fresh = Endpoint {
         started: ms(99_000),
         ..Endpoint::ready(name(1))
     };
-    let mut new = Rig::new(settings(), vec![fresh, Endpoint::ready(name(2))]);
+    let mut new = TestRouter::new(settings(), vec![fresh, Endpoint::ready(name(2))]);
     let now = new.now;
     new.router.restore_warm_state(now, old.router.warm_state());
-    assert!(share(&mut new) * 5 < usual, "it is cold");
+    assert!(share(&mut new) * 5 < baseline, "it goes through slow start");
 }
--- /dev/null
+++ b/crates/load-balancer/tests/admission.rs
@@ -0,0 +1,66 @@
+//! Priorities: who gets how much of a limit.
+
+mod common;
+
+use common::*;
+use load_balancer::*;
+
+#[test]
+fn a_class_of_higher_priority_gets_more_of_a_limit() {
+    let mut settings = settings();
+    settings.classes[1].priority_weight = 8.0;
+    let mut rig = TestRouter::new(settings, ready(1));
+    let room = |rig: &mut TestRouter, class| {
+        (0..30)
+            .filter(|_| sent(&rig.request(class, 7).1).is_some())
+            .count()
+    };
+    let reads = room(&mut rig, 0);
+    assert!(reads > 0);
+    assert!(
+        room(&mut rig, 1) > 0,
+        "capacity is left for higher priority"
+    );
+}
+
+/// Guards a tenant's share: one far over its own uses less of each limit than the others.
+#[test]
+fn a_tenant_over_its_share_leaves_capacity_to_others() {
+    let mut settings = settings();
+    settings.tenants = vec![
+        Tenant {
+            quota_per_s: 10.0,
+            share: 0.5,
+        },
+        Tenant {
+            quota_per_s: 10.0,
+            share: 0.5,
+        },
+    ];
+    let mut rig = TestRouter::new(settings, ready(1));
+    let mut next = 1_000_000;
+    let mut ask = |rig: &mut TestRouter, tenant| {
+        next += 1;
+        rig.now = rig.now.plus(ms(5));
+        let request = Request {
+            id: RequestId(next),
+            class: ClassId(0),
+            tenant: Some(TenantId(tenant)),
+            key: Some(7),
+            expires: rig.now.plus(ms(800)),
+            cost_hint: None,
+            retry: false,
+            write: false,
+        };
+        sent(&rig.event(Event::Request(request))).is_some()
+    };
+    for id in 1_000_001..1_000_601 {
+        if ask(&mut rig, 0) {
+            rig.end_attempt(RequestId(id), 0, Outcome::Success, 5);
+        }
+    }
+    let flood = (0..20).filter(|_| ask(&mut rig, 0)).count();
+    let other = (0..20).filter(|_| ask(&mut rig, 1)).count();
+    assert!(flood > 0);
+    assert!(other > 0, "the tenant over its share took all the capacity");
+}
--- /dev/null
+++ b/crates/load-balancer/tests/coalescing.rs
@@ -0,0 +1,114 @@
+//! Requests for which several clients wait.
+
+mod common;
+
+use common::*;
+use load_balancer::*;
+
+fn coalesced(id: RequestId, tenant: Option<usize>, expires: Micros) -> Event {
+    Event::Coalesced {
+        id,
+        tenant: tenant.map(TenantId),
+        expires,
+    }
+}
+
+/// A client that waits longer joins: the request's own time is not its end any more, and the longer one is.
+#[test]
+fn a_coalesced_client_extends_a_deadline_and_never_shortens_it() {
+    let mut rig = TestRouter::new(settings(), ready(2));
+    let (id, _) = rig.request(0, 7);
+    let asked = rig.now;
+    rig.event(coalesced(id, None, asked.plus(ms(200))));
+    rig.event(coalesced(id, None, asked.plus(ms(1_000))));
+    rig.now = asked.plus(ms(800));
+    let deadline = Event::Timer {
+        token: u64::from(id.0) << 2,
+    };
+    let actions = rig.event(deadline.clone());
+    assert_eq!(
+        actions,
+        [Action::SetTimer {
+            after: ms(200),
+            token: u64::from(id.0) << 2
+        }]
+    );
+    rig.now = asked.plus(ms(999));
+    assert!(
+        sent(&rig.end_attempt(id, 0, Outcome::Unreachable, 999)).is_none(),
+        "too late for a further attempt"
+    );
+    let (id, _) = rig.request(0, 7);
+    rig.event(coalesced(id, None, rig.now.plus(ms(2_000))));
+    rig.event(Event::DeadlineShortened {
+        id,
+        expires: rig.now.plus(ms(50)),
+    });
+    assert!(
+        rejected(&rig.end_attempt(id, 0, Outcome::Unreachable, 1)),
+        "nobody has the time for a further attempt"
+    );
+    let (id, _) = rig.request(0, 7);
+    rig.now = rig.now.plus(ms(800));
+    assert!(
+        rejected(&rig.event(Event::Timer {
+            token: u64::from(id.0) << 2
+        })),
+        "its own time without others"
+    );
+}
+
+/// What floods gets less room; joined by one that does not, a request has the room of that one.
+#[test]
+fn a_coalesced_request_has_the_priority_of_its_most_entitled_tenant() {
+    let tenants = vec![
+        Tenant {
+            quota_per_s: 10.0,
+            share: 0.5
+        };
+        2
+    ];
+    for others in [false, true] {
+        let mut rig = TestRouter::new(
+            Settings {
+                tenants: tenants.clone(),
+                routers: 1,
+                ..settings()
+            },
+            ready(2),
+        );
+        let ask = |rig: &mut TestRouter, number: u32| {
+            rig.event(Event::Request(Request {
+                id: RequestId(number),
+                class: ClassId(0),
+                tenant: Some(TenantId(usize::from(
+                    number < 2_000 && number.is_multiple_of(5),
+                ))),
+                key: Some(u64::from(number)),
+                expires: rig.now.plus(ms(800)),
+                cost_hint: None,
+                retry: false,
+                write: false,
+            }))
+        };
+        // Tenant 0 floods, so that it may use a part of each limit; then it uses all of that.
+        for number in 0..2_000 {
+            ask(&mut rig, number);
+            rig.end_attempt(RequestId(number), 0, Outcome::Success, 5);
+        }
+        let out = (10_000..10_400)
+            .filter(|&number| sent(&ask(&mut rig, number)).is_some())
+            .count();
+        assert!((2..400).contains(&out), "{out}");
+        if others {
+            rig.event(coalesced(RequestId(10_000), Some(1), rig.now.plus(ms(800))));
+            rig.event(coalesced(RequestId(10_000), Some(0), rig.now.plus(ms(800))));
+        }
+        let again = rig.end_attempt(RequestId(10_000), 0, Outcome::Overloaded, 5);
+        assert_eq!(
+            sent(&again).is_some(),
+            others,
+            "there is room for it as tenant 1's alone: {again:?}"
+        );
+    }
+}
--- a/crates/load-balancer/tests/common/mod.rs
+++ b/crates/load-balancer/tests/common/mod.rs
@@ -17,7 +17,7 @@
     }
 }
 
-/// One of four routers. Class 0 is safe, 1 unsafe, 2 keyed (all servers, 400 ms).
+/// One of four routers. Class 0 is idempotent, 1 is not, 2 is keyed (all servers, 400 ms).
 pub fn settings() -> Settings {
     let keyed = Idempotency::Keyed {
         scope: DeduplicationScope::All,
@@ -34,8 +34,8 @@
     }
 }
 
-/// The same, where an answer past the aim is worth this share.
-pub fn settings_with_late_worth(late_weight: f64) -> Settings {
+/// The same, where an answer past the objective has this share of its weight.
+pub fn settings_with_late_weight(late_weight: f64) -> Settings {
     let mut settings = settings();
     settings
         .classes
@@ -52,21 +52,21 @@
     (1..=count).map(|i| Endpoint::ready(name(i))).collect()
 }
 
-pub struct Rig {
+pub struct TestRouter {
     pub router: Router,
     pub now: Micros,
     next_id: u32,
 }
 
-impl Rig {
-    pub fn new(settings: Settings, endpoints: Vec<Endpoint>) -> Rig {
+impl TestRouter {
+    pub fn new(settings: Settings, endpoints: Vec<Endpoint>) -> TestRouter {
         let router = Router::new(settings, 1).expect("usable settings");
-        let mut rig = Rig {
+        let mut rig = TestRouter {
             router,
             now: ms(100_000),
             next_id: 0,
         };
-        rig.list(EndpointUpdate::Snapshot, endpoints);
+        rig.update_endpoints(EndpointUpdate::Snapshot, endpoints);
         rig
     }
 
@@ -76,21 +76,25 @@
         actions
     }
 
-    pub fn list(&mut self, update: EndpointUpdate, endpoints: Vec<Endpoint>) -> Vec<Action> {
+    pub fn update_endpoints(
+        &mut self,
+        update: EndpointUpdate,
+        endpoints: Vec<Endpoint>,
+    ) -> Vec<Action> {
         self.event(Event::EndpointsChanged { update, endpoints })
     }
 
     /// A request with 800 ms to live.
-    pub fn ask(&mut self, class: usize, key: u64) -> (RequestId, Vec<Action>) {
-        self.ask_as(class, key, false)
+    pub fn request(&mut self, class: usize, key: u64) -> (RequestId, Vec<Action>) {
+        self.request_as(class, key, false)
     }
 
     /// A client's repeat, marked as such, with 800 ms to live.
     pub fn retry(&mut self, class: usize, key: u64) -> (RequestId, Vec<Action>) {
-        self.ask_as(class, key, true)
+        self.request_as(class, key, true)
     }
 
-    fn ask_as(&mut self, class: usize, key: u64, retry: bool) -> (RequestId, Vec<Action>) {
+    fn request_as(&mut self, class: usize, key: u64, retry: bool) -> (RequestId, Vec<Action>) {
         self.next_id += 1;
         let id = RequestId(self.next_id);
         let expires = self.now.plus(ms(800));
@@ -107,25 +111,31 @@
         (id, self.event(Event::Request(request)))
     }
 
-    pub fn end(&mut self, id: RequestId, attempt: u32, outcome: Outcome, took: u64) -> Vec<Action> {
-        self.event(Event::AttemptEnded(ended(id, attempt, outcome, took)))
+    pub fn end_attempt(
+        &mut self,
+        id: RequestId,
+        attempt: u32,
+        outcome: Outcome,
+        elapsed_ms: u64,
+    ) -> Vec<Action> {
+        self.event(Event::AttemptEnded(ended(id, attempt, outcome, elapsed_ms)))
     }
 
-    /// Asks for a key, has it served, and tells by whom.
+    /// Requests a key, serves it, and returns the server.
     pub fn served_by(&mut self, key: u64) -> Option<ServerId> {
-        let (id, actions) = self.ask(0, key);
+        let (id, actions) = self.request(0, key);
         let server = sent(&actions)?;
-        self.end(id, 0, Outcome::Success, 5);
+        self.end_attempt(id, 0, Outcome::Success, 5);
         Some(server)
     }
 }
 
-/// An end without a note; a success completes the request.
-pub fn ended(id: RequestId, attempt: u32, outcome: Outcome, took: u64) -> AttemptEnd {
+/// An end without a cache status; a success completes the request.
+pub fn ended(id: RequestId, attempt: u32, outcome: Outcome, elapsed_ms: u64) -> AttemptEnd {
     let complete = outcome == Outcome::Success;
     AttemptEnd {
         complete,
-        ..AttemptEnd::new(id, AttemptNumber(attempt), outcome, ms(took))
+        ..AttemptEnd::new(id, AttemptNumber(attempt), outcome, ms(elapsed_ms))
     }
 }
 
@@ -136,10 +146,51 @@
     })
 }
 
-pub fn refused(actions: &[Action]) -> bool {
+pub fn rejected(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
 pub fn failed(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Fail { .. }))
 }
+
+/// A key of the given server in a rig of `count` idle servers.
+pub fn key_of(server: usize, count: usize) -> u64 {
+    let mut rig = TestRouter::new(settings(), ready(count));
+    (0..)
+        .find(|&key| rig.served_by(key) == Some(name(server)))
+        .expect("a key")
+}
+
+/// Keys of the given server, each asked for once, so that none of them is hot.
+pub fn keys_of(server: usize, count: usize) -> impl Iterator<Item = u64> {
+    (1_000..).filter(move |&key| key_at(key, count) == name(server))
+}
+
+/// The ring's own server of a key among `count`.
+pub fn key_at(key: u64, count: usize) -> ServerId {
+    TestRouter::new(settings(), ready(count))
+        .served_by(key)
+        .expect("a server")
+}
+
+/// The end of a first attempt, and how the server came by its answer.
+pub fn ended_with_status(
+    id: RequestId,
+    outcome: Outcome,
+    elapsed_ms: u64,
+    cache_status: Option<CacheStatus>,
+) -> Event {
+    Event::AttemptEnded(AttemptEnd {
+        cache_status,
+        ..ended(id, 0, outcome, elapsed_ms)
+    })
+}
+
+pub fn deadline_of(actions: &[Action]) -> (Micros, u64) {
+    let timer = actions.iter().find_map(|a| match a {
+        Action::SetTimer { after, token } => Some((*after, *token)),
+        _ => None,
+    });
+    timer.expect("a deadline timer")
+}
--- a/crates/load-balancer/tests/embed.rs
+++ b/crates/load-balancer/tests/embedding.rs
@@ -34,7 +34,7 @@
                     let attempt = self.sent.get(&id).map_or(0, |s| s.1 + 1);
                     self.sent.insert(id, (server, attempt));
                 }
-                Action::Reject { id, .. } => assert!(self.answers.insert(id, "refused").is_none()),
+                Action::Reject { id, .. } => assert!(self.answers.insert(id, "rejected").is_none()),
                 Action::Fail { id } => assert!(self.answers.insert(id, "failed").is_none()),
                 Action::SetTimer { after, token } => {
                     self.timers_set += 1;
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn routers_agree_and_share_nothing() -> Result<(), SettingsError> {
+fn routers_agree_without_shared_state() -> Result<(), SettingsError> {
     let mut routers = [
         Embedded::new(settings(), 1)?,
         Embedded::new(settings(), 2)?,
@@ -117,15 +117,18 @@
             router.tell(now, request(id, u64::from(id % 50), now));
             router.served(now, RequestId(id));
         }
-        let homes = routers.each_ref().map(|r| r.sent[&RequestId(id)].0.clone());
-        assert!(homes.iter().all(|h| *h == homes[0]), "{homes:?}");
+        let servers_used = routers.each_ref().map(|r| r.sent[&RequestId(id)].0.clone());
+        assert!(
+            servers_used.iter().all(|h| *h == servers_used[0]),
+            "{servers_used:?}"
+        );
     }
     // One router finds a server full; the others know nothing of it.
-    let home = routers[1].sent[&RequestId(0)].0.clone();
+    let owner = routers[1].sent[&RequestId(0)].0.clone();
     for id in 1_000..1_020 {
         routers[0].tell(now, request(id, 0, now));
         let (server, attempt) = routers[0].sent[&RequestId(id)].clone();
-        if server == home {
+        if server == owner {
             let (id, attempt, elapsed) = (
                 RequestId(id),
                 AttemptNumber(attempt),
@@ -134,23 +137,23 @@
             let end = AttemptEnd::new(id, attempt, Outcome::Overloaded, elapsed);
             routers[0].tell(now, Event::AttemptEnded(end));
         }
-        if routers[0].sent[&RequestId(id)].0 != home {
+        if routers[0].sent[&RequestId(id)].0 != owner {
             routers[0].served(now, RequestId(id));
         }
     }
     for router in &mut routers {
         router.tell(now, request(2_000, 0, now));
     }
-    let homes = routers
+    let servers_used = routers
         .each_ref()
         .map(|r| r.sent[&RequestId(2_000)].0.clone());
-    assert_ne!(homes[0], home);
-    assert_eq!((&homes[1], &homes[2]), (&home, &home));
+    assert_ne!(servers_used[0], owner);
+    assert_eq!((&servers_used[1], &servers_used[2]), (&owner, &owner));
     Ok(())
 }
 
 #[test]
-fn every_request_is_over_when_its_timers_have_run() -> Result<(), SettingsError> {
+fn every_request_ends_once_its_timers_have_run() -> Result<(), SettingsError> {
     let mut embedded = Embedded::new(settings(), 9)?;
     let now = Micros::from_millis(1_000);
     let endpoints = vec![Endpoint::ready("cache-1:11211".into())];
@@ -172,7 +175,7 @@
             requests: 0,
             servers: 1
         },
-        "nothing is kept of requests that are over"
+        "no state remains of requests that have ended"
     );
     Ok(())
 }
--- a/crates/load-balancer/tests/connections.rs
+++ b/crates/load-balancer/tests/idle_connection_lifetime.rs
@@ -1,5 +1,4 @@
-//! Connections to servers that a hundred routers share: how long they are kept, and what it tells that one is turned
-//! away.
+//! Connections to servers that a hundred routers share: how long they stay idle, and what a rejected one tells.
 
 mod common;
 
@@ -8,12 +7,12 @@
 use std::ops::Range;
 
 /// One of a hundred routers, with prices as a deployment has them.
-fn one_of_many() -> Rig {
+fn one_of_many() -> TestRouter {
     let connection_costs = ConnectionCosts {
         connection: 0.08,
         handshake: 0.12,
     };
-    Rig::new(
+    TestRouter::new(
         Settings {
             routers: 100,
             connection_costs,
@@ -24,9 +23,9 @@
 }
 
 /// One request every 100 ms, each on this connection and ended this way.
-fn ask(rig: &mut Rig, keys: Range<u64>, connection_use: ConnectionUse, outcome: Outcome) {
+fn ask(rig: &mut TestRouter, keys: Range<u64>, connection_use: ConnectionUse, outcome: Outcome) {
     for key in keys {
-        let (id, actions) = rig.ask(0, key);
+        let (id, actions) = rig.request(0, key);
         rig.now = rig.now.plus(ms(5));
         if sent(&actions).is_some() {
             let cache_status = (outcome == Outcome::Success).then_some(CacheStatus::Hit);
@@ -41,27 +40,27 @@
     }
 }
 
-const KEPT: ConnectionUse = ConnectionUse::Reused(Micros(50_000));
+const REUSED: ConnectionUse = ConnectionUse::Reused(Micros(50_000));
 
 #[test]
-fn a_connection_rests_until_that_costs_half_of_a_new_one() {
+fn a_connection_stays_idle_until_that_costs_half_of_a_new_one() {
     let mut rig = one_of_many();
-    ask(&mut rig, 0..200, KEPT, Outcome::Success);
+    ask(&mut rig, 0..200, REUSED, Outcome::Success);
     // A hundred routers ask ten servers a hundred times a second each: a handshake costs as much as 1.5 s of rest.
     let hold = rig.router.idle_connection_lifetime().as_secs_f64();
     assert!((0.7..0.8).contains(&hold), "{hold}");
 }
 
 #[test]
-fn connections_that_cost_nothing_are_not_closed_for_their_price() {
-    let rig = Rig::new(settings(), ready(10));
+fn connections_without_a_price_have_no_lifetime_limit() {
+    let rig = TestRouter::new(settings(), ready(10));
     assert_eq!(rig.router.idle_connection_lifetime(), Micros::MAX);
 }
 
 #[test]
-fn new_connections_turned_away_shorten_rests_and_cut_no_limit() {
+fn rejected_new_connections_shorten_the_lifetime_and_cut_no_limit() {
     let mut rig = one_of_many();
-    ask(&mut rig, 0..100, KEPT, Outcome::Success);
+    ask(&mut rig, 0..100, REUSED, Outcome::Success);
     let (hold, limits) = (
         rig.router.idle_connection_lifetime(),
         rig.router.diagnostics().limit_mean,
@@ -81,15 +80,15 @@
 }
 
 #[test]
-fn servers_that_turn_kept_connections_away_too_have_too_much_work() {
+fn rejections_on_reused_connections_too_show_overload() {
     let mut rig = one_of_many();
-    ask(&mut rig, 0..100, KEPT, Outcome::Success);
+    ask(&mut rig, 0..100, REUSED, Outcome::Success);
     let (hold, limits) = (
         rig.router.idle_connection_lifetime(),
         rig.router.diagnostics().limit_mean,
     );
     for key in 0..20 {
-        ask(&mut rig, key..key + 1, KEPT, Outcome::Overloaded);
+        ask(&mut rig, key..key + 1, REUSED, Outcome::Overloaded);
         ask(
             &mut rig,
             key + 20..key + 21,
--- a/crates/load-balancer/tests/load_reports.rs
+++ b/crates/load-balancer/tests/load_reports.rs
@@ -1,4 +1,4 @@
-//! What servers say of themselves, and what a router makes of it and of the time that their answers take.
+//! Load reports of servers, and what a router concludes from them and from latency.
 
 mod common;
 
@@ -10,7 +10,7 @@
     LoadReportFormat::new(&names, ["", "fetches_out"])
 }
 
-fn at_ease() -> Option<LoadReport> {
+fn spare_capacity() -> Option<LoadReport> {
     columns().read_row("0.4,0,80,1")
 }
 
@@ -18,24 +18,28 @@
     columns().read_row("1.0,12,80,1")
 }
 
-/// A hit that took so long, with this report.
-fn hit(rig: &mut Rig, id: RequestId, took: u64, load: Option<LoadReport>) {
+/// A hit after so long, with this report.
+fn hit(rig: &mut TestRouter, id: RequestId, elapsed_ms: u64, load: Option<LoadReport>) {
     let cache_status = Some(CacheStatus::Hit);
     rig.event(Event::AttemptEnded(AttemptEnd {
         cache_status,
         load,
-        ..ended(id, 0, Outcome::Success, took)
+        ..ended(id, 0, Outcome::Success, elapsed_ms)
     }));
 }
 
 /// Forty hits in turn, each of so many milliseconds; the mean limit of the servers after each other.
-fn limits_after(rig: &mut Rig, took: impl Fn(u64) -> u64, load: Option<LoadReport>) -> (f64, f64) {
+fn limits_after(
+    rig: &mut TestRouter,
+    elapsed_ms: impl Fn(u64) -> u64,
+    load: Option<LoadReport>,
+) -> (f64, f64) {
     let before = rig.router.diagnostics().limit_mean;
     for turn in 0..40 {
-        let (id, actions) = rig.ask(0, 7);
-        rig.now = rig.now.plus(ms(took(turn)));
+        let (id, actions) = rig.request(0, 7);
+        rig.now = rig.now.plus(ms(elapsed_ms(turn)));
         if sent(&actions).is_some() {
-            hit(rig, id, took(turn), load);
+            hit(rig, id, elapsed_ms(turn), load);
         }
         rig.now = rig.now.plus(ms(1_000));
     }
@@ -43,7 +47,7 @@
 }
 
 #[test]
-fn a_report_is_read_by_its_place_or_by_its_name() {
+fn a_report_is_read_by_position_or_by_name() {
     let row = columns().read_row("0.61,2,83.5,7").expect("a report");
     assert_eq!(
         (
@@ -65,7 +69,7 @@
 }
 
 #[test]
-fn what_cannot_be_a_figure_is_left_out_and_the_rest_is_kept() {
+fn figures_that_are_not_credible_are_left_out() {
     for row in [
         "NaN,2,-,7",
         "inf,2,1e300,7",
@@ -96,31 +100,35 @@
     );
 }
 
-/// Guards servers that are slow by nature: at an aim of 300 ms, hits of 200 ms with nothing waiting are no queue.
+/// Guards servers that are slow by nature: at an objective of 300 ms, hits of 200 ms with nothing waiting are no queue.
 #[test]
-fn a_server_slow_by_nature_keeps_its_limit_with_reports_and_without() {
-    for load in [at_ease(), None] {
-        let mut rig = Rig::new(settings(), ready(1));
+fn a_server_slow_by_nature_retains_its_limit_with_and_without_reports() {
+    for load in [spare_capacity(), None] {
+        let mut rig = TestRouter::new(settings(), ready(1));
         let (before, after) = limits_after(&mut rig, |_| 200, load);
         assert!(after >= before, "{before} to {after} with {load:?}");
     }
 }
 
 #[test]
-fn a_queue_that_is_reported_or_shows_in_the_times_cuts_the_limit() {
-    let mut rig = Rig::new(settings(), ready(1));
+fn a_queue_that_is_reported_or_shows_in_latency_cuts_the_limit() {
+    let mut rig = TestRouter::new(settings(), ready(1));
     let (before, after) = limits_after(&mut rig, |_| 200, full());
     assert!(after < before / 2.0, "{before} to {after} by its own word");
-    let mut rig = Rig::new(settings(), ready(1));
+    let mut rig = TestRouter::new(settings(), ready(1));
     let (before, after) = limits_after(&mut rig, |turn| if turn < 8 { 60 } else { 200 }, None);
     assert!(after < before / 2.0, "{before} to {after} by its times");
 }
 
 /// Guards against a frozen or lying report: a server whose answers take three times their least has a queue.
 #[test]
-fn a_server_that_slows_down_is_not_believed_that_it_has_no_queue() {
-    let mut rig = Rig::new(settings(), ready(1));
-    let (before, after) = limits_after(&mut rig, |turn| if turn < 8 { 50 } else { 250 }, at_ease());
+fn a_report_of_spare_capacity_is_disproved_by_latency() {
+    let mut rig = TestRouter::new(settings(), ready(1));
+    let (before, after) = limits_after(
+        &mut rig,
+        |turn| if turn < 8 { 50 } else { 250 },
+        spare_capacity(),
+    );
     assert!(after < before / 2.0, "{before} to {after}");
     assert_eq!(rig.router.diagnostics().spare_capacity_reported, 0);
 }
@@ -128,9 +136,9 @@
 /// Guards routers of many: a limit under one spaces requests out, but not at a server that waits for work. A word
 /// that is two seconds old counts no more.
 #[test]
-fn a_server_that_waits_for_work_gets_one_at_a_time_whatever_its_limit() {
+fn a_server_with_spare_capacity_gets_one_request_at_a_time_whatever_its_limit() {
     let busy = |load| {
-        let mut rig = Rig::new(
+        let mut rig = TestRouter::new(
             Settings {
                 routers: 40,
                 ..settings()
@@ -138,30 +146,30 @@
             ready(1),
         );
         for _ in 0..4 {
-            let (id, _) = rig.ask(0, 7);
+            let (id, _) = rig.request(0, 7);
             rig.event(Event::AttemptEnded(AttemptEnd {
                 load,
                 ..ended(id, 0, Outcome::Overloaded, 2)
             }));
             rig.now = rig.now.plus(ms(20_000));
         }
-        let (id, _) = rig.ask(0, 7);
+        let (id, _) = rig.request(0, 7);
         rig.event(Event::AttemptEnded(AttemptEnd {
             load,
             ..ended(id, 0, Outcome::Overloaded, 2)
         }));
         rig
     };
-    let goes = |rig: &mut Rig, after| {
+    let goes = |rig: &mut TestRouter, after| {
         rig.now = rig.now.plus(ms(after));
-        sent(&rig.ask(0, 7).1).is_some()
+        sent(&rig.request(0, 7).1).is_some()
     };
     assert!(!goes(&mut busy(None), 100), "its limit is under one");
-    assert!(goes(&mut busy(at_ease()), 100));
+    assert!(goes(&mut busy(spare_capacity()), 100));
     assert!(!goes(&mut busy(full()), 100));
-    let mut stale = busy(at_ease());
+    let mut stale = busy(spare_capacity());
     stale.now = stale.now.plus(ms(2_000));
-    stale.list(EndpointUpdate::Delta, Vec::new());
+    stale.update_endpoints(EndpointUpdate::Delta, Vec::new());
     assert_eq!(
         stale.router.diagnostics().spare_capacity_reported,
         0,
@@ -171,10 +179,10 @@
 
 /// Nine requests for keys of one server are more than it takes, while one of four others has none and three have some:
 /// who else gets one?
-fn elsewhere(used_elsewhere: usize, in_trouble: bool) -> Option<ServerId> {
-    let mut rig = Rig::new(settings(), ready(5));
+fn elsewhere(used_elsewhere: usize, is_troubled: bool) -> Option<ServerId> {
+    let mut rig = TestRouter::new(settings(), ready(5));
     let owner = |key| {
-        Rig::new(settings(), ready(5))
+        TestRouter::new(settings(), ready(5))
             .served_by(key)
             .expect("a server")
     };
@@ -186,46 +194,46 @@
     for &key in keys.iter().flatten() {
         rig.served_by(key).expect("room");
     }
-    if in_trouble {
+    if is_troubled {
         for &key in &keys[0][..4] {
-            let (id, _) = rig.ask(0, key);
-            rig.end(id, 0, Outcome::Overloaded, 2);
-            rig.end(id, 1, Outcome::Success, 5);
+            let (id, _) = rig.request(0, key);
+            rig.end_attempt(id, 0, Outcome::Overloaded, 2);
+            rig.end_attempt(id, 1, Outcome::Success, 5);
         }
     }
     for server in 2..=4 {
         keys[server - 1][..used_elsewhere]
             .iter()
-            .for_each(|&key| _ = rig.ask(0, key));
+            .for_each(|&key| _ = rig.request(0, key));
     }
     let taken: Vec<ServerId> = keys[0]
         .iter()
-        .filter_map(|&key| sent(&rig.ask(0, key).1))
+        .filter_map(|&key| sent(&rig.request(0, key).1))
         .collect();
     taken.into_iter().find(|server| *server != name(1))
 }
 
-/// Guards against the jam that feeds itself: where the whole fleet is in use, each key that moves is a fetch and
+/// Guards against overload that sustains itself: where the whole fleet is in use, each key that migrates is a fetch and
 /// drives out another.
 #[test]
-fn a_key_moves_off_a_full_server_while_the_fleet_has_room_and_else_only_off_one_in_trouble() {
+fn a_key_leaves_a_server_at_capacity_only_with_spare_fleet_capacity_or_if_that_is_in_trouble() {
     assert!(elsewhere(0, false).is_some(), "with room it moves");
     assert_eq!(elsewhere(3, false), None, "in use as a whole it does not");
     assert_eq!(
         elsewhere(3, true),
         Some(name(5)),
-        "off one in trouble it does"
+        "off one in failure it does"
     );
 }
 
-/// Guards an origin that takes longer than an aim at its best: late answers are of use up to the deadline by their
-/// worth, and nothing waits there.
+/// Guards an origin that takes longer than an objective at its best: late answers are of use up to the deadline by their
+/// late weight, and nothing waits there.
 #[test]
-fn an_origin_slower_than_the_aim_by_nature_is_no_jam() {
-    let mut rig = Rig::new(settings_with_late_worth(0.5), ready(10));
+fn an_origin_slower_than_the_objective_by_nature_has_no_queue() {
+    let mut rig = TestRouter::new(settings_with_late_weight(0.5), ready(10));
     let before = rig.router.diagnostics().fetch_limit;
     for key in 0..200 {
-        let (id, actions) = rig.ask(0, key);
+        let (id, actions) = rig.request(0, key);
         assert!(sent(&actions).is_some(), "request {key} of 200");
         rig.now = rig.now.plus(ms(400));
         let end = ended(id, 0, Outcome::Success, 400);
--- /dev/null
+++ b/crates/load-balancer/tests/outliers.rs
@@ -0,0 +1,158 @@
+//! Servers that are unreachable, overloaded or time out: how they are avoided and used again.
+
+mod common;
+
+use common::*;
+use load_balancer::*;
+
+/// A server that cannot be reached is left to its successors but for a trickle, and taken back when it serves.
+#[test]
+fn an_unreachable_server_is_avoided_and_used_again_once_it_serves() {
+    let mut rig = TestRouter::new(settings(), ready(4));
+    let mut keys = keys_of(1, 4);
+    let mut down = 0;
+    for key in keys.by_ref().take(60) {
+        let (id, actions) = rig.request(0, key);
+        if sent(&actions) == Some(name(1)) {
+            down += 1;
+            rig.end_attempt(id, 0, Outcome::Unreachable, 3);
+            rig.end_attempt(id, 1, Outcome::Success, 20);
+        } else {
+            rig.end_attempt(id, 0, Outcome::Success, 20);
+        }
+        rig.now = rig.now.plus(ms(5));
+    }
+    assert!(
+        (1..20).contains(&down),
+        "{down} of 60 went to a server that is down"
+    );
+    for key in keys.by_ref().take(40) {
+        rig.served_by(key);
+        rig.now = rig.now.plus(ms(1_000));
+    }
+    assert!(
+        keys.take(10).all(|key| rig.served_by(key) == Some(name(1))),
+        "the ring decides again"
+    );
+}
+
+/// Guards full servers behind a thousand routers (incident iaf5b03, where four of five attempts were rejected):
+/// each router leaves a server that was full alone for long, though it has never been served there.
+#[test]
+fn an_overloaded_server_is_avoided_by_one_of_many_routers() {
+    let mut rig = TestRouter::new(
+        Settings {
+            routers: 1_000,
+            ..settings()
+        },
+        ready(4),
+    );
+    let mut attempts_there = 0;
+    for key in keys_of(1, 4).take(20) {
+        let (id, actions) = rig.request(0, key);
+        if sent(&actions) == Some(name(1)) {
+            attempts_there += 1;
+            rig.end_attempt(id, 0, Outcome::Overloaded, 1);
+        }
+        rig.end_attempt(id, 1, Outcome::Success, 20);
+        rig.now = rig.now.plus(ms(1_000));
+    }
+    assert!((1..8).contains(&attempts_there), "{attempts_there} of 20");
+}
+
+/// Guards jammed servers behind many routers (incident i3e2ffc): one time-out is news enough for a pause.
+#[test]
+fn one_timeout_suffices_at_one_of_many_routers() {
+    let mut rig = TestRouter::new(
+        Settings {
+            routers: 1_000,
+            ..settings()
+        },
+        ready(4),
+    );
+    let key = key_of(1, 4);
+    assert_eq!(rig.served_by(key), Some(name(1)));
+    rig.now = rig.now.plus(ms(60_000));
+    let (id, actions) = rig.request(0, key);
+    assert_eq!(sent(&actions), Some(name(1)));
+    rig.end_attempt(id, 0, Outcome::TimedOut, 800);
+    rig.now = rig.now.plus(ms(1_000));
+    assert_ne!(sent(&rig.request(0, key).1), Some(name(1)));
+}
+
+/// Guards against a throttle that never ends: a server that was full or jammed and now answers only misses, as most
+/// answers are at a router that sees little, is taken up again like one that answers hits.
+#[test]
+fn a_throttled_server_that_answers_misses_recovers() {
+    for (routers, failure) in [
+        (1_000, Outcome::Overloaded),
+        (64, Outcome::Overloaded),
+        (64, Outcome::TimedOut),
+    ] {
+        let mut rig = TestRouter::new(
+            Settings {
+                routers,
+                ..settings()
+            },
+            ready(4),
+        );
+        let keys: Vec<u64> = (0..)
+            .filter(|&k| key_at(k, 4) == name(1))
+            .take(400)
+            .collect();
+        for &key in &keys[..40] {
+            let (id, _) = rig.request(0, key);
+            rig.end_attempt(id, 0, failure, 300);
+            rig.end_attempt(id, 1, Outcome::Success, 20);
+            rig.now = rig.now.plus(ms(2_000));
+        }
+        let mut last = 0;
+        for (i, &key) in keys[40..].iter().enumerate() {
+            let (id, actions) = rig.request(0, key);
+            last += usize::from(i >= 340 && sent(&actions) == Some(name(1)));
+            rig.event(ended_with_status(
+                id,
+                Outcome::Success,
+                60,
+                Some(CacheStatus::Miss),
+            ));
+            rig.now = rig.now.plus(ms(2_000));
+        }
+        assert_eq!(
+            last, 20,
+            "the ring decides again, {routers} routers after {failure:?}"
+        );
+    }
+}
+
+/// Guards the floor of a full server's limit, which a thousand routers start under (incident iaf5b03): each further
+/// "full" lengthens the pause.
+#[test]
+fn each_further_rejection_lengthens_the_pause() {
+    let mut rig = TestRouter::new(
+        Settings {
+            routers: 1_000,
+            ..settings()
+        },
+        ready(4),
+    );
+    let mut attempts_there = Vec::new();
+    for key in keys_of(1, 4).take(400) {
+        let (id, actions) = rig.request(0, key);
+        if sent(&actions) == Some(name(1)) {
+            attempts_there.push(rig.now);
+            rig.end_attempt(id, 0, Outcome::Overloaded, 1);
+            rig.end_attempt(id, 1, Outcome::Success, 20);
+        }
+        rig.now = rig.now.plus(ms(500));
+    }
+    let pauses: Vec<Micros> = attempts_there
+        .windows(2)
+        .map(|k| k[1].since(k[0]))
+        .collect();
+    assert!(pauses.len() >= 2, "{pauses:?}");
+    assert!(
+        pauses.windows(2).all(|p| p[1] >= p[0].scaled(1.5)),
+        "{pauses:?}"
+    );
+}
--- a/crates/load-balancer/tests/random_events.rs
+++ b/crates/load-balancer/tests/random_events.rs
@@ -1,4 +1,4 @@
-//! Random event sequences, sensible and not: no panic, one final answer, none late, effects once, drains kept.
+//! Random event sequences, sensible and not: no panic, one final answer, none late, effects once, drains respected.
 
 mod common;
 use common::*;
@@ -10,14 +10,14 @@
 #[derive(Clone, Debug)]
 enum Step {
     Wait(u64),
-    Ask {
+    Request {
         class: usize,
         key: u64,
         life: u64,
         write: bool,
         tenant: usize,
     },
-    AskAgain(u32),
+    RepeatRequest(u32),
     End {
         nth: usize,
         outcome: usize,
@@ -49,19 +49,19 @@
 ];
 
 fn step() -> impl Strategy<Value = Step> {
-    let member = (0..7usize, 0..3usize, 0..120_000u64, 0..4u32);
+    let endpoint = (0..7usize, 0..3usize, 0..120_000u64, 0..4u32);
     prop_oneof![
         4 => (0..400u64).prop_map(Step::Wait),
         8 => (0..4usize, 0..40u64, 0..900u64, any::<bool>(), 0..3usize)
-            .prop_map(|(class, key, life, write, tenant)| Step::Ask { class, key, life, write, tenant }),
-        1 => (0..60u32).prop_map(Step::AskAgain),
+            .prop_map(|(class, key, life, write, tenant)| Step::Request { class, key, life, write, tenant }),
+        1 => (0..60u32).prop_map(Step::RepeatRequest),
         8 => (0..6usize, 0..9usize, 0..4usize)
             .prop_map(|(nth, outcome, cache_status)| Step::End { nth, outcome, cache_status }),
         1 => (0..60u32, 0..5u32).prop_map(|(id, attempt)| Step::StrayEnd { id, attempt }),
         1 => (0..9usize).prop_map(Step::Gone),
         1 => (0..9usize).prop_map(Step::Stream),
         1 => any::<u64>().prop_map(Step::StrayTimer),
-        2 => (0..4usize, proptest::collection::vec(member, 0..9))
+        2 => (0..4usize, proptest::collection::vec(endpoint, 0..9))
             .prop_map(|(update, states)| Step::List { update, states }),
     ]
 }
@@ -73,8 +73,8 @@
     end: Option<Outcome>,
 }
 
-/// What a router owes and has done for one request.
-struct Case {
+/// What a router has done for one request, and still has to do.
+struct ExpectedRequest {
     class: usize,
     expires: Micros,
     answers: u32,
@@ -83,22 +83,22 @@
     sent: Vec<Sent>,
 }
 
-struct World {
+struct Simulation {
     settings: Settings,
     router: Router,
     now: Micros,
     next: u32,
-    cases: HashMap<RequestId, Case>,
+    cases: HashMap<RequestId, ExpectedRequest>,
     ids: Vec<RequestId>,
     timers: Vec<(Micros, u64)>,
     states: HashMap<ServerId, EndpointState>,
 }
 
-impl World {
-    fn new(settings: Settings, seed: u64) -> World {
+impl Simulation {
+    fn new(settings: Settings, seed: u64) -> Simulation {
         let router = Router::new(settings.clone(), seed).expect("usable settings");
         let (cases, states) = (HashMap::new(), HashMap::new());
-        World {
+        Simulation {
             settings,
             router,
             now: ms(100_000),
@@ -144,7 +144,7 @@
         if let Some(first) = case.sent.iter().find(ran) {
             match self.settings.classes[case.class].idempotency {
                 Idempotency::Idempotent => {}
-                Idempotency::NotIdempotent => panic!("an unsafe request may run twice"),
+                Idempotency::NotIdempotent => panic!("a non-idempotent request may run twice"),
                 Idempotency::Keyed {
                     deduplication_window,
                     ..
@@ -164,7 +164,7 @@
         });
     }
 
-    fn check_answer(&mut self, id: RequestId, refused: bool) {
+    fn check_answer(&mut self, id: RequestId, rejected: bool) {
         let case = self
             .cases
             .get_mut(&id)
@@ -178,11 +178,11 @@
             .sent
             .iter()
             .any(|s| !s.end.is_some_and(Outcome::never_ran));
-        if refused && may_have_run {
+        if rejected && may_have_run {
             assert_ne!(
                 self.settings.classes[case.class].idempotency,
                 Idempotency::NotIdempotent,
-                "an unsafe one refused"
+                "a non-idempotent one rejected"
             );
         }
         case.answers += 1;
@@ -204,12 +204,12 @@
                     self.end(id, out, Outcome::TimedOut, None);
                 }
                 (_, Some(timer)) => {
-                    let place = self
+                    let index = self
                         .timers
                         .iter()
                         .position(|t| *t == timer)
                         .expect("the timer");
-                    self.timers.swap_remove(place);
+                    self.timers.swap_remove(index);
                     self.now = self.now.max(timer.0);
                     self.event(Event::Timer { token: timer.1 });
                 }
@@ -259,7 +259,7 @@
                 .values_mut()
                 .for_each(|s| *s = EndpointState::Removed);
         }
-        let member = |&(server, state, started, weight): &(usize, usize, u64, u32)| Endpoint {
+        let endpoint = |&(server, state, started, weight): &(usize, usize, u64, u32)| Endpoint {
             state: [
                 EndpointState::Ready,
                 EndpointState::Draining,
@@ -271,9 +271,9 @@
             zone: Some(ZoneId(server % 3)),
             ..Endpoint::ready(name(server))
         };
-        let endpoints: Vec<Endpoint> = states.iter().map(member).collect();
-        for member in &endpoints {
-            self.states.insert(member.server.clone(), member.state);
+        let endpoints: Vec<Endpoint> = states.iter().map(endpoint).collect();
+        for endpoint in &endpoints {
+            self.states.insert(endpoint.server.clone(), endpoint.state);
         }
         self.event(Event::EndpointsChanged { update, endpoints });
     }
@@ -281,14 +281,14 @@
     fn step(&mut self, step: &Step) {
         match step {
             Step::Wait(millis) => self.wait(self.now.plus(ms(*millis))),
-            Step::Ask {
+            Step::Request {
                 class,
                 key,
                 life,
                 write,
                 tenant,
-            } => self.ask(*class, *key, *life, *write, *tenant),
-            Step::AskAgain(id) => {
+            } => self.request(*class, *key, *life, *write, *tenant),
+            Step::RepeatRequest(id) => {
                 if self.cases.contains_key(&RequestId(*id)) {
                     let live = !self.cases[&RequestId(*id)].over;
                     let request = request(*id, 0, 1, self.now.plus(ms(500)), false, 0);
@@ -363,7 +363,7 @@
         }
     }
 
-    fn ask(&mut self, class: usize, key: u64, life: u64, write: bool, tenant: usize) {
+    fn request(&mut self, class: usize, key: u64, life: u64, write: bool, tenant: usize) {
         let id = RequestId(self.next);
         self.next += 1;
         let expires = self.now.plus(ms(life));
@@ -371,7 +371,7 @@
             let (sent, answers, over, streaming) = (vec![], 0, false, false);
             self.cases.insert(
                 id,
-                Case {
+                ExpectedRequest {
                     class,
                     expires,
                     answers,
@@ -438,7 +438,7 @@
 }
 
 #[test]
-fn random_events_break_no_rule() {
+fn random_events_violate_no_invariant() {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
     let mut runner = TestRunner::new_with_rng(
         Config {
@@ -449,18 +449,18 @@
     );
     let steps = proptest::collection::vec(step(), 1..120);
     let result = runner.run(&(0..16u8, any::<u64>(), steps), |(mode, seed, steps)| {
-        let mut worlds = [
-            World::new(variant(mode), seed),
-            World::new(variant(mode), seed),
+        let mut simulations = [
+            Simulation::new(variant(mode), seed),
+            Simulation::new(variant(mode), seed),
         ];
-        for world in &mut worlds {
-            world.list(
+        for simulation in &mut simulations {
+            simulation.list(
                 1,
                 &[(1, 0, 0, 1), (2, 0, 0, 1), (3, 0, 99_000, 1), (0, 0, 0, 1)],
             );
-            steps.iter().for_each(|step| world.step(step));
-            world.wait(world.now.plus(ms(5_000)));
-            for (id, case) in &world.cases {
+            steps.iter().for_each(|step| simulation.step(step));
+            simulation.wait(simulation.now.plus(ms(5_000)));
+            for (id, case) in &simulation.cases {
                 prop_assert!(
                     case.streaming || case.answers == 1,
                     "{:?} got {} answers",
@@ -469,7 +469,7 @@
                 );
             }
         }
-        let [a, b] = &worlds;
+        let [a, b] = &simulations;
         for (id, case) in &a.cases {
             let twin: Vec<_> = b.cases[id].sent.iter().map(|s| (&s.server, s.at)).collect();
             let sent: Vec<_> = case.sent.iter().map(|s| (&s.server, s.at)).collect();
--- /dev/null
+++ b/crates/load-balancer/tests/rejection.rs
@@ -0,0 +1,109 @@
+//! Rejections, and clients that retry after one.
+
+mod common;
+
+use common::*;
+use load_balancer::*;
+
+/// Writes that use up every limit.
+fn fill_limit(rig: &mut TestRouter) -> Vec<RequestId> {
+    let asked: Vec<_> = (0..30).map(|key| rig.request(1, key)).collect();
+    asked
+        .into_iter()
+        .filter(|(_, actions)| sent(actions).is_some())
+        .map(|(id, _)| id)
+        .collect()
+}
+
+/// Guards against clients that come back at once, into the same overload: a rejection says when to retry, where clients
+/// listen, and never longer than they do.
+#[test]
+fn a_rejection_comes_at_once_with_a_retry_after_time() {
+    let retry_after_of = |retry_after: bool, longest: u64| {
+        let limits = Limits {
+            max_attempts: 1,
+            retry_after,
+            max_retry_after: ms(longest),
+            ..settings().limits
+        };
+        let mut rig = TestRouter::new(
+            Settings {
+                limits,
+                ..settings()
+            },
+            ready(1),
+        );
+        let (id, _) = rig.request(0, 5);
+        let given = rig
+            .end_attempt(id, 0, Outcome::Overloaded, 20)
+            .into_iter()
+            .find_map(|action| match action {
+                Action::Reject { retry_after, .. } => Some(retry_after),
+                _ => None,
+            });
+        given.expect("an answer at the outcome, not at the deadline")
+    };
+    let baseline = retry_after_of(true, 1_000).expect("a retry-after time");
+    assert!(baseline > Micros(0) && baseline < ms(1_000), "{baseline:?}");
+    assert_eq!(retry_after_of(true, 7), Some(ms(7)));
+    assert_eq!(retry_after_of(false, 1_000), None);
+}
+
+/// Guards against retries in overload: a retry of a rejected request is as old as its first try. Once an answer comes
+/// too late to have any weight, it leaves the capacity to requests that are in time.
+#[test]
+fn a_retry_past_its_objective_leaves_capacity_to_others() {
+    let room = |wait: u64, late_weight: f64| {
+        let mut rig = TestRouter::new(settings_with_late_weight(late_weight), ready(1));
+        let keys = 100..130;
+        keys.clone().for_each(|key| _ = rig.served_by(key));
+        let taken = fill_limit(&mut rig);
+        assert!(
+            keys.clone().all(|key| rejected(&rig.request(0, key).1)),
+            "no capacity is left"
+        );
+        taken
+            .into_iter()
+            .for_each(|id| _ = rig.end_attempt(id, 0, Outcome::Success, 20));
+        rig.now = rig.now.plus(ms(wait));
+        keys.filter(|&key| sent(&rig.retry(0, key).1).is_some())
+            .count()
+    };
+    let (early, late, late_with_weight) = (room(50, 0.0), room(290, 0.0), room(290, 1.0));
+    assert!(early >= 4, "{early} in time");
+    assert!(
+        (1..=early / 2).contains(&late),
+        "{late} late, without late weight; {early} in time"
+    );
+    assert_eq!(
+        late_with_weight, early,
+        "where late answers have full weight"
+    );
+}
+
+/// Guards what only looks like a late retry: of a request never rejected here, or so long ago that its client has
+/// gone. It counts as new, and has the capacity of a new one.
+#[test]
+fn a_retry_without_a_known_rejection_counts_as_new() {
+    let room = |was_rejected: bool| {
+        let mut rig = TestRouter::new(settings_with_late_weight(0.0), ready(1));
+        (100..130).for_each(|key| _ = rig.served_by(key));
+        let taken = fill_limit(&mut rig);
+        (100..130)
+            .filter(|_| was_rejected)
+            .for_each(|key| _ = rig.request(0, key));
+        taken
+            .into_iter()
+            .for_each(|id| _ = rig.end_attempt(id, 0, Outcome::Success, 20));
+        rig.now = rig.now.plus(ms(1_200));
+        (100..130)
+            .filter(|&key| sent(&rig.retry(0, key).1).is_some())
+            .count()
+    };
+    assert!(room(false) >= 4);
+    assert_eq!(
+        room(true),
+        room(false),
+        "past the class's deadline nobody waits"
+    );
+}
--- /dev/null
+++ b/crates/load-balancer/tests/retries.rs
@@ -0,0 +1,190 @@
+//! Retries: when a request may run again, where, how often, and after which time.
+
+mod common;
+
+use common::*;
+use load_balancer::*;
+
+#[test]
+fn a_non_idempotent_request_is_retried_only_if_it_never_ran() {
+    for (outcome, again) in [
+        (Outcome::Overloaded, true),
+        (Outcome::Unreachable, true),
+        (Outcome::Failure, false),
+        (Outcome::ConnectionLost, false),
+        (Outcome::TimedOut, false),
+    ] {
+        let mut rig = TestRouter::new(settings(), ready(3));
+        let (id, _) = rig.request(1, 5);
+        let actions = rig.end_attempt(id, 0, outcome, 20);
+        assert_eq!(sent(&actions).is_some(), again, "{outcome:?}");
+        assert_eq!(
+            failed(&actions),
+            !again,
+            "{outcome:?}: what may have run is failed, never rejected"
+        );
+        assert!(!rejected(&actions));
+    }
+}
+
+#[test]
+fn a_keyed_request_is_retried_only_within_its_deduplication_window() {
+    let mut rig = TestRouter::new(settings(), ready(3));
+    let (id, _) = rig.request(2, 5);
+    rig.now = rig.now.plus(ms(100));
+    assert!(sent(&rig.end_attempt(id, 0, Outcome::ConnectionLost, 100)).is_some());
+
+    let mut rig = TestRouter::new(settings(), ready(3));
+    let (id, _) = rig.request(2, 5);
+    rig.now = rig.now.plus(ms(400));
+    let actions = rig.end_attempt(id, 0, Outcome::ConnectionLost, 400);
+    assert_eq!(sent(&actions), None, "its memory is over");
+    assert!(
+        rejected(&actions),
+        "all servers share the memory, so that the client may still repeat it"
+    );
+}
+
+/// The repeat may wait for its connection: it says for how long.
+#[test]
+fn a_keyed_retry_carries_the_rest_of_its_deduplication_window() {
+    let mut rig = TestRouter::new(settings(), ready(4));
+    let (id, actions) = rig.request(2, 7);
+    let within = |actions: &[Action]| {
+        actions.iter().find_map(|a| match a {
+            Action::Send { start_within, .. } => Some(*start_within),
+            _ => None,
+        })
+    };
+    assert_eq!(
+        within(&actions),
+        Some(None),
+        "nothing can have run before the first attempt"
+    );
+    rig.now = rig.now.plus(ms(390));
+    let actions = rig.end_attempt(id, 0, Outcome::ConnectionLost, 390);
+    assert_eq!(
+        within(&actions),
+        Some(Some(ms(10))),
+        "ten of its 400 ms are left"
+    );
+}
+
+#[test]
+fn a_keyed_request_stays_in_its_deduplication_scope() {
+    let mut settings = settings();
+    settings.classes[2].idempotency = Idempotency::Keyed {
+        scope: DeduplicationScope::Zone,
+        deduplication_window: ms(400),
+    };
+    let mut endpoints = ready(3);
+    for (i, endpoint) in endpoints.iter_mut().enumerate() {
+        endpoint.zone = Some(ZoneId(i));
+    }
+    let mut rig = TestRouter::new(settings, endpoints);
+    let (id, _) = rig.request(2, 5);
+    let actions = rig.end_attempt(id, 0, Outcome::ConnectionLost, 10);
+    assert_eq!(sent(&actions), None);
+    assert!(failed(&actions) && !rejected(&actions));
+}
+
+#[test]
+fn attempts_are_limited() {
+    let mut rig = TestRouter::new(settings(), ready(9));
+    let (id, _) = rig.request(0, 5);
+    let mut sends = 1;
+    for attempt in 0..9 {
+        sends +=
+            usize::from(sent(&rig.end_attempt(id, attempt, Outcome::Unreachable, 1)).is_some());
+    }
+    assert_eq!(sends, 3);
+}
+
+#[test]
+fn no_retry_goes_to_a_server_that_drains_meanwhile() {
+    let mut rig = TestRouter::new(settings(), ready(2));
+    let (id, actions) = rig.request(0, 5);
+    let first = sent(&actions).expect("sent");
+    let mut gone: Vec<Endpoint> = ready(2).into_iter().filter(|m| m.server != first).collect();
+    gone[0].state = EndpointState::Draining;
+    rig.update_endpoints(EndpointUpdate::Delta, gone);
+    let actions = rig.end_attempt(id, 0, Outcome::Unreachable, 5);
+    assert_eq!(sent(&actions), None);
+    assert!(rejected(&actions));
+}
+
+/// Retries are earned: a fleet that fails as a whole is not sent three times the load.
+#[test]
+fn retries_are_a_small_part_of_the_load() {
+    let mut rig = TestRouter::new(settings(), ready(5));
+    let mut sends = 0;
+    for key in 0..500 {
+        let (id, actions) = rig.request(0, key);
+        sends += usize::from(sent(&actions).is_some());
+        for attempt in 0..3 {
+            sends +=
+                usize::from(sent(&rig.end_attempt(id, attempt, Outcome::Overloaded, 5)).is_some());
+        }
+    }
+    assert!(
+        sends < 560,
+        "{sends} sends for 500 requests that all failed"
+    );
+}
+
+/// Guards the successor of a hot or unresponsive server: further attempts of many routers are spread over a few servers,
+/// and still find the only one that is left.
+#[test]
+fn retries_of_many_routers_are_spread() {
+    let second = |seed: u64, count: usize| {
+        let mut rig = TestRouter::new(settings(), vec![]);
+        rig.router = Router::new(
+            Settings {
+                routers: 400,
+                ..settings()
+            },
+            seed,
+        )
+        .expect("usable settings");
+        rig.update_endpoints(EndpointUpdate::Snapshot, ready(count));
+        let (id, _) = rig.request(0, 7);
+        sent(&rig.end_attempt(id, 0, Outcome::TimedOut, 200))
+    };
+    let servers_used: std::collections::BTreeSet<_> =
+        (0..40).filter_map(|seed| second(seed, 20)).collect();
+    assert!((2..=4).contains(&servers_used.len()), "{servers_used:?}");
+    assert!(
+        (0..40).all(|seed| second(seed, 2).is_some()),
+        "the only one left"
+    );
+}
+
+/// Guards against silence: while a retry can follow, an attempt may take only a part of the time to the objective, where
+/// late answers have no weight. Where they have, or the request is not idempotent, it is waited for; and so it is where
+/// answers usually take a good part of that time: most would be given up shortly before they come.
+#[test]
+fn an_overdue_attempt_times_out_while_a_retry_can_follow() {
+    let timeout = |class: usize, late_weight: f64, baseline: u64| {
+        let mut rig = TestRouter::new(settings_with_late_weight(late_weight), ready(3));
+        for key in 0..60 {
+            let (id, _) = rig.request(0, key);
+            rig.now = rig.now.plus(ms(baseline));
+            rig.end_attempt(id, 0, Outcome::Success, baseline);
+        }
+        let (_, actions) = rig.request(class, 5);
+        let found = actions.iter().find_map(|a| match a {
+            Action::Send { timeout, .. } => Some(*timeout),
+            _ => None,
+        });
+        found.expect("a send")
+    };
+    assert!(timeout(0, 0.0, 20).is_some_and(|t| t > ms(60) && t < ms(300)));
+    assert!(timeout(2, 0.0, 20).is_some());
+    assert_eq!(timeout(1, 0.0, 20), None, "a non-idempotent one");
+    assert_eq!(timeout(0, 0.3, 20), None, "late answers have weight");
+    assert_eq!(
+        timeout(0, 0.0, 100),
+        None,
+        "a third of the objective is typical here"
+    );
+}
--- a/crates/load-balancer/tests/ring.rs
+++ b/crates/load-balancer/tests/ring.rs
@@ -17,14 +17,14 @@
     (769, 2),
 ];
 
-fn owners(rig: &mut Rig, keys: std::ops::Range<u64>) -> Vec<ServerId> {
+fn owners(rig: &mut TestRouter, keys: std::ops::Range<u64>) -> Vec<ServerId> {
     keys.map(|key| rig.served_by(key).expect("a ready server"))
         .collect()
 }
 
 #[test]
-fn keys_go_to_the_first_point_at_or_above_and_wrap() {
-    let mut rig = Rig::new(settings(), ready(5));
+fn keys_go_to_the_first_point_at_or_above_and_wrap_around() {
+    let mut rig = TestRouter::new(settings(), ready(5));
     for (key, server) in GOLDEN {
         assert_eq!(rig.served_by(key), Some(name(server)), "key {key}");
     }
@@ -34,14 +34,14 @@
 fn the_order_of_the_list_does_not_matter() {
     let mut backwards = ready(9);
     backwards.reverse();
-    let mut a = Rig::new(settings(), ready(9));
-    let mut b = Rig::new(settings(), backwards);
+    let mut a = TestRouter::new(settings(), ready(9));
+    let mut b = TestRouter::new(settings(), backwards);
     assert_eq!(owners(&mut a, 0..500), owners(&mut b, 0..500));
 }
 
 #[test]
 fn arcs_are_even() {
-    let mut rig = Rig::new(settings(), ready(10));
+    let mut rig = TestRouter::new(settings(), ready(10));
     let mut count = HashMap::new();
     for owner in owners(&mut rig, 0..10_000) {
         *count.entry(owner).or_insert(0) += 1;
@@ -54,24 +54,24 @@
 
 #[test]
 fn only_the_keys_of_a_departed_server_move() {
-    let mut rig = Rig::new(settings(), ready(8));
+    let mut rig = TestRouter::new(settings(), ready(8));
     let before = owners(&mut rig, 0..2_000);
     let mut drained = ready(8);
     drained[3].state = EndpointState::Draining;
-    rig.list(EndpointUpdate::Delta, vec![drained[3].clone()]);
+    rig.update_endpoints(EndpointUpdate::Delta, vec![drained[3].clone()]);
     let after = owners(&mut rig, 0..2_000);
     for (was, is) in before.iter().zip(&after) {
         assert_ne!(*is, name(4), "a draining server is off the ring");
         assert!(was == is || *was == name(4), "a key of {was} moved to {is}");
     }
-    rig.list(EndpointUpdate::Delta, vec![ready(8)[3].clone()]);
+    rig.update_endpoints(EndpointUpdate::Delta, vec![ready(8)[3].clone()]);
     assert_eq!(owners(&mut rig, 0..2_000), before);
 }
 
 #[test]
-fn requests_without_a_key_are_placed_by_their_number() {
-    let place = |id: u32| {
-        let mut rig = Rig::new(settings(), ready(6));
+fn requests_without_a_key_are_placed_by_their_id() {
+    let server_of = |id: u32| {
+        let mut rig = TestRouter::new(settings(), ready(6));
         let request = Request {
             id: RequestId(id),
             class: ClassId(0),
@@ -84,22 +84,22 @@
         };
         sent(&rig.event(Event::Request(request))).expect("a ready server")
     };
-    assert_eq!(place(12), place(12));
-    let used: std::collections::HashSet<_> = (0..60).map(place).collect();
+    assert_eq!(server_of(12), server_of(12));
+    let used: std::collections::HashSet<_> = (0..60).map(server_of).collect();
     assert_eq!(used.len(), 6);
 }
 
-/// Guards the order of a full list: a newcomer that stands before a server that stays never takes its place.
+/// Guards the order of a snapshot: a new server listed before one that stays never takes its table entry.
 #[test]
-fn a_full_list_moves_only_the_keys_of_who_comes_and_goes() {
-    let mut rig = Rig::new(settings(), ready(4));
+fn a_snapshot_moves_only_the_keys_of_servers_that_come_or_go() {
+    let mut rig = TestRouter::new(settings(), ready(4));
     owners(&mut rig, 0..200);
     rig.now = rig.now.plus(ms(60_000));
     // 10.0.0.9 comes first in the list, 10.0.0.1 has left, the rest stays.
     let mut endpoints = vec![Endpoint::ready(name(9))];
     endpoints.extend(ready(4).split_off(1));
-    rig.list(EndpointUpdate::Snapshot, endpoints.clone());
-    let mut anew = Rig::new(settings(), endpoints);
+    rig.update_endpoints(EndpointUpdate::Snapshot, endpoints.clone());
+    let mut anew = TestRouter::new(settings(), endpoints);
     let owners_now = owners(&mut rig, 0..500);
     assert!(owners_now.contains(&name(9)) && !owners_now.contains(&name(1)));
     assert_eq!(owners_now, owners(&mut anew, 0..500));
--- /dev/null
+++ b/crates/load-balancer/tests/slow_start.rs
@@ -0,0 +1,120 @@
+//! Slow start: servers that warm up are sent little at first.
+
+mod common;
+
+use common::*;
+use load_balancer::*;
+
+/// Guards the fourth rule: a started server is sent its present capacity's share of its arcs and no more than that
+/// share of what warm ones are sent; it gets all of them back when warm.
+#[test]
+fn a_server_in_slow_start_takes_a_growing_part_of_its_arcs() {
+    let share_at = |age: u64| {
+        let mut endpoints = ready(4);
+        endpoints[0].started = ms(100_000 - age);
+        let mut rig = TestRouter::new(settings(), endpoints);
+        (0..4_000)
+            .filter(|&key| rig.served_by(key) == Some(name(1)))
+            .count()
+    };
+    let (fresh, half, warm) = (share_at(0), share_at(15_000), share_at(30_000));
+    assert!(fresh < warm / 5, "fresh {fresh}, warm {warm}");
+    assert!(
+        half > fresh && half < warm * 3 / 4,
+        "half {half}, warm {warm}"
+    );
+    assert!(warm > 700, "warm {warm}");
+}
+
+#[test]
+fn an_unreachable_server_returns_through_slow_start() {
+    let mut rig = TestRouter::new(settings(), ready(2));
+    let key = (0..)
+        .find(|&key| rig.served_by(key) == Some(name(1)))
+        .expect("a key of server 1");
+    let fails = |rig: &mut TestRouter| {
+        let (id, _) = rig.request(0, key);
+        rig.end_attempt(id, 0, Outcome::Unreachable, 5);
+        rig.end_attempt(id, 1, Outcome::Success, 5);
+    };
+    let served = |rig: &mut TestRouter| {
+        (0..400)
+            .filter(|&key| rig.served_by(key) == Some(name(1)))
+            .count()
+    };
+    // One connection that was reset shows nothing yet: the server keeps its keys.
+    fails(&mut rig);
+    assert!(served(&mut rig) > 150, "{} of 400 keys", served(&mut rig));
+    fails(&mut rig);
+    fails(&mut rig);
+    let at_once = served(&mut rig);
+    assert!(
+        at_once < 60,
+        "{at_once} of 400 keys at once to a server that has just been down"
+    );
+}
+
+/// Guards against refusing everything while the whole fleet is new: slices are measured against the warmest server.
+#[test]
+fn a_fleet_in_slow_start_serves_all_keys() {
+    let mut endpoints = ready(4);
+    endpoints.iter_mut().for_each(|m| m.started = ms(99_000));
+    let mut rig = TestRouter::new(settings(), endpoints);
+    let mut served = 0;
+    for key in 0..200 {
+        served += usize::from(rig.served_by(key).is_some());
+        rig.now = rig.now.plus(ms(20));
+    }
+    assert!(served > 150, "{served} of 200");
+}
+
+/// Guards the fourth rule where hundreds of routers share nothing: a hot key that falls to a server in slow start would come
+/// from each of them once before any hears that the server is slow.
+#[test]
+fn many_routers_together_stay_within_a_slow_start_allowance() {
+    let mut endpoints = ready(4);
+    endpoints[0].started = ms(85_000);
+    let mut few = TestRouter::new(settings(), endpoints.clone());
+    let key = (0..)
+        .find(|&key| few.served_by(key) == Some(name(1)))
+        .expect("a key of the server in slow start");
+    let routers: u32 = 200;
+    let mut to_cold = 0;
+    for seed in 0..routers {
+        let mut rig = TestRouter::new(settings(), vec![]);
+        rig.router = Router::new(
+            Settings {
+                routers,
+                ..settings()
+            },
+            seed.into(),
+        )
+        .expect("usable settings");
+        rig.update_endpoints(EndpointUpdate::Snapshot, endpoints.clone());
+        for _ in 0..4 {
+            let (id, actions) = rig.request(0, key);
+            to_cold += usize::from(sent(&actions) == Some(name(1)));
+            rig.end_attempt(id, 0, Outcome::Success, 75);
+            rig.now = rig.now.plus(ms(500));
+        }
+    }
+    // 0.75 of 2 x 53% of a core for 1.5 s, at 75 to 150 ms a request, is 8 to 16; chance adds half at most.
+    assert!((1..24).contains(&to_cold), "{to_cold} requests in 2 s");
+}
+
+/// Guards the bounded walk: servers that are left out for slow start do not count, so that one warm server is found.
+#[test]
+fn the_one_warm_server_is_found_among_many_in_slow_start() {
+    let mut endpoints = ready(60);
+    endpoints[1..]
+        .iter_mut()
+        .for_each(|m| m.started = ms(99_990));
+    let mut rig = TestRouter::new(settings(), endpoints);
+    let found = (0..200).filter(|&key| {
+        let served = rig.served_by(key).is_some();
+        rig.now = rig.now.plus(ms(1));
+        served
+    });
+    let found = found.count();
+    assert!(found > 190, "{found} of 200");
+}
--- /dev/null
+++ b/crates/load-balancer/tests/stale_connections.rs
@@ -0,0 +1,32 @@
+//! Connections that are dropped unseen while idle.
+
+mod common;
+
+use common::*;
+use load_balancer::*;
+
+/// Guards against connections dropped unseen while idle: after one that broke, those idle as long are closed before
+/// they are used; busy ones and those in steady use are not.
+#[test]
+fn idle_connections_are_closed_before_use_after_a_stale_one() {
+    let mut rig = TestRouter::new(settings(), ready(1));
+    let closes = |actions: &[Action]| {
+        actions
+            .iter()
+            .any(|a| matches!(a, Action::CloseIdle { .. }))
+    };
+    let round = |rig: &mut TestRouter, wait: u64, outcome: Outcome| {
+        rig.now = rig.now.plus(ms(wait));
+        let (id, actions) = rig.request(0, 7);
+        rig.end_attempt(id, 0, outcome, 5);
+        closes(&actions)
+    };
+    assert!(!round(&mut rig, 0, Outcome::Success));
+    assert!(!round(&mut rig, 4_000, Outcome::ConnectionLost));
+    assert!(round(&mut rig, 3_000, Outcome::Success), "idle for long");
+    assert!(!round(&mut rig, 100, Outcome::Success), "in steady use");
+    assert!(
+        !round(&mut rig, 16_000, Outcome::Success),
+        "beyond its idle time there is none"
+    );
+}
