--- a/crates/load-balancer/benches/decision.rs
+++ b/crates/load-balancer/benches/decision.rs
@@ -1,20 +1,21 @@
-//! What a decision takes at several sizes of fleet: a request with its attempt and its answer. `cargo bench -p load-balancer`.
+//! Cost of a decision at several sizes of fleet: a request with its attempt and its answer.
+//! `cargo bench -p load-balancer`.
 #![allow(missing_docs)] // A program.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use load_balancer::*;
 use std::hint::black_box;
 
-/// Requests at work while one is measured, as on a busy router.
-const HELD: u32 = 32;
-/// Keys that are asked for in turn.
-const KEYS: u64 = 2_000;
+/// Requests in flight while one is measured, as on a busy router.
+const IN_FLIGHT_COUNT: u32 = 32;
+/// Keys that are requested in turn.
+const KEY_COUNT: u64 = 2_000;
 
 struct Fleet {
     router: Router,
     now: Micros,
-    next: u32,
-    open: Vec<RequestId>,
+    next_id: u32,
+    in_flight: Vec<RequestId>,
     actions: Vec<Action>,
 }
 
@@ -50,52 +51,54 @@
         let mut fleet = Fleet {
             router,
             now,
-            next: 0,
-            open: Vec::new(),
+            next_id: 0,
+            in_flight: Vec::new(),
             actions,
         };
-        (0..HELD).for_each(|_| fleet.ask());
+        for _ in 0..IN_FLIGHT_COUNT {
+            fleet.request();
+        }
         fleet
     }
 
-    fn ask(&mut self) {
-        self.next = self.next.wrapping_add(1);
+    fn request(&mut self) {
+        self.next_id = self.next_id.wrapping_add(1);
         self.now = self.now.plus(Micros(1_000));
-        let id = RequestId(self.next);
-        let ask = Request {
+        let id = RequestId(self.next_id);
+        let request = Request {
             id,
             class: ClassId(0),
             tenant: None,
-            key: Some(u64::from(self.next).wrapping_mul(0x9E37_79B9_7F4A_7C15) % KEYS),
+            key: Some(u64::from(self.next_id).wrapping_mul(0x9E37_79B9_7F4A_7C15) % KEY_COUNT),
             expires: self.now.plus(Micros::from_millis(1_200)),
             cost_hint: None,
             retry: false,
             write: false,
         };
         self.router
-            .handle(self.now, Event::Request(ask), &mut self.actions);
+            .handle(self.now, Event::Request(request), &mut self.actions);
         if self
             .actions
             .iter()
             .any(|action| matches!(action, Action::Send { .. }))
         {
-            self.open.push(id);
+            self.in_flight.push(id);
         }
         black_box(&self.actions);
         self.actions.clear();
     }
 
-    /// The oldest request that is out is served.
+    /// Serves the oldest request in flight.
     fn serve(&mut self) {
-        if self.open.is_empty() {
+        if self.in_flight.is_empty() {
             return;
         }
-        let id = self.open.remove(0);
+        let id = self.in_flight.remove(0);
         let end = AttemptEnd::new(
             id,
             AttemptNumber(0),
             Outcome::Success,
-            Micros::from_millis(u64::from(HELD)),
+            Micros::from_millis(u64::from(IN_FLIGHT_COUNT)),
         );
         let end = AttemptEnd {
             complete: true,
@@ -117,7 +120,7 @@
             |bencher, &servers| {
                 let mut fleet = Fleet::new(servers);
                 bencher.iter(|| {
-                    fleet.ask();
+                    fleet.request();
                     fleet.serve();
                 });
             },
--- a/crates/load-balancer/src/admin_overrides.rs
+++ b/crates/load-balancer/src/admin_overrides.rs
@@ -1,4 +1,7 @@
-//! What operators said of servers, by name and apart from the endpoint list.
+//! Does an operator's word take a server out of service or put it back?
+//!
+//! Inputs: what operators said of servers, by name and with its time (µs). Answer: disabled or not, and since when
+//! enabled. Reason: the word holds whatever the endpoint list says, also for a server that is not listed yet.
 
 use crate::ids::ServerId;
 use crate::time::Micros;
@@ -35,8 +38,23 @@
         }
     }
 
-    /// Sets the override of a server.
-    pub fn set(&mut self, server: ServerId, value: AdminOverride) {
+    /// Takes a server out of service.
+    pub fn disable(&mut self, server: ServerId) {
+        self.set(server, AdminOverride::Disabled);
+    }
+
+    /// Puts a server back into service at `at`. False if that changes nothing: the server is not disabled, and this is
+    /// not the report of another process which heard of it earlier.
+    pub fn enable(&mut self, server: ServerId, at: Micros, now: Micros) -> bool {
+        let is_reported_later = at < now && at > self.enabled_at(&server);
+        let is_change = self.is_disabled(&server) || is_reported_later;
+        if is_change {
+            self.set(server, AdminOverride::EnabledAt(at));
+        }
+        is_change
+    }
+
+    fn set(&mut self, server: ServerId, value: AdminOverride) {
         if self.0.len() >= OVERRIDE_COUNT && !self.0.contains_key(&server) {
             self.remove_oldest();
         }
--- a/crates/load-balancer/src/admission.rs
+++ b/crates/load-balancer/src/admission.rs
@@ -21,6 +21,8 @@
 const LATE_LIMIT_RATIO: f64 = 0.3;
 /// A tenant that sends this multiple of its share, as odds against the others, is at or over its quota.
 const OVER_SHARE_RATIO: f64 = 2.0;
+/// The rank of a write: it can run anywhere and need not press into a server at capacity.
+const WRITE_RANK: f64 = 0.5;
 /// The least share, odds or ratio that is divided by.
 const MIN_DIVISOR: f64 = 1e-3;
 
@@ -76,8 +78,21 @@
         Some(odds(sent_share) / odds(entitled_share).max(MIN_DIVISOR))
     }
 
+    /// The priority of a request that has this limit multiplier.
+    pub fn priority(&self, pending: &PendingRequest, limit_multiplier: f64) -> Priority {
+        let rank = if pending.request.write {
+            WRITE_RANK
+        } else {
+            self.priority_rank(pending, limit_multiplier)
+        };
+        Priority {
+            limit_multiplier,
+            rank,
+        }
+    }
+
     /// The share of recent requests that rank below a request, and half of those that rank the same.
-    pub fn priority_rank(&self, pending: &PendingRequest, limit_multiplier: f64) -> f64 {
+    fn priority_rank(&self, pending: &PendingRequest, limit_multiplier: f64) -> f64 {
         let weight = self.class(pending).priority_weight * limit_multiplier.min(1.0);
         let share_below =
             |(class, share): (&Class, f64)| match class.priority_weight.total_cmp(&weight) {
--- a/crates/load-balancer/src/attempt_feedback.rs
+++ b/crates/load-balancer/src/attempt_feedback.rs
@@ -21,6 +21,20 @@
 /// The same where routers are many: each sees too little of a server to average.
 const LATENCY_SPAN_MANY_ROUTERS: u64 = 1;
 
+/// An attempt and how it ended.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct EndedAttempt {
+    pub attempt: Attempt,
+    pub end: AttemptEnd,
+}
+
+/// Whether a key is likelier to be hot than its share of requests tells: its answer was lost or late, and not for a
+/// handshake.
+pub(crate) fn suggests_hot_key(end: &AttemptEnd, latency_objective: Micros) -> bool {
+    let is_slow = end.elapsed > latency_objective.scaled(SLOW_RATIO);
+    is_slow && end.connection_use != ConnectionUse::New
+}
+
 /// What feedback depends on besides the attempt and its server.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FeedbackContext {
@@ -93,12 +107,12 @@
 impl<'a> AttemptFeedback<'a> {
     /// Of an attempt at `server` that ended so; the server's responsiveness is up to date.
     pub fn new(
-        end: &'a AttemptEnd,
-        attempt: &Attempt,
+        ended: &'a EndedAttempt,
         server: &Server,
         origin_fetches: &OriginFetchLimit,
         context: FeedbackContext,
     ) -> AttemptFeedback<'a> {
+        let EndedAttempt { attempt, end } = ended;
         let is_served = end.outcome == Outcome::Success;
         let is_miss = matches!(
             end.cache_status,
--- a/crates/load-balancer/src/endpoints.rs
+++ b/crates/load-balancer/src/endpoints.rs
@@ -10,11 +10,15 @@
 use crate::ids::ServerId;
 use crate::outlier::Responsiveness;
 use crate::queue_estimate::QueueEstimate;
-use crate::settings::Weights;
+use crate::request::AttemptEnd;
+use crate::settings::{Rules, Weights};
 use crate::time::Micros;
 use std::collections::HashMap;
 use std::ops::{Index, IndexMut};
 
+/// The index of a server that left is reused once nothing was sent there for this multiple of the longest deadline.
+const INDEX_REUSE_RATIO: f64 = 2.0;
+
 /// What a router knows of one process of a server.
 #[derive(Debug)]
 pub(crate) struct Server {
@@ -82,6 +86,31 @@
         (has_idle_connection && idle < connection_idle && idle != Micros(0)).then_some(idle)
     }
 
+    /// Records an attempt that takes up `interval` of a pace.
+    pub fn record_send(&mut self, now: Micros, interval: Micros, is_fetch: bool) {
+        self.limit.record_send(now, interval);
+        self.last_used_at = now;
+        self.last_sent_at = now;
+        self.slow_start_credit = 1.0;
+        if !is_fetch {
+            self.responsiveness.record_send(now);
+        }
+    }
+
+    /// Records the load report of an attempt that ended, and whether it shows that the server responds.
+    pub fn record_end(&mut self, end: &AttemptEnd, now: Micros, shortest_objective: Micros) {
+        self.last_used_at = now;
+        if let Some(report) = end.load {
+            self.queue.record_report(now, report);
+        }
+        self.responsiveness.record_end(end, shortest_objective);
+    }
+
+    /// Whether its idle connections must be closed: the deployment asks for it on drains, and it takes nothing new.
+    pub fn must_close_idle(&self, rules: &Rules) -> bool {
+        rules.drain_close.is_some() && !self.is_accepting()
+    }
+
     /// Whether it does not respond.
     pub fn is_unresponsive(&self, now: Micros, shortest_objective: Micros) -> bool {
         let in_flight = self.limit.in_flight;
@@ -156,9 +185,10 @@
         }
     }
 
-    /// The index for a process of a server: that of the server, else that of one which left and was sent nothing
-    /// since `unused_since`, else a new one.
-    pub fn index_for(&self, name: &ServerId, unused_since: Micros) -> usize {
+    /// The index for a process of a server: that of the server, else that of one which left and was sent nothing for
+    /// so long that no request can refer to it, else a new one.
+    pub fn index_for(&self, name: &ServerId, now: Micros, longest_deadline: Micros) -> usize {
+        let unused_since = now.since(longest_deadline.scaled(INDEX_REUSE_RATIO));
         let is_unused = |server: &Server| {
             server.is_removed()
                 && !server.is_on_ring
--- a/crates/load-balancer/src/key_locations.rs
+++ b/crates/load-balancer/src/key_locations.rs
@@ -1,5 +1,7 @@
 //! Which servers lately served which keys: tells likely hits from likely misses. A measure only.
 
+use crate::request::{AttemptEnd, Outcome};
+
 /// Entries; a power of two. A further one replaces an older one.
 const ENTRY_COUNT: usize = 4096;
 /// Spreads the servers of one key over the table (golden ratio, as in Fibonacci hashing).
@@ -45,8 +47,19 @@
         };
     }
 
+    /// Records what the end of an attempt tells: a success that the server holds the key, a fetch or a timeout that it
+    /// lacks it.
+    pub fn record_end(&mut self, ring_position: u32, server: usize, end: &AttemptEnd) {
+        let is_missing = end.cache_status.is_some() || end.outcome == Outcome::TimedOut;
+        if end.outcome == Outcome::Success {
+            self.record_served(ring_position, server);
+        } else if is_missing {
+            self.record_missing(ring_position, server);
+        }
+    }
+
     /// Records that a server lacks a key.
-    pub fn record_missing(&mut self, ring_position: u32, server: usize) {
+    fn record_missing(&mut self, ring_position: u32, server: usize) {
         if self.is_at(ring_position, server) {
             self.0[KeyLocations::entry_index(ring_position, server)] = EMPTY;
         }
--- a/crates/load-balancer/src/lib.rs
+++ b/crates/load-balancer/src/lib.rs
@@ -4,6 +4,11 @@
 //! server of a key, without a message between them. [`Router`] does no I/O and holds no clock: it takes events with
 //! their time and returns actions.
 //!
+//! The way of a request: its priority (`admission`) and its fetch permission (`origin_fetch_limit`) are found, then
+//! `placement` walks over the candidates of the `ring` until one takes it. The attempt is sent; its end is taken in by
+//! `attempt_feedback`, and `retry`, `rejection` and `deadline` tell what follows. `router` asks them in this order and
+//! decides nothing itself; each other module owns one rule and the state that the rule needs.
+//!
 //! ```
 //! use load_balancer::*;
 //!
--- a/crates/load-balancer/src/origin_fetch_limit.rs
+++ b/crates/load-balancer/src/origin_fetch_limit.rs
@@ -46,6 +46,9 @@
 const MIN_LATENCY_SPAN: u64 = 512;
 /// The longest that an abandoned fetch is taken to go on: a stopped origin drops what it holds.
 const MAX_FETCH_TIME: Micros = Micros::from_millis(5_000);
+/// While the origin has a queue, a fetch that moves a key away from its owner may use this ratio of the limit: it
+/// evicts another key, which is fetched again too, and is served last.
+const MIGRATION_LIMIT_RATIO: f64 = 0.3;
 /// Abandoned fetches that are remembered (2 KiB).
 const ABANDONED_COUNT: usize = 256;
 
@@ -66,6 +69,23 @@
     pub hit_round: Micros,
 }
 
+/// Whether a request may be an origin fetch.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct FetchPermission {
+    /// Where its key belongs.
+    pub at_owner: bool,
+    /// At another server.
+    pub elsewhere: bool,
+}
+
+impl FetchPermission {
+    /// Where no limit holds.
+    pub const UNLIMITED: FetchPermission = FetchPermission {
+        at_owner: true,
+        elsewhere: true,
+    };
+}
+
 /// One router's limit on fetches from the origin.
 #[derive(Debug)]
 pub(crate) struct OriginFetchLimit {
@@ -118,9 +138,31 @@
         self.limit = self.initial.max(share);
     }
 
-    /// Whether one more may be sent. Of the attempts in flight, `undecided` (by popularity level) may yet turn out
-    /// to be hits, as often as such requests did lately.
-    pub fn has_capacity(
+    /// Whether one more may be sent, to the owner of its key and elsewhere. Of the attempts in flight, `undecided` (by
+    /// popularity level) may yet turn out to be hits, as often as such requests did lately.
+    pub fn permission(
+        &mut self,
+        now: Micros,
+        undecided: &[u32; POPULARITY_LEVEL_COUNT],
+        request: &FetchRequest,
+    ) -> FetchPermission {
+        let at_owner = self.has_capacity(now, undecided, request);
+        let migration_ratio = if self.has_queue() {
+            MIGRATION_LIMIT_RATIO
+        } else {
+            1.0
+        };
+        let migration = FetchRequest {
+            limit_multiplier: request.limit_multiplier * migration_ratio,
+            ..*request
+        };
+        FetchPermission {
+            at_owner,
+            elsewhere: at_owner && self.has_capacity(now, undecided, &migration),
+        }
+    }
+
+    fn has_capacity(
         &mut self,
         now: Micros,
         undecided: &[u32; POPULARITY_LEVEL_COUNT],
@@ -221,7 +263,7 @@
     }
 
     /// Whether fetches take longer on the whole than at an origin that is well.
-    pub fn has_queue(&self) -> bool {
+    fn has_queue(&self) -> bool {
         let queue_latency = self.min_latency.scaled(QUEUE_LATENCY_RATIO);
         self.latency > queue_latency.min(self.useful_latency.scaled(2.0))
     }
--- a/crates/load-balancer/src/pending.rs
+++ b/crates/load-balancer/src/pending.rs
@@ -7,6 +7,9 @@
 use crate::time::Micros;
 use std::collections::HashMap;
 
+/// An attempt in flight for less than this multiple of the typical latency may yet turn out to be a hit.
+const UNDECIDED_LATENCY_RATIO: f64 = 2.0;
+
 /// Whether an attempt is in flight, and else whether it may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptState {
@@ -138,7 +141,12 @@
 
     /// Attempts in flight that count as fetches but were sent so recently that they may turn out to be hits, by
     /// popularity level.
-    pub fn undecided_fetches(&self, sent_since: Micros) -> [u32; POPULARITY_LEVEL_COUNT] {
+    pub fn undecided_fetches(
+        &self,
+        now: Micros,
+        typical_latency: Micros,
+    ) -> [u32; POPULARITY_LEVEL_COUNT] {
+        let sent_since = now.since(typical_latency.scaled(UNDECIDED_LATENCY_RATIO));
         let mut undecided = [0; POPULARITY_LEVEL_COUNT];
         let attempts = self.0.values().flat_map(|pending| &pending.attempts);
         for attempt in attempts {
--- a/crates/load-balancer/src/placement.rs
+++ b/crates/load-balancer/src/placement.rs
@@ -9,6 +9,7 @@
 use crate::admission::{Priority, ServerLimits};
 use crate::endpoints::{Server, ServerTable};
 use crate::key_locations::KeyLocations;
+use crate::origin_fetch_limit::FetchPermission;
 use crate::outlier::is_health_check_due;
 use crate::pending::PendingRequest;
 use crate::ring::Ring;
@@ -18,7 +19,7 @@
 
 /// A key moves, where that takes a fetch, only to a server that uses less than this ratio of its limit; else the
 /// fetch, and the keys that it evicts there, cost more than the move saves.
-pub(crate) const MIGRATION_LIMIT_RATIO: f64 = 0.3;
+const MIGRATION_LIMIT_RATIO: f64 = 0.3;
 /// Keys move while the other servers together use less than this ratio of their limits.
 const FLEET_SPARE_RATIO: f64 = 0.5;
 /// A server whose limit is below this ratio of the mean is in trouble itself: its keys may move even while the fleet
@@ -156,13 +157,18 @@
     replica_offset * spread.min(others)
 }
 
-/// Whether a request may be an origin fetch.
-#[derive(Clone, Copy, Debug)]
-pub(crate) struct FetchPermission {
-    /// Where its key belongs.
-    pub at_owner: bool,
-    /// At another server, where it evicts another key besides.
-    pub elsewhere: bool,
+/// The index of an origin that takes a request; for a router that fetches for itself. `chance` in [0, 1) lets a part
+/// of the requests through while the limit of the origin is below one.
+pub(crate) fn choose_origin(
+    servers: &ServerTable,
+    limit_multiplier: f64,
+    chance: f64,
+) -> Option<usize> {
+    servers.iter().position(|server| {
+        server.is_origin
+            && server.is_accepting()
+            && server.limit.has_capacity(limit_multiplier, chance)
+    })
 }
 
 /// What holds for all candidates of a request.
@@ -176,7 +182,10 @@
     pub slow_start: SlowStart<'a>,
     pub limits: ServerLimits<'a>,
     pub priority: Priority,
+    /// Whether it may be an origin fetch.
     pub fetch: FetchPermission,
+    /// A fetch away from the owner can be paid for.
+    pub has_retry_token: bool,
     pub fleet: FleetUsage,
     /// Servers on the ring.
     pub ready_servers: usize,
@@ -317,7 +326,7 @@
             CandidateVerdict::Diverted
         } else if !self.may_move {
             CandidateVerdict::RetainedByOwner
-        } else if !self.inputs.fetch.elsewhere {
+        } else if !self.inputs.may_fetch_elsewhere() {
             CandidateVerdict::FetchLimited
         } else if is_extra_fetch {
             CandidateVerdict::DivertedWithRetryToken
@@ -360,6 +369,11 @@
         !self.pending.request.write && self.key_locations.is_at(position, index)
     }
 
+    /// Whether the key may be fetched away from its owner: a write is fetched anyway, a read costs a retry token.
+    fn may_fetch_elsewhere(&self) -> bool {
+        self.fetch.elsewhere && (self.pending.request.write || self.has_retry_token)
+    }
+
     fn admit(&self, server: &Server, limit_ratio: f64) -> bool {
         self.limits.admit(server, limit_ratio, &self.priority)
     }
--- a/crates/load-balancer/src/router/attempts.rs
+++ b/crates/load-balancer/src/router/attempts.rs
@@ -2,28 +2,20 @@
 
 use super::Router;
 use crate::action::Action;
-use crate::admission::Priority;
-use crate::attempt_feedback::{AttemptFeedback, FeedbackContext};
-use crate::concurrency_limit::SLOW_RATIO;
-use crate::ids::AttemptNumber;
-use crate::origin_fetch_limit::FetchRequest;
+use crate::attempt_feedback::{AttemptFeedback, EndedAttempt, FeedbackContext, suggests_hot_key};
+use crate::origin_fetch_limit::{FetchPermission, FetchRequest};
 use crate::pending::{Attempt, AttemptState, PendingRequest};
 use crate::placement::{
-    CandidateWalk, FetchPermission, FleetUsage, MIGRATION_LIMIT_RATIO, Placement, PlacementInputs,
-    hot_key_replicas, replicas_to_pass,
+    CandidateWalk, FleetUsage, Placement, PlacementInputs, choose_origin, hot_key_replicas,
+    replicas_to_pass,
 };
-use crate::request::{AttemptEnd, ConnectionUse, Outcome};
+use crate::request::{AttemptEnd, Outcome};
 use crate::retry::{self, AttemptTarget, AttemptTimeout};
 use crate::settings::CacheMode;
 use crate::slow_start::SlowStart;
 use crate::stale_connections::met_stale_connection;
 use crate::time::Micros;
 
-/// An attempt in flight for less than this multiple of the typical latency may yet turn out to be a hit.
-const UNDECIDED_LATENCY_RATIO: f64 = 2.0;
-/// The rank of a write: it can run anywhere and need not press into a server at capacity.
-const WRITE_RANK: f64 = 0.5;
-
 impl Router {
     /// The index of the server for the next attempt of a request.
     pub(super) fn choose_server(&mut self, pending: &PendingRequest) -> Option<usize> {
@@ -31,7 +23,7 @@
         let chance = self.random.next_fraction();
         let is_through = self.settings.mode == CacheMode::Through;
         if !is_through && (pending.request.write || pending.has_missed) {
-            return self.choose_origin(limit_multiplier, chance);
+            return choose_origin(&self.servers, limit_multiplier, chance);
         }
         let fetch = self.fetch_permission(pending, limit_multiplier);
         let placement = self.place(pending, limit_multiplier, fetch)?;
@@ -41,47 +33,18 @@
         Some(placement.server)
     }
 
-    fn choose_origin(&self, limit_multiplier: f64, chance: f64) -> Option<usize> {
-        self.servers.iter().position(|server| {
-            server.is_origin
-                && server.is_accepting()
-                && server.limit.has_capacity(limit_multiplier, chance)
-        })
-    }
-
-    /// Whether a request may be an origin fetch, at its owner and elsewhere. A router that fetches for itself asks
-    /// caches without limit. A fetch elsewhere evicts another key besides: with a queue at the origin it is served
-    /// last, and it costs a retry token unless a write has to be fetched anyway.
+    /// A router that fetches from the origin itself asks caches without limit.
     fn fetch_permission(
         &mut self,
         pending: &PendingRequest,
         limit_multiplier: f64,
     ) -> FetchPermission {
-        let is_paid = pending.request.write || self.retry_budget.has_token();
         if self.settings.mode != CacheMode::Through {
-            return FetchPermission {
-                at_owner: true,
-                elsewhere: is_paid,
-            };
+            return FetchPermission::UNLIMITED;
         }
-        let at_owner = self.may_fetch(pending, limit_multiplier);
-        let migration_ratio = if self.origin_fetches.has_queue() {
-            MIGRATION_LIMIT_RATIO
-        } else {
-            1.0
-        };
-        let may_migrate = at_owner && self.may_fetch(pending, limit_multiplier * migration_ratio);
-        FetchPermission {
-            at_owner,
-            elsewhere: may_migrate && is_paid,
-        }
-    }
-
-    fn may_fetch(&mut self, pending: &PendingRequest, limit_multiplier: f64) -> bool {
-        let undecided_time = self.typical_latency.scaled(UNDECIDED_LATENCY_RATIO);
         let undecided = self
             .pending
-            .undecided_fetches(self.now.since(undecided_time));
+            .undecided_fetches(self.now, self.typical_latency);
         let ready_servers = self.ring.server_count().max(1) as f64;
         let hit_round = self
             .typical_latency
@@ -92,7 +55,7 @@
             hit_round,
         };
         self.origin_fetches
-            .has_capacity(self.now, &undecided, &request)
+            .permission(self.now, &undecided, &request)
     }
 
     /// Walks over the candidates on the ring.
@@ -121,12 +84,6 @@
     ) -> PlacementInputs<'a> {
         let rules = &self.settings.rules;
         let weights = self.settings.weights;
-        let rank = if pending.request.write {
-            WRITE_RANK
-        } else {
-            self.priority_context()
-                .priority_rank(pending, limit_multiplier)
-        };
         PlacementInputs {
             pending,
             servers: &self.servers,
@@ -141,11 +98,9 @@
                 typical_latency: self.typical_latency,
             },
             limits: self.server_limits(),
-            priority: Priority {
-                limit_multiplier,
-                rank,
-            },
+            priority: self.priority_context().priority(pending, limit_multiplier),
             fetch,
+            has_retry_token: self.retry_budget.has_token(),
             fleet: FleetUsage::of(&self.servers, self.now, rules, weights),
             ready_servers: self.ring.server_count(),
         }
@@ -218,17 +173,10 @@
     }
 
     fn record_send(&mut self, index: usize, is_fetch: bool) {
-        let now = self.now;
         let interval = self.server_limits().paced_interval(&self.servers[index]);
-        let server = &mut self.servers[index];
-        server.limit.record_send(now, interval);
-        server.last_used_at = now;
-        server.last_sent_at = now;
-        server.slow_start_credit = 1.0;
+        self.servers[index].record_send(self.now, interval, is_fetch);
         if is_fetch {
             self.origin_fetches.in_flight += 1;
-        } else {
-            server.responsiveness.record_send(now);
         }
     }
 
@@ -252,30 +200,24 @@
         let Some(mut pending) = self.pending.remove(end.id) else {
             return;
         };
-        if let Some(attempt) = self.end_attempt(&mut pending, end.attempt, &end) {
-            let typical_latency = self.typical_latency;
-            let mode = self.settings.mode;
-            let end = self
-                .failure_attribution
-                .attribute(end, mode, typical_latency);
-            self.learn(&pending, &attempt, &end);
+        if let Some(attempt) = self.end_attempt(&mut pending, &end) {
+            let end =
+                self.failure_attribution
+                    .attribute(end, self.settings.mode, self.typical_latency);
+            let ended = EndedAttempt { attempt, end };
+            self.learn(&pending, &ended);
             pending.is_answered |= end.complete;
             pending.has_missed |= end.outcome == Outcome::Miss;
             if !pending.is_answered && !pending.has_attempt_in_flight() {
-                self.retry_or_answer(&mut pending, &attempt, &end);
+                self.retry_or_answer(&mut pending, &ended);
             }
         }
         self.pending.keep(pending);
     }
 
     /// Marks an attempt as ended; `None` if it was not in flight.
-    fn end_attempt(
-        &self,
-        pending: &mut PendingRequest,
-        number: AttemptNumber,
-        end: &AttemptEnd,
-    ) -> Option<Attempt> {
-        let attempt = pending.attempt_in_flight(number)?;
+    fn end_attempt(&self, pending: &mut PendingRequest, end: &AttemptEnd) -> Option<Attempt> {
+        let attempt = pending.attempt_in_flight(end.attempt)?;
         let typical_latency = self.servers[attempt.server].typical_latency;
         attempt.met_stale_connection = met_stale_connection(end, typical_latency);
         attempt.state = if end.outcome.never_ran() {
@@ -286,15 +228,11 @@
         Some(*attempt)
     }
 
-    fn retry_or_answer(
-        &mut self,
-        pending: &mut PendingRequest,
-        attempt: &Attempt,
-        end: &AttemptEnd,
-    ) {
+    fn retry_or_answer(&mut self, pending: &mut PendingRequest, ended: &EndedAttempt) {
         let has_time = retry::has_time_for_retry(pending, self.class(pending), self.now);
+        let met_stale_connection = ended.attempt.met_stale_connection;
         let budget = &mut self.retry_budget;
-        if has_time && retry::should_retry(end, attempt.met_stale_connection, budget) {
+        if has_time && retry::should_retry(&ended.end, met_stale_connection, budget) {
             self.place_or_answer(pending);
         } else {
             self.answer(pending);
@@ -302,35 +240,26 @@
     }
 
     /// Everything that the end of an attempt tells.
-    fn learn(&mut self, pending: &PendingRequest, attempt: &Attempt, end: &AttemptEnd) {
+    fn learn(&mut self, pending: &PendingRequest, ended: &EndedAttempt) {
         let now = self.now;
-        let server = &mut self.servers[attempt.server];
-        server.last_used_at = now;
-        if let Some(report) = end.load {
-            server.queue.record_report(now, report);
-        }
+        let shortest_objective = self.shortest_objective;
+        let EndedAttempt { attempt, end } = ended;
         self.stale_connections.record_end(now, attempt.idle, end);
         self.idle_connections.record_end(end);
-        self.learn_hot_key(pending, end);
+        if suggests_hot_key(end, self.class(pending).latency_objective) {
+            self.traffic.record_hot_key(pending.ring_position);
+        }
         self.release(attempt.server, attempt.is_fetch);
-        let shortest_objective = self.shortest_objective;
-        self.servers[attempt.server]
-            .responsiveness
-            .record_end(end, shortest_objective);
-        self.learn_limits(pending, attempt, end);
+        self.servers[attempt.server].record_end(end, now, shortest_objective);
+        self.learn_limits(pending, ended);
         if end.outcome == Outcome::Success {
             self.retry_budget.record_success();
         }
-        self.learn_key_location(pending, attempt, end);
-    }
-
-    /// Where an answer was lost or late, the key is likelier to be hot than its share here tells.
-    fn learn_hot_key(&mut self, pending: &PendingRequest, end: &AttemptEnd) {
-        let slow_latency = self.class(pending).latency_objective.scaled(SLOW_RATIO);
-        let has_no_handshake = end.connection_use != ConnectionUse::New;
-        if end.elapsed > slow_latency && has_no_handshake {
-            self.traffic.record_hot_key(pending.ring_position);
-        }
+        // What an origin answers is cached at the server where the request missed.
+        let cache_server = pending.last_cache_server(&self.servers);
+        let cache_server = cache_server.unwrap_or(attempt.server);
+        self.key_locations
+            .record_end(pending.ring_position, cache_server, end);
     }
 
     /// An attempt is no longer in flight, or is forgotten.
@@ -342,7 +271,7 @@
         self.close_idle_if_leaving(index);
     }
 
-    fn learn_limits(&mut self, pending: &PendingRequest, attempt: &Attempt, end: &AttemptEnd) {
+    fn learn_limits(&mut self, pending: &PendingRequest, ended: &EndedAttempt) {
         let context = FeedbackContext {
             now: self.now,
             router_count: self.router_count(),
@@ -352,30 +281,10 @@
             are_slots_scarce: self.idle_connections.are_slots_scarce(),
             origin_collapses_under_overload: self.settings.origin_collapses_under_overload,
         };
-        let server = &mut self.servers[attempt.server];
-        let feedback = AttemptFeedback::new(end, attempt, server, &self.origin_fetches, context);
+        let server = &mut self.servers[ended.attempt.server];
+        let feedback = AttemptFeedback::new(ended, server, &self.origin_fetches, context);
         feedback.apply_to_server(server);
         feedback.apply_to_origin(&mut self.origin_fetches);
         self.typical_latency = feedback.updated_typical_latency();
     }
-
-    /// What an origin answers is cached at the server where the request missed.
-    fn learn_key_location(
-        &mut self,
-        pending: &PendingRequest,
-        attempt: &Attempt,
-        end: &AttemptEnd,
-    ) {
-        let cache_server = pending
-            .last_cache_server(&self.servers)
-            .unwrap_or(attempt.server);
-        let is_missing = end.cache_status.is_some() || end.outcome == Outcome::TimedOut;
-        if end.outcome == Outcome::Success {
-            self.key_locations
-                .record_served(pending.ring_position, cache_server);
-        } else if is_missing {
-            self.key_locations
-                .record_missing(pending.ring_position, cache_server);
-        }
-    }
 }
--- a/crates/load-balancer/src/router/fleet.rs
+++ b/crates/load-balancer/src/router/fleet.rs
@@ -2,7 +2,6 @@
 
 use super::Router;
 use crate::action::Action;
-use crate::admin_overrides::AdminOverride;
 use crate::concurrency_limit::ConcurrencyLimit;
 use crate::endpoint::{Endpoint, EndpointUpdate};
 use crate::endpoints::Server;
@@ -13,9 +12,6 @@
 use crate::time::Micros;
 use crate::timer::TimerPurpose;
 
-/// The index of a server that left is reused once nothing was sent there for this multiple of the longest deadline.
-const INDEX_REUSE_RATIO: f64 = 2.0;
-
 impl Router {
     pub(super) fn on_endpoints_changed(
         &mut self,
@@ -40,8 +36,8 @@
         };
         let deadlines = self.settings.classes.iter().map(|class| class.deadline);
         let longest_deadline = deadlines.max().unwrap_or_default();
-        let unused_since = self.now.since(longest_deadline.scaled(INDEX_REUSE_RATIO));
-        let index = self.servers.index_for(&endpoint.server, unused_since);
+        let name = &endpoint.server;
+        let index = self.servers.index_for(name, self.now, longest_deadline);
         self.install_process(index, endpoint);
     }
 
@@ -74,8 +70,7 @@
     /// Nothing new goes to the server until it is enabled. What is in flight ends as it would; idle connections are
     /// closed, since the process may be replaced meanwhile.
     pub(super) fn on_server_disabled(&mut self, server: ServerId) {
-        self.admin_overrides
-            .set(server.clone(), AdminOverride::Disabled);
+        self.admin_overrides.disable(server.clone());
         if let Some(index) = self.servers.index_of(&server.0) {
             self.servers[index].is_disabled = true;
             self.actions.push(Action::CloseIdle { server });
@@ -83,16 +78,11 @@
         }
     }
 
-    /// The server was enabled at `at`. Whatever the list says of its start, its process may be new. For a server
-    /// that is not disabled nothing changes, unless another process of this router was told earlier.
+    /// The server was enabled at `at`. Whatever the list says of its start, its process may be new.
     pub(super) fn on_server_enabled(&mut self, server: ServerId, at: Micros) {
-        let is_disabled = self.admin_overrides.is_disabled(&server);
-        let is_news = at < self.now && at > self.admin_overrides.enabled_at(&server);
-        if !is_disabled && !is_news {
+        if !self.admin_overrides.enable(server.clone(), at, self.now) {
             return;
         }
-        self.admin_overrides
-            .set(server.clone(), AdminOverride::EnabledAt(at));
         if let Some(index) = self.servers.index_of(&server.0) {
             let endpoint = self.servers[index].endpoint.clone();
             self.actions.push(Action::CloseIdle { server });
@@ -145,11 +135,10 @@
         );
     }
 
-    /// Where the deployment asks for it, idle connections to a server that takes nothing new are closed: at the
-    /// notice, and as its attempts end.
+    /// Closes idle connections at the notice of a drain, and as attempts end there.
     pub(super) fn close_idle_if_leaving(&mut self, index: usize) {
         let server = &self.servers[index];
-        if self.settings.rules.drain_close.is_some() && !server.is_accepting() {
+        if server.must_close_idle(&self.settings.rules) {
             self.actions.push(Action::CloseIdle {
                 server: server.endpoint.server.clone(),
             });
--- a/crates/load-balancer/src/traffic_estimate.rs
+++ b/crates/load-balancer/src/traffic_estimate.rs
@@ -19,6 +19,15 @@
 /// A key with fewer decayed requests than this is forgotten.
 const MIN_KEY_COUNT: f64 = 0.5;
 
+/// How often a key is requested.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct KeyCount {
+    /// Ring position of the key.
+    pub ring_position: u32,
+    /// Recent requests, decayed.
+    pub count: f64,
+}
+
 /// The recent traffic of one router.
 #[derive(Debug)]
 pub(crate) struct TrafficEstimate {
@@ -147,14 +156,16 @@
         self.tenant_shares.get(tenant.0).map(MovingAverage::value)
     }
 
-    /// Recent requests by ring position of the key, sorted by that.
-    pub fn key_counts(&self) -> Vec<(u32, f64)> {
-        let mut counts: Vec<(u32, f64)> = self
-            .key_counts
-            .iter()
-            .map(|(&position, &count)| (position, count))
+    /// Recent requests of each key, by ring position.
+    pub fn key_counts(&self) -> Vec<KeyCount> {
+        let counts = self.key_counts.iter();
+        let mut counts: Vec<KeyCount> = counts
+            .map(|(&ring_position, &count)| KeyCount {
+                ring_position,
+                count,
+            })
             .collect();
-        counts.sort_unstable_by_key(|&(position, _)| position);
+        counts.sort_unstable_by_key(|key| key.ring_position);
         counts
     }
 
@@ -163,9 +174,9 @@
         self.total_count
     }
 
-    /// Takes over the counts by ring position of a previous process.
-    pub fn restore_key_counts(&mut self, counts: impl Iterator<Item = (u32, f64)>) {
-        self.key_counts = counts.collect();
+    /// Takes over the requests of each key of a previous process.
+    pub fn restore_key_counts(&mut self, counts: impl Iterator<Item = KeyCount>) {
+        self.key_counts = counts.map(|key| (key.ring_position, key.count)).collect();
     }
 
     /// Takes over the count of all requests of a previous process.
--- a/crates/load-balancer/src/warm_state.rs
+++ b/crates/load-balancer/src/warm_state.rs
@@ -7,6 +7,7 @@
 use crate::endpoints::Server;
 use crate::router::Router;
 use crate::time::Micros;
+use crate::traffic_estimate::KeyCount;
 use serde::{Deserialize, Serialize};
 
 /// Servers that are restored at most: more than any fleet has.
@@ -70,10 +71,13 @@
             .iter()
             .filter(|location| is_listed(&location.server))
             .map(|location| (location.ring_position, location.server as u32));
+        let key_counts = self.traffic.key_counts().into_iter();
         WarmState {
             servers: self.servers.iter().map(|s| self.warm_server(s)).collect(),
             key_locations: key_locations.collect(),
-            key_counts: self.traffic.key_counts(),
+            key_counts: key_counts
+                .map(|key| (key.ring_position, key.count))
+                .collect(),
             total_count: self.traffic.total_count(),
             typical_latency: self.typical_latency.0,
             origin_fetch_limit: self.origin_fetches.limit,
@@ -125,8 +129,14 @@
     }
 
     fn restore_traffic(&mut self, state: &WarmState) {
-        let is_sound_count = |&(_, count): &(u32, f64)| is_sound(count);
-        let key_counts = state.key_counts.iter().copied().filter(is_sound_count);
+        let key_counts = state
+            .key_counts
+            .iter()
+            .map(|&(ring_position, count)| KeyCount {
+                ring_position,
+                count,
+            })
+            .filter(|key| is_sound(key.count));
         self.traffic.restore_key_counts(key_counts.take(KEY_COUNT));
         if is_sound(state.total_count) {
             self.traffic.restore_total_count(state.total_count);
--- a/crates/simulator-adapter/src/line.rs
+++ b/crates/simulator-adapter/src/line.rs
@@ -19,8 +19,11 @@
 impl<'a> Line<'a> {
     /// A line, of which the name is read.
     pub fn new(text: &'a str) -> Self {
-        let (name, rest) = split_first(text);
-        Line { name, rest }
+        let values = Values::split(text);
+        Line {
+            name: values.first,
+            rest: values.rest,
+        }
     }
 
     /// What kind of line it is.
@@ -41,9 +44,9 @@
                 field,
             });
         };
-        let (value, rest) = split_first(rest);
-        self.rest = rest;
-        Ok(value)
+        let values = Values::split(rest);
+        self.rest = values.rest;
+        Ok(values.first)
     }
 
     /// Reads a value that must be there.
@@ -151,9 +154,17 @@
 }
 
 /// The first value of a text, and the others if there are any.
-fn split_first(text: &str) -> (&str, Option<&str>) {
-    match text.split_once(SEPARATOR) {
-        Some((first, rest)) => (first, Some(rest)),
-        None => (text, None),
+struct Values<'a> {
+    first: &'a str,
+    rest: Option<&'a str>,
+}
+
+impl<'a> Values<'a> {
+    fn split(text: &'a str) -> Values<'a> {
+        let mut parts = text.splitn(2, SEPARATOR);
+        Values {
+            first: parts.next().unwrap_or(""),
+            rest: parts.next(),
+        }
     }
 }
