--- a/crates/load-balancer/src/attempt_feedback.rs
+++ b/crates/load-balancer/src/attempt_feedback.rs
@@ -14,7 +14,7 @@
 
 /// A server that fails or rejects everything keeps this limit: a trickle that finds out when it recovers.
 const TRICKLE_LIMIT: f64 = 0.05;
-/// A server in a jam is still sent this many requests at a time by all routers together, and one by each at most.
+/// An overloaded server is still sent this many requests at a time by all routers together, and one by each at most.
 const MIN_TOTAL_COUNT: f64 = 4.0;
 /// Answers over which the typical latency is averaged.
 const LATENCY_SPAN: u64 = 8;
--- a/crates/load-balancer/src/endpoints.rs
+++ b/crates/load-balancer/src/endpoints.rs
@@ -60,7 +60,7 @@
             last_used_at: Micros(0),
             responsiveness: Responsiveness::default(),
             slow_start_credit: 1.0,
-            queue: QueueEstimate::default(),
+            queue: QueueEstimate::new(),
         }
     }
 
--- a/crates/load-balancer/src/lib.rs
+++ b/crates/load-balancer/src/lib.rs
@@ -61,6 +61,7 @@
 mod idle_connection_lifetime;
 mod ids;
 mod key_locations;
+mod latency_baseline;
 mod load_report;
 mod moving_average;
 mod origin_fetch_limit;
--- a/crates/load-balancer/src/origin_fetch_limit.rs
+++ b/crates/load-balancer/src/origin_fetch_limit.rs
@@ -6,6 +6,7 @@
 //! Nobody announces the origin's capacity and no router sees the others' fetches, so each bounds its own; a fetch
 //! that was given up still counts, since the origin goes on with it.
 
+use crate::latency_baseline::LatencyBaseline;
 use crate::moving_average::MovingAverage;
 use crate::time::Micros;
 
@@ -38,7 +39,7 @@
 const PROBE_RATIO: f64 = 0.1;
 /// Fetches over which miss and failure ratios are averaged.
 const RATIO_SPAN: f64 = 16.0;
-/// The same for late fetches: a jam builds up within fewer.
+/// The same for late fetches: overload builds up within fewer.
 const LATE_SPAN: f64 = 8.0;
 /// Fetches over which their time is averaged.
 const LATENCY_SPAN: u64 = 8;
@@ -100,9 +101,7 @@
     /// Ratio of such attempts that were fetches, by popularity level.
     miss_ratios: [MovingAverage; POPULARITY_LEVEL_COUNT],
     /// How long fetches take beyond hits; an abandoned one counts twice its time.
-    latency: Micros,
-    /// The minimum of that, rising slowly: the latency of an origin that is well.
-    min_latency: Micros,
+    latency: LatencyBaseline,
     /// Half the shortest time in which an answer is of use.
     useful_latency: Micros,
     failure_ratio: MovingAverage,
@@ -122,8 +121,7 @@
             remembered_limit: initial,
             initial,
             miss_ratios: [MovingAverage::new(1.0, RATIO_SPAN); POPULARITY_LEVEL_COUNT],
-            latency: Micros(0),
-            min_latency: Micros(0),
+            latency: LatencyBaseline::new(LATENCY_SPAN, MIN_LATENCY_SPAN),
             useful_latency,
             failure_ratio: MovingAverage::new(0.0, RATIO_SPAN),
             late_ratio: MovingAverage::new(0.0, LATE_SPAN),
@@ -191,6 +189,7 @@
         let multiplier = request.limit_multiplier.max(MIN_LIMIT);
         let interval = self
             .latency
+            .average()
             .max(self.useful_latency)
             .scaled(1.0 / (self.limit * multiplier));
         let max_interval = request.hit_round.scaled(1.0 / (PROBE_RATIO * multiplier));
@@ -221,7 +220,7 @@
     pub fn record_served(&mut self, sent_at: Micros, beyond_hit: Micros, is_in_time: bool) {
         self.failure_ratio.observe_event(false);
         self.last_fetch_at = self.last_fetch_at.max(sent_at);
-        self.record_latency(beyond_hit);
+        self.latency.observe(beyond_hit);
         self.adjust(is_in_time, beyond_hit);
     }
 
@@ -235,7 +234,8 @@
     ) {
         let sent_at = Micros(now.0.saturating_sub(elapsed.0));
         self.last_fetch_at = self.last_fetch_at.max(sent_at);
-        self.record_latency(beyond_hit.scaled(2.0).min(MAX_FETCH_TIME));
+        self.latency
+            .observe(beyond_hit.scaled(2.0).min(MAX_FETCH_TIME));
         if self.abandoned_fetches.len() < ABANDONED_COUNT {
             let end = now.plus(elapsed.min(MAX_FETCH_TIME));
             self.abandoned_fetches.push(end);
@@ -264,8 +264,8 @@
 
     /// Whether fetches take longer on the whole than at an origin that is well.
     fn has_queue(&self) -> bool {
-        let queue_latency = self.min_latency.scaled(QUEUE_LATENCY_RATIO);
-        self.latency > queue_latency.min(self.useful_latency.scaled(2.0))
+        let queue_latency = self.latency.minimum_times(QUEUE_LATENCY_RATIO);
+        self.latency.average() > queue_latency.min(self.useful_latency.scaled(2.0))
     }
 
     fn adjust(&mut self, is_in_time: bool, beyond_hit: Micros) {
@@ -289,7 +289,7 @@
     /// Raises a limit below one: to one after a fetch that met no queue, since where routers are many each sees
     /// too few fetches to wait for several.
     fn recover(&mut self, beyond_hit: Micros) {
-        let met_no_queue = beyond_hit <= self.min_latency.scaled(QUEUE_LATENCY_RATIO);
+        let met_no_queue = beyond_hit <= self.latency.minimum_times(QUEUE_LATENCY_RATIO);
         self.limit = if met_no_queue {
             1.0
         } else {
@@ -306,14 +306,4 @@
         let decreased = limit - DECREASE_RATIO * limit.min(1.0);
         self.limit = decreased.max(MIN_LIMIT.min(self.limit));
     }
-
-    fn record_latency(&mut self, beyond_hit: Micros) {
-        if self.min_latency == Micros(0) {
-            self.latency = beyond_hit;
-            self.min_latency = beyond_hit;
-        }
-        self.latency = self.latency.toward(beyond_hit, LATENCY_SPAN);
-        let risen = self.min_latency.toward(self.latency, MIN_LATENCY_SPAN);
-        self.min_latency = risen.min(self.latency);
-    }
 }
--- a/crates/load-balancer/src/placement.rs
+++ b/crates/load-balancer/src/placement.rs
@@ -379,8 +379,8 @@
     }
 
     /// Whether keys may leave a server at capacity: while the rest of the fleet has capacity to spare, or if the
-    /// server itself is in trouble. In a fleet at capacity each move would be a fetch that feeds the jam. A limit on
-    /// few observations moves nothing but writes: many routers on a hunch would scatter the keys.
+    /// server itself is in trouble. In a fleet at capacity each move would be a fetch that adds to the overload. A limit on
+    /// few observations moves nothing but writes: many routers would scatter the keys.
     fn may_give_keys_away(&self, server: &Server) -> bool {
         let is_trusted = self.pending.request.write || server.limit.is_well_founded(self.now);
         if !is_trusted {
--- a/crates/load-balancer/src/queue_estimate.rs
+++ b/crates/load-balancer/src/queue_estimate.rs
@@ -5,6 +5,7 @@
 //! nature answers late although nothing waits there; a limit cut for that gives its keys away, and each key that
 //! moves is a fetch. Where routers are many, each sees a server too seldom to know that it has capacity.
 
+use crate::latency_baseline::LatencyBaseline;
 use crate::load_report::LoadReport;
 use crate::time::Micros;
 
@@ -31,16 +32,22 @@
 }
 
 /// What one router knows of the queue at one server.
-#[derive(Clone, Copy, Debug, Default)]
+#[derive(Clone, Copy, Debug)]
 pub(crate) struct QueueEstimate {
     last_report: Option<ReceivedReport>,
     /// How long answers without a fetch take; one that was given up counts twice its time.
-    latency: Micros,
-    /// The minimum of that, rising slowly.
-    min_latency: Micros,
+    latency: LatencyBaseline,
 }
 
 impl QueueEstimate {
+    /// Nothing is known.
+    pub const fn new() -> QueueEstimate {
+        QueueEstimate {
+            last_report: None,
+            latency: LatencyBaseline::new(LATENCY_SPAN, MIN_LATENCY_SPAN),
+        }
+    }
+
     /// Records the load report of an answer.
     pub fn record_report(&mut self, now: Micros, report: LoadReport) {
         self.last_report = Some(ReceivedReport { at: now, report });
@@ -48,13 +55,7 @@
 
     /// Records how long an answer took.
     pub fn record_latency(&mut self, latency: Micros) {
-        if self.min_latency == Micros(0) {
-            self.latency = latency;
-            self.min_latency = latency;
-        }
-        self.latency = self.latency.toward(latency, LATENCY_SPAN);
-        let risen = self.min_latency.toward(self.latency, MIN_LATENCY_SPAN);
-        self.min_latency = risen.min(self.latency);
+        self.latency.observe(latency);
     }
 
     /// Whether the server credibly reports that it would begin one more request at once.
@@ -66,7 +67,10 @@
     pub fn has_queue(&self, now: Micros, latency_objective: Micros) -> bool {
         match self.reported_spare_capacity(now) {
             Some(has_spare_capacity) => !has_spare_capacity,
-            None => self.exceeds_minimum(QUEUE_LATENCY_RATIO) || self.latency > latency_objective,
+            None => {
+                self.exceeds_minimum(QUEUE_LATENCY_RATIO)
+                    || self.latency.average() > latency_objective
+            }
         }
     }
 
@@ -87,6 +91,6 @@
     }
 
     fn exceeds_minimum(&self, ratio: f64) -> bool {
-        self.latency > self.min_latency.scaled(ratio)
+        self.latency.average() > self.latency.minimum_times(ratio)
     }
 }
--- a/crates/load-balancer/src/rejected_requests.rs
+++ b/crates/load-balancer/src/rejected_requests.rs
@@ -1,7 +1,7 @@
 //! When did the client of a retry first ask?
 //!
 //! Inputs: rejected requests (ring position of the key, class, tenant) and when each first arrived (µs). Answer:
-//! the arrival of the oldest that fits the retry. Reason: a retry names no earlier try, and in a jam most of what
+//! the arrival of the oldest that fits the retry. Reason: a retry names no earlier try, and in overload most of what
 //! is served would be past its latency objective if each try counted anew.
 
 use crate::request::Request;
--- a/crates/load-balancer/src/rejection.rs
+++ b/crates/load-balancer/src/rejection.rs
@@ -2,7 +2,7 @@
 //!
 //! Inputs: its attempts and idempotency, the typical latency (µs), a random fraction. Answer: rejected or failed,
 //! and a retry-after time (µs). Reason: "rejected" promises that a repeat does no harm, and is said only where that
-//! is true; clients that come back at once, or together, meet the same jam.
+//! is true; clients that come back at once, or together, meet the same overload.
 
 use crate::pending::PendingRequest;
 use crate::settings::{DeduplicationScope, Idempotency, Limits};
--- a/crates/load-balancer/src/slow_start.rs
+++ b/crates/load-balancer/src/slow_start.rs
@@ -2,7 +2,7 @@
 //!
 //! Inputs: when its process started or may have restarted (µs), when it was last sent a request (µs), the rules.
 //! Answer: its progress and the fraction of its capacity, 0 to 1, and whether it may be sent one more request.
-//! Reason: a server with cold caches falls over under its full share, and many routers together push it over
+//! Reason: a server with cold caches fails under its full share, and many routers together overload it
 //! before any of them hears that it is slow.
 
 use crate::concurrency_limit::INITIAL_TOTAL_COUNT;
--- a/crates/load-balancer/tests/common/mod.rs
+++ b/crates/load-balancer/tests/common/mod.rs
@@ -37,10 +37,9 @@
 /// The same, where an answer past the objective has this share of its weight.
 pub fn settings_with_late_weight(late_weight: f64) -> Settings {
     let mut settings = settings();
-    settings
-        .classes
-        .iter_mut()
-        .for_each(|class| class.late_weight = late_weight);
+    for class in &mut settings.classes {
+        class.late_weight = late_weight;
+    }
     settings
 }
 
--- a/crates/load-balancer/tests/concurrency_limit.rs
+++ b/crates/load-balancer/tests/concurrency_limit.rs
@@ -28,17 +28,17 @@
     };
     let calm = at_once(&mut rig, 20);
     assert!(calm >= 4, "{calm} at once to an idle server");
-    (0..10).for_each(|_| {
+    for _ in 0..10 {
         at_once(&mut rig, 290);
-    });
+    }
     assert_eq!(
         at_once(&mut rig, 290),
         1,
         "one at a time to a jammed server"
     );
-    (0..60).for_each(|_| {
+    for _ in 0..60 {
         at_once(&mut rig, 20);
-    });
+    }
     assert!(at_once(&mut rig, 20) >= 4);
 }
 
--- a/crates/load-balancer/tests/embedding.rs
+++ b/crates/load-balancer/tests/embedding.rs
@@ -15,13 +15,12 @@
 impl Embedded {
     fn new(settings: Settings, seed: u64) -> Result<Embedded, SettingsError> {
         let router = Router::new(settings, seed)?;
-        let (sent, answers) = (HashMap::new(), HashMap::new());
         Ok(Embedded {
             router,
             timers: BTreeMap::new(),
             timers_set: 0,
-            sent,
-            answers,
+            sent: HashMap::new(),
+            answers: HashMap::new(),
         })
     }
 
@@ -164,7 +163,9 @@
             endpoints,
         },
     );
-    (0..200).for_each(|id| embedded.tell(now, request(id, u64::from(id), now)));
+    for id in 0..200 {
+        embedded.tell(now, request(id, u64::from(id), now));
+    }
     while let Some(((due, _), token)) = embedded.timers.pop_first() {
         embedded.tell(due, Event::Timer { token });
     }
--- a/crates/load-balancer/tests/endpoints.rs
+++ b/crates/load-balancer/tests/endpoints.rs
@@ -83,9 +83,9 @@
     let (id, actions) = rig.request(0, 5);
     let busy = sent(&actions).expect("sent");
     let mut drained = ready(3);
-    drained
-        .iter_mut()
-        .for_each(|m| m.state = EndpointState::Draining);
+    for endpoint in &mut drained {
+        endpoint.state = EndpointState::Draining;
+    }
     let actions = rig.update_endpoints(EndpointUpdate::Delta, drained);
     assert!(
         (1..=3).all(|i| closes(&actions, &name(i))),
--- a/crates/load-balancer/tests/load_reports.rs
+++ b/crates/load-balancer/tests/load_reports.rs
@@ -202,9 +202,9 @@
         }
     }
     for server in 2..=4 {
-        keys[server - 1][..used_elsewhere]
-            .iter()
-            .for_each(|&key| _ = rig.request(0, key));
+        for &key in &keys[server - 1][..used_elsewhere] {
+            rig.request(0, key);
+        }
     }
     let taken: Vec<ServerId> = keys[0]
         .iter()
--- a/crates/load-balancer/tests/many_routers.rs
+++ b/crates/load-balancer/tests/many_routers.rs
@@ -22,12 +22,11 @@
 fn read(rig: &mut TestRouter, number: usize, class: usize, key: u64) -> (RequestId, Vec<Action>) {
     let id = RequestId(1_000_000 + number as u32);
     let expires = rig.now.plus(ms(800));
-    let (class, key) = (ClassId(class), Some(key));
     let request = Request {
         id,
-        class,
+        class: ClassId(class),
         tenant: None,
-        key,
+        key: Some(key),
         expires,
         cost_hint: None,
         retry: false,
@@ -207,10 +206,16 @@
         rig.now = rig.now.plus(ms(gap));
         ok
     };
-    (0..100).for_each(|_| _ = step(&mut rig, 600, 60));
+    for _ in 0..100 {
+        step(&mut rig, 600, 60);
+    }
     // In the burst answers take longer, yet come within the objective.
-    (0..10).for_each(|_| _ = step(&mut rig, 300, 140));
-    (0..4).for_each(|_| _ = step(&mut rig, 500, 60));
+    for _ in 0..10 {
+        step(&mut rig, 300, 140);
+    }
+    for _ in 0..4 {
+        step(&mut rig, 500, 60);
+    }
     let rejected = (0..60).filter(|_| !step(&mut rig, 600, 60)).count();
     assert!(rejected <= 1, "{rejected} of 60 rejected after the burst");
 }
--- a/crates/load-balancer/tests/origin_failures.rs
+++ b/crates/load-balancer/tests/origin_failures.rs
@@ -73,9 +73,9 @@
     assert_eq!(rig.served_by(hit), Some(name(1)), "likely hits go on");
     let first = try_fetches(&mut rig, 20_000, 20);
     assert!(first < 10, "{first} of 20 fetches after a collapse");
-    (0..10).for_each(|i| {
+    for i in 0..10 {
         try_fetches(&mut rig, 30_000 + i * 100, 100);
-    });
+    }
     assert_eq!(try_fetches(&mut rig, 50_000, 100), 100, "all fetches again");
 }
 
@@ -164,7 +164,9 @@
     for key in 0..100 {
         let (id, actions) = rig.request(0, key);
         let_through += usize::from(sent(&actions).is_some());
-        (0..3).for_each(|attempt| _ = rig.end_attempt(id, attempt, Outcome::TimedOut, 800));
+        for attempt in 0..3 {
+            rig.end_attempt(id, attempt, Outcome::TimedOut, 800);
+        }
         rig.now = rig.now.plus(ms(60_000));
     }
     assert!(let_through > 80, "{let_through} of 100 requests");
--- a/crates/load-balancer/tests/origin_fetch_limit.rs
+++ b/crates/load-balancer/tests/origin_fetch_limit.rs
@@ -26,8 +26,9 @@
     let out = fill(&mut rig, 1_000);
     assert!(out.len() > 10, "{} at once", out.len());
     rig.now = rig.now.plus(ms(400));
-    out.iter()
-        .for_each(|&id| _ = rig.event(Event::AttemptEnded(ended(id, 0, Outcome::TimedOut, 400))));
+    for &id in &out {
+        rig.event(Event::AttemptEnded(ended(id, 0, Outcome::TimedOut, 400)));
+    }
     assert!(
         fill(&mut rig, 5_000).is_empty(),
         "all of them still are at work at the origin"
@@ -140,7 +141,9 @@
     let moved = |short: bool| {
         let mut rig = TestRouter::new(settings(), ready(20));
         let keys: Vec<u64> = keys_of(1, 20).take(9).collect();
-        keys[..8].iter().for_each(|&key| _ = rig.served_by(key));
+        for &key in &keys[..8] {
+            rig.served_by(key);
+        }
         let mut fetch = |key, elapsed_ms| {
             let (id, _) = rig.request(0, key);
             rig.event(ended_with_status(
@@ -150,16 +153,22 @@
                 Some(CacheStatus::Miss),
             ));
         };
-        (20_000..20_010).for_each(|key| fetch(key, 30));
+        for key in 20_000..20_010 {
+            fetch(key, 30);
+        }
         if short {
-            (30_000..30_020).for_each(|key| fetch(key, 200));
+            for key in 30_000..30_020 {
+                fetch(key, 200);
+            }
             let limit = rig.router.diagnostics().fetch_limit;
             let mut others = 50_000..;
             while f64::from(rig.router.diagnostics().fetches_in_flight) < limit * 0.6 {
                 rig.request(0, others.next().expect("endless"));
             }
         }
-        keys[..8].iter().for_each(|&key| _ = rig.request(0, key));
+        for &key in &keys[..8] {
+            rig.request(0, key);
+        }
         sent(&rig.request(0, keys[8]).1)
     };
     let elsewhere = moved(false);
--- a/crates/load-balancer/tests/placement.rs
+++ b/crates/load-balancer/tests/placement.rs
@@ -52,7 +52,9 @@
             for key in 0..60 {
                 rig.served_by(if key % 6 == 0 { 7 } else { 1_000 + key });
             }
-            (0..other_keys).for_each(|key| _ = rig.served_by(2_000 + key));
+            for key in 0..other_keys {
+                rig.served_by(2_000 + key);
+            }
             servers_used.extend(rig.served_by(7));
         }
         servers_used.len()
@@ -75,11 +77,12 @@
             keys_of(1, 2).take(8).collect(),
             keys_of(2, 2).take(busy).collect(),
         );
-        owned
-            .iter()
-            .chain(&next)
-            .for_each(|&key| _ = rig.served_by(key));
-        next.iter().for_each(|&key| _ = rig.request(0, key));
+        for &key in owned.iter().chain(&next) {
+            rig.served_by(key);
+        }
+        for &key in &next {
+            rig.request(0, key);
+        }
         owned
             .iter()
             .any(|&key| sent(&rig.request(0, key).1) == Some(name(2)))
@@ -95,7 +98,9 @@
 #[test]
 fn a_small_server_takes_part_of_its_arcs() {
     let mut endpoints = ready(4);
-    endpoints.iter_mut().for_each(|m| m.weight = 4.0);
+    for endpoint in &mut endpoints {
+        endpoint.weight = 4.0;
+    }
     endpoints[0].weight = 1.5;
     let share = |weights| {
         let mut rig = TestRouter::new(
--- a/crates/load-balancer/tests/random_events.rs
+++ b/crates/load-balancer/tests/random_events.rs
@@ -97,16 +97,15 @@
 impl Simulation {
     fn new(settings: Settings, seed: u64) -> Simulation {
         let router = Router::new(settings.clone(), seed).expect("usable settings");
-        let (cases, states) = (HashMap::new(), HashMap::new());
         Simulation {
             settings,
             router,
             now: ms(100_000),
             next: 0,
-            cases,
+            cases: HashMap::new(),
             ids: vec![],
             timers: vec![],
-            states,
+            states: HashMap::new(),
         }
     }
 
@@ -232,7 +231,8 @@
             outcome == Outcome::Success || (case.streaming && outcome == Outcome::ConnectionLost);
         case.answers += u32::from(ends && !case.over);
         case.over |= ends;
-        let (complete, elapsed) = (case.over, self.now.since(case.sent[out].at));
+        let complete = case.over;
+        let elapsed = self.now.since(case.sent[out].at);
         let attempt = AttemptNumber(out as u32);
         let end = AttemptEnd {
             complete,
@@ -255,9 +255,9 @@
             states
         };
         if matches!(update, EndpointUpdate::Snapshot | EndpointUpdate::Restored) {
-            self.states
-                .values_mut()
-                .for_each(|s| *s = EndpointState::Removed);
+            for state in self.states.values_mut() {
+                *state = EndpointState::Removed;
+            }
         }
         let endpoint = |&(server, state, started, weight): &(usize, usize, u64, u32)| Endpoint {
             state: [
@@ -326,10 +326,9 @@
                 }) {
                     return;
                 }
-                let (id, attempt) = (RequestId(*id), AttemptNumber(*attempt));
                 self.event(Event::AttemptEnded(AttemptEnd::new(
-                    id,
-                    attempt,
+                    RequestId(*id),
+                    AttemptNumber(*attempt),
                     Outcome::Failure,
                     ms(1),
                 )));
@@ -368,16 +367,15 @@
         self.next += 1;
         let expires = self.now.plus(ms(life));
         if class < self.settings.classes.len() {
-            let (sent, answers, over, streaming) = (vec![], 0, false, false);
             self.cases.insert(
                 id,
                 ExpectedRequest {
                     class,
                     expires,
-                    answers,
-                    over,
-                    streaming,
-                    sent,
+                    answers: 0,
+                    over: false,
+                    streaming: false,
+                    sent: vec![],
                 },
             );
             self.ids.push(id);
@@ -458,7 +456,9 @@
                 1,
                 &[(1, 0, 0, 1), (2, 0, 0, 1), (3, 0, 99_000, 1), (0, 0, 0, 1)],
             );
-            steps.iter().for_each(|step| simulation.step(step));
+            for step in &steps {
+                simulation.step(step);
+            }
             simulation.wait(simulation.now.plus(ms(5_000)));
             for (id, case) in &simulation.cases {
                 prop_assert!(
--- a/crates/load-balancer/tests/rejection.rs
+++ b/crates/load-balancer/tests/rejection.rs
@@ -56,15 +56,17 @@
     let room = |wait: u64, late_weight: f64| {
         let mut rig = TestRouter::new(settings_with_late_weight(late_weight), ready(1));
         let keys = 100..130;
-        keys.clone().for_each(|key| _ = rig.served_by(key));
+        for key in keys.clone() {
+            rig.served_by(key);
+        }
         let taken = fill_limit(&mut rig);
         assert!(
             keys.clone().all(|key| rejected(&rig.request(0, key).1)),
             "no capacity is left"
         );
-        taken
-            .into_iter()
-            .for_each(|id| _ = rig.end_attempt(id, 0, Outcome::Success, 20));
+        for id in taken {
+            rig.end_attempt(id, 0, Outcome::Success, 20);
+        }
         rig.now = rig.now.plus(ms(wait));
         keys.filter(|&key| sent(&rig.retry(0, key).1).is_some())
             .count()
@@ -87,14 +89,16 @@
 fn a_retry_without_a_known_rejection_counts_as_new() {
     let room = |was_rejected: bool| {
         let mut rig = TestRouter::new(settings_with_late_weight(0.0), ready(1));
-        (100..130).for_each(|key| _ = rig.served_by(key));
+        for key in 100..130 {
+            rig.served_by(key);
+        }
         let taken = fill_limit(&mut rig);
-        (100..130)
-            .filter(|_| was_rejected)
-            .for_each(|key| _ = rig.request(0, key));
-        taken
-            .into_iter()
-            .for_each(|id| _ = rig.end_attempt(id, 0, Outcome::Success, 20));
+        for key in (100..130).filter(|_| was_rejected) {
+            rig.request(0, key);
+        }
+        for id in taken {
+            rig.end_attempt(id, 0, Outcome::Success, 20);
+        }
         rig.now = rig.now.plus(ms(1_200));
         (100..130)
             .filter(|&key| sent(&rig.retry(0, key).1).is_some())
--- a/crates/load-balancer/tests/slow_start.rs
+++ b/crates/load-balancer/tests/slow_start.rs
@@ -58,7 +58,9 @@
 #[test]
 fn a_fleet_in_slow_start_serves_all_keys() {
     let mut endpoints = ready(4);
-    endpoints.iter_mut().for_each(|m| m.started = ms(99_000));
+    for endpoint in &mut endpoints {
+        endpoint.started = ms(99_000);
+    }
     let mut rig = TestRouter::new(settings(), endpoints);
     let mut served = 0;
     for key in 0..200 {
@@ -106,9 +108,9 @@
 #[test]
 fn the_one_warm_server_is_found_among_many_in_slow_start() {
     let mut endpoints = ready(60);
-    endpoints[1..]
-        .iter_mut()
-        .for_each(|m| m.started = ms(99_990));
+    for endpoint in &mut endpoints[1..] {
+        endpoint.started = ms(99_990);
+    }
     let mut rig = TestRouter::new(settings(), endpoints);
     let found = (0..200).filter(|&key| {
         let served = rig.served_by(key).is_some();
--- a/crates/simulator-adapter/src/trace.rs
+++ b/crates/simulator-adapter/src/trace.rs
@@ -1,4 +1,4 @@
-//! Trace of all routers of one process, a line a second, for finding out how a jam begins and what keeps it.
+//! Trace of all routers of one process, a line a second, for finding out how overload begins and what keeps it up.
 //!
 //! Counts are of the second before; state is the mean over the routers. The names of the columns are read by scripts.
 
