--- a/crates/load-balancer/src/origin_fetch_limit.rs
+++ b/crates/load-balancer/src/origin_fetch_limit.rs
@@ -6,6 +6,7 @@
 //! Nobody announces the origin's capacity and no router sees the others' fetches, so each bounds its own; a fetch
 //! that was given up still counts, since the origin goes on with it.
 
+use crate::latency_baseline::LatencyBaseline;
 use crate::moving_average::MovingAverage;
 use crate::time::Micros;
 
@@ -38,7 +39,7 @@
 const PROBE_RATIO: f64 = 0.1;
 /// Fetches over which miss and failure ratios are averaged.
 const RATIO_SPAN: f64 = 16.0;
-/// The same for late fetches: a jam builds up within fewer.
+/// The same for late fetches: overload builds up within fewer.
 const LATE_SPAN: f64 = 8.0;
 /// Fetches over which their time is averaged.
 const LATENCY_SPAN: u64 = 8;
@@ -46,6 +47,9 @@
 const MIN_LATENCY_SPAN: u64 = 512;
 /// The longest that an abandoned fetch is taken to go on: a stopped origin drops what it holds.
 const MAX_FETCH_TIME: Micros = Micros::from_millis(5_000);
+/// While the origin has a queue, a fetch that moves a key away from its owner may use this ratio of the limit: it
+/// evicts another key, which is fetched again too, and is served last.
+const MIGRATION_LIMIT_RATIO: f64 = 0.3;
 /// Abandoned fetches that are remembered (2 KiB).
 const ABANDONED_COUNT: usize = 256;
 
@@ -66,6 +70,23 @@
     pub hit_round: Micros,
 }
 
+/// Whether a request may be an origin fetch.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct FetchPermission {
+    /// Where its key belongs.
+    pub at_owner: bool,
+    /// At another server.
+    pub elsewhere: bool,
+}
+
+impl FetchPermission {
+    /// Where no limit holds.
+    pub const UNLIMITED: FetchPermission = FetchPermission {
+        at_owner: true,
+        elsewhere: true,
+    };
+}
+
 /// One router's limit on fetches from the origin.
 #[derive(Debug)]
 pub(crate) struct OriginFetchLimit {
@@ -80,9 +101,7 @@
     /// Ratio of such attempts that were fetches, by popularity level.
     miss_ratios: [MovingAverage; POPULARITY_LEVEL_COUNT],
     /// How long fetches take beyond hits; an abandoned one counts twice its time.
-    latency: Micros,
-    /// The minimum of that, rising slowly: the latency of an origin that is well.
-    min_latency: Micros,
+    latency: LatencyBaseline,
     /// Half the shortest time in which an answer is of use.
     useful_latency: Micros,
     failure_ratio: MovingAverage,
@@ -102,8 +121,7 @@
             remembered_limit: initial,
             initial,
             miss_ratios: [MovingAverage::new(1.0, RATIO_SPAN); POPULARITY_LEVEL_COUNT],
-            latency: Micros(0),
-            min_latency: Micros(0),
+            latency: LatencyBaseline::new(LATENCY_SPAN, MIN_LATENCY_SPAN),
             useful_latency,
             failure_ratio: MovingAverage::new(0.0, RATIO_SPAN),
             late_ratio: MovingAverage::new(0.0, LATE_SPAN),
@@ -118,9 +136,31 @@
         self.limit = self.initial.max(share);
     }
 
-    /// Whether one more may be sent. Of the attempts in flight, `undecided` (by popularity level) may yet turn out
-    /// to be hits, as often as such requests did lately.
-    pub fn has_capacity(
+    /// Whether one more may be sent, to the owner of its key and elsewhere. Of the attempts in flight, `undecided` (by
+    /// popularity level) may yet turn out to be hits, as often as such requests did lately.
+    pub fn permission(
+        &mut self,
+        now: Micros,
+        undecided: &[u32; POPULARITY_LEVEL_COUNT],
+        request: &FetchRequest,
+    ) -> FetchPermission {
+        let at_owner = self.has_capacity(now, undecided, request);
+        let migration_ratio = if self.has_queue() {
+            MIGRATION_LIMIT_RATIO
+        } else {
+            1.0
+        };
+        let migration = FetchRequest {
+            limit_multiplier: request.limit_multiplier * migration_ratio,
+            ..*request
+        };
+        FetchPermission {
+            at_owner,
+            elsewhere: at_owner && self.has_capacity(now, undecided, &migration),
+        }
+    }
+
+    fn has_capacity(
         &mut self,
         now: Micros,
         undecided: &[u32; POPULARITY_LEVEL_COUNT],
@@ -149,6 +189,7 @@
         let multiplier = request.limit_multiplier.max(MIN_LIMIT);
         let interval = self
             .latency
+            .average()
             .max(self.useful_latency)
             .scaled(1.0 / (self.limit * multiplier));
         let max_interval = request.hit_round.scaled(1.0 / (PROBE_RATIO * multiplier));
@@ -179,7 +220,7 @@
     pub fn record_served(&mut self, sent_at: Micros, beyond_hit: Micros, is_in_time: bool) {
         self.failure_ratio.observe_event(false);
         self.last_fetch_at = self.last_fetch_at.max(sent_at);
-        self.record_latency(beyond_hit);
+        self.latency.observe(beyond_hit);
         self.adjust(is_in_time, beyond_hit);
     }
 
@@ -193,7 +234,8 @@
     ) {
         let sent_at = Micros(now.0.saturating_sub(elapsed.0));
         self.last_fetch_at = self.last_fetch_at.max(sent_at);
-        self.record_latency(beyond_hit.scaled(2.0).min(MAX_FETCH_TIME));
+        self.latency
+            .observe(beyond_hit.scaled(2.0).min(MAX_FETCH_TIME));
         if self.abandoned_fetches.len() < ABANDONED_COUNT {
             let end = now.plus(elapsed.min(MAX_FETCH_TIME));
             self.abandoned_fetches.push(end);
@@ -221,9 +263,9 @@
     }
 
     /// Whether fetches take longer on the whole than at an origin that is well.
-    pub fn has_queue(&self) -> bool {
-        let queue_latency = self.min_latency.scaled(QUEUE_LATENCY_RATIO);
-        self.latency > queue_latency.min(self.useful_latency.scaled(2.0))
+    fn has_queue(&self) -> bool {
+        let queue_latency = self.latency.minimum_times(QUEUE_LATENCY_RATIO);
+        self.latency.average() > queue_latency.min(self.useful_latency.scaled(2.0))
     }
 
     fn adjust(&mut self, is_in_time: bool, beyond_hit: Micros) {
@@ -247,7 +289,7 @@
     /// Raises a limit below one: to one after a fetch that met no queue, since where routers are many each sees
     /// too few fetches to wait for several.
     fn recover(&mut self, beyond_hit: Micros) {
-        let met_no_queue = beyond_hit <= self.min_latency.scaled(QUEUE_LATENCY_RATIO);
+        let met_no_queue = beyond_hit <= self.latency.minimum_times(QUEUE_LATENCY_RATIO);
         self.limit = if met_no_queue {
             1.0
         } else {
@@ -264,14 +306,4 @@
         let decreased = limit - DECREASE_RATIO * limit.min(1.0);
         self.limit = decreased.max(MIN_LIMIT.min(self.limit));
     }
-
-    fn record_latency(&mut self, beyond_hit: Micros) {
-        if self.min_latency == Micros(0) {
-            self.latency = beyond_hit;
-            self.min_latency = beyond_hit;
-        }
-        self.latency = self.latency.toward(beyond_hit, LATENCY_SPAN);
-        let risen = self.min_latency.toward(self.latency, MIN_LATENCY_SPAN);
-        self.min_latency = risen.min(self.latency);
-    }
 }
