--- a/crates/router-runtime/src/coalescing_stage.rs
+++ b/crates/router-runtime/src/coalescing_stage.rs
@@ -59,6 +59,25 @@
     Response(Response),
 }
 
+impl Subject {
+    fn take_request(&mut self) -> Option<ClientRequest> {
+        match std::mem::replace(self, Subject::None) {
+            Subject::Request(request) => Some(request),
+            subject => {
+                *self = subject;
+                None
+            }
+        }
+    }
+
+    fn response(&self) -> Option<&Response> {
+        match self {
+            Subject::Response(response) => Some(response),
+            Subject::None | Subject::Request(_) => None,
+        }
+    }
+}
+
 /// How many reads wait for how many flights, and what coalescing came to since the start.
 pub struct CoalescingUsage {
     /// Counts since the start of the process.
@@ -161,7 +180,7 @@
                     let flight = FlightId(id);
                     self.handle(coalescing, Event::Retried { flight }, Subject::None);
                 }
-                StageEvent::Ended(id, response) => {
+                StageEvent::Responded(id, response) => {
                     let event = Event::Ended {
                         flight: FlightId(id),
                         how: flight_outcome(&response),
@@ -178,12 +197,7 @@
     }
 
     /// Gives the coalescer an event and carries out its actions.
-    fn handle(&self, coalescing: &Coalescing, event: Event<'_>, subject: Subject) {
-        let (mut request, response) = match subject {
-            Subject::None => (None, None),
-            Subject::Request(request) => (Some(request), None),
-            Subject::Response(response) => (None, Some(response)),
-        };
+    fn handle(&self, coalescing: &Coalescing, event: Event<'_>, mut subject: Subject) {
         let now = self.dispatcher.now();
         let mut actions = std::mem::take(&mut coalescing.state.borrow_mut().actions);
         let deadline_before = coalescing.state.borrow().coalescer.next_due();
@@ -193,37 +207,41 @@
             .coalescer
             .handle(now, event, &mut actions);
         for action in actions.drain(..) {
-            match action {
-                Action::Open { flight } => {
-                    if let Some(request) = request.take() {
-                        self.dispatcher.open_shared(flight.0, request);
-                    }
-                }
-                Action::Join {
-                    flight,
-                    tenant,
-                    expires,
-                } => self.dispatcher.join_shared(flight.0, tenant, expires),
-                Action::Alone { id } => {
-                    let waiter = coalescing.remove_waiter(id);
-                    if let (Some(waiter), Some(request)) = (waiter, request.take()) {
-                        self.dispatcher.submit_claimed(id, request, waiter.response);
-                    }
-                }
-                Action::Answer { id, how } => {
-                    self.answer_waiter(coalescing, id, how, response.as_ref());
-                }
-                Action::Shorten { flight, expires } => {
-                    self.dispatcher.shorten_shared(flight.0, expires);
+            self.carry_out(coalescing, action, &mut subject);
+        }
+        coalescing.state.borrow_mut().actions = actions;
+        coalescing.wake_if_earlier_than(deadline_before);
+    }
+
+    fn carry_out(&self, coalescing: &Coalescing, action: Action, subject: &mut Subject) {
+        match action {
+            Action::Open { flight } => {
+                if let Some(request) = subject.take_request() {
+                    self.dispatcher.open_shared(flight.0, request);
                 }
-                Action::Withdraw { flight } => {
-                    self.dispatcher
-                        .withdraw_shared(flight.0, coalescing.may_cancel);
+            }
+            Action::Join {
+                flight,
+                tenant,
+                expires,
+            } => self.dispatcher.join_shared(flight.0, tenant, expires),
+            Action::Alone { id } => {
+                let waiter = coalescing.remove_waiter(id);
+                if let (Some(waiter), Some(request)) = (waiter, subject.take_request()) {
+                    self.dispatcher.submit_claimed(id, request, waiter.response);
                 }
             }
+            Action::Answer { id, how } => {
+                self.answer_waiter(coalescing, id, how, subject.response());
+            }
+            Action::Shorten { flight, expires } => {
+                self.dispatcher.shorten_shared(flight.0, expires);
+            }
+            Action::Withdraw { flight } => {
+                self.dispatcher
+                    .withdraw_shared(flight.0, coalescing.may_cancel);
+            }
         }
-        coalescing.state.borrow_mut().actions = actions;
-        coalescing.wake_if_earlier_than(deadline_before);
     }
 
     /// The one place where a waiter gets its final response.
@@ -325,8 +343,8 @@
 
     /// Whether reads of this request's class are coalesced.
     fn is_coalesced(&self, request: &ClientRequest) -> bool {
-        let joined = self.rules.joined.get(request.class.0);
-        hooks::is_coalesced(joined.is_some_and(|&joined| joined))
+        let is_coalesced = self.rules.joined.get(request.class.0).copied();
+        hooks::is_coalesced(is_coalesced.unwrap_or(false))
     }
 
     /// What tells a read from others of its class and key.
--- a/crates/router-runtime/src/discovery.rs
+++ b/crates/router-runtime/src/discovery.rs
@@ -1,7 +1,7 @@
 //! Discovery: keeps a watch on the list of servers, and calls again when it is lost.
 //!
-//! In subscription mode the decision library asks for each call and backs off between calls; in push mode the lists come
-//! unasked. It relies on one thread: no borrow crosses an await.
+//! In subscription mode the decision library asks for each call and backs off between calls; in push mode the lists
+//! come unasked. It relies on one thread: no borrow crosses an await.
 
 mod endpoint_table;
 mod error;
@@ -10,7 +10,7 @@
 use crate::dispatcher::Dispatcher;
 use crate::endpoint_list::EndpointList;
 use crate::environment::Environment;
-use crate::servers::UpstreamPools;
+use crate::upstream::UpstreamPools;
 use endpoint_table::EndpointTable;
 use error::WatchError;
 use load_balancer::EndpointUpdate;
--- a/crates/router-runtime/src/discovery/endpoint_table.rs
+++ b/crates/router-runtime/src/discovery/endpoint_table.rs
@@ -5,7 +5,7 @@
 use crate::endpoint_list::{EndpointList, Health, Host};
 use crate::environment::Environment;
 use crate::mutation::hooks;
-use crate::servers::UpstreamPools;
+use crate::upstream::UpstreamPools;
 use load_balancer::deployment::Names;
 use load_balancer::{
     AdminOverride, CellId, Endpoint, EndpointState, EndpointUpdate, KindId, Micros, ServerId,
@@ -61,8 +61,8 @@
     /// The whole list as it stands.
     pub fn list(&self) -> EndpointList {
         EndpointList {
-            seq: self.version.get(),
-            whole: true,
+            version: self.version.get(),
+            is_snapshot: true,
             hosts: self.hosts.borrow().values().cloned().collect(),
         }
     }
@@ -74,7 +74,7 @@
 
     /// Applies a list that came on the watch: a snapshot or a delta.
     pub fn update(self: &Rc<Self>, list: EndpointList) {
-        let update = if list.whole {
+        let update = if list.is_snapshot {
             EndpointUpdate::Snapshot
         } else {
             EndpointUpdate::Delta
@@ -89,7 +89,7 @@
         let hosts = hooks::hosts(&self.environment, update, list.hosts, move |late| {
             table.apply_hosts(late, EndpointUpdate::Delta);
         });
-        self.version.set(list.seq);
+        self.version.set(list.version);
         self.apply_hosts(hosts, update);
     }
 
@@ -99,7 +99,7 @@
         for host in hosts {
             let endpoint = self.endpoint(&host);
             self.upstream
-                .list(&endpoint.server, host.dial, endpoint.state, host.born_ms);
+                .set_server(&endpoint.server, host.addr, endpoint.state, host.started_ms);
             endpoints.push(endpoint);
         }
         hooks::endpoints_listed(&endpoints, |server| {
@@ -122,19 +122,19 @@
             Health::Draining => EndpointState::Draining,
             Health::Removed => EndpointState::Removed,
         };
-        let has_weight = host.share.is_finite() && host.share >= 0.0;
+        let has_weight = host.weight.is_finite() && host.weight >= 0.0;
         let weight = if has_weight {
-            host.share
+            host.weight
         } else {
             DEFAULT_WEIGHT
         };
         Endpoint {
-            server: ServerId::from(host.host.as_str()),
+            server: ServerId::from(host.name.as_str()),
             state,
-            zone: position(&self.names.zones, host.site.as_ref()).map(ZoneId),
-            cell: CellId(host.block),
-            kind: position(&self.names.kinds, host.class.as_ref()).map(KindId),
-            started: Micros::from_millis(host.born_ms),
+            zone: position(&self.names.zones, host.zone.as_ref()).map(ZoneId),
+            cell: CellId(host.cell),
+            kind: position(&self.names.kinds, host.kind.as_ref()).map(KindId),
+            started: Micros::from_millis(host.started_ms),
             weight,
         }
     }
@@ -147,9 +147,9 @@
         }
         for host in changed {
             if host.health == Health::Removed {
-                hosts.remove(&host.host);
+                hosts.remove(&host.name);
             } else {
-                hosts.insert(host.host.clone(), host.clone());
+                hosts.insert(host.name.clone(), host.clone());
             }
         }
     }
--- a/crates/router-runtime/src/discovery/error.rs
+++ b/crates/router-runtime/src/discovery/error.rs
@@ -8,19 +8,19 @@
 #[derive(Debug, thiserror::Error)]
 pub enum WatchError {
     /// The connection failed.
-    #[error("{0}")]
-    Connect(#[source] std::io::Error),
+    #[error(transparent)]
+    Connect(std::io::Error),
     /// The connection was not up within its limit.
     #[error("no connection within {} s", .0.as_secs_f64())]
     ConnectTimeout(Duration),
     /// The answer broke off or is no HTTP.
-    #[error("{0}")]
+    #[error(transparent)]
     Http(#[from] hyper::Error),
     /// Discovery answered with another status than 200.
     #[error("answered {0}")]
     Status(StatusCode),
     /// What came is no list.
-    #[error("{0}")]
+    #[error(transparent)]
     List(#[from] ListError),
     /// The request cannot be written.
     #[error("malformed request: {0}")]
--- a/crates/router-runtime/src/discovery/watch.rs
+++ b/crates/router-runtime/src/discovery/watch.rs
@@ -2,7 +2,7 @@
 
 use super::error::WatchError;
 use super::{Discovery, WatchProgress};
-use crate::endpoint_list::Lists;
+use crate::endpoint_list::EndpointListReader;
 use crate::environment::Environment;
 use crate::mutation::hooks;
 use bytes::Bytes;
@@ -71,7 +71,7 @@
         progress: &WatchProgress,
     ) -> Result<Infallible, WatchError> {
         let mut body = self.call(&mut sender, call).await?;
-        let mut lists = Lists::default();
+        let mut lists = EndpointListReader::default();
         let mut last_data_at = self.environment.now();
         loop {
             let silence = self.silence_limit(progress, last_data_at, call);
@@ -116,9 +116,13 @@
     }
 
     /// Applies the lists that have come whole; whether there were any.
-    fn apply_lists(&self, lists: &mut Lists, progress: &WatchProgress) -> Result<bool, WatchError> {
+    fn apply_lists(
+        &self,
+        lists: &mut EndpointListReader,
+        progress: &WatchProgress,
+    ) -> Result<bool, WatchError> {
         let mut has_list = false;
-        while let Some(list) = lists.next()? {
+        while let Some(list) = lists.next_list()? {
             has_list = true;
             self.endpoints.update(list);
             self.mark_answered(progress);
--- a/crates/router-runtime/src/dispatcher.rs
+++ b/crates/router-runtime/src/dispatcher.rs
@@ -1,11 +1,12 @@
 //! The one caller of the decision library: facts become its events, and its actions are carried out.
 //!
-//! The dispatcher owns the timers, the open requests and their attempts. It sees to it that each attempt ends once and
+//! The dispatcher owns the timers, the open requests and their attempts. It guarantees that each attempt ends once and
 //! each request has one final response. It decides nothing. It relies on one thread: its state is borrowed within a
 //! call and never across an await.
 
 mod attempts;
 mod open_requests;
+mod stage_requests;
 mod timers;
 
 use crate::clock::{Clock, duration};
@@ -13,12 +14,12 @@
 use crate::metrics::ResourceUsage;
 use crate::mutation::hooks;
 use crate::request::{ClientRequest, Response, SubmittedRequest};
-use crate::servers::UpstreamPools;
-use crate::stage::{RequestStage, StageEvent};
+use crate::stage::RequestStage;
+use crate::upstream::UpstreamPools;
 use attempts::AttemptOrder;
 use load_balancer::{
     Action, AdminOverride, AttemptNumber, Availability, Diagnostics, Endpoint, EndpointUpdate,
-    Event, Micros, Request, RequestId, Router, ServerId, TenantId, WarmState,
+    Event, Micros, Request, RequestId, Router, ServerId, WarmState,
 };
 use open_requests::{OpenRequest, OpenRequests, ResponseSink};
 use std::cell::{Cell, RefCell};
@@ -81,11 +82,6 @@
         self.clock.instant(at)
     }
 
-    /// Takes a write whose end is a [`StageEvent`]. `None` if a request of the same client's id is pending.
-    pub fn submit_write(self: &Rc<Self>, request: ClientRequest) -> Option<SubmittedRequest> {
-        self.open_for_client(request, ResponseSink::Write)
-    }
-
     fn open_for_client(
         self: &Rc<Self>,
         request: ClientRequest,
@@ -98,85 +94,6 @@
         Some(SubmittedRequest { id, response })
     }
 
-    /// A name for a request that a stage opens or keeps.
-    pub fn next_id(&self) -> RequestId {
-        self.state.borrow_mut().requests.next_id()
-    }
-
-    /// Claims a client's id for a request that a stage keeps; `None` if it is in use.
-    pub fn claim_client_id(&self, id: &[u8]) -> Option<Rc<[u8]>> {
-        self.state.borrow_mut().requests.claim_client_id(id)
-    }
-
-    /// Frees a client's id that a stage has claimed.
-    pub fn release_client_id(&self, id: &[u8]) {
-        self.state.borrow_mut().requests.release_client_id(id);
-    }
-
-    /// Takes a request under a name and a client's id that a stage has claimed for it.
-    pub fn submit_claimed(
-        self: &Rc<Self>,
-        id: RequestId,
-        request: ClientRequest,
-        response: oneshot::Sender<Response>,
-    ) {
-        self.open(id, request, ResponseSink::Client(response));
-    }
-
-    /// Opens a request that several clients may share; the stage gets its response by a [`StageEvent`].
-    pub fn open_shared(self: &Rc<Self>, id: RequestId, request: ClientRequest) {
-        self.open(id, request, ResponseSink::Stage);
-    }
-
-    /// One more client waits for a shared request, until `expires`.
-    pub fn join_shared(self: &Rc<Self>, id: RequestId, tenant: Option<TenantId>, expires: Micros) {
-        if let Some(request) = self.state.borrow_mut().requests.get_mut(id) {
-            request.expires = request.expires.max(expires);
-            if let Some(end) = &request.shared_end {
-                // An attempt in flight is not cut short when the client with the latest deadline leaves.
-                end.set(end.get().max(self.clock.instant(request.expires)));
-            }
-        }
-        self.handle(Event::Coalesced {
-            id,
-            tenant,
-            expires,
-        });
-    }
-
-    /// The client with the latest deadline no longer waits for a shared request.
-    pub fn shorten_shared(self: &Rc<Self>, id: RequestId, expires: Micros) {
-        if let Some(request) = self.state.borrow_mut().requests.get_mut(id) {
-            request.expires = expires;
-        }
-        self.handle(Event::DeadlineShortened { id, expires });
-    }
-
-    /// Nobody waits for a shared request. Its attempts end too, where attempts may be cancelled.
-    pub fn withdraw_shared(self: &Rc<Self>, id: RequestId, may_cancel: bool) {
-        self.abandon(id);
-        if !may_cancel {
-            return;
-        }
-        let mut state = self.state.borrow_mut();
-        let Some(request) = state.requests.get_mut(id) else {
-            return;
-        };
-        for cancel in request.attempts.iter_mut().filter_map(Option::take) {
-            let _ = cancel.send(());
-        }
-    }
-
-    /// Sets who is called when there are [`StageEvent`]s.
-    pub fn listen(&self, listener: impl Fn() + 'static) {
-        *self.stage_listener.borrow_mut() = Some(Rc::new(listener));
-    }
-
-    /// Takes the next event for the stage.
-    pub fn next_stage_event(&self) -> Option<StageEvent> {
-        self.state.borrow_mut().requests.pop_stage_event()
-    }
-
     fn open(self: &Rc<Self>, id: RequestId, request: ClientRequest, sink: ResponseSink) {
         let expires = hooks::deadline(self.clock.now().plus(request.wait));
         let write = request.command.is_write();
--- a/crates/router-runtime/src/dispatcher/attempts.rs
+++ b/crates/router-runtime/src/dispatcher/attempts.rs
@@ -1,11 +1,11 @@
 //! Attempts: sent as the decision library says, ended once each.
 
-use super::open_requests::ResponseSink;
+use super::open_requests::{OpenRequest, ResponseSink};
 use super::{Dispatcher, State};
 use crate::environment::Environment;
 use crate::mutation::hooks;
 use crate::request::Response;
-use crate::servers::{AttemptContext, AttemptLimit, AttemptOwner, AttemptResult, BodyConsumer};
+use crate::upstream::{AttemptContext, AttemptLimit, AttemptOwner, AttemptResult, BodyConsumer};
 use load_balancer::{
     AttemptEnd, AttemptNumber, Availability, Event, Micros, Outcome, RequestId, ServerId,
 };
@@ -39,41 +39,35 @@
 impl<E: Environment> Dispatcher<E> {
     /// Starts an attempt. Nothing goes out for a request that has its response or no time left.
     pub(super) fn send(self: &Rc<Self>, state: &mut State, order: AttemptOrder) {
-        let id = order.id;
-        let Some(request) = state.requests.get_mut(id) else {
+        let Some(request) = state.requests.get_mut(order.id) else {
             return;
         };
-        let number = AttemptNumber(request.attempts.len() as u32);
         let started = self.clock.now();
-        let end = order.timeout.map_or(request.expires, |timeout| {
-            started.plus(timeout).min(request.expires)
-        });
-        let is_answered = request.sink.is_none();
-        if is_answered || end <= started {
-            request.attempts.push(None);
-            state.events.push_back(Event::AttemptEnded(AttemptEnd {
-                complete: is_answered,
-                ..AttemptEnd::new(id, number, Outcome::NotSent, Micros(0))
-            }));
+        let end = attempt_end(request, &order, started);
+        if request.sink.is_none() || end <= started {
+            state.events.push_back(not_sent(request, order.id));
             return;
         }
-        let (cancel, cancelled) = oneshot::channel();
-        request.attempts.push(Some(cancel));
-        let start_by = order.start_within.map(|within| started.plus(within));
-        let shared_end = request.shared_end.clone();
         let limit = AttemptLimit {
-            start_by: start_by.map(|at| self.clock.instant(at)),
+            start_by: order
+                .start_within
+                .map(|within| self.clock.instant(started.plus(within))),
             until: self.clock.instant(end),
-            extended_until: shared_end.filter(|_| order.timeout.is_none()),
+            extended_until: match order.timeout {
+                Some(_) => None,
+                None => request.shared_end.clone(),
+            },
         };
+        let (cancel, cancelled) = oneshot::channel();
+        let number = request.add_attempt(Some(cancel));
         let command = request.command.clone();
-        if number.0 > 0 && matches!(request.sink, Some(ResponseSink::Stage)) {
-            state.requests.shared_retried(id);
+        if number.0 > 0 && request.is_shared() {
+            state.requests.shared_retried(order.id);
         }
         let is_sent = Rc::new(Cell::new(false));
         let context = AttemptContext {
             owner: self.clone(),
-            id,
+            id: order.id,
             attempt: number,
             limit,
             is_sent: is_sent.clone(),
@@ -84,7 +78,7 @@
         };
         hooks::attempt_sent(&self.environment, attempt);
         let in_flight = InFlight {
-            id,
+            id: order.id,
             number,
             started,
             cancelled,
@@ -207,3 +201,20 @@
         self.attempt_ended(id, attempt, result, elapsed);
     }
 }
+
+/// When an attempt that starts now ends at the latest.
+fn attempt_end(request: &OpenRequest, order: &AttemptOrder, started: Micros) -> Micros {
+    match order.timeout {
+        Some(timeout) => started.plus(timeout).min(request.expires),
+        None => request.expires,
+    }
+}
+
+/// The end of an attempt that is not started.
+fn not_sent(request: &mut OpenRequest, id: RequestId) -> Event {
+    let number = request.add_attempt(None);
+    Event::AttemptEnded(AttemptEnd {
+        complete: request.sink.is_none(),
+        ..AttemptEnd::new(id, number, Outcome::NotSent, Micros(0))
+    })
+}
--- a/crates/router-runtime/src/dispatcher/open_requests.rs
+++ b/crates/router-runtime/src/dispatcher/open_requests.rs
@@ -6,7 +6,7 @@
 use crate::request::Response;
 use crate::resp::Command;
 use crate::stage::StageEvent;
-use load_balancer::{Micros, RequestId};
+use load_balancer::{AttemptNumber, Micros, RequestId};
 use rustc_hash::FxHashMap;
 use std::cell::Cell;
 use std::collections::{HashSet, VecDeque};
@@ -39,6 +39,18 @@
 }
 
 impl OpenRequest {
+    /// Whether a stage has opened it for several clients, and waits for its response.
+    pub fn is_shared(&self) -> bool {
+        matches!(self.sink, Some(ResponseSink::Stage))
+    }
+
+    /// Adds an attempt, with what cancels it; `None`: it has ended already.
+    pub fn add_attempt(&mut self, cancel: Option<oneshot::Sender<()>>) -> AttemptNumber {
+        let number = AttemptNumber(self.attempts.len() as u32);
+        self.attempts.push(cancel);
+        number
+    }
+
     /// Whether this attempt is in flight: it has neither ended nor been cancelled.
     pub fn has_in_flight(&self, attempt: usize) -> bool {
         self.attempts.get(attempt).is_some_and(Option::is_some)
@@ -120,7 +132,8 @@
                 let _ = client.send(response);
             }
             Some(ResponseSink::Stage) => {
-                self.stage_events.push_back(StageEvent::Ended(id, response));
+                self.stage_events
+                    .push_back(StageEvent::Responded(id, response));
             }
             None => {}
         }
--- /dev/null
+++ b/crates/router-runtime/src/dispatcher/stage_requests.rs
@@ -0,0 +1,97 @@
+//! What a stage asks of the dispatcher beyond [`RequestStage`](crate::stage::RequestStage): names for requests that it
+//! keeps, and shared requests that several clients wait for.
+
+use super::Dispatcher;
+use super::open_requests::ResponseSink;
+use crate::environment::Environment;
+use crate::request::{ClientRequest, Response, SubmittedRequest};
+use crate::stage::StageEvent;
+use load_balancer::{Event, Micros, RequestId, TenantId};
+use std::rc::Rc;
+use tokio::sync::oneshot;
+
+impl<E: Environment> Dispatcher<E> {
+    /// Takes a write whose end is a [`StageEvent`]. `None` if a request of the same client's id is pending.
+    pub fn submit_write(self: &Rc<Self>, request: ClientRequest) -> Option<SubmittedRequest> {
+        self.open_for_client(request, ResponseSink::Write)
+    }
+
+    /// A name for a request that a stage opens or keeps.
+    pub fn next_id(&self) -> RequestId {
+        self.state.borrow_mut().requests.next_id()
+    }
+
+    /// Claims a client's id for a request that a stage keeps; `None` if it is in use.
+    pub fn claim_client_id(&self, id: &[u8]) -> Option<Rc<[u8]>> {
+        self.state.borrow_mut().requests.claim_client_id(id)
+    }
+
+    /// Frees a client's id that a stage has claimed.
+    pub fn release_client_id(&self, id: &[u8]) {
+        self.state.borrow_mut().requests.release_client_id(id);
+    }
+
+    /// Takes a request under a name and a client's id that a stage has claimed for it.
+    pub fn submit_claimed(
+        self: &Rc<Self>,
+        id: RequestId,
+        request: ClientRequest,
+        response: oneshot::Sender<Response>,
+    ) {
+        self.open(id, request, ResponseSink::Client(response));
+    }
+
+    /// Opens a request that several clients may share; the stage gets its response by a [`StageEvent`].
+    pub fn open_shared(self: &Rc<Self>, id: RequestId, request: ClientRequest) {
+        self.open(id, request, ResponseSink::Stage);
+    }
+
+    /// One more client waits for a shared request, until `expires`.
+    pub fn join_shared(self: &Rc<Self>, id: RequestId, tenant: Option<TenantId>, expires: Micros) {
+        if let Some(request) = self.state.borrow_mut().requests.get_mut(id) {
+            request.expires = request.expires.max(expires);
+            if let Some(end) = &request.shared_end {
+                // An attempt in flight is not cut short when the client with the latest deadline leaves.
+                end.set(end.get().max(self.clock.instant(request.expires)));
+            }
+        }
+        self.handle(Event::Coalesced {
+            id,
+            tenant,
+            expires,
+        });
+    }
+
+    /// The client with the latest deadline no longer waits for a shared request.
+    pub fn shorten_shared(self: &Rc<Self>, id: RequestId, expires: Micros) {
+        if let Some(request) = self.state.borrow_mut().requests.get_mut(id) {
+            request.expires = expires;
+        }
+        self.handle(Event::DeadlineShortened { id, expires });
+    }
+
+    /// Nobody waits for a shared request. Its attempts end too, where attempts may be cancelled.
+    pub fn withdraw_shared(self: &Rc<Self>, id: RequestId, may_cancel: bool) {
+        self.abandon(id);
+        if !may_cancel {
+            return;
+        }
+        let mut state = self.state.borrow_mut();
+        let Some(request) = state.requests.get_mut(id) else {
+            return;
+        };
+        for cancel in request.attempts.iter_mut().filter_map(Option::take) {
+            let _ = cancel.send(());
+        }
+    }
+
+    /// Sets who is called when there are [`StageEvent`]s.
+    pub fn listen(&self, listener: impl Fn() + 'static) {
+        *self.stage_listener.borrow_mut() = Some(Rc::new(listener));
+    }
+
+    /// Takes the next event for the stage.
+    pub fn next_stage_event(&self) -> Option<StageEvent> {
+        self.state.borrow_mut().requests.pop_stage_event()
+    }
+}
--- /dev/null
+++ b/crates/router-runtime/src/downstream/commands.rs
@@ -0,0 +1,147 @@
+//! What a client's command asks for: a request to the stages, or a response from here.
+
+use super::client::Client;
+use super::connections::ClientConnections;
+use super::responses::{AwaitedResponse, PendingResponse, RequestRecord};
+use crate::environment::Environment;
+use crate::request::{ClientRequest, SubmittedRequest};
+use crate::resp::{Command, CommandError};
+use crate::write_memory_budget::WriteReservation;
+use bytes::Bytes;
+use load_balancer::{ClassId, Idempotency, Micros, TenantId};
+use md5::{Digest, Md5};
+
+/// How many commands that are not for a router, as client libraries send them at the start, close a connection.
+const MAX_UNKNOWN_COMMANDS: u32 = 8;
+
+/// The length of a key that is a number in hexadecimal digits.
+const HEX_KEY_LENGTH: usize = 16;
+
+/// Why a command is no request. Its text goes to the client after `ERR`.
+#[derive(Debug, thiserror::Error)]
+enum RequestError {
+    /// The command is malformed.
+    #[error(transparent)]
+    Command(#[from] CommandError),
+    /// The settings do not name its class.
+    #[error("unknown class")]
+    UnknownClass,
+    /// The client says that it waits for no time.
+    #[error("no time left")]
+    NoTimeLeft,
+    /// Its class is keyed, and it has no idempotency key.
+    #[error("a keyed class wants k")]
+    NoIdempotencyKey,
+    /// A request of the same id is pending.
+    #[error("a request of this id is open")]
+    DuplicateId,
+}
+
+impl<E: Environment> ClientConnections<E> {
+    /// Takes a whole command, and gives its response or what to wait for.
+    pub(super) fn take_command(
+        &self,
+        arguments: Vec<Bytes>,
+        client: &Client,
+        memory: Option<WriteReservation>,
+    ) -> PendingResponse {
+        if let Some(memory) = &memory {
+            memory.complete();
+        }
+        match &arguments[0].to_ascii_uppercase()[..] {
+            b"C.GET" | b"C.SET" => match self.submit(arguments, client, memory) {
+                Ok(awaited) => PendingResponse::Awaited(awaited),
+                Err(error) => PendingResponse::Last(error_line(&format!("ERR {error}"))),
+            },
+            b"PING" if self.lifecycle().reports_healthy() => {
+                PendingResponse::Ready(Bytes::from_static(b"+PONG\r\n"))
+            }
+            b"PING" => PendingResponse::Ready(error_line("ERR drained")),
+            b"CLIENT" | b"SELECT" => PendingResponse::Ready(Bytes::from_static(b"+OK\r\n")),
+            name => {
+                client
+                    .unknown_commands
+                    .set(client.unknown_commands.get() + 1);
+                let line = error_line("ERR unknown command");
+                if !name.is_empty() && client.unknown_commands.get() < MAX_UNKNOWN_COMMANDS {
+                    PendingResponse::Ready(line)
+                } else {
+                    PendingResponse::Last(line)
+                }
+            }
+        }
+    }
+
+    /// Submits a read or a write.
+    fn submit(
+        &self,
+        arguments: Vec<Bytes>,
+        client: &Client,
+        memory: Option<WriteReservation>,
+    ) -> Result<AwaitedResponse, RequestError> {
+        let request = self.client_request(Command::new(arguments)?)?;
+        let class = request.class;
+        let submitted = self.config.requests.submit(request);
+        let SubmittedRequest { id, response } = submitted.ok_or(RequestError::DuplicateId)?;
+        let record = RequestRecord::begin(id, class, self.metrics().clone());
+        client.pending_requests.borrow_mut().insert(id);
+        Ok(AwaitedResponse {
+            record,
+            response,
+            memory,
+        })
+    }
+
+    /// The request that a command asks for.
+    fn client_request(&self, command: Command) -> Result<ClientRequest, RequestError> {
+        let names = &self.config.names;
+        let class = command
+            .field("c")
+            .and_then(|name| position(&names.classes, name))
+            .ok_or(RequestError::UnknownClass)?;
+        let settings = &self.config.classes[class];
+        // A client that says nothing, or more than its class allows, has the time of its class.
+        let wait = match command.number("d").transpose()? {
+            Some(0) => return Err(RequestError::NoTimeLeft),
+            Some(millis) => Micros::from_millis(millis).min(settings.deadline),
+            None => settings.deadline,
+        };
+        let is_keyed = matches!(settings.idempotency, Idempotency::Keyed { .. });
+        if is_keyed && command.field("k").is_none() {
+            return Err(RequestError::NoIdempotencyKey);
+        }
+        let cost_hint = command.number("h").transpose()?.map(Micros);
+        Ok(ClientRequest {
+            class: ClassId(class),
+            tenant: command
+                .field("t")
+                .and_then(|name| position(&names.tenants, name))
+                .map(TenantId),
+            key: ring_key(command.key()),
+            wait,
+            cost_hint,
+            retry: command.field("r") == Some("1"),
+            command,
+        })
+    }
+}
+
+/// An error for the client; the text begins with its kind, as `ERR`.
+pub(super) fn error_line(text: &str) -> Bytes {
+    Bytes::from(format!("-{text}\r\n"))
+}
+
+/// The place of a name among the names of the settings.
+fn position(names: &[String], name: &str) -> Option<usize> {
+    names.iter().position(|known| known == name)
+}
+
+/// A key as a number: its hexadecimal digits, or what its MD5 digest ends with; the same at every router.
+fn ring_key(key: &[u8]) -> u64 {
+    let digits = std::str::from_utf8(key)
+        .ok()
+        .filter(|text| text.len() == HEX_KEY_LENGTH);
+    digits
+        .and_then(|text| u64::from_str_radix(text, 16).ok())
+        .unwrap_or_else(|| u128::from_be_bytes(Md5::digest(key).into()) as u64)
+}
--- /dev/null
+++ b/crates/router-runtime/src/downstream/connection.rs
@@ -0,0 +1,219 @@
+//! One client's connection: commands are read and taken until it ends or is handed over.
+
+use super::IdleConnection;
+use super::client::Client;
+use super::commands::error_line;
+use super::connections::{ACCEPT_PAUSE, ClientConnections};
+use super::read_plan::{CommandInput, ReadEnd, ReadPlan};
+use super::responses::PendingResponse;
+use crate::environment::{Environment, Stream};
+use crate::resp::RespError;
+use bytes::{Bytes, BytesMut};
+use std::ops::ControlFlow;
+use tokio::io::AsyncReadExt;
+use tokio::sync::mpsc;
+
+/// How many commands on one connection wait for their responses; past this the next ones stay unread.
+const MAX_PIPELINED_COMMANDS: usize = 64;
+/// How much is read at a time: what one client sends in one go does not exceed the write memory by more.
+const MAX_READ_BYTES: usize = 64 * 1024;
+
+/// A connection on which no more is read.
+struct Served<S> {
+    stream: S,
+    end: ReadEnd,
+}
+
+impl<E: Environment> ClientConnections<E> {
+    /// Serves a connection until it has ended or is handed over.
+    pub(super) async fn serve(
+        &self,
+        mut idle_connection: IdleConnection<E::Stream>,
+        client: &Client,
+    ) {
+        loop {
+            let IdleConnection { stream, unread, .. } = idle_connection;
+            let Served { stream, end } = self.serve_until_idle(stream, unread, client).await;
+            let unread = match end {
+                ReadEnd::Disconnected | ReadEnd::Done => return,
+                ReadEnd::Error => return self.close_after_drain(stream).await,
+                ReadEnd::Finished => return self.close_unread(stream).await,
+                ReadEnd::HandOver(unread) => unread,
+            };
+            match self.hand_over(IdleConnection {
+                stream,
+                unread,
+                has_sent_command: client.has_sent_command.get(),
+            }) {
+                Ok(()) => return,
+                Err(back) => idle_connection = back,
+            }
+            // The successor has just gone, and the state of this process is about to say so.
+            self.environment.sleep(ACCEPT_PAUSE).await;
+        }
+    }
+
+    /// Reads commands and writes responses side by side, until no more is read and the pending ones are written.
+    async fn serve_until_idle(
+        &self,
+        mut stream: E::Stream,
+        unread: BytesMut,
+        client: &Client,
+    ) -> Served<E::Stream> {
+        if stream.set_nodelay().is_err() {
+            let end = ReadEnd::Disconnected;
+            return Served { stream, end };
+        }
+        let end = {
+            let (mut reader, writer) = stream.split();
+            let (pending, responses) = mpsc::channel(MAX_PIPELINED_COMMANDS);
+            let writing = self.write_responses(writer, responses, client);
+            tokio::pin!(writing);
+            let end = tokio::select! {
+                biased;
+                // A client that has disconnected gets no responses.
+                end = self.read_commands(&mut reader, unread, pending, client) => end,
+                // It takes no responses.
+                () = &mut writing => ReadEnd::Disconnected,
+            };
+            if !matches!(end, ReadEnd::Disconnected) {
+                tokio::select! {
+                    biased;
+                    () = &mut writing => {}
+                    () = self.disconnected(&reader) => {
+                        // It may still read an error, but waits for no requests.
+                        self.abandon_requests(client);
+                        writing.await;
+                    }
+                }
+            }
+            end
+        };
+        Served { stream, end }
+    }
+
+    /// Reads commands until no more are to be read.
+    async fn read_commands(
+        &self,
+        stream: &mut <E::Stream as Stream>::Reader<'_>,
+        unread: BytesMut,
+        pending: mpsc::Sender<PendingResponse>,
+        client: &Client,
+    ) -> ReadEnd {
+        let mut input = CommandInput::new(unread);
+        loop {
+            let taken = self
+                .take_commands(stream, &mut input, &pending, client)
+                .await;
+            if let ControlFlow::Break(end) = taken {
+                return end;
+            }
+            let plan = match self.plan_read(&mut input, client) {
+                ControlFlow::Continue(plan) => plan,
+                ControlFlow::Break(end) => return end,
+            };
+            let read = self.read_more(stream, &mut input, plan, client).await;
+            if let ControlFlow::Break(end) = read {
+                return end;
+            }
+        }
+    }
+
+    /// Takes the commands that have arrived whole, as long as this client's next one is taken.
+    async fn take_commands(
+        &self,
+        stream: &<E::Stream as Stream>::Reader<'_>,
+        input: &mut CommandInput,
+        pending: &mpsc::Sender<PendingResponse>,
+        client: &Client,
+    ) -> ControlFlow<ReadEnd> {
+        while self.may_take_command(client) {
+            let response = match input.reader.next(&mut input.buffer) {
+                Ok(Some(arguments)) => self.take_command(arguments, client, input.memory.take()),
+                Ok(None) => break,
+                Err(error) => PendingResponse::Last(protocol_error(&error)),
+            };
+            client.has_sent_command.set(true);
+            client.command_began_at.set(None);
+            input.value_progress_at = None;
+            client
+                .pending_responses
+                .set(client.pending_responses.get() + 1);
+            let is_last = matches!(response, PendingResponse::Last(_));
+            tokio::select! {
+                biased;
+                sent = pending.send(response) => if sent.is_err() {
+                    return ControlFlow::Break(ReadEnd::Disconnected);
+                },
+                () = self.disconnected(stream) => return ControlFlow::Break(ReadEnd::Disconnected),
+            }
+            if is_last {
+                client.is_closing.set(true);
+                return ControlFlow::Break(ReadEnd::Error);
+            }
+        }
+        ControlFlow::Continue(())
+    }
+
+    /// Reads more of the next command, or waits for what ends or changes the plan. Reading goes first: a command that
+    /// has arrived is served, also when the connection is to close.
+    async fn read_more(
+        &self,
+        stream: &mut <E::Stream as Stream>::Reader<'_>,
+        input: &mut CommandInput,
+        plan: ReadPlan,
+        client: &Client,
+    ) -> ControlFlow<ReadEnd> {
+        let has_memory = plan.has_memory;
+        let has_early_end = plan.early_end.is_some();
+        let has_deadline = plan.deadline.is_some();
+        let deadline = plan.deadline.unwrap_or_else(|| self.environment.now());
+        let read = async {
+            if plan.may_read && has_memory {
+                return (&mut *stream)
+                    .take(MAX_READ_BYTES as u64)
+                    .read_buf(&mut input.buffer)
+                    .await;
+            }
+            self.disconnected(stream).await;
+            Ok(0)
+        };
+        tokio::select! {
+            biased;
+            read = read => match read {
+                Ok(count) if count > 0 => self.bytes_read(input, count, client),
+                _ => return ControlFlow::Break(ReadEnd::Disconnected),
+            },
+            end = std::future::ready(plan.early_end), if has_early_end => {
+                return ControlFlow::Break(end.unwrap_or(ReadEnd::Done));
+            }
+            () = self.environment.sleep_until(deadline), if has_deadline => {
+                return ControlFlow::Break(ReadEnd::Done);
+            }
+            () = client.changed.notified() => {}
+            () = self.config.write_memory.freed(), if !has_memory => {}
+        }
+        ControlFlow::Continue(())
+    }
+
+    fn bytes_read(&self, input: &mut CommandInput, count: usize, client: &Client) {
+        let now = self.environment.now();
+        if let Some(memory) = &mut input.memory {
+            memory.add(count);
+        }
+        if input.value_progress_at.is_some() {
+            input.value_progress_at = Some(now);
+        }
+        if client.has_sent_command.get() {
+            client.last_used_at.set(now);
+        }
+    }
+}
+
+/// The last response on a connection whose bytes are no command.
+fn protocol_error(error: &RespError) -> Bytes {
+    error_line(match error {
+        RespError::TooLarge => "ERR command too large",
+        RespError::Malformed => "ERR protocol error",
+    })
+}
--- /dev/null
+++ b/crates/router-runtime/src/downstream/connections.rs
@@ -0,0 +1,260 @@
+//! The set of clients' connections: accepted from the listener, closed to make room, handed over to a successor.
+
+use super::IdleConnection;
+use super::client::Client;
+use crate::environment::Environment;
+use crate::metrics::RouterMetrics;
+use crate::stage::RequestStage;
+use crate::write_memory_budget::WriteMemoryBudget;
+use load_balancer::Class;
+use load_balancer::deployment::Names;
+use process_lifecycle::Lifecycle;
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::{Notify, mpsc};
+
+/// How often idle clients are counted.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Idle clients may hold one in so many places: the others are for clients that want one now.
+const IDLE_PLACES_DIVISOR: usize = 4;
+/// Connections in the listener's queue are accepted within this time each.
+const QUEUED_ACCEPT_LIMIT: Duration = Duration::from_millis(1);
+/// How long to leave the listener alone after it failed, out of descriptors for instance.
+pub(super) const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+
+/// Takes connections over from this process.
+type Successor<S> = mpsc::UnboundedSender<IdleConnection<S>>;
+
+/// What the connections need besides the environment.
+pub struct DownstreamConfig {
+    /// Takes the requests.
+    pub requests: Rc<dyn RequestStage>,
+    /// Names of classes and tenants.
+    pub names: Rc<Names>,
+    /// Classes of the settings, in the order of their names.
+    pub classes: Vec<Class>,
+    /// How many connections may be open.
+    pub max_connections: usize,
+    /// The state of this process.
+    pub lifecycle: Rc<Cell<Lifecycle>>,
+    /// Where requests are counted.
+    pub metrics: Rc<RouterMetrics>,
+    /// Memory for long writes.
+    pub write_memory: Rc<WriteMemoryBudget>,
+}
+
+/// See the module.
+pub struct ClientConnections<E: Environment> {
+    pub(super) environment: E,
+    pub(super) config: DownstreamConfig,
+    /// In the order in which they came, so that equal runs take equal turns.
+    open: RefCell<BTreeMap<u64, Rc<Client>>>,
+    last_id: Cell<u64>,
+    /// Taken off the listener and not started, for want of a place.
+    accepted: RefCell<Option<E::Stream>>,
+    successor: RefCell<Option<Successor<E::Stream>>>,
+    /// A connection has ended.
+    ended: Notify,
+    /// The process ends: nothing more is read.
+    is_finishing: Cell<bool>,
+}
+
+impl<E: Environment> ClientConnections<E> {
+    /// No connections yet.
+    pub fn new(config: DownstreamConfig, environment: E) -> Rc<Self> {
+        Rc::new(ClientConnections {
+            environment,
+            config,
+            open: RefCell::default(),
+            last_id: Cell::new(0),
+            accepted: RefCell::default(),
+            successor: RefCell::default(),
+            ended: Notify::new(),
+            is_finishing: Cell::new(false),
+        })
+    }
+
+    /// Accepts clients, for as long as it is polled. Past the limit the next ones wait until there is room. Dropped at
+    /// any moment, it loses no connection.
+    pub async fn accept(self: &Rc<Self>, listener: &E::Listener) {
+        let mut is_failing = false;
+        loop {
+            self.start_accepted_when_room().await;
+            match self.environment.accept(listener).await {
+                Ok(stream) => {
+                    is_failing = false;
+                    *self.accepted.borrow_mut() = Some(stream);
+                }
+                Err(error) => {
+                    if !std::mem::replace(&mut is_failing, true) {
+                        self.environment
+                            .log(format_args!("accepting a client: {error}"));
+                    }
+                    self.make_room();
+                    self.environment.sleep(ACCEPT_PAUSE).await;
+                }
+            }
+        }
+    }
+
+    /// Starts the accepted connection, if there is one, once there is a place for it.
+    async fn start_accepted_when_room(self: &Rc<Self>) {
+        if self.accepted.borrow().is_none() {
+            return;
+        }
+        while self.count() >= self.config.max_connections {
+            self.make_room();
+            let _ = self
+                .environment
+                .timeout(ACCEPT_PAUSE, self.ended.notified())
+                .await;
+        }
+        self.start_accepted();
+    }
+
+    /// Accepts what is left in the listener's queue, before that is closed: its connections would be reset. They may be
+    /// more than there are places for, as long as there are descriptors: no others follow.
+    pub async fn accept_queued(self: &Rc<Self>, listener: &E::Listener) {
+        self.start_accepted();
+        while let Ok(Ok(stream)) = self
+            .environment
+            .timeout(QUEUED_ACCEPT_LIMIT, self.environment.accept(listener))
+            .await
+        {
+            self.start(IdleConnection::accepted(stream));
+        }
+    }
+
+    fn start_accepted(self: &Rc<Self>) {
+        if let Some(stream) = self.accepted.take() {
+            self.start(IdleConnection::accepted(stream));
+        }
+    }
+
+    /// Serves a connection that this process has accepted or another one has handed over.
+    pub fn start(self: &Rc<Self>, idle_connection: IdleConnection<E::Stream>) {
+        let id = self.last_id.get() + 1;
+        self.last_id.set(id);
+        let client = Rc::new(Client::new(
+            idle_connection.has_sent_command,
+            self.environment.now(),
+        ));
+        self.open.borrow_mut().insert(id, client.clone());
+        let connections = self.clone();
+        // The task owns the connection and ends with it: closed, handed over, or finished with the process.
+        self.environment.spawn(async move {
+            connections.serve(idle_connection, &client).await;
+            connections.abandon_requests(&client);
+            connections.open.borrow_mut().remove(&id);
+            connections.ended.notify_one();
+        });
+    }
+
+    /// The client waits for its requests no more.
+    pub(super) fn abandon_requests(&self, client: &Client) {
+        for id in client.pending_requests.take() {
+            self.config.requests.client_disconnected(id);
+        }
+    }
+
+    /// Closes one client without pending responses, unless one is closing already. [`Client::close_rank`] says which.
+    fn make_room(&self) {
+        let now = self.environment.now();
+        let open = self.open.borrow();
+        let without_pending: Vec<&Rc<Client>> = open
+            .values()
+            .filter(|client| !client.has_pending_responses())
+            .collect();
+        if without_pending.iter().any(|client| client.is_closing.get()) {
+            return;
+        }
+        let first = without_pending
+            .into_iter()
+            .min_by_key(|client| client.close_rank(now));
+        if let Some(client) = first {
+            client.evict();
+        }
+    }
+
+    /// Keeps idle clients to a quarter of the places, and closes those that have been idle for longest, for as long as
+    /// the process runs. Guards against clients that keep their connections unused: where a front limits connections to
+    /// fewer than there are places, no other client could connect.
+    pub async fn close_idle(self: Rc<Self>) {
+        loop {
+            self.environment.sleep(IDLE_CHECK_INTERVAL).await;
+            self.close_excess_idle();
+        }
+    }
+
+    fn close_excess_idle(&self) {
+        let now = self.environment.now();
+        let open = self.open.borrow();
+        let mut idle: Vec<&Rc<Client>> =
+            open.values().filter(|client| client.is_idle(now)).collect();
+        idle.sort_by_key(|client| client.last_used_at.get());
+        let allowed = self.config.max_connections / IDLE_PLACES_DIVISOR;
+        let excess = idle.len().saturating_sub(allowed);
+        for client in idle.into_iter().take(excess) {
+            client.close();
+        }
+    }
+
+    /// The state of the process has changed: each connection looks at it again.
+    pub fn lifecycle_changed(&self) {
+        for client in self.open.borrow().values() {
+            client.changed.notify_one();
+        }
+    }
+
+    /// Sets who takes idle connections over, where the state of the process says so.
+    pub fn hand_over_to(self: &Rc<Self>, successor: Option<Successor<E::Stream>>) {
+        *self.successor.borrow_mut() = successor;
+        self.start_accepted();
+    }
+
+    /// Hands an idle connection over; gives it back if there is no successor.
+    pub(super) fn hand_over(
+        &self,
+        idle_connection: IdleConnection<E::Stream>,
+    ) -> Result<(), IdleConnection<E::Stream>> {
+        match &*self.successor.borrow() {
+            Some(successor) => successor.send(idle_connection).map_err(|back| back.0),
+            None => Err(idle_connection),
+        }
+    }
+
+    /// The process ends: nothing more is read, and connections are closed as soon as their responses are written.
+    pub fn finish(&self) {
+        self.is_finishing.set(true);
+        self.lifecycle_changed();
+    }
+
+    /// Whether the process ends.
+    pub(super) fn is_finishing(&self) -> bool {
+        self.is_finishing.get()
+    }
+
+    /// The state of the process.
+    pub(super) fn lifecycle(&self) -> Lifecycle {
+        self.config.lifecycle.get()
+    }
+
+    /// Where requests are counted.
+    pub fn metrics(&self) -> &Rc<RouterMetrics> {
+        &self.config.metrics
+    }
+
+    /// How many connections are open.
+    pub fn count(&self) -> usize {
+        self.open.borrow().len()
+    }
+
+    /// Returns when all connections are closed or handed over.
+    pub async fn all_ended(&self) {
+        while !self.open.borrow().is_empty() {
+            self.ended.notified().await;
+        }
+    }
+}
--- /dev/null
+++ b/crates/router-runtime/src/downstream/read_plan.rs
@@ -0,0 +1,200 @@
+//! Whether and how long a client is read on, as its connection and the process stand.
+
+use super::client::{COMMAND_LIMIT, Client};
+use super::connections::ClientConnections;
+use crate::clock::duration;
+use crate::environment::Environment;
+use crate::mutation::hooks;
+use crate::resp::{CommandReader, READ_SIZE};
+use crate::write_memory_budget::WriteReservation;
+use bytes::BytesMut;
+use process_lifecycle::{IdleConnectionPolicy, NEWCOMER};
+use std::ops::ControlFlow;
+use std::time::{Duration, Instant};
+
+/// A client that sends no command for this long is closed; many keep an unused connection for good.
+const IDLE_LIMIT: Duration = Duration::from_secs(30);
+/// How long a command may take to arrive but for a write's value: clients are allowed 2 s, and pieces come late.
+const HEAD_LIMIT: Duration = Duration::from_millis(3_000);
+/// How long a write's value may pause.
+const VALUE_PAUSE_LIMIT: Duration = Duration::from_secs(10);
+
+/// Why no more is read from a client.
+pub(super) enum ReadEnd {
+    /// It has disconnected.
+    Disconnected,
+    /// Pending responses are written, and then the connection is closed.
+    Done,
+    /// The same, and the client may still be sending what will not be read.
+    Error,
+    /// The same, and the process ends.
+    Finished,
+    /// It is idle, with what was read of a command that is not whole yet: for the successor.
+    HandOver(BytesMut),
+}
+
+/// What has been read of the next command.
+pub(super) struct CommandInput {
+    /// Reads it.
+    pub reader: CommandReader,
+    /// What has arrived and is not taken yet.
+    pub buffer: BytesMut,
+    /// Memory of a long write.
+    pub memory: Option<WriteReservation>,
+    /// When the last byte of a write's value came.
+    pub value_progress_at: Option<Instant>,
+}
+
+impl CommandInput {
+    /// Nothing but what was read before.
+    pub fn new(unread: BytesMut) -> Self {
+        CommandInput {
+            reader: CommandReader::default(),
+            buffer: unread,
+            memory: None,
+            value_progress_at: None,
+        }
+    }
+
+    /// Whether the write memory has room for more of the command.
+    fn has_memory(&self) -> bool {
+        self.memory
+            .as_ref()
+            .is_none_or(WriteReservation::may_read_more)
+    }
+}
+
+/// What happens before the next bytes are read.
+pub(super) struct ReadPlan {
+    /// The client's next command is taken.
+    pub may_read: bool,
+    /// The write memory has room for more of the command.
+    pub has_memory: bool,
+    /// The connection ends unless bytes are there already.
+    pub early_end: Option<ReadEnd>,
+    /// When the connection ends without further bytes.
+    pub deadline: Option<Instant>,
+}
+
+impl<E: Environment> ClientConnections<E> {
+    /// Whether this client's next command is taken. While the router is drained a command that has begun is, and one
+    /// that comes while no response is pending; a client that is never idle is stopped after a while.
+    pub(super) fn may_take_command(&self, client: &Client) -> bool {
+        if self.is_finishing() {
+            return false;
+        }
+        let lifecycle = self.lifecycle();
+        if lifecycle.is_handed_over() || !lifecycle.is_drained() {
+            client.is_stopped.set(false);
+            return !lifecycle.is_handed_over();
+        }
+        let is_idle = !client.has_pending_responses() || client.has_begun_command();
+        let stops = !is_idle && !lifecycle.may_read_more(self.config.requests.now());
+        client.is_stopped.set(client.is_stopped.get() || stops);
+        !client.is_stopped.get()
+    }
+
+    /// Decides what happens before the next bytes are read, or that none are.
+    pub(super) fn plan_read(
+        &self,
+        input: &mut CommandInput,
+        client: &Client,
+    ) -> ControlFlow<ReadEnd, ReadPlan> {
+        if input.buffer.is_empty() {
+            // An idle client keeps no buffer of the size of its last command.
+            input.buffer = BytesMut::new();
+        } else if !client.has_begun_command() {
+            client.command_began_at.set(Some(self.environment.now()));
+        }
+        if self.is_finishing() {
+            return ControlFlow::Break(ReadEnd::Finished);
+        }
+        let policy = self.lifecycle().idle_connection_policy();
+        let has_pending = client.has_pending_responses();
+        let may_read = self.may_take_command(client);
+        if policy == IdleConnectionPolicy::HandOver && !has_pending {
+            let unread = std::mem::take(&mut input.buffer);
+            return ControlFlow::Break(ReadEnd::HandOver(unread));
+        }
+        if client.is_stopped.get() && !has_pending {
+            // Its client sends the rest of the pipeline again.
+            return ControlFlow::Break(ReadEnd::Error);
+        }
+        self.reserve(input);
+        let has_memory = input.has_memory();
+        let deadline = if may_read && has_memory {
+            self.read_deadline(input, policy, client)
+        } else {
+            None
+        };
+        ControlFlow::Continue(ReadPlan {
+            may_read,
+            has_memory,
+            early_end: early_end(input, policy, client),
+            deadline,
+        })
+    }
+
+    /// Makes room for the rest of the command, and counts a long write against the write memory.
+    fn reserve(&self, input: &mut CommandInput) {
+        let missing = input.reader.missing(&input.buffer);
+        if missing > READ_SIZE && input.memory.is_none() {
+            let arrived = input.buffer.len();
+            input.memory = Some(self.config.write_memory.reserve(arrived));
+        }
+        input.buffer.reserve(READ_SIZE.max(missing));
+        if input.reader.is_in_value() && input.value_progress_at.is_none() {
+            input.value_progress_at = Some(self.environment.now());
+        }
+    }
+
+    /// When a client is closed that sends nothing more; `None`: pending responses keep its connection open.
+    fn read_deadline(
+        &self,
+        input: &CommandInput,
+        policy: IdleConnectionPolicy,
+        client: &Client,
+    ) -> Option<Instant> {
+        let last_used_at = client.last_used_at.get();
+        if let Some(began_at) = client.command_began_at.get() {
+            let value_deadline = input.value_progress_at.map(|at| at + VALUE_PAUSE_LIMIT);
+            return Some(value_deadline.unwrap_or(began_at + HEAD_LIMIT));
+        }
+        if is_newcomer(policy, client) {
+            return Some(last_used_at + duration(NEWCOMER));
+        }
+        if !client.has_sent_command.get() {
+            return Some(last_used_at + COMMAND_LIMIT);
+        }
+        (!client.has_pending_responses()).then(|| last_used_at + IDLE_LIMIT)
+    }
+}
+
+/// How the connection ends unless bytes of a command are there already.
+fn early_end(
+    input: &CommandInput,
+    policy: IdleConnectionPolicy,
+    client: &Client,
+) -> Option<ReadEnd> {
+    let is_kept = matches!(
+        policy,
+        IdleConnectionPolicy::Keep | IdleConnectionPolicy::HandOver
+    );
+    let is_closing = client.is_closing.get() || !is_kept;
+    let may_close = is_closing
+        && !is_newcomer(policy, client)
+        && !client.has_pending_responses()
+        && input.buffer.is_empty();
+    let is_done = may_close || client.is_evicted.get();
+    hooks::early_end(
+        is_done.then_some(ReadEnd::Done),
+        is_closing,
+        client.pending_responses.get(),
+        ReadEnd::Disconnected,
+    )
+}
+
+/// Whether a client has sent nothing yet while connections are being closed: its first command is waited for.
+fn is_newcomer(policy: IdleConnectionPolicy, client: &Client) -> bool {
+    !client.has_sent_command.get() && policy == IdleConnectionPolicy::Close
+}
--- /dev/null
+++ b/crates/router-runtime/src/downstream/responses.rs
@@ -0,0 +1,164 @@
+//! Responses on one connection, written in the order of its commands.
+
+use super::client::Client;
+use super::connections::ClientConnections;
+use crate::environment::{Environment, Stream};
+use crate::metrics::{RequestEnd, RouterMetrics};
+use crate::mutation::hooks;
+use crate::request::{BodyPiece, Response};
+use crate::write_memory_budget::WriteReservation;
+use bytes::Bytes;
+use load_balancer::{ClassId, RequestId};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::io::AsyncWriteExt;
+use tokio::sync::{mpsc, oneshot};
+
+/// A client that takes nothing of its response for this long is given up; slow ones pause for seconds.
+const WRITE_STALL_LIMIT: Duration = Duration::from_secs(10);
+
+/// The response to one command, in its place among the others.
+pub(super) enum PendingResponse {
+    /// Known.
+    Ready(Bytes),
+    /// Known, and the last: what follows it on the connection cannot be told apart or is not worth reading.
+    Last(Bytes),
+    /// To be waited for.
+    Awaited(AwaitedResponse),
+}
+
+/// The response to a request that was taken.
+pub(super) struct AwaitedResponse {
+    /// Counts the request.
+    pub record: RequestRecord,
+    /// Gets the response.
+    pub response: oneshot::Receiver<Response>,
+    /// Memory of a long write, in use until the response.
+    pub memory: Option<WriteReservation>,
+}
+
+/// Counts a request that was taken, at its end. Dropped without one, its client has disconnected.
+pub(super) struct RequestRecord {
+    id: RequestId,
+    class: ClassId,
+    metrics: Rc<RouterMetrics>,
+    end: Option<RequestEnd>,
+}
+
+impl RequestRecord {
+    /// A request is taken.
+    pub fn begin(id: RequestId, class: ClassId, metrics: Rc<RouterMetrics>) -> Self {
+        metrics.request_started();
+        RequestRecord {
+            id,
+            class,
+            metrics,
+            end: None,
+        }
+    }
+}
+
+impl Drop for RequestRecord {
+    fn drop(&mut self) {
+        self.metrics.request_ended(self.class.0, self.end);
+    }
+}
+
+impl<E: Environment> ClientConnections<E> {
+    /// Writes responses in the order of the commands, until there are no more or the client takes none.
+    pub(super) async fn write_responses(
+        &self,
+        mut writer: <E::Stream as Stream>::Writer<'_>,
+        mut responses: mpsc::Receiver<PendingResponse>,
+        client: &Client,
+    ) {
+        while let Some(pending) = responses.recv().await {
+            let bytes = match pending {
+                PendingResponse::Ready(bytes) | PendingResponse::Last(bytes) => bytes,
+                PendingResponse::Awaited(awaited) => {
+                    let Some(bytes) = self.await_response(&mut writer, awaited, client).await
+                    else {
+                        return;
+                    };
+                    bytes
+                }
+            };
+            let bytes = hooks::response_bytes(bytes);
+            if !self.write(&mut writer, &bytes).await {
+                return;
+            }
+            client
+                .pending_responses
+                .set(client.pending_responses.get() - 1);
+            client.last_used_at.set(self.environment.now());
+            client.changed.notify_one();
+        }
+    }
+
+    /// Waits for a response and gives its bytes, or those that are left of a streamed one; none if it was broken off.
+    async fn await_response(
+        &self,
+        writer: &mut <E::Stream as Stream>::Writer<'_>,
+        awaited: AwaitedResponse,
+        client: &Client,
+    ) -> Option<Bytes> {
+        let AwaitedResponse {
+            mut record,
+            response,
+            memory: _memory,
+        } = awaited;
+        // The sender is never dropped without a response; should it be, the client must not wait.
+        let response = response.await.unwrap_or(Response::Failed);
+        client.pending_requests.borrow_mut().remove(&record.id);
+        let (end, bytes) = match response {
+            Response::Served(bytes) => (RequestEnd::Served, Some(bytes)),
+            Response::Rejected(Some(after)) => {
+                let after_ms = after.0.div_ceil(1_000);
+                let line = Bytes::from(format!("-BUSY {after_ms}\r\n"));
+                (RequestEnd::Rejected, Some(line))
+            }
+            Response::Rejected(None) => {
+                (RequestEnd::Rejected, Some(Bytes::from_static(b"-BUSY\r\n")))
+            }
+            Response::Failed => {
+                let line = Bytes::from_static(b"-ERR failed\r\n");
+                (RequestEnd::Failed, Some(line))
+            }
+            Response::Streamed(mut pieces) => match self.stream(writer, &mut pieces).await {
+                Some(last) => (RequestEnd::Served, Some(last)),
+                // The end of the connection tells the client that the answer is not whole.
+                None => (RequestEnd::Failed, None),
+            },
+        };
+        record.end = Some(end);
+        bytes
+    }
+
+    /// Writes all bytes, at whatever pace the client takes them; false if it takes no more.
+    async fn write(&self, writer: &mut <E::Stream as Stream>::Writer<'_>, bytes: &[u8]) -> bool {
+        let mut written = 0;
+        while written < bytes.len() {
+            let write = writer.write(&bytes[written..]);
+            match self.environment.timeout(WRITE_STALL_LIMIT, write).await {
+                Ok(Ok(count)) if count > 0 => written += count,
+                _ => return false,
+            }
+        }
+        true
+    }
+
+    /// Writes a streamed answer but for its last piece, which is given back; none if it was broken off.
+    async fn stream(
+        &self,
+        writer: &mut <E::Stream as Stream>::Writer<'_>,
+        pieces: &mut mpsc::Receiver<BodyPiece>,
+    ) -> Option<Bytes> {
+        loop {
+            match pieces.recv().await? {
+                BodyPiece::Last(bytes) => return Some(bytes),
+                BodyPiece::More(bytes) if self.write(writer, &bytes).await => {}
+                BodyPiece::More(_) => return None,
+            }
+        }
+    }
+}
--- a/crates/router-runtime/src/environment.rs
+++ b/crates/router-runtime/src/environment.rs
@@ -1,9 +1,9 @@
-//! The seam between the engine and the world: time, tasks, TCP and UDP.
+//! Time, tasks, TCP and UDP, as traits.
 //!
-//! The engine is generic over a [`Environment`] and reads no clock, opens no socket and starts no task but through it. Its
-//! random numbers come from the seed that it is given at its start. In
-//! service that is [`crate::tokio_environment::TokioEnvironment`], real sockets on tokio; in the rig a virtual clock and a simulated
-//! network. Each is compiled into an engine of its own, so that the seam costs nothing in service.
+//! The runtime is generic over an [`Environment`]: it reads no clock, opens no socket and spawns no task but through
+//! it, and its random numbers come from a seed. In service that is [`crate::tokio_environment::TokioEnvironment`],
+//! real sockets on tokio; in the simulation a virtual clock and network. Static dispatch keeps it free of cost in
+//! service.
 
 use std::fmt;
 use std::future::Future;
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncRead, AsyncWrite};
 
-/// The time that was allowed for something is over.
+/// A time limit has passed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Elapsed;
 
@@ -25,45 +25,45 @@
     /// A UDP socket.
     type DatagramSocket: DatagramSocket;
 
-    /// The monotonic clock. Instants mean something against others of the same world only.
+    /// The monotonic clock. Its instants compare with others of the same environment only.
     fn now(&self) -> Instant;
 
-    /// The wall clock, since the Unix epoch. It may step; the engine reads it once, at its start.
+    /// The wall clock, since the Unix epoch. It may step; the runtime reads it once, at its start.
     fn unix_now(&self) -> Duration;
 
-    /// Returns at this instant, or as soon after it as the world's timers can.
+    /// Returns at this instant, or as soon after it as the timers' resolution allows.
     fn sleep_until(&self, at: Instant) -> impl Future<Output = ()>;
 
-    /// Runs a task beside the others of this process, on the same thread.
+    /// Spawns a task on the thread of the others of this process. It runs until it returns or the process ends.
     fn spawn(&self, task: impl Future<Output = ()> + 'static);
 
-    /// Opens a connection, with no limit on how long that takes.
+    /// Opens a connection, without a time limit.
     ///
     /// # Errors
     /// When it is refused, or the process has no descriptor left.
     fn connect(&self, to: SocketAddr) -> impl Future<Output = io::Result<Self::Stream>>;
 
-    /// The next connection that came to a listener.
+    /// Accepts the next connection of a listener.
     ///
     /// # Errors
     /// When the process has no descriptor left, or the connection broke before it was taken.
     fn accept(&self, listener: &Self::Listener) -> impl Future<Output = io::Result<Self::Stream>>;
 
-    /// A UDP socket at an address.
+    /// Binds a UDP socket to an address.
     ///
     /// # Errors
-    /// When the address cannot be had.
+    /// When the address is not available.
     fn bind(&self, at: SocketAddr) -> impl Future<Output = io::Result<Self::DatagramSocket>>;
 
-    /// One line for the operators.
+    /// Logs one line for operators.
     fn log(&self, line: fmt::Arguments<'_>);
 
-    /// Returns after so long.
+    /// Returns after this time.
     fn sleep(&self, time: Duration) -> impl Future<Output = ()> {
         self.sleep_until(self.now() + time)
     }
 
-    /// What the future gives, if it does by then.
+    /// The output of a future, if it completes by this instant.
     fn timeout_at<F: Future>(
         &self,
         at: Instant,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// What the future gives, if it does within this time.
+    /// The output of a future, if it completes within this time.
     fn timeout<F: Future>(
         &self,
         time: Duration,
@@ -88,47 +88,47 @@
     }
 }
 
-/// The half of a connection that reads.
+/// The reading half of a connection.
 pub trait ReadStream: AsyncRead + Unpin {
-    /// Whether the peer has ended its sending or reset the connection, also where bytes before that are still unread. Of
-    /// an end that stands behind more than the machine holds unread, it knows nothing yet.
+    /// Whether the peer has ended its sending or reset the connection, also where bytes before that are still unread.
+    /// Of an end that stands behind more than the system buffers, it knows nothing yet.
     fn has_peer_closed(&self) -> bool;
 }
 
 /// A TCP connection. Dropped, it is closed; with bytes unread it is reset.
 pub trait Stream: AsyncRead + AsyncWrite + Unpin + 'static {
-    /// The half that reads.
+    /// The reading half.
     type Reader<'a>: ReadStream;
-    /// The half that writes.
+    /// The writing half.
     type Writer<'a>: AsyncWrite + Unpin;
 
-    /// Both halves, to be used side by side.
+    /// Splits it into halves that are used side by side.
     fn split(&mut self) -> (Self::Reader<'_>, Self::Writer<'_>);
 
-    /// Sends what is written at once, however little it is.
+    /// Sends what is written without delay, however little it is.
     ///
     /// # Errors
     /// When the connection is gone.
     fn set_nodelay(&self) -> io::Result<()>;
 
-    /// Whether nothing has come that was not read: neither a byte nor an end.
+    /// Whether nothing has arrived that was not read: neither a byte nor an end.
     fn has_no_pending_input(&self) -> bool;
 
-    /// Acknowledges what came without the usual delay, where that can be had.
+    /// Acknowledges what has arrived without the usual delay, where the system allows it.
     fn acknowledge_immediately(&self);
 }
 
-/// A UDP socket. What it sends may come late, twice, in another order or not at all.
+/// A UDP socket. Datagrams may arrive late, twice, in another order or not at all.
 pub trait DatagramSocket: 'static {
     /// Sends one datagram.
     ///
     /// # Errors
-    /// When the machine does not take it: it is too long, or there is no way to the address.
+    /// When the system does not take it: it is too long, or there is no route to the address.
     fn send_to(&self, bytes: &[u8], to: SocketAddr) -> impl Future<Output = io::Result<usize>>;
 
-    /// The next datagram, cut to the buffer, and where it came from.
+    /// Receives the next datagram, cut to the buffer, and its sender.
     ///
     /// # Errors
-    /// When the socket failed, for instance since an earlier datagram of its found nobody.
+    /// When the socket failed, for instance because the destination of an earlier datagram refused it.
     fn receive(&self, buffer: &mut [u8]) -> impl Future<Output = io::Result<(usize, SocketAddr)>>;
 }
--- a/crates/router-runtime/src/metrics.rs
+++ b/crates/router-runtime/src/metrics.rs
@@ -1,18 +1,20 @@
-//! What requests came to, counted where a client gets its answer and where an attempt is written whole, so that a figure
-//! cannot differ from what the peers saw.
+//! Counts of requests, attempts and connections, and what a router holds.
+//!
+//! Requests are counted where the client gets its response, attempts where their last byte is written: no figure
+//! differs from what the peers see. Counts are in cells: they rely on one thread.
 
 use load_balancer::{CacheStatus, ConnectionUse, Outcome};
 use std::cell::{Cell, RefCell};
 
 /// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum RequestEnd {
     /// Served, the last byte included.
-    Passed,
-    /// Refused.
-    Dropped,
+    Served,
+    /// Rejected.
+    Rejected,
     /// Failed; also a value that was broken off.
-    BadGateway,
+    Failed,
 }
 
 /// What a router shows operators. Counts begin at 0 with the process.
@@ -58,16 +60,16 @@
 pub struct ClassCounts {
     /// Requests served.
     pub served: u64,
-    /// Requests refused.
+    /// Requests rejected.
     pub rejected: u64,
     /// Requests failed.
     pub failed: u64,
 }
 
-/// The counts of one process.
+/// Counts of one process, from its start.
 #[derive(Debug, Default)]
 pub struct RouterMetrics {
-    ends: RefCell<Vec<ClassCounts>>,
+    by_class: RefCell<Vec<ClassCounts>>,
     attempts_written: Cell<u64>,
     in_progress: Cell<usize>,
     attempts: Cell<AttemptCounts>,
@@ -86,110 +88,115 @@
     (Outcome::Miss, "absent"),
 ];
 
-/// What the attempts of one process came to since its start.
+/// Counts of attempts and connections of one process since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AttemptCounts {
-    /// Connections opened to cache servers, and those that could not be.
+    /// Connections opened to cache servers.
     pub opened: u64,
-    /// See above.
+    /// Connections to cache servers that could not be opened.
     pub unopened: u64,
-    /// Calls for the list.
+    /// Calls to discovery.
     pub calls: u64,
     /// By outcome, in the order of [`OUTCOMES`].
     pub outcomes: [u64; OUTCOMES.len()],
-    /// Of those turned away, the ones on a new connection: the server may hold as many as it can.
+    /// Attempts that found the server overloaded on a new connection: it may have all the connections that it can hold.
     pub full_new: u64,
-    /// Answers that cost a fetch.
+    /// Reads that cost an origin fetch.
     pub misses: u64,
 }
 
 impl RouterMetrics {
-    /// With this many classes.
+    /// Counts for so many classes.
     pub fn new(classes: usize) -> RouterMetrics {
         RouterMetrics {
-            ends: RefCell::new(vec![ClassCounts::default(); classes]),
+            by_class: RefCell::new(vec![ClassCounts::default(); classes]),
             ..RouterMetrics::default()
         }
     }
 
     /// A request was taken.
-    pub fn began(&self) {
+    pub fn request_started(&self) {
         self.in_progress.set(self.in_progress.get() + 1);
     }
 
-    /// A request that was taken has ended, or its client has gone (`None`).
-    pub fn ended(&self, class: usize, end: Option<End>) {
+    /// A request has ended; `None`: its client has disconnected before.
+    pub fn request_ended(&self, class: usize, end: Option<RequestEnd>) {
         self.in_progress.set(self.in_progress.get() - 1);
-        let mut ends = self.ends.borrow_mut();
-        let Some(ends) = ends.get_mut(class) else {
+        let mut by_class = self.by_class.borrow_mut();
+        let Some(counts) = by_class.get_mut(class) else {
             return;
         };
         match end {
-            Some(End::Passed) => ends.served += 1,
-            Some(End::Dropped) => ends.rejected += 1,
-            Some(End::BadGateway) => ends.failed += 1,
+            Some(RequestEnd::Served) => counts.served += 1,
+            Some(RequestEnd::Rejected) => counts.rejected += 1,
+            Some(RequestEnd::Failed) => counts.failed += 1,
             None => {}
         }
     }
 
-    /// An attempt was written whole to a cache server.
+    /// The last byte of an attempt was written to a cache server.
     pub fn attempt_written(&self) {
         self.attempts_written.set(self.attempts_written.get() + 1);
     }
 
-    fn count(&self, change: impl FnOnce(&mut AttemptCounts)) {
-        let mut attempts = self.attempts.get();
-        change(&mut attempts);
-        self.attempts.set(attempts);
-    }
-
     /// A connection to a cache server was opened, or could not be.
     pub fn connection_opened(&self, is_open: bool) {
-        self.count(|attempts| {
-            if is_open {
-                attempts.opened += 1
-            } else {
-                attempts.unopened += 1
-            }
-        });
+        let mut attempts = self.attempts.get();
+        if is_open {
+            attempts.opened += 1;
+        } else {
+            attempts.unopened += 1;
+        }
+        self.attempts.set(attempts);
     }
 
     /// Discovery was called.
     pub fn discovery_called(&self) {
-        self.count(|attempts| attempts.calls += 1);
+        let mut attempts = self.attempts.get();
+        attempts.calls += 1;
+        self.attempts.set(attempts);
     }
 
-    /// An attempt ended.
+    /// An attempt has ended.
     pub fn attempt_ended(
         &self,
         outcome: Outcome,
         connection_use: ConnectionUse,
         cache_status: Option<CacheStatus>,
     ) {
-        self.count(|attempts| {
-            attempts.full_new +=
-                u64::from(outcome == Outcome::Overloaded && connection_use == ConnectionUse::New);
-            if let Some(place) = OUTCOMES.iter().position(|(known, _)| *known == outcome) {
-                attempts.outcomes[place] += 1;
-            }
-            attempts.misses += u64::from(matches!(
-                cache_status,
-                Some(CacheStatus::Miss | CacheStatus::MissPending)
-            ));
-        });
+        let mut attempts = self.attempts.get();
+        if let Some(place) = OUTCOMES.iter().position(|(known, _)| *known == outcome) {
+            attempts.outcomes[place] += 1;
+        }
+        if outcome == Outcome::Overloaded && connection_use == ConnectionUse::New {
+            attempts.full_new += 1;
+        }
+        if matches!(
+            cache_status,
+            Some(CacheStatus::Miss | CacheStatus::MissPending)
+        ) {
+            attempts.misses += 1;
+        }
+        self.attempts.set(attempts);
     }
 
-    /// What the attempts came to.
+    /// Counts of attempts and connections.
     pub fn attempts(&self) -> AttemptCounts {
         self.attempts.get()
     }
 
-    /// By class, attempts, and requests taken and not ended.
-    pub fn read(&self) -> (Vec<ClassCounts>, u64, usize) {
-        (
-            self.ends.borrow().clone(),
-            self.attempts_written.get(),
-            self.in_progress.get(),
-        )
+    /// Counts of requests by class, in the order of the settings.
+    pub fn requests_by_class(&self) -> Vec<ClassCounts> {
+        self.by_class.borrow().clone()
+    }
+
+    /// Attempts whose last byte was written.
+    pub fn attempts_written(&self) -> u64 {
+        self.attempts_written.get()
+    }
+
+    /// Requests that were taken and have not ended.
+    pub fn in_progress(&self) -> usize {
+        self.in_progress.get()
     }
 }
--- a/crates/router-runtime/src/mutation/hooks.rs
+++ b/crates/router-runtime/src/mutation/hooks.rs
@@ -132,10 +132,10 @@
     }
     for host in &mut hosts {
         if is_active(Mutation::ForgetsColdness) {
-            host.born_ms = 0;
+            host.started_ms = 0;
         }
         if is_active(Mutation::MissesRestart) {
-            host.born_ms = host.born_ms.min(1);
+            host.started_ms = host.started_ms.min(1);
         }
     }
     hosts
--- /dev/null
+++ b/crates/router-runtime/src/resp/reply.rs
@@ -0,0 +1,199 @@
+//! A cache server's reply to one command: a value or receipt, or an error, with its load report.
+
+use super::frame::{LINE_END, bulk, header, is_printable, line};
+use super::{MAX_VALUE, RespError};
+use bytes::{Bytes, BytesMut};
+use load_balancer::CacheStatus;
+
+/// The longest error line, in bytes: an error with a load report.
+const MAX_ERROR: usize = 512;
+/// The longest load report, in bytes.
+const MAX_REPORT: usize = 256;
+/// The longest cache status, in bytes: one short word.
+const MAX_CACHE_STATUS: usize = 16;
+
+/// The text of a load report, where one came: printable, and no longer than a peer's line.
+pub type LoadReportText = Option<Bytes>;
+
+/// What a cache server replied.
+#[derive(Debug, PartialEq, Eq)]
+pub enum Reply {
+    /// A value or a receipt.
+    Served {
+        /// The reply as it goes to the client.
+        bytes: Bytes,
+        /// How the read went, where the server said it.
+        cache_status: Option<CacheStatus>,
+        /// The load report.
+        report: LoadReportText,
+    },
+    /// `-ERR`: the server failed.
+    Failed(LoadReportText),
+    /// `-BUSY`: the server is overloaded.
+    Busy(LoadReportText),
+}
+
+/// Reads one reply.
+#[derive(Debug, Default)]
+pub struct ReplyReader {
+    /// Where the parts that have been read whole end.
+    position: usize,
+    part: ReplyPart,
+    cache_status: Option<CacheStatus>,
+}
+
+/// The part of a reply that is read next.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+enum ReplyPart {
+    /// An error line, or the header of an array.
+    #[default]
+    Header,
+    /// The value or receipt.
+    Value,
+    /// How the read went.
+    CacheStatus,
+    /// The load report.
+    Report,
+}
+
+impl ReplyReader {
+    /// Items in the array of a reply: value, cache status, load report.
+    pub(super) const ITEMS: usize = 3;
+
+    /// A reader for what stands behind a long value: the end of its line, cache status and load report.
+    pub(super) fn behind_value() -> Self {
+        ReplyReader {
+            position: LINE_END.len(),
+            part: ReplyPart::CacheStatus,
+            cache_status: None,
+        }
+    }
+
+    /// Whether value and cache status are whole: what is missing is the load report.
+    pub fn has_value(&self) -> bool {
+        self.part == ReplyPart::Report
+    }
+
+    /// Takes the reply off the buffer if it is whole. A value that is too large or does not end where it should is an
+    /// error as soon as that shows.
+    ///
+    /// # Errors
+    /// When the bytes are no reply: nothing that follows can be read.
+    pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<Reply>, RespError> {
+        if self.part == ReplyPart::Header {
+            match buffer.first() {
+                None => return Ok(None),
+                Some(b'-') => return error_reply(buffer),
+                Some(_) => {}
+            }
+            if !self.read_header(buffer)? {
+                return Ok(None);
+            }
+        }
+        if self.part == ReplyPart::Value && !self.read_value(buffer)? {
+            return Ok(None);
+        }
+        if self.part == ReplyPart::CacheStatus && !self.read_cache_status(buffer)? {
+            return Ok(None);
+        }
+        Ok(self.read_report(buffer))
+    }
+
+    fn read_header(&mut self, buffer: &[u8]) -> Result<bool, RespError> {
+        let Some(header) = header(buffer, b'*')? else {
+            return Ok(false);
+        };
+        if header.number != Some(Self::ITEMS) {
+            return Err(RespError::Malformed);
+        }
+        self.position = header.length;
+        self.part = ReplyPart::Value;
+        Ok(true)
+    }
+
+    fn read_value(&mut self, buffer: &[u8]) -> Result<bool, RespError> {
+        let Some(value) = bulk(buffer, self.position, MAX_VALUE)? else {
+            return Ok(false);
+        };
+        if value.bytes.is_none() {
+            return Err(RespError::Malformed);
+        }
+        self.position = value.end;
+        self.part = ReplyPart::CacheStatus;
+        Ok(true)
+    }
+
+    fn read_cache_status(&mut self, buffer: &[u8]) -> Result<bool, RespError> {
+        let Some(word) = bulk(buffer, self.position, MAX_CACHE_STATUS)? else {
+            return Ok(false);
+        };
+        self.cache_status = match word.bytes {
+            Some(b"hit") => Some(CacheStatus::Hit),
+            Some(b"miss") => Some(CacheStatus::Miss),
+            Some(b"pending") => Some(CacheStatus::MissPending),
+            Some(word) if !word.iter().all(u8::is_ascii_alphabetic) => {
+                return Err(RespError::Malformed);
+            }
+            _ => None,
+        };
+        self.position = word.end;
+        self.part = ReplyPart::Report;
+        Ok(true)
+    }
+
+    /// Reads the load report, and with it the whole reply. One that cannot be read counts as none; what is left in the
+    /// buffer then tells that the connection is of no further use.
+    fn read_report(&self, buffer: &mut BytesMut) -> Option<Reply> {
+        let (end, length) = match bulk(buffer, self.position, MAX_REPORT) {
+            Ok(None) => return None,
+            Ok(Some(report)) => match report.bytes {
+                None => (report.end, None),
+                Some(text) if text.iter().all(is_printable) => (report.end, Some(text.len())),
+                Some(_) => return Some(self.served_without_report(buffer)),
+            },
+            Err(_) => return Some(self.served_without_report(buffer)),
+        };
+        let bytes = buffer.split_to(end).freeze();
+        let text_end = end - LINE_END.len();
+        let report = length.map(|length| bytes.slice(text_end - length..text_end));
+        Some(Reply::Served {
+            bytes,
+            cache_status: self.cache_status,
+            report,
+        })
+    }
+
+    /// The reply with a null for the load report that cannot be read or never came.
+    pub fn served_without_report(&self, buffer: &BytesMut) -> Reply {
+        let bytes = Bytes::from([&buffer[..self.position], b"$-1\r\n"].concat());
+        Reply::Served {
+            bytes,
+            cache_status: self.cache_status,
+            report: None,
+        }
+    }
+}
+
+/// Takes an error line off the buffer if it is whole. A load report may stand last in it, after a space.
+fn error_reply(buffer: &mut BytesMut) -> Result<Option<Reply>, RespError> {
+    let Some(length) = line(buffer, MAX_ERROR)? else {
+        return Ok(None);
+    };
+    let text = buffer
+        .split_to(length + LINE_END.len())
+        .freeze()
+        .slice(1..length);
+    if !text.iter().all(is_printable) {
+        return Err(RespError::Malformed);
+    }
+    // The last word of the error's own text reads as no report later.
+    let report = text
+        .iter()
+        .rposition(|&byte| byte == b' ')
+        .map(|space| text.slice(space + 1..));
+    match text.split(|&byte| byte == b' ').next() {
+        Some(b"ERR") => Ok(Some(Reply::Failed(report))),
+        Some(b"BUSY") => Ok(Some(Reply::Busy(report))),
+        _ => Err(RespError::Malformed),
+    }
+}
--- a/crates/router-runtime/src/stage.rs
+++ b/crates/router-runtime/src/stage.rs
@@ -26,5 +26,5 @@
     /// A further attempt of this shared request has been sent.
     Retried(RequestId),
     /// This shared request has its final response.
-    Ended(RequestId, Response),
+    Responded(RequestId, Response),
 }
--- a/crates/router-runtime/src/tokio_environment.rs
+++ b/crates/router-runtime/src/tokio_environment.rs
@@ -1,4 +1,4 @@
-//! The world in service: the machine's clocks, tokio's timers and tasks, real sockets.
+//! The environment in service: the system's clocks, tokio's timers and tasks, real sockets.
 
 use crate::environment::{DatagramSocket, Environment, ReadStream, Stream};
 use std::fmt;
@@ -12,10 +12,10 @@
 use tokio::net::tcp::{ReadHalf, WriteHalf};
 use tokio::net::{TcpListener, TcpSocket, TcpStream, UdpSocket};
 
-/// Connections that the kernel holds for the router until it takes them.
+/// The length of the listener's queue, in connections.
 const BACKLOG: u32 = 1024;
 
-/// The process itself. To be used within a [`tokio::task::LocalSet`] on a runtime with its drivers enabled.
+/// This process. It has to be used within a [`tokio::task::LocalSet`] on a runtime with its drivers enabled.
 #[derive(Clone, Copy, Debug)]
 pub struct TokioEnvironment;
 
@@ -71,7 +71,7 @@
 
 impl ReadStream for ReadHalf<'_> {
     fn has_peer_closed(&self) -> bool {
-        // What has been seen of it so far; it waits for nothing.
+        // Polled once, without a waker: what tokio knows so far.
         let ready =
             pin!(self.ready(Interest::READABLE)).poll(&mut Context::from_waker(Waker::noop()));
         matches!(ready, Poll::Ready(Ok(ready)) if ready.is_read_closed())
@@ -97,7 +97,7 @@
     }
 
     fn acknowledge_immediately(&self) {
-        // Where it can't be set, the kernel acknowledges a little later.
+        // Where it cannot be set, the kernel acknowledges a little later.
         let _ = self.set_quickack(true);
     }
 }
@@ -105,7 +105,7 @@
 /// Binds so that a restart at the same address succeeds at once.
 ///
 /// # Errors
-/// When the address cannot be had.
+/// When the address is not available.
 pub fn listen(addr: SocketAddr) -> io::Result<TcpListener> {
     let socket = if addr.is_ipv4() {
         TcpSocket::new_v4()?
--- /dev/null
+++ b/crates/router-runtime/src/upstream/connection.rs
@@ -0,0 +1,111 @@
+//! One connection to a cache server, and how it is opened.
+
+use super::attempt::AttemptContext;
+use super::pool::UpstreamPools;
+use crate::environment::{Environment, Stream};
+use bytes::BytesMut;
+use load_balancer::{Outcome, ServerId};
+use std::io;
+use std::net::SocketAddr;
+use std::time::Duration;
+use tokio::io::AsyncReadExt;
+use tokio::sync::OwnedSemaphorePermit;
+
+/// Where a server's present process is reached.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct ServerProcess {
+    /// Its address.
+    pub addr: SocketAddr,
+    /// When it started, as the list says, in milliseconds; another start is another process.
+    pub started_ms: u64,
+}
+
+/// A connection to a cache server.
+pub(super) struct Connection<E: Environment> {
+    /// The socket.
+    pub stream: E::Stream,
+    /// What was read and not taken yet.
+    pub received: BytesMut,
+    /// Where it leads. The list may name another process since.
+    pub process: ServerProcess,
+    /// A round trip: how long the connection took to come up.
+    pub round_trip: Duration,
+    /// Something was written to it: the tail of a response may still come.
+    pub is_used: bool,
+    /// Its slot, free again when the connection is dropped.
+    _slot: OwnedSemaphorePermit,
+}
+
+impl<E: Environment> Connection<E> {
+    /// Reads what is there, or waits for it. 0 is the end.
+    pub async fn read(&mut self, size: usize) -> io::Result<usize> {
+        self.received.reserve(size);
+        self.stream.read_buf(&mut self.received).await
+    }
+
+    /// Puts bytes back before those that were received.
+    pub fn unread(&mut self, bytes: &[u8]) {
+        let rest = std::mem::replace(&mut self.received, BytesMut::from(bytes));
+        self.received.unsplit(rest);
+    }
+}
+
+impl<E: Environment> UpstreamPools<E> {
+    /// Opens a connection for an attempt. An error is the attempt's outcome.
+    pub(super) async fn connect(
+        &self,
+        server: &ServerId,
+        context: &AttemptContext,
+    ) -> Result<Connection<E>, Outcome> {
+        let process = self.process(server).ok_or(Outcome::NotSent)?;
+        let connect_by = self.environment.now() + self.limits.connect_timeout;
+        let dial = self.dial(process, context);
+        tokio::pin!(dial);
+        loop {
+            let end = context.limit.until();
+            tokio::select! {
+                biased;
+                connection = &mut dial => {
+                    // The attempt waited for a slot, and nobody wants it any more.
+                    let Some(connection) = connection.transpose() else {
+                        return Err(Outcome::NotSent);
+                    };
+                    self.metrics().connection_opened(connection.is_ok());
+                    return connection.map_err(|_| Outcome::Unreachable);
+                }
+                () = self.environment.sleep_until(connect_by.min(end)) => {}
+            }
+            if connect_by <= end {
+                self.metrics().connection_opened(false);
+                return Err(Outcome::Unreachable);
+            }
+            let is_extended = context.limit.until() != end;
+            if !is_extended {
+                return Err(Outcome::TimedOut);
+            }
+        }
+    }
+
+    /// Waits for a slot and connects; `None` if the attempt is no longer wanted.
+    async fn dial(
+        &self,
+        process: ServerProcess,
+        context: &AttemptContext,
+    ) -> io::Result<Option<Connection<E>>> {
+        let slot = self.connection_slot().await?;
+        if !context.is_wanted() {
+            return Ok(None);
+        }
+        let started = self.environment.now();
+        let stream = self.environment.connect(process.addr).await?;
+        stream.set_nodelay()?;
+        Ok(Some(Connection {
+            stream,
+            received: BytesMut::new(),
+            process,
+            round_trip: self.age(started),
+            is_used: false,
+            _slot: slot,
+        }))
+    }
+}
--- a/crates/router-runtime/src/write_memory_budget.rs
+++ b/crates/router-runtime/src/write_memory_budget.rs
@@ -1,8 +1,8 @@
-//! Memory for commands whose values are long: one budget for all of them, counted by the bytes that have arrived.
+//! Memory for writes with long values: one budget for all of them, counted by the bytes that have arrived.
 //!
-//! Guards against more values under way than memory holds, and against commands that hold it half-read while none can
-//! go on: past the budget only the command that began first is read on, up to one value more, so that one always ends. Hurts those behind a
-//! slow client while the budget is used up: they wait for it, or for an answer that gives room back.
+//! Guards against more values on their way than fit in memory, and against a deadlock in which unfinished ones hold
+//! all of it. Past the budget only the write that began first is read on, by at most one value, so that one always
+//! ends; the others wait. The budget relies on one thread: no borrow crosses an await.
 
 use crate::resp::MAX_VALUE;
 use std::cell::{Cell, RefCell};
@@ -10,135 +10,116 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// The budget's share of what memory holds beyond [`BASE`].
-const SHARE: usize = 3;
-/// What the process needs besides, its connections' buffers included.
-const BASE: usize = 16 * 1024 * 1024;
-/// However little memory there is: two of the longest values.
-const LEAST: usize = 8 * 1024 * 1024;
+/// The budget is one part in so many of the memory beyond [`BASE_BYTES`].
+const BUDGET_DIVISOR: usize = 3;
+/// What the process needs besides, the buffers of its connections included.
+const BASE_BYTES: usize = 16 * 1024 * 1024;
+/// The smallest budget, however little memory there is: two of the longest values.
+const MIN_BUDGET_BYTES: usize = 2 * MAX_VALUE;
 
-/// The budget.
+/// The budget of one process.
 #[derive(Debug)]
-pub struct LargeCommands {
-    most: usize,
-    used: Cell<usize>,
-    last: Cell<u64>,
-    /// Those that are not whole yet, in the order in which they began.
-    reading: RefCell<BTreeSet<u64>>,
+pub struct WriteMemoryBudget {
+    limit_bytes: usize,
+    used_bytes: Cell<usize>,
+    last_number: Cell<u64>,
+    /// Writes that are not whole yet, in the order in which they began.
+    unfinished: RefCell<BTreeSet<u64>>,
     freed: Notify,
 }
 
-/// The room of one command, given back with its end.
+/// The memory of one write, given back when it is dropped.
 #[derive(Debug)]
-pub struct Large {
-    of: Rc<LargeCommands>,
+pub struct WriteReservation {
+    budget: Rc<WriteMemoryBudget>,
     number: u64,
     bytes: usize,
 }
 
-impl LargeCommands {
-    /// The budget of a process that may use this much memory.
-    pub fn of_memory(bytes: usize) -> Rc<LargeCommands> {
-        LargeCommands::new((bytes.saturating_sub(BASE) / SHARE).max(LEAST))
+impl WriteMemoryBudget {
+    /// The budget of a process that may use this much memory, in bytes.
+    pub fn of_memory(bytes: usize) -> Rc<WriteMemoryBudget> {
+        let share = bytes.saturating_sub(BASE_BYTES) / BUDGET_DIVISOR;
+        WriteMemoryBudget::new(share.max(MIN_BUDGET_BYTES))
     }
 
-    fn new(most: usize) -> Rc<LargeCommands> {
-        Rc::new(LargeCommands {
-            most,
-            used: Cell::new(0),
-            last: Cell::new(0),
-            reading: RefCell::default(),
+    /// A budget of so many bytes.
+    pub fn new(limit_bytes: usize) -> Rc<WriteMemoryBudget> {
+        Rc::new(WriteMemoryBudget {
+            limit_bytes,
+            used_bytes: Cell::new(0),
+            last_number: Cell::new(0),
+            unfinished: RefCell::default(),
             freed: Notify::new(),
         })
     }
 
-    /// A command begins of which so much has arrived.
-    pub fn begin(self: &Rc<Self>, bytes: usize) -> Large {
-        let number = self.last.get() + 1;
-        self.last.set(number);
-        self.reading.borrow_mut().insert(number);
-        let mut large = Large {
-            of: self.clone(),
+    /// A write begins of which so many bytes have arrived.
+    pub fn reserve(self: &Rc<Self>, arrived: usize) -> WriteReservation {
+        let number = self.last_number.get() + 1;
+        self.last_number.set(number);
+        self.unfinished.borrow_mut().insert(number);
+        let mut reservation = WriteReservation {
+            budget: self.clone(),
             number,
             bytes: 0,
         };
-        large.arrived(bytes);
-        large
+        reservation.add(arrived);
+        reservation
     }
 
-    /// Room has been given back, or another may be the first.
+    /// Returns when memory has been given back, or another write may be the first.
     pub async fn freed(&self) {
         self.freed.notified().await;
     }
-}
 
-impl Large {
-    /// Whether more of this command may be read.
-    pub fn may_read(&self) -> bool {
-        let (used, most) = (self.of.used.get(), self.of.most);
-        // What is whole is answered in time and gives its room back: the first need not go past it.
-        used < most
-            || used < most + MAX_VALUE && self.of.reading.borrow().first() == Some(&self.number)
+    /// The budget, in bytes.
+    pub fn limit_bytes(&self) -> usize {
+        self.limit_bytes
     }
 
-    /// More of it has arrived.
-    pub fn arrived(&mut self, bytes: usize) {
-        self.bytes += bytes;
-        self.of.used.set(self.of.used.get() + bytes);
+    /// What is in use, in bytes.
+    pub fn used_bytes(&self) -> usize {
+        self.used_bytes.get()
     }
 
-    /// It is whole: its memory stays in use until it is dropped.
-    pub fn whole(&self) {
-        self.of.reading.borrow_mut().remove(&self.number);
-        self.of.freed.notify_waiters();
+    /// Writes that are not whole yet.
+    pub fn unfinished_count(&self) -> usize {
+        self.unfinished.borrow().len()
     }
-}
 
-impl Drop for Large {
-    fn drop(&mut self) {
-        self.of.used.set(self.of.used.get() - self.bytes);
-        self.whole();
+    fn is_first_unfinished(&self, number: u64) -> bool {
+        self.unfinished.borrow().first() == Some(&number)
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn past_the_budget_the_first_that_began_is_read_on_and_no_other() {
-        let budget = LargeCommands::new(100);
-        let (mut first, mut second) = (budget.begin(40), budget.begin(40));
-        assert!(first.may_read() && second.may_read());
-        second.arrived(30);
-        assert!(first.may_read() && !second.may_read());
-        first.arrived(MAX_VALUE - 100);
-        assert!(first.may_read());
-        first.arrived(100);
-        first.whole();
-        assert!(
-            !second.may_read(),
-            "it is the first now, and one more value is held already"
-        );
-        drop(first);
-        assert!(second.may_read());
-        assert_eq!(budget.used.get(), 70);
+impl WriteReservation {
+    /// Whether more of this write may be read.
+    pub fn may_read_more(&self) -> bool {
+        let budget = &self.budget;
+        // Whole writes end in time and give their memory back: the first needs no more than one value past the limit.
+        budget.used_bytes() < budget.limit_bytes
+            || budget.used_bytes() < budget.limit_bytes + MAX_VALUE
+                && budget.is_first_unfinished(self.number)
     }
 
-    #[test]
-    fn what_ends_in_any_way_gives_its_room_back() {
-        let budget = LargeCommands::new(100);
-        let (first, second) = (budget.begin(150), budget.begin(1));
-        assert!(!second.may_read());
-        drop(first);
-        assert!(second.may_read());
-        drop(second);
-        assert_eq!((budget.used.get(), budget.reading.borrow().len()), (0, 0));
+    /// More of it has arrived.
+    pub fn add(&mut self, bytes: usize) {
+        self.bytes += bytes;
+        self.budget.used_bytes.set(self.budget.used_bytes() + bytes);
+    }
+
+    /// It is whole: its memory stays in use until it is dropped.
+    pub fn complete(&self) {
+        self.budget.unfinished.borrow_mut().remove(&self.number);
+        self.budget.freed.notify_waiters();
     }
+}
 
-    #[test]
-    fn a_small_machine_holds_two_of_the_longest_values() {
-        assert_eq!(LargeCommands::of_memory(0).most, LEAST);
-        assert_eq!(LargeCommands::of_memory(192 << 20).most, (176 << 20) / 3);
+impl Drop for WriteReservation {
+    fn drop(&mut self) {
+        let used_bytes = self.budget.used_bytes() - self.bytes;
+        self.budget.used_bytes.set(used_bytes);
+        self.complete();
     }
 }
--- /dev/null
+++ b/crates/router-runtime/tests/endpoint_list.rs
@@ -0,0 +1,107 @@
+//! Lists of servers come out of a watch's answer as they went in, however they are laid out and cut.
+
+use proptest::collection::vec;
+use proptest::prelude::*;
+use router_runtime::EndpointList;
+use router_runtime::endpoint_list::{EndpointListReader, ListError};
+
+/// The longest list, in bytes.
+const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
+
+/// A list whose hosts have names with the characters that end objects and texts.
+fn list(version: u64, hosts: usize) -> EndpointList {
+    let host = |number: usize| {
+        serde_json::json!({
+            "host": format!("s-{number}}}\"{{"),
+            "dial": format!("10.0.0.1:{number}"),
+            "site": null,
+            "class": "m",
+            "block": 1,
+            "health": "up",
+            "share": 1.0,
+            "born_ms": 0,
+        })
+    };
+    let hosts: Vec<serde_json::Value> = (0..hosts).map(host).collect();
+    let list = serde_json::json!({ "seq": version, "whole": true, "hosts": hosts });
+    serde_json::from_value(list).expect("a list")
+}
+
+/// The lists of a text that comes in pieces, each as long as the next of `cuts` says.
+fn read(text: &str, cuts: &[usize]) -> Result<Vec<String>, ListError> {
+    let mut reader = EndpointListReader::default();
+    let mut taken = Vec::new();
+    let mut rest = text.as_bytes();
+    for cut in cuts.iter().cycle() {
+        let (piece, after) = rest.split_at(rest.len().min(*cut));
+        reader.feed(piece);
+        while let Some(list) = reader.next_list()? {
+            taken.push(serde_json::to_string(&list).expect("written"));
+        }
+        rest = after;
+        if rest.is_empty() {
+            break;
+        }
+    }
+    assert!(!reader.is_midway());
+    Ok(taken)
+}
+
+proptest! {
+    /// However lists are laid out and cut, they come out as they went in.
+    #[test]
+    fn lists_come_out_whole(
+        sizes in vec((0_usize..4, any::<bool>(), "[ \r\n\t]{0,3}"), 1..5),
+        cuts in vec(1_usize..40, 1..8),
+    ) {
+        let (mut text, mut expected) = (String::new(), Vec::new());
+        for (version, (hosts, is_indented, space)) in sizes.into_iter().enumerate() {
+            let list = list(version as u64, hosts);
+            let write = if is_indented { serde_json::to_string_pretty } else { serde_json::to_string };
+            text += &format!("{}{space}", write(&list).expect("written"));
+            expected.push(serde_json::to_string(&list).expect("written"));
+        }
+        text.push('\n');
+        prop_assert_eq!(read(&text, &cuts).expect("lists"), expected);
+    }
+}
+
+#[test]
+fn fields_keep_their_names_and_order() {
+    assert_eq!(
+        serde_json::to_string(&list(7, 1)).expect("written"),
+        concat!(
+            r#"{"seq":7,"whole":true,"hosts":[{"host":"s-0}\"{","dial":"10.0.0.1:0","site":null,"#,
+            r#""class":"m","block":1,"health":"up","share":1.0,"born_ms":0}]}"#
+        )
+    );
+}
+
+#[test]
+fn what_is_no_list_is_told_with_its_place() {
+    for text in [
+        "what?\n",
+        "[]\n",
+        "7\n",
+        "{\"seq\":true}\n",
+        "{\"seq\":1,\n{\"seq\":2}\n",
+        "{}\n",
+    ] {
+        let problem = read(text, &[3]).expect_err(text).to_string();
+        assert!(
+            problem.starts_with("malformed list: ") && !problem.contains('\n'),
+            "{problem}"
+        );
+    }
+}
+
+#[test]
+fn what_never_ends_is_bounded() {
+    let mut reader = EndpointListReader::default();
+    reader.feed(b"{\"seq\":1,\"hosts\":[");
+    let fed = (0..).find(|_| {
+        reader.feed(&[b' '; 64 * 1024]);
+        reader.next_list().is_err()
+    });
+    assert_eq!(fed, Some(MAX_LIST_BYTES / (64 * 1024) - 1));
+}
--- /dev/null
+++ b/crates/router-runtime/tests/resp_command.rs
@@ -0,0 +1,132 @@
+//! Commands of clients: read as they were sent however they are cut, turned away when they are too large or none, and
+//! written for a cache server.
+
+mod support;
+
+use bytes::{Bytes, BytesMut};
+use proptest::collection::vec;
+use proptest::prelude::*;
+use redis_protocol::resp2::decode::decode_bytes;
+use redis_protocol::resp2::types::BytesFrame;
+use router_runtime::resp::{Command, CommandReader, RespError};
+use support::{framed, in_pieces};
+
+/// The limits of commands: arguments, bytes of a name, bytes of a header.
+const MAX_ARGUMENTS: usize = 8;
+const MAX_NAME: usize = 32;
+const MAX_HEADER: usize = 24;
+
+fn command_of(text: &[u8]) -> Result<Option<Vec<Bytes>>, RespError> {
+    CommandReader::default().next(&mut BytesMut::from(text))
+}
+
+proptest! {
+    /// However commands are cut into reads, they come out as they went in.
+    #[test]
+    fn commands_come_out_whole_however_they_are_cut(
+        commands in vec(vec(vec(any::<u8>(), 0..=MAX_NAME), 1..=MAX_ARGUMENTS), 1..5),
+        cuts in vec(1_usize..40, 1..8),
+    ) {
+        let text: Vec<u8> = commands.iter().flat_map(|arguments| framed(arguments)).collect();
+        let mut reader = CommandReader::default();
+        let taken = in_pieces(&text, &cuts, |buffer| reader.next(buffer)).unwrap();
+        let taken: Vec<Vec<Vec<u8>>> =
+            taken.iter().map(|arguments| arguments.iter().map(|argument| argument.to_vec()).collect()).collect();
+        prop_assert_eq!(taken, commands);
+    }
+
+    /// Of arbitrary bytes a reader takes nothing that a library of the protocol would not take for the same, and
+    /// it holds on to a bounded number of them.
+    #[test]
+    fn nothing_is_taken_that_is_no_command(
+        text in "[*$0-9+:a-]{0,4}(\r\n)?[*$0-9a-z-]{0,6}(\r\n)?[$0-9a-z-]{0,6}(\r\n)?",
+    ) {
+        let library = decode_bytes(&Bytes::from(text.clone().into_bytes()));
+        if let Ok(Some(arguments)) = command_of(text.as_bytes()) {
+            let frame = arguments.into_iter().map(BytesFrame::BulkString).collect();
+            prop_assert_eq!(library.unwrap().unwrap().0, BytesFrame::Array(frame));
+        }
+    }
+}
+
+#[test]
+fn too_much_is_turned_away_by_its_header() {
+    let large = |text: &str| {
+        assert_eq!(
+            command_of(text.as_bytes()),
+            Err(RespError::TooLarge),
+            "{text}"
+        )
+    };
+    large("*9\r\n");
+    large("*99999999999999999999999\r\n");
+    large("*1\r\n$33\r\n");
+    large("*2\r\n$5\r\nC.GET\r\n$60000000\r\n");
+    large("*5\r\n$5\r\nC.GET\r\n$1\r\nk\r\n$1\r\ni\r\n$1\r\nf\r\n$65\r\n");
+    large("*5\r\n$5\r\nC.SET\r\n$1\r\nk\r\n$1\r\ni\r\n$1\r\nf\r\n$4194305\r\n");
+    large(&format!("*{}", "1".repeat(MAX_HEADER)));
+    let malformed = |text: &str| {
+        assert_eq!(
+            command_of(text.as_bytes()),
+            Err(RespError::Malformed),
+            "{text}"
+        )
+    };
+    malformed("GET x\r\n");
+    malformed("*0\r\n");
+    malformed("*-1\r\n");
+    malformed("*+1\r\n");
+    malformed("*1\r\n*1\r\n");
+    malformed("*1\r\n$-1\r\n");
+    malformed("*1\r\n$-7\r\n");
+    malformed("*1\r\n$3\r\nabcde\r\n");
+}
+
+#[test]
+fn only_what_a_cache_server_can_use_is_a_command() {
+    let new = |arguments: [&str; 4]| {
+        Command::new(
+            arguments
+                .map(|argument| Bytes::from(argument.to_string()))
+                .to_vec(),
+        )
+    };
+    assert!(new(["C.GET", "k", "id", "c=read,d=5"]).is_ok());
+    for fields in [
+        "",
+        "c",
+        "c=",
+        "=read",
+        "c=read,",
+        ",c=read",
+        "c=read,c=read",
+        "c=re ad",
+        "c=r\u{e9}ad",
+    ] {
+        assert!(new(["C.GET", "k", "id", fields]).is_err(), "{fields}");
+    }
+    for id in ["", "a b", "a\r\n", "\u{7f}", "\u{e9}"] {
+        assert!(new(["C.GET", "k", id, "c=read"]).is_err(), "{id:?}");
+    }
+    for (text, number) in [("0", 0), ("17", 17), ("99999999999999999999999", u64::MAX)] {
+        let command = new(["C.GET", "k", "id", &format!("c=read,d={text}")]).unwrap();
+        assert_eq!(command.number("d"), Some(Ok(number)));
+    }
+    for text in ["-1", "+1", "1.5", "1e3", "0x1", "soon"] {
+        let command = new(["C.GET", "k", "id", &format!("c=read,d={text}")]).unwrap();
+        assert!(command.number("d").unwrap().is_err(), "{text}");
+    }
+}
+
+#[test]
+fn only_the_wait_changes_on_the_way_to_a_cache_server() {
+    let arguments = ["C.SET", "k1", "id1", "c=put,t=acme,d=480,k=5c0f", "v"]
+        .map(Bytes::from)
+        .to_vec();
+    let command = Command::new(arguments).unwrap();
+    let sent = String::from_utf8(command.encode(31).head).unwrap();
+    assert_eq!(
+        sent,
+        "*5\r\n$5\r\nC.SET\r\n$2\r\nk1\r\n$3\r\nid1\r\n$24\r\nc=put,t=acme,d=31,k=5c0f\r\n$1\r\nv\r\n"
+    );
+}
--- /dev/null
+++ b/crates/router-runtime/tests/resp_reply.rs
@@ -0,0 +1,56 @@
+//! Replies of cache servers: the same however they are cut, with their load report wherever it stands.
+
+mod support;
+
+use bytes::{Bytes, BytesMut};
+use proptest::collection::vec;
+use proptest::prelude::*;
+use router_runtime::resp::{Reply, ReplyReader, RespError};
+use support::{framed, in_pieces};
+
+fn reply_of(text: &[u8]) -> Result<Option<Reply>, RespError> {
+    ReplyReader::default().next(&mut BytesMut::from(text))
+}
+
+proptest! {
+    /// What cuts do not change: whether an answer is one, and which.
+    #[test]
+    fn answers_are_the_same_however_they_are_cut(
+        value in vec(any::<u8>(), 0..200),
+        spoil in any::<Option<(usize, u8)>>(),
+        cuts in vec(1_usize..40, 1..8),
+    ) {
+        let mut text = framed(&[value, b"hit".to_vec(), b"util=0.5".to_vec()]);
+        if let Some((place, byte)) = spoil {
+            let place = place % text.len();
+            text[place] = byte;
+        }
+        let whole = reply_of(&text);
+        let mut reader = ReplyReader::default();
+        let mut first = None;
+        let pieces = in_pieces(&text, &cuts, |buffer| {
+            Ok(if first.is_none() { first = reader.next(buffer)?; None::<()> } else { None })
+        });
+        match whole {
+            Err(error) => prop_assert_eq!(pieces, Err(error)),
+            Ok(whole) => prop_assert_eq!(first, whole),
+        }
+    }
+}
+
+#[test]
+fn a_report_is_told_apart_wherever_it_stands() {
+    let report = |text: &[u8]| match reply_of(text) {
+        Ok(Some(Reply::Served { report, .. } | Reply::Failed(report) | Reply::Busy(report))) => {
+            report
+        }
+        other => panic!("{other:?}"),
+    };
+    let util = Some(Bytes::from_static(b"util=0.5,queue=2"));
+    let good = framed(&[b"v".to_vec(), b"hit".to_vec(), b"util=0.5,queue=2".to_vec()]);
+    assert_eq!(report(&good), util);
+    assert_eq!(report(b"-ERR failed util=0.5,queue=2\r\n"), util);
+    assert_eq!(report(b"-BUSY util=0.5,queue=2\r\n"), util);
+    assert_eq!(report(b"-BUSY\r\n"), None);
+    assert_eq!(report(b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n"), None);
+}
