--- a/crates/router-runtime/src/coalescing_stage.rs
+++ b/crates/router-runtime/src/coalescing_stage.rs
@@ -19,7 +19,7 @@
 use std::time::Instant;
 use tokio::sync::{Notify, oneshot};
 
-/// Fields of the protocol that do not change an answer: class (told apart already), tenant, deadline, cost hint, retry
+/// Fields of the protocol that do not change an answer: class (compared apart), tenant, deadline, cost hint, retry
 /// and idempotency key.
 const IGNORED_FIELDS: [&str; 6] = ["c", "t", "d", "h", "r", "k"];
 
@@ -78,7 +78,7 @@
     }
 }
 
-/// How many reads wait for how many flights, and what coalescing came to since the start.
+/// How many reads wait for how many flights, and what coalescing has done since the start.
 pub struct CoalescingUsage {
     /// Counts since the start of the process.
     pub counters: Counters,
@@ -191,7 +191,7 @@
         }
     }
 
-    /// A write begins or ends: reads on its key that come later do not join flights that are out.
+    /// A write begins or ends: later reads on its key do not join flights that began before.
     fn separate_reads(&self, coalescing: &Coalescing, key: &[u8]) {
         hooks::separate_reads(|| self.handle(coalescing, Event::Write { key }, Subject::None));
     }
@@ -275,7 +275,7 @@
         let _ = waiter.response.send(response);
     }
 
-    /// What coalescing came to and who waits now; `None` where it is off.
+    /// What coalescing has done and how many wait now; `None` where it is off.
     pub fn usage(&self) -> Option<CoalescingUsage> {
         let state = self.coalescing.as_ref()?.state.borrow();
         let (waiters, flights) = state.coalescer.held();
--- a/crates/router-runtime/src/discovery.rs
+++ b/crates/router-runtime/src/discovery.rs
@@ -1,7 +1,7 @@
 //! Discovery: keeps a watch on the list of servers, and calls again when it is lost.
 //!
 //! In subscription mode the decision library asks for each call and backs off between calls; in push mode the lists
-//! come unasked. It relies on one thread: no borrow crosses an await.
+//! are sent without a subscription. It relies on one thread: no borrow crosses an await.
 
 mod endpoint_table;
 mod error;
@@ -29,13 +29,13 @@
 /// The pause between calls in push mode.
 const PUSH_REDIAL_PAUSE: Duration = Duration::from_millis(500);
 
-/// Where the list comes from and how it is asked for.
+/// The source of the list of servers, and how it is watched.
 pub struct DiscoveryConfig {
     /// The discovery server.
     pub addr: SocketAddr,
     /// Names of zones and kinds.
     pub names: Rc<Names>,
-    /// Lists come unasked: the decision library does not subscribe.
+    /// Push mode: lists are sent without a subscription of the decision library.
     pub is_push: bool,
 }
 
@@ -135,7 +135,7 @@
         self.endpoints.restore(list);
     }
 
-    /// Where the list comes from, and how it stands.
+    /// The discovery server, and the list of servers as it stands.
     pub fn list(&self) -> (SocketAddr, EndpointList) {
         (self.addr.get(), self.endpoints.list())
     }
--- a/crates/router-runtime/src/discovery/endpoint_table.rs
+++ b/crates/router-runtime/src/discovery/endpoint_table.rs
@@ -72,7 +72,7 @@
         self.apply(list, EndpointUpdate::Restored);
     }
 
-    /// Applies a list that came on the watch: a snapshot or a delta.
+    /// Applies a list of the watch: a snapshot or a delta.
     pub fn update(self: &Rc<Self>, list: EndpointList) {
         let update = if list.is_snapshot {
             EndpointUpdate::Snapshot
--- a/crates/router-runtime/src/discovery/error.rs
+++ b/crates/router-runtime/src/discovery/error.rs
@@ -19,7 +19,7 @@
     /// Discovery answered with another status than 200.
     #[error("answered {0}")]
     Status(StatusCode),
-    /// What came is no list.
+    /// The body is no list.
     #[error(transparent)]
     List(#[from] ListError),
     /// The request cannot be written.
@@ -31,7 +31,7 @@
     /// The call was not answered within its limit.
     #[error("no answer within {} s", .0.as_secs_f64())]
     AnswerTimeout(Duration),
-    /// Nothing came for too long.
+    /// No data arrived within the limit.
     #[error("no data for {} s", .0.as_secs_f64())]
     Silent(Duration),
 }
--- a/crates/router-runtime/src/discovery/watch.rs
+++ b/crates/router-runtime/src/discovery/watch.rs
@@ -59,7 +59,7 @@
             end = &mut lists => return end,
             _ = connection => {}
         }
-        // What came before the connection's end is still to be read.
+        // What arrived before the connection's end is still to be read.
         lists.await
     }
 
@@ -115,7 +115,7 @@
         Ok(answer.into_body())
     }
 
-    /// Applies the lists that have come whole; whether there were any.
+    /// Applies the lists that have arrived whole; true if there were any.
     fn apply_lists(
         &self,
         lists: &mut EndpointListReader,
@@ -136,7 +136,7 @@
         Ok(has_list)
     }
 
-    /// By when data has to come, and how the watch is lost otherwise.
+    /// By when data has to arrive, and the error if none does.
     fn silence_limit(
         &self,
         progress: &WatchProgress,
--- a/crates/router-runtime/src/downstream/connection.rs
+++ b/crates/router-runtime/src/downstream/connection.rs
@@ -73,7 +73,7 @@
                 biased;
                 // A client that has disconnected gets no responses.
                 end = self.read_commands(&mut reader, unread, pending, client) => end,
-                // It takes no responses.
+                // The client has stopped reading.
                 () = &mut writing => ReadEnd::Disconnected,
             };
             if !matches!(end, ReadEnd::Disconnected) {
--- a/crates/router-runtime/src/downstream/connections.rs
+++ b/crates/router-runtime/src/downstream/connections.rs
@@ -49,7 +49,7 @@
 pub struct ClientConnections<E: Environment> {
     pub(super) environment: E,
     pub(super) config: DownstreamConfig,
-    /// In the order in which they came, so that equal runs take equal turns.
+    /// By order of arrival, so that iteration is deterministic.
     open: RefCell<BTreeMap<u64, Rc<Client>>>,
     last_id: Cell<u64>,
     /// Taken off the listener and not started, for want of a place.
--- a/crates/router-runtime/src/downstream/read_plan.rs
+++ b/crates/router-runtime/src/downstream/read_plan.rs
@@ -14,7 +14,7 @@
 
 /// A client that sends no command for this long is closed; many keep an unused connection for good.
 const IDLE_LIMIT: Duration = Duration::from_secs(30);
-/// How long a command may take to arrive but for a write's value: clients are allowed 2 s, and pieces come late.
+/// How long a command may take to arrive but for a write's value: clients are allowed 2 s, and the network delays pieces.
 const HEAD_LIMIT: Duration = Duration::from_millis(3_000);
 /// How long a write's value may pause.
 const VALUE_PAUSE_LIMIT: Duration = Duration::from_secs(10);
@@ -41,7 +41,7 @@
     pub buffer: BytesMut,
     /// Memory of a long write.
     pub memory: Option<WriteReservation>,
-    /// When the last byte of a write's value came.
+    /// When the last byte of a write's value arrived.
     pub value_progress_at: Option<Instant>,
 }
 
--- a/crates/router-runtime/src/downstream/responses.rs
+++ b/crates/router-runtime/src/downstream/responses.rs
@@ -14,7 +14,7 @@
 use tokio::io::AsyncWriteExt;
 use tokio::sync::{mpsc, oneshot};
 
-/// A client that takes nothing of its response for this long is given up; slow ones pause for seconds.
+/// A client that reads nothing of its response for this long is given up; slow ones pause for seconds.
 const WRITE_STALL_LIMIT: Duration = Duration::from_secs(10);
 
 /// The response to one command, in its place among the others.
@@ -65,7 +65,7 @@
 }
 
 impl<E: Environment> ClientConnections<E> {
-    /// Writes responses in the order of the commands, until there are no more or the client takes none.
+    /// Writes responses in the order of the commands, until there are no more or the client stops reading.
     pub(super) async fn write_responses(
         &self,
         mut writer: <E::Stream as Stream>::Writer<'_>,
@@ -134,7 +134,7 @@
         bytes
     }
 
-    /// Writes all bytes, at whatever pace the client takes them; false if it takes no more.
+    /// Writes all bytes, at the pace of the client; false if it stops reading.
     async fn write(&self, writer: &mut <E::Stream as Stream>::Writer<'_>, bytes: &[u8]) -> bool {
         let mut written = 0;
         while written < bytes.len() {
--- a/crates/router-runtime/src/endpoint_list.rs
+++ b/crates/router-runtime/src/endpoint_list.rs
@@ -73,7 +73,7 @@
     /// An object is no list: what is wrong, and where.
     #[error("malformed list: {0}")]
     Malformed(#[source] serde_json::Error),
-    /// What came is no object: its first byte.
+    /// The body is no object: its first byte.
     #[error("malformed list: begins with '{}'", .0.escape_ascii())]
     NoObject(u8),
 }
--- a/crates/router-runtime/src/resp/command.rs
+++ b/crates/router-runtime/src/resp/command.rs
@@ -87,7 +87,7 @@
         Ok(Some(arguments))
     }
 
-    /// Reads the number of arguments; false if it has not come yet.
+    /// Reads the number of arguments; false if it has not arrived yet.
     fn read_header(&mut self, buffer: &BytesMut) -> Result<bool, RespError> {
         if buffer.is_empty() {
             return Ok(false);
--- a/crates/router-runtime/src/resp/long_value.rs
+++ b/crates/router-runtime/src/resp/long_value.rs
@@ -17,7 +17,7 @@
     pub reader: LongValueReader,
 }
 
-/// What comes next of a long value.
+/// The next part of a long value.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ValuePart {
     /// Bytes of the value.
--- a/crates/router-runtime/src/runtime.rs
+++ b/crates/router-runtime/src/runtime.rs
@@ -179,7 +179,7 @@
         self.dispatcher.restore_warm_state(warm_state);
     }
 
-    /// Where the list comes from, and how it stands.
+    /// The discovery server, and the list of servers as it stands.
     pub fn list(&self) -> (SocketAddr, EndpointList) {
         self.discovery.list()
     }
--- a/crates/router-runtime/src/runtime/shutdown.rs
+++ b/crates/router-runtime/src/runtime/shutdown.rs
@@ -7,7 +7,7 @@
 use std::future::Future;
 use std::time::{Duration, Instant};
 
-/// New connections go on coming for up to 0.4 s after SIGTERM.
+/// Clients connect for up to 0.4 s after SIGTERM.
 const ACCEPT_AFTER_STOP: Duration = Duration::from_millis(550);
 /// SIGKILL comes no sooner than the longest deadline and this much after SIGTERM ...
 const KILL_MARGIN: Duration = Duration::from_millis(700);
@@ -29,7 +29,7 @@
     pub exit_deadline: Instant,
 }
 
-/// When what happens after SIGTERM.
+/// The schedule after SIGTERM.
 struct ShutdownSchedule {
     /// Pending requests are answered as failed.
     fail_pending_at: Instant,
@@ -87,7 +87,7 @@
         }
     }
 
-    /// When what happens, for a process that is told to stop now.
+    /// The schedule of a process that is told to stop at this instant.
     fn shutdown_schedule(&self, stopped_at: Instant) -> ShutdownSchedule {
         let longest_wait = self.longest_deadline.min(MAX_COUNTED_DEADLINE);
         let killed_at = stopped_at + longest_wait + KILL_MARGIN;
@@ -97,7 +97,8 @@
         }
     }
 
-    /// Accepts the clients that still come after the stop, and closes the listener: a front learns of the end late.
+    /// Accepts the clients that connect after the stop, and closes the listener: load balancers in front of the router
+    /// notice the stop late.
     async fn accept_last(&self, listener: E::Listener) {
         if self.lifecycle.get().is_handed_over() {
             return;
--- a/crates/router-runtime/src/upstream/attempt.rs
+++ b/crates/router-runtime/src/upstream/attempt.rs
@@ -51,7 +51,7 @@
     pub cache_status: Option<CacheStatus>,
     /// The answer; `None` also for one that was streamed.
     pub answer: Option<Bytes>,
-    /// Something came back: the connection was alive, whatever became of the answer.
+    /// Bytes of a response arrived: the connection was alive, whatever the outcome.
     pub response_started: bool,
     /// The connection that the attempt went out on.
     pub connection_use: ConnectionUse,
@@ -75,7 +75,7 @@
     }
 }
 
-/// Who takes a long value.
+/// Who receives a long value.
 pub enum BodyConsumer {
     /// A client, piece by piece.
     Stream(mpsc::Sender<BodyPiece>),
@@ -233,7 +233,7 @@
     ) -> Result<(), Outcome> {
         let mut written = 0;
         while written < bytes.len() {
-            // Asked each time that the connection takes more: a long value may wait for that.
+            // Checked whenever the connection is writable: a long value may wait for that for long.
             let write = poll_fn(|cx| match context.is_wanted() {
                 true => Pin::new(&mut connection.stream)
                     .poll_write(cx, &bytes[written..])
--- a/crates/router-runtime/src/upstream/connection.rs
+++ b/crates/router-runtime/src/upstream/connection.rs
@@ -28,9 +28,9 @@
     pub received: BytesMut,
     /// Where it leads. The list may name another process since.
     pub process: ServerProcess,
-    /// A round trip: how long the connection took to come up.
+    /// A round trip: measured as the time to connect.
     pub round_trip: Duration,
-    /// Something was written to it: the tail of a response may still come.
+    /// Something was written to it: the tail of a response may still arrive.
     pub is_used: bool,
     /// Its slot, free again when the connection is dropped.
     _slot: OwnedSemaphorePermit,
--- a/crates/router-runtime/src/upstream/pool.rs
+++ b/crates/router-runtime/src/upstream/pool.rs
@@ -27,7 +27,7 @@
 /// What the settings and the descriptors allow.
 #[derive(Clone, Copy, Debug)]
 pub struct UpstreamLimits {
-    /// How long a connection may take to come up.
+    /// How long connecting may take.
     pub connect_timeout: Duration,
     /// After how long cache servers close idle connections.
     pub server_idle_timeout: Duration,
@@ -70,7 +70,7 @@
 /// The cache servers of the list, each with its idle connections.
 pub struct UpstreamPools<E: Environment> {
     pub(super) environment: E,
-    /// By name, so that equal runs take equal turns.
+    /// By name, so that iteration is deterministic.
     pools: RefCell<BTreeMap<ServerId, Pool<E>>>,
     pub(super) limits: UpstreamLimits,
     /// What load reports hold.
@@ -157,7 +157,7 @@
     }
 
     /// Leaves half of the slots to another process of this router, and closes idle connections for that. Slots in use
-    /// are left as they come free.
+    /// are ceded as they become free.
     pub fn cede_half(&self) {
         let half = self.limits.max_connections / 2;
         while self.ceded_slots.get() < half {
--- a/crates/router-runtime/src/upstream/response.rs
+++ b/crates/router-runtime/src/upstream/response.rs
@@ -26,7 +26,7 @@
 /// A server that sends nothing of a streamed value for this long has broken it off; slow ones pause for seconds.
 const SERVER_STALL_LIMIT: Duration = Duration::from_secs(10);
 
-/// What came of waiting for more of a response.
+/// How a wait for more of a response ended.
 enum ReadEnd {
     /// Bytes arrived.
     Received,
@@ -115,7 +115,7 @@
         self.result(reply)
     }
 
-    /// Closes the connection: its response may still come.
+    /// Closes the connection: its response may still arrive.
     fn timed_out(
         &self,
         server: &ServerId,
@@ -272,7 +272,7 @@
         }
     }
 
-    /// Waits for more of a streamed value; false if none comes.
+    /// Waits for more of a streamed value; false if none arrives.
     async fn read_piece(&self, connection: &mut Connection<E>, reader: &LongValueReader) -> bool {
         let pause = if reader.has_value() {
             REPORT_LIMIT
