--- a/crates/router-runtime/src/discovery/watch.rs
+++ b/crates/router-runtime/src/discovery/watch.rs
@@ -2,7 +2,7 @@
 
 use super::error::WatchError;
 use super::{Discovery, WatchProgress};
-use crate::endpoint_list::Lists;
+use crate::endpoint_list::EndpointListReader;
 use crate::environment::Environment;
 use crate::mutation::hooks;
 use bytes::Bytes;
@@ -59,7 +59,7 @@
             end = &mut lists => return end,
             _ = connection => {}
         }
-        // What came before the connection's end is still to be read.
+        // What arrived before the connection's end is still to be read.
         lists.await
     }
 
@@ -71,7 +71,7 @@
         progress: &WatchProgress,
     ) -> Result<Infallible, WatchError> {
         let mut body = self.call(&mut sender, call).await?;
-        let mut lists = Lists::default();
+        let mut lists = EndpointListReader::default();
         let mut last_data_at = self.environment.now();
         loop {
             let silence = self.silence_limit(progress, last_data_at, call);
@@ -115,10 +115,14 @@
         Ok(answer.into_body())
     }
 
-    /// Applies the lists that have come whole; whether there were any.
-    fn apply_lists(&self, lists: &mut Lists, progress: &WatchProgress) -> Result<bool, WatchError> {
+    /// Applies the lists that have arrived whole; true if there were any.
+    fn apply_lists(
+        &self,
+        lists: &mut EndpointListReader,
+        progress: &WatchProgress,
+    ) -> Result<bool, WatchError> {
         let mut has_list = false;
-        while let Some(list) = lists.next()? {
+        while let Some(list) = lists.next_list()? {
             has_list = true;
             self.endpoints.update(list);
             self.mark_answered(progress);
@@ -132,7 +136,7 @@
         Ok(has_list)
     }
 
-    /// By when data has to come, and how the watch is lost otherwise.
+    /// By when data has to arrive, and the error if none does.
     fn silence_limit(
         &self,
         progress: &WatchProgress,
