--- a/crates/admin-api/src/lib.rs
+++ b/crates/admin-api/src/lib.rs
@@ -1,26 +1,29 @@
-//! The operators' side of a router: calls over HTTP/1.1 at an address of its own, and the figures.
+//! Admin API of a router: operators' commands over HTTP/1.1 at an address of its own, and metrics in the text form of
+//! OpenMetrics.
 //!
-//! [`call`] reads a call and words its answer, [`metrics`] writes the figures, both without I/O; [`server`] carries
-//! them. What a call does is the [`Operated`] router's.
+//! [`command`] parses and executes commands, and [`metrics`] encodes metrics, both without I/O; [`server`] serves
+//! connections. What a command does is the business of the router behind [`RouterControl`].
+//!
+//! Paths, JSON and metric names are a protocol; they are mapped to the code's names in these modules.
 
-pub mod call;
+pub mod command;
 pub mod metrics;
 pub mod server;
 
 use router_runtime::Metrics;
 
-/// A router as operators see it. Each of these has taken effect when it returns.
-pub trait Operated {
+/// A router that operators control. Each method has taken effect when it returns.
+pub trait RouterControl {
     /// Whether this process can serve.
     fn is_ready(&self) -> bool;
-    /// Its figures.
+    /// Current metrics.
     fn metrics(&self) -> Metrics;
-    /// Nothing more to this cache server; false if nobody has told of it.
+    /// Takes a cache server out of service: it gets no new requests. False if no list has named it.
     fn disable_server(&self, server: &str) -> bool;
-    /// Puts it back; false if nobody has told of it.
+    /// Puts a cache server back into service. False if no list has named it.
     fn enable_server(&self, server: &str) -> bool;
-    /// Empties the router.
+    /// Drains the router of its clients. A second drain changes nothing.
     fn drain_router(&self);
-    /// The end of that.
+    /// Ends a drain. Without one it changes nothing.
     fn resume_router(&self);
 }
--- a/crates/admin-api/src/metrics.rs
+++ b/crates/admin-api/src/metrics.rs
@@ -1,78 +1,98 @@
-//! The figures in the text form of Prometheus and OpenMetrics, written by `prometheus-client`.
+//! Metrics in the text form of Prometheus and OpenMetrics, encoded by `prometheus-client`.
 //!
-//! The request path counts in plain cells of its own thread; the library sees them when somebody asks.
+//! The request path counts in plain cells of its own thread; the encoder reads them when a client asks. The metrics'
+//! names are an interface that operators scrape, and are mapped to the code's names here.
 
 use prometheus_client::collector::Collector;
 use prometheus_client::encoding::{DescriptorEncoder, EncodeMetric, text};
 use prometheus_client::metrics::counter::ConstCounter;
 use prometheus_client::metrics::gauge::ConstGauge;
 use prometheus_client::registry::Registry;
-use router_runtime::Metrics;
+use router_runtime::{ClassCounts, Metrics};
 use std::fmt;
 
-/// The media type of [`text()`].
+/// Media type of what [`encode`] returns.
 pub const CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// How many of one class came to an end.
-type Count = fn(&router_runtime::ClassCounts) -> u64;
+/// Prefix of all names.
+const NAME_PREFIX: &str = "router";
+
+/// Encodes metrics as text.
+pub fn encode(metrics: Metrics) -> String {
+    let mut registry = Registry::with_prefix(NAME_PREFIX);
+    registry.register_collector(Box::new(MetricsCollector(metrics)));
+    let mut encoded = String::new();
+    // Writing to a string does not fail.
+    let _ = text::encode(&mut encoded, &registry);
+    encoded
+}
+
+/// One of the counts of a class.
+type ClassCount = fn(&ClassCounts) -> u64;
 
 #[derive(Debug)]
-struct Shown(Metrics);
+struct MetricsCollector(Metrics);
 
-impl Collector for Shown {
+impl Collector for MetricsCollector {
     fn encode(&self, mut encoder: DescriptorEncoder<'_>) -> fmt::Result {
-        let figures = &self.0;
-        let by_class: [(&str, &str, Count); 3] = [
-            ("passed", "Requests served", |ends| ends.served),
-            ("dropped", "Requests refused", |ends| ends.rejected),
-            ("bad_gateway", "Requests failed", |ends| ends.failed),
+        self.encode_requests_by_class(&mut encoder)?;
+        self.encode_attempts(&mut encoder)?;
+        self.encode_gauges(&mut encoder)
+    }
+}
+
+impl MetricsCollector {
+    fn encode_requests_by_class(&self, encoder: &mut DescriptorEncoder<'_>) -> fmt::Result {
+        let families: [(&str, &str, ClassCount); 3] = [
+            ("passed", "Requests served", |counts| counts.served),
+            ("dropped", "Requests refused", |counts| counts.rejected),
+            ("bad_gateway", "Requests failed", |counts| counts.failed),
         ];
-        for (name, help, count) in by_class {
-            let kind = ConstCounter::new(0_u64).metric_type();
-            let mut family = encoder.encode_descriptor(name, help, None, kind)?;
-            for (class, ends) in &figures.requests_by_class {
+        for (name, help, count) in families {
+            let metric_type = ConstCounter::new(0_u64).metric_type();
+            let mut family = encoder.encode_descriptor(name, help, None, metric_type)?;
+            for (class, counts) in &self.0.requests_by_class {
                 let labels = [("category", class.as_str())];
-                ConstCounter::new(count(ends)).encode(family.encode_family(&labels)?)?;
+                ConstCounter::new(count(counts)).encode(family.encode_family(&labels)?)?;
             }
         }
-        let attempts_written = ConstCounter::new(figures.attempts_written);
-        let help = "Attempts written whole to cache servers";
-        attempts_written.encode(encoder.encode_descriptor(
+        Ok(())
+    }
+
+    fn encode_attempts(&self, encoder: &mut DescriptorEncoder<'_>) -> fmt::Result {
+        let counter = ConstCounter::new(self.0.attempts_written);
+        counter.encode(encoder.encode_descriptor(
             "upstream_tries",
-            help,
+            "Attempts written whole to cache servers",
             None,
-            attempts_written.metric_type(),
-        )?)?;
-        for (name, help, value) in [
+            counter.metric_type(),
+        )?)
+    }
+
+    fn encode_gauges(&self, encoder: &mut DescriptorEncoder<'_>) -> fmt::Result {
+        let metrics = &self.0;
+        let gauges = [
             (
                 "in_progress",
                 "Requests taken and not ended",
-                figures.in_progress,
+                metrics.in_progress,
             ),
             (
                 "known_cache_servers",
                 "Cache servers in the list",
-                figures.endpoints_listed,
+                metrics.endpoints_listed,
             ),
             (
                 "skipped_cache_servers",
                 "Listed cache servers that are avoided now",
-                figures.endpoints_avoided,
+                metrics.endpoints_avoided,
             ),
-        ] {
+        ];
+        for (name, help, value) in gauges {
             let gauge = ConstGauge::new(value as i64);
-            gauge.encode(encoder.encode_descriptor(name, help, None, gauge.metric_type())?)?;
+            let metric_type = gauge.metric_type();
+            gauge.encode(encoder.encode_descriptor(name, help, None, metric_type)?)?;
         }
         Ok(())
     }
 }
-
-/// The figures, a line each.
-pub fn text(figures: Metrics) -> String {
-    let mut registry = Registry::with_prefix("router");
-    registry.register_collector(Box::new(Shown(figures)));
-    let mut out = String::new();
-    // Writing to a string does not fail.
-    let _ = text::encode(&mut out, &registry);
-    out
-}
--- a/crates/admin-api/src/server.rs
+++ b/crates/admin-api/src/server.rs
@@ -1,84 +1,100 @@
-//! Callers: one call to a connection, a bounded number of them, none of which can keep the others waiting.
+//! Connections of operators: one request a connection, a bounded number of connections, none of which can delay the
+//! others.
 
-use crate::call::{self, CallError, MOST_BODY};
-use crate::{Operated, metrics};
+use crate::command::{self, CommandError, MAX_BODY_BYTES};
+use crate::{RouterControl, metrics};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::{Bytes, Incoming};
+use hyper::http::request::Parts;
 use hyper::service::service_fn;
 use hyper::{Request, Response, StatusCode, header};
 use hyper_util::rt::TokioIo;
+use std::collections::VecDeque;
 use std::convert::Infallible;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
-use tokio::task::spawn_local;
+use tokio::task::{JoinHandle, spawn_local};
 
-/// Callers at a time: of the descriptors that the router keeps for itself. One more takes the place of the one that has
-/// been there for longest: whoever calls has its answer within milliseconds, and who is there for long says nothing.
-pub const CALLERS: usize = 24;
-/// A caller waits a second for its answer; one that has not finished its call by then has no use for it.
-const CALL_LIMIT: Duration = Duration::from_secs(6);
-/// How long to leave the listener alone after it failed, out of descriptors for instance.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Connections at a time; their descriptors are of those that the router reserves. One more replaces the oldest: a
+/// request is answered within milliseconds, so that a connection which is open for long has sent none.
+pub const MAX_CONNECTION_COUNT: usize = 24;
+/// Time from the accept until the connection is closed. Operators' tools wait 1 s for an answer.
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(6);
+/// Delay after a failed accept, out of descriptors for instance.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Bytes of a request's head that are buffered at most.
+const MAX_BUFFER_BYTES: usize = 16 * 1024;
 
-/// Answers callers for as long as it is polled. To be used within a [`tokio::task::LocalSet`].
-pub async fn serve<O: Operated + 'static>(listener: TcpListener, router: Rc<O>) {
-    let mut callers = std::collections::VecDeque::new();
+/// Serves operators' connections for as long as it is polled. To be used within a [`tokio::task::LocalSet`].
+pub async fn serve<R: RouterControl + 'static>(listener: TcpListener, router: Rc<R>) {
+    let mut connections: VecDeque<JoinHandle<()>> = VecDeque::new();
     loop {
-        match listener.accept().await {
-            Ok((stream, _)) => {
-                callers.retain(|task: &tokio::task::JoinHandle<()>| !task.is_finished());
-                if callers.len() >= CALLERS
-                    && let Some(oldest) = callers.pop_front()
-                {
-                    oldest.abort();
-                }
-                callers.push_back(spawn_local(answer(stream, router.clone())));
-            }
-            Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+        let Ok((stream, _)) = listener.accept().await else {
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
+            continue;
+        };
+        connections.retain(|task| !task.is_finished());
+        if connections.len() >= MAX_CONNECTION_COUNT
+            && let Some(oldest) = connections.pop_front()
+        {
+            oldest.abort();
         }
+        // Owned by this loop; ends with its connection, by its timeout, or aborted for a newer one.
+        connections.push_back(spawn_local(serve_connection(stream, router.clone())));
     }
 }
 
-async fn answer<O: Operated + 'static>(stream: TcpStream, router: Rc<O>) {
+async fn serve_connection<R: RouterControl + 'static>(stream: TcpStream, router: Rc<R>) {
     let service = service_fn(move |request| {
         let router = router.clone();
-        async move { Ok::<_, Infallible>(one_call(request, &*router).await) }
+        async move { Ok::<_, Infallible>(respond(request, &*router).await) }
     });
     let mut http = hyper::server::conn::http1::Builder::new();
     http.keep_alive(false)
         .half_close(true)
-        .max_buf_size(16 * 1024);
-    // A caller that breaks off or says no HTTP is answered as far as that goes; nobody waits for more.
-    let _ = tokio::time::timeout(
-        CALL_LIMIT,
-        http.serve_connection(TokioIo::new(stream), service),
-    )
-    .await;
+        .max_buf_size(MAX_BUFFER_BYTES);
+    let connection = http.serve_connection(TokioIo::new(stream), service);
+    // A client that breaks off or does not speak HTTP is answered as far as that goes.
+    let _ = tokio::time::timeout(CONNECTION_TIMEOUT, connection).await;
 }
 
-async fn one_call(request: Request<Incoming>, router: &impl Operated) -> Response<Full<Bytes>> {
+async fn respond(request: Request<Incoming>, router: &impl RouterControl) -> Response<Full<Bytes>> {
     let (head, body) = request.into_parts();
-    let path = head.uri.path();
-    let said = async {
-        let body = match call::wants_body(&head.method, path)? {
-            false => Bytes::new(),
-            true => match Limited::new(body, MOST_BODY).collect().await {
-                Ok(body) => body.to_bytes(),
-                Err(_) => return Err(CallError::TooLong),
-            },
-        };
-        call::carry_out(call::read(&head.method, path, &body)?, router)
-    };
-    let (status, kind, text) = match said.await {
-        Ok(text) if path == "/api/telemetry" => (StatusCode::OK, metrics::CONTENT_TYPE, text),
+    let (status, content_type, text) = match execute(&head, body, router).await {
+        Ok(text) if head.uri.path() == "/api/telemetry" => {
+            (StatusCode::OK, metrics::CONTENT_TYPE, text)
+        }
         Ok(text) => (StatusCode::OK, "text/plain; charset=utf-8", text),
-        Err(error) => (error.status(), "application/json", error.line()),
+        Err(error) => (error.status(), "application/json", error.to_json_line()),
+    };
+    let mut response = Response::new(Full::new(Bytes::from(text)));
+    *response.status_mut() = status;
+    response.headers_mut().insert(
+        header::CONTENT_TYPE,
+        header::HeaderValue::from_static(content_type),
+    );
+    response
+}
+
+async fn execute(
+    head: &Parts,
+    body: Incoming,
+    router: &impl RouterControl,
+) -> Result<String, CommandError> {
+    let path = head.uri.path();
+    let body = if command::takes_body(&head.method, path)? {
+        read_body(body).await?
+    } else {
+        Bytes::new()
     };
-    let mut answer = Response::new(Full::new(Bytes::from(text)));
-    *answer.status_mut() = status;
-    answer
-        .headers_mut()
-        .insert(header::CONTENT_TYPE, header::HeaderValue::from_static(kind));
-    answer
+    command::execute(command::parse(&head.method, path, &body)?, router)
+}
+
+/// Reads a whole body. One that breaks off is answered as one that is too long.
+async fn read_body(body: Incoming) -> Result<Bytes, CommandError> {
+    match Limited::new(body, MAX_BODY_BYTES).collect().await {
+        Ok(body) => Ok(body.to_bytes()),
+        Err(_) => Err(CommandError::BodyTooLong),
+    }
 }
--- a/crates/cache-router/src/admin_state.rs
+++ b/crates/cache-router/src/admin_state.rs
@@ -1,151 +1,161 @@
-//! The operators' desk: calls become words to the engine, are kept on disk, and are told to another process of this
+//! Operators' overrides and drains: applied to the runtime, saved on disk, and sent to the other process of this
 //! router while there is one.
+//!
+//! Relies on one thread: its `RefCell` borrows never cross an await.
 
-use admin_api::Operated;
+use crate::Runtime;
+use admin_api::RouterControl;
 use hot_restart::message::{HandoverState, Message, StoredOverride};
 use hot_restart::store::StateStore;
 use load_balancer::{AdminOverride, Micros, ServerId};
-use router_runtime::tokio_environment::TokioEnvironment;
-use router_runtime::{Metrics, RouterRuntime};
+use router_runtime::Metrics;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use tokio::sync::mpsc;
 
-/// See the module.
+/// The router of this process as operators control it.
 pub struct AdminState {
-    engine: Rc<RouterRuntime<TokioEnvironment>>,
-    /// Where words are kept; `None`: nowhere.
+    runtime: Rc<Runtime>,
+    /// Where overrides are saved; `None`: nowhere.
     store: Option<StateStore>,
-    /// Other processes of this router that are to hear of them.
-    others: RefCell<Vec<mpsc::UnboundedSender<Message>>>,
-    /// The process before this one, if there is one, knows that this one serves.
-    relieves: Cell<bool>,
+    /// Other processes of this router, which get each change. One that has ended is dropped at the next change.
+    peers: RefCell<Vec<mpsc::UnboundedSender<Message>>>,
+    /// No predecessor process serves: there is none, it knows that this one serves, or it has ended.
+    has_taken_over: Cell<bool>,
 }
 
 impl AdminState {
-    /// A desk in front of this engine. `relieves`: no other process serves.
+    /// Controls `runtime`. `has_predecessor`: another process serves, and this one is going to take over from it.
     pub fn new(
-        engine: Rc<RouterRuntime<TokioEnvironment>>,
+        runtime: Rc<Runtime>,
         store: Option<StateStore>,
-        relieves: bool,
+        has_predecessor: bool,
     ) -> Rc<AdminState> {
         Rc::new(AdminState {
-            engine,
+            runtime,
             store,
-            others: RefCell::default(),
-            relieves: Cell::new(relieves),
+            peers: RefCell::default(),
+            has_taken_over: Cell::new(!has_predecessor),
         })
     }
 
-    /// The other process has been told that this one serves, or is gone.
-    pub fn relieve(&self) {
-        self.relieves.set(true);
+    /// Records that no predecessor process serves any more.
+    pub fn set_taken_over(&self) {
+        self.has_taken_over.set(true);
     }
 
-    /// Whether that is so.
-    pub fn has_relieved(&self) -> bool {
-        self.relieves.get()
+    /// Whether no predecessor process serves.
+    pub fn has_taken_over(&self) -> bool {
+        self.has_taken_over.get()
     }
 
-    /// Whom to tell what operators say, until it is gone.
-    pub fn tell(&self, other: mpsc::UnboundedSender<Message>) {
-        self.others.borrow_mut().push(other);
+    /// The changes from here on, for another process; they end with the receiver.
+    pub fn subscribe(&self) -> mpsc::UnboundedReceiver<Message> {
+        let (sender, receiver) = mpsc::unbounded_channel();
+        self.peers.borrow_mut().push(sender);
+        receiver
     }
 
-    /// Takes what operators told another process.
-    pub fn heard(&self, message: Message) {
+    /// Applies a change that operators made at another process.
+    pub fn apply_from_peer(&self, message: Message) {
         match message {
-            Message::Override(server, said) => {
-                self.engine
-                    .apply_admin_overrides([(ServerId::from(server.as_str()), word(said))]);
-                self.keep();
+            Message::Override(server, stored) => {
+                let server = ServerId::from(server.as_str());
+                self.runtime
+                    .apply_admin_overrides([(server, from_stored(stored))]);
+                self.save();
             }
-            Message::Drained(true) => self.engine.drain_router(),
-            Message::Drained(false) => self.engine.resume_router(),
+            Message::Drained(true) => self.runtime.drain_router(),
+            Message::Drained(false) => self.runtime.resume_router(),
             _ => {}
         }
     }
 
-    /// The operators' words, as they are handed over.
-    pub fn admin_overrides(&self) -> Vec<(String, StoredOverride)> {
-        let words = self.engine.admin_overrides().into_iter();
-        words
-            .map(|(server, word)| (server.to_string(), said(word)))
+    /// All overrides, in their stored form.
+    pub fn stored_overrides(&self) -> Vec<(String, StoredOverride)> {
+        let overrides = self.runtime.admin_overrides().into_iter();
+        overrides
+            .map(|(server, admin_override)| (server.to_string(), to_stored(admin_override)))
             .collect()
     }
 
-    fn say(&self, message: &Message) {
-        self.others
+    fn send_to_peers(&self, message: &Message) {
+        self.peers
             .borrow_mut()
-            .retain(|other| other.send(message.clone()).is_ok());
+            .retain(|peer| peer.send(message.clone()).is_ok());
     }
 
-    /// A drain is not kept: a process that was killed starts in service, as its front expects.
-    fn keep(&self) {
+    /// Saves the overrides. A drain is not saved: a process that replaces a killed one starts in service.
+    fn save(&self) {
         let Some(store) = &self.store else { return };
-        if let Err(problem) = store.save(HandoverState {
-            words: self.admin_overrides(),
+        let state = HandoverState {
+            overrides: self.stored_overrides(),
             ..HandoverState::default()
-        }) {
-            eprintln!("asterport: {}: {problem}", store.path().display());
+        };
+        if let Err(error) = store.save(state) {
+            eprintln!("asterport: {}: {error}", store.path().display());
         }
     }
 
-    /// What was said last of this server goes to disk and to the other processes, if the server is known.
-    fn spread(&self, server: &str, is_known: bool) -> bool {
-        if is_known {
-            self.keep();
-            if let Some((server, said)) = self
-                .admin_overrides()
-                .into_iter()
-                .find(|(named, _)| named == server)
-            {
-                self.say(&Message::Override(server, said));
-            }
+    /// Saves the override of a server that has just changed, and sends it to the other processes.
+    fn publish_override(&self, server: &str) {
+        self.save();
+        let changed = self
+            .stored_overrides()
+            .into_iter()
+            .find(|(name, _)| name == server);
+        if let Some((name, stored)) = changed {
+            self.send_to_peers(&Message::Override(name, stored));
         }
-        is_known
     }
 }
 
-impl Operated for AdminState {
+impl RouterControl for AdminState {
     fn is_ready(&self) -> bool {
-        self.has_relieved() && self.engine.lifecycle().is_ready()
+        self.has_taken_over() && self.runtime.lifecycle().is_ready()
     }
 
     fn metrics(&self) -> Metrics {
-        self.engine.metrics()
+        self.runtime.metrics()
     }
 
     fn disable_server(&self, server: &str) -> bool {
-        self.spread(server, self.engine.disable_server(server))
+        let is_known = self.runtime.disable_server(server);
+        if is_known {
+            self.publish_override(server);
+        }
+        is_known
     }
 
     fn enable_server(&self, server: &str) -> bool {
-        self.spread(server, self.engine.enable_server(server))
+        let is_known = self.runtime.enable_server(server);
+        if is_known {
+            self.publish_override(server);
+        }
+        is_known
     }
 
     fn drain_router(&self) {
-        self.engine.drain_router();
-        self.say(&Message::Drained(true));
+        self.runtime.drain_router();
+        self.send_to_peers(&Message::Drained(true));
     }
 
     fn resume_router(&self) {
-        self.engine.resume_router();
-        self.say(&Message::Drained(false));
+        self.runtime.resume_router();
+        self.send_to_peers(&Message::Drained(false));
     }
 }
 
-/// A word as it is handed over.
-fn said(word: AdminOverride) -> StoredOverride {
-    match word {
+fn to_stored(admin_override: AdminOverride) -> StoredOverride {
+    match admin_override {
         AdminOverride::Disabled => StoredOverride::Disabled,
         AdminOverride::EnabledAt(at) => StoredOverride::EnabledAt(at.0),
     }
 }
 
-/// A word as the engine takes it.
-pub fn word(said: StoredOverride) -> AdminOverride {
-    match said {
+/// An override as the runtime takes it.
+pub fn from_stored(stored: StoredOverride) -> AdminOverride {
+    match stored {
         StoredOverride::Disabled => AdminOverride::Disabled,
         StoredOverride::EnabledAt(at) => AdminOverride::EnabledAt(Micros(at)),
     }
--- /dev/null
+++ b/crates/cache-router/src/configuration.rs
@@ -0,0 +1,213 @@
+//! Configuration of the router: the JSON file that `GW_CONFIG` names, and the environment variables that take
+//! precedence over it at the start.
+
+use load_balancer::SettingsError;
+use load_balancer::deployment::{self, Deployment, DeploymentError};
+use router_runtime::EndpointList;
+use serde::Deserialize;
+use serde_json::Value;
+use std::net::SocketAddr;
+use thiserror::Error;
+
+/// Memory limit where the configuration has none, in MiB.
+const DEFAULT_MEMORY_MIB: usize = 192;
+
+/// Why a configuration is not used.
+#[derive(Debug, Error)]
+pub enum ConfigurationError {
+    /// The environment names no file.
+    #[error("GW_CONFIG names no configuration file")]
+    NoPath,
+    /// The file cannot be read.
+    #[error("{path}: {source}")]
+    Io {
+        /// Path of the file.
+        path: String,
+        /// Why it cannot be read.
+        source: std::io::Error,
+    },
+    /// The file is not JSON of the expected form.
+    #[error("{path}: {source}")]
+    Json {
+        /// Path of the file.
+        path: String,
+        /// What is wrong, with line and column.
+        source: serde_json::Error,
+    },
+    /// An environment variable holds no socket address.
+    #[error("{variable}: '{value}' is not an address")]
+    NotAnAddress {
+        /// Name of the variable.
+        variable: &'static str,
+        /// Its value.
+        value: String,
+    },
+    /// The seed is not a hexadecimal number of 64 bits.
+    #[error("seed: '{0}' is not hex")]
+    Seed(String),
+    /// A setting is missing or unreadable.
+    #[error(transparent)]
+    Deployment(#[from] DeploymentError),
+    /// A setting is out of range.
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+}
+
+/// The configuration file. Field names on the left of `rename` are this program's, the others the platform's.
+#[derive(Deserialize)]
+pub struct Configuration {
+    /// Name of the router, the same for all its processes.
+    pub name: String,
+    /// Where clients connect.
+    pub listen: SocketAddr,
+    /// Where the endpoint list is watched.
+    pub discovery: SocketAddr,
+    /// Where operators connect; `None`: nowhere.
+    pub admin: Option<SocketAddr>,
+    seed: String,
+    /// Resource limits of the process.
+    pub limits: ResourceLimits,
+    /// The endpoint list as this router last had it.
+    #[serde(rename = "known")]
+    pub initial_endpoints: Option<EndpointList>,
+    /// Settings of the decision library, in the platform's form.
+    pub settings: Value,
+}
+
+/// Resource limits of the process.
+#[derive(Deserialize)]
+pub struct ResourceLimits {
+    /// Descriptors that the process may hold.
+    #[serde(rename = "sockets")]
+    pub descriptors: usize,
+    #[serde(rename = "memory_mb", default = "default_memory_mib")]
+    memory_mib: usize,
+}
+
+impl ResourceLimits {
+    /// Memory that the process may use, in bytes.
+    pub fn memory_bytes(&self) -> usize {
+        self.memory_mib.saturating_mul(1 << 20)
+    }
+}
+
+fn default_memory_mib() -> usize {
+    DEFAULT_MEMORY_MIB
+}
+
+impl Configuration {
+    /// Reads the file, and applies the environment variables that take precedence.
+    ///
+    /// # Errors
+    /// When the file cannot be read or a variable is not of its form. Settings are not checked yet.
+    pub fn read_at_start() -> Result<Configuration, ConfigurationError> {
+        let mut configuration = Configuration::read_file()?;
+        if let Some(address) = address_variable("GW_LISTEN")? {
+            configuration.listen = address;
+        }
+        if let Some(address) = address_variable("GW_DISCOVERY")? {
+            configuration.discovery = address;
+        }
+        if let Some(address) = address_variable("GW_ADMIN")? {
+            configuration.admin = Some(address);
+        }
+        if let Ok(name) = std::env::var("GW_NAME") {
+            configuration.name = name;
+        }
+        Ok(configuration)
+    }
+
+    /// Reads the file again for a running process, and checks its settings. The environment counts at the start only:
+    /// the file is newer.
+    ///
+    /// # Errors
+    /// When the file cannot be read, or a setting is missing or out of range.
+    pub fn read_for_reload() -> Result<Configuration, ConfigurationError> {
+        let configuration = Configuration::read_file()?;
+        configuration.deployment()?;
+        Ok(configuration)
+    }
+
+    fn read_file() -> Result<Configuration, ConfigurationError> {
+        let path = std::env::var("GW_CONFIG").map_err(|_| ConfigurationError::NoPath)?;
+        let bytes = match std::fs::read(&path) {
+            Ok(bytes) => bytes,
+            Err(source) => return Err(ConfigurationError::Io { path, source }),
+        };
+        serde_json::from_slice(&bytes).map_err(|source| ConfigurationError::Json { path, source })
+    }
+
+    /// Reads and checks the settings.
+    ///
+    /// # Errors
+    /// When a setting is missing, unreadable or out of range.
+    pub fn deployment(&self) -> Result<Deployment, ConfigurationError> {
+        let mut pairs = Vec::new();
+        flatten("", &self.settings, &mut pairs);
+        let pairs = pairs
+            .iter()
+            .map(|(path, value)| (path.as_str(), value.as_str()));
+        let deployment = deployment::read(pairs)?;
+        deployment.settings.validate()?;
+        Ok(deployment)
+    }
+
+    /// Seed of the process's random numbers.
+    ///
+    /// # Errors
+    /// When it is not a hexadecimal number of 64 bits.
+    pub fn seed(&self) -> Result<u64, ConfigurationError> {
+        u64::from_str_radix(&self.seed, 16).map_err(|_| ConfigurationError::Seed(self.seed.clone()))
+    }
+}
+
+/// The address in an environment variable; `None` if it is not set.
+fn address_variable(variable: &'static str) -> Result<Option<SocketAddr>, ConfigurationError> {
+    let Ok(value) = std::env::var(variable) else {
+        return Ok(None);
+    };
+    match value.parse() {
+        Ok(address) => Ok(Some(address)),
+        Err(_) => Err(ConfigurationError::NotAnAddress { variable, value }),
+    }
+}
+
+/// Appends the settings below `path` as pairs of a dotted path and a value, the form that [`deployment::read`] takes.
+///
+/// A list of plain values is joined with commas. A list of objects becomes its length under `.count` and its items
+/// under their indices. `null` is left out.
+fn flatten(path: &str, value: &Value, pairs: &mut Vec<(String, String)>) {
+    let child_path = |name: &str| {
+        if path.is_empty() {
+            name.to_string()
+        } else {
+            format!("{path}.{name}")
+        }
+    };
+    match value {
+        Value::Null => {}
+        Value::Object(members) => {
+            for (name, member) in members {
+                flatten(&child_path(name), member, pairs);
+            }
+        }
+        Value::Array(items) if items.iter().any(Value::is_object) => {
+            pairs.push((child_path("count"), items.len().to_string()));
+            for (index, item) in items.iter().enumerate() {
+                flatten(&child_path(&index.to_string()), item, pairs);
+            }
+        }
+        Value::Array(items) => {
+            let items: Vec<String> = items.iter().map(plain_text).collect();
+            pairs.push((path.to_string(), items.join(",")));
+        }
+        scalar => pairs.push((path.to_string(), plain_text(scalar))),
+    }
+}
+
+/// A value as text: a string without its quotes, all else as in JSON.
+fn plain_text(value: &Value) -> String {
+    value
+        .as_str()
+        .map_or_else(|| value.to_string(), str::to_string)
+}
--- /dev/null
+++ b/crates/cache-router/src/hand_over.rs
@@ -0,0 +1,190 @@
+//! The old process's side of a hot restart: it gives a new process its state, and the connections that become idle
+//! once the new one serves.
+
+use crate::Runtime;
+use crate::admin_state::AdminState;
+use crate::takeover::READINESS_POLL_INTERVAL;
+use hot_restart::channel::{ChannelError, HandoverChannel, MessageReceiver, Received};
+use hot_restart::message::{HandoverState, Message, MessageError, VERSION};
+use hot_restart::rendezvous::RendezvousSocket;
+use router_runtime::IdleConnection;
+use std::os::fd::AsFd;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::{TcpStream, UnixListener};
+use tokio::sync::mpsc;
+use tokio::time::{sleep, timeout};
+
+/// Time that a new process has for its first message; platforms give a new process 6 s to get ready.
+const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
+/// Delay after a failed accept, out of descriptors for instance.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+
+/// A connection on its way to the successor process.
+type HandedOver = IdleConnection<TcpStream>;
+
+/// What hands this process's service over.
+pub struct HandOver {
+    /// Where new processes connect.
+    pub socket: RendezvousSocket,
+    /// Name of the router.
+    pub router: String,
+    /// The runtime that serves.
+    pub runtime: Rc<Runtime>,
+    /// The operators' overrides and drains.
+    pub admin_state: Rc<AdminState>,
+}
+
+/// How the time beside a successor process ended.
+enum SuccessorOutcome {
+    /// This process's runtime has ended, with all connections handed over.
+    HandedOver,
+    /// The successor is lost, and this process serves again.
+    Lost,
+}
+
+impl HandOver {
+    /// Accepts new processes for as long as this one runs; returns once one of them has all connections and the
+    /// runtime has ended.
+    pub async fn run(self) {
+        // Until then new processes have to find the predecessor: this one may die before it serves.
+        while !self.admin_state.has_taken_over() {
+            sleep(READINESS_POLL_INTERVAL).await;
+        }
+        let mut listener = self.socket.bind();
+        loop {
+            let bound = match &listener {
+                Ok(bound) => bound,
+                Err(error) => {
+                    return eprintln!(
+                        "asterport: no hand-over possible: rendezvous socket not bound: {error}"
+                    );
+                }
+            };
+            let successor = self.accept(bound).await;
+            match self.serve_successor(&successor).await {
+                SuccessorOutcome::HandedOver => return,
+                // The lost process may have bound the socket for itself.
+                SuccessorOutcome::Lost => listener = self.socket.bind(),
+            }
+        }
+    }
+
+    /// The next new process of this router, after it has got the state.
+    async fn accept(&self, listener: &UnixListener) -> HandoverChannel {
+        loop {
+            let Ok((stream, _)) = listener.accept().await else {
+                sleep(ACCEPT_RETRY_DELAY).await;
+                continue;
+            };
+            let channel = HandoverChannel::new(stream);
+            match timeout(HELLO_TIMEOUT, self.send_state(&channel)).await {
+                Ok(Ok(())) => return channel,
+                Ok(Err(error)) => {
+                    eprintln!("asterport: no hand-over to another process: {error}");
+                }
+                Err(_) => eprintln!("asterport: no hand-over to another process: no message"),
+            }
+        }
+    }
+
+    async fn send_state(&self, channel: &HandoverChannel) -> Result<(), ChannelError> {
+        let (hello, _) = channel.receive().await?;
+        hello.check_hello(&self.router)?;
+        let message = Message::State {
+            version: VERSION,
+            name: self.router.clone(),
+            state: self.state(),
+        };
+        channel.send(&message, None).await
+    }
+
+    fn state(&self) -> HandoverState {
+        let (discovery, endpoints) = self.runtime.list();
+        let endpoints = serde_json::to_vec(&endpoints).ok();
+        HandoverState {
+            overrides: self.admin_state.stored_overrides(),
+            drained: self.runtime.lifecycle().is_drained(),
+            endpoint_list: endpoints.map(|endpoints| (discovery, endpoints)),
+            warm_state: postcard::to_stdvec(&self.runtime.warm_state()).unwrap_or_default(),
+        }
+    }
+
+    /// Sends a new process operators' changes and, once it serves, the connections that become idle, until it or this
+    /// process's runtime ends.
+    async fn serve_successor(&self, channel: &HandoverChannel) -> SuccessorOutcome {
+        self.runtime.share_connection_slots(true);
+        let mut changes = self.admin_state.subscribe();
+        let (sender, mut idle_connections) = mpsc::unbounded_channel::<HandedOver>();
+        let mut sender = Some(sender);
+        // A connection whose hand-over has failed: this process serves it on.
+        let mut returned = None;
+        let mut receiver = MessageReceiver::new(channel);
+        let error = loop {
+            let result = tokio::select! {
+                biased;
+                connection = idle_connections.recv() => {
+                    // The runtime, which holds the sender, has ended.
+                    let Some(connection) = connection else {
+                        return SuccessorOutcome::HandedOver;
+                    };
+                    let result = send_connection(channel, &connection).await;
+                    returned = result.is_err().then_some(connection);
+                    result
+                }
+                Some(message) = changes.recv() => channel.send(&message, None).await,
+                received = receiver.receive() => {
+                    received.and_then(|received| self.handle(received, &mut sender))
+                }
+            };
+            if let Err(error) = result {
+                break error;
+            }
+        };
+        self.runtime.successor_lost();
+        self.runtime.share_connection_slots(false);
+        eprintln!("asterport: successor process lost: {error}");
+        idle_connections.close();
+        if let Some(connection) = returned {
+            self.runtime.adopt_connection(connection);
+        }
+        while let Ok(connection) = idle_connections.try_recv() {
+            self.runtime.adopt_connection(connection);
+        }
+        SuccessorOutcome::Lost
+    }
+
+    /// Handles a message of the new process. `sender`: for the runtime once that process serves.
+    fn handle(
+        &self,
+        (message, _): Received,
+        sender: &mut Option<mpsc::UnboundedSender<HandedOver>>,
+    ) -> Result<(), ChannelError> {
+        match message {
+            Message::SuccessorServes => {
+                if let Some(sender) = sender.take() {
+                    self.runtime.hand_over_to(sender);
+                }
+                Ok(())
+            }
+            Message::Override(..) | Message::Drained(_) => {
+                self.admin_state.apply_from_peer(message);
+                Ok(())
+            }
+            _ => Err(MessageError::Unexpected.into()),
+        }
+    }
+}
+
+async fn send_connection(
+    channel: &HandoverChannel,
+    connection: &HandedOver,
+) -> Result<(), ChannelError> {
+    let message = Message::Connection {
+        unread: connection.unread.to_vec(),
+        has_sent_command: connection.has_sent_command,
+    };
+    channel
+        .send(&message, Some(connection.stream.as_fd()))
+        .await
+}
--- /dev/null
+++ b/crates/cache-router/src/process.rs
@@ -0,0 +1,412 @@
+//! One process of the router from its start to its end: configuration, predecessor, runtime, signals, successor.
+
+use crate::Runtime;
+use crate::admin_state::{self, AdminState};
+use crate::configuration::{Configuration, ConfigurationError};
+use crate::hand_over::HandOver;
+use crate::operator_file::{OperatorFile, OperatorFileError};
+use crate::summary;
+use crate::takeover::{self, Predecessor};
+use hot_restart::channel::HandoverChannel;
+use hot_restart::message::HandoverState;
+use hot_restart::rendezvous::RendezvousSocket;
+use hot_restart::store::StateStore;
+use hot_restart::{InheritError, inherited_listener};
+use load_balancer::ServerId;
+use load_balancer::deployment::Deployment;
+use request_coalescing::{CoalescingRules, SettingsError};
+use router_runtime::tokio_environment::{self, TokioEnvironment};
+use router_runtime::{EndpointList, RouterConfig, RouterRuntime, ShutdownReport};
+use serde_json::Value;
+use std::error::Error;
+use std::io;
+use std::net::SocketAddr;
+use std::path::Path;
+use std::rc::Rc;
+use thiserror::Error;
+use tokio::net::TcpListener;
+use tokio::signal::unix::{Signal, SignalKind, signal};
+use tokio::task::{JoinHandle, spawn_local};
+
+/// Environment variable with the number of the descriptor that is the inherited listening socket.
+const LISTENER_VARIABLE: &str = "GW_FD";
+/// Environment variable with the folder for the rendezvous socket and the state file.
+const STATE_FOLDER_VARIABLE: &str = "TMPDIR";
+
+/// Why the process does not start.
+#[derive(Debug, Error)]
+pub enum StartError {
+    /// The executor of this thread cannot be built.
+    #[error("runtime: {0}")]
+    Executor(#[source] io::Error),
+    /// A signal handler cannot be installed.
+    #[error("signals: {0}")]
+    Signals(#[source] io::Error),
+    /// The configuration is not usable.
+    #[error(transparent)]
+    Configuration(#[from] ConfigurationError),
+    /// The operator file is not usable.
+    #[error(transparent)]
+    OperatorFile(#[from] OperatorFileError),
+    /// The operator file's rules for coalescing do not fit the settings.
+    #[error("{path}: {source}")]
+    CoalescingRules {
+        /// Path of the operator file.
+        path: String,
+        /// The rule that does not fit.
+        source: SettingsError,
+    },
+    /// The runtime does not take its settings and limits.
+    #[error("{0}")]
+    Runtime(#[source] Box<dyn Error + Send + Sync>),
+    /// Nothing can listen on this address.
+    #[error("{addr}: {source}")]
+    Listen {
+        /// The address.
+        addr: SocketAddr,
+        /// Why not.
+        source: io::Error,
+    },
+    /// The variable is not the number of a descriptor.
+    #[error("{LISTENER_VARIABLE}: '{0}' is not a descriptor")]
+    NotADescriptor(String),
+    /// The inherited descriptor is not usable.
+    #[error("{LISTENER_VARIABLE}: descriptor {descriptor}: {source}")]
+    Inherit {
+        /// Number of the descriptor.
+        descriptor: i32,
+        /// Why it is not usable.
+        source: InheritError,
+    },
+    /// The executor does not take the inherited listener.
+    #[error("{LISTENER_VARIABLE}: {0}")]
+    RegisterListener(#[source] io::Error),
+    /// The listener's own address is unknown.
+    #[error("listener: {0}")]
+    LocalAddress(#[source] io::Error),
+}
+
+/// Runs the process until SIGTERM and the shutdown that follows.
+///
+/// # Errors
+/// When it cannot start. Once it serves there is none.
+pub async fn run() -> Result<(), StartError> {
+    // Before anything else: without a handler each of these signals kills the process.
+    let signals = Signals::install()?;
+    let settings = StartSettings::read()?;
+    let writes_summary = settings.writes_summary;
+    let rendezvous = rendezvous_socket(&settings.configuration.name);
+    let predecessor = match &rendezvous {
+        Some(socket) => takeover::request_takeover(socket, &settings.configuration.name).await,
+        None => None,
+    };
+    let process = Process::start(settings, predecessor)?;
+    let runtime = process.runtime;
+    if let Some(channel) = process.predecessor {
+        let admin_state = process.admin_state.clone();
+        // Detached: ends when the predecessor process has ended.
+        spawn_local(takeover::complete_takeover(
+            channel,
+            runtime.clone(),
+            admin_state,
+        ));
+    }
+    let hand_over = rendezvous.map(|socket| HandOver {
+        socket,
+        router: process.configuration.name,
+        runtime: runtime.clone(),
+        admin_state: process.admin_state,
+    });
+    // Joined once the runtime has ended, if there is a successor; else ends with the thread's task set.
+    let hand_over = hand_over.map(|hand_over| spawn_local(hand_over.run()));
+    let settings = process.configuration.settings;
+    spawn_signal_tasks(signals.reload, signals.log_counters, settings, &runtime);
+    if writes_summary {
+        // Detached: ends with the thread's task set, when the process ends.
+        spawn_local(summary::write(runtime.clone()));
+    }
+    serve_until_stopped(&runtime, process.listener, signals.terminate, hand_over).await;
+    Ok(())
+}
+
+/// A process that is ready to serve.
+struct Process {
+    configuration: Configuration,
+    runtime: Rc<Runtime>,
+    listener: TcpListener,
+    admin_state: Rc<AdminState>,
+    /// The channel to the process that serves until this one takes over; `None` if there is none.
+    predecessor: Option<HandoverChannel>,
+}
+
+impl Process {
+    /// Builds the runtime with the state of the predecessor, or that on disk, and opens the listeners.
+    fn start(
+        settings: StartSettings,
+        predecessor: Option<Predecessor>,
+    ) -> Result<Process, StartError> {
+        let mut configuration = settings.configuration;
+        let store = state_store(&configuration.name);
+        let (predecessor, mut state) = match predecessor {
+            Some(Predecessor { channel, state }) => (Some(channel), state),
+            None => (None, store.as_ref().map(load_state).unwrap_or_default()),
+        };
+        let endpoints = initial_endpoints(&mut configuration, state.endpoint_list.take());
+        let endpoint_count = endpoints.servers();
+        let runtime = build_runtime(&configuration, settings.router_rules, endpoints)?;
+        restore(&runtime, state);
+        let listener = open_listener(configuration.listen)?;
+        let local_addr = listener.local_addr().map_err(StartError::LocalAddress)?;
+        let admin_state = AdminState::new(runtime.clone(), store, predecessor.is_some());
+        if let Some(admin) = configuration.admin {
+            let listener = listen(admin)?;
+            // Detached: ends with the thread's task set, when the process ends.
+            spawn_local(admin_api::server::serve(listener, admin_state.clone()));
+        }
+        let name = &configuration.name;
+        eprintln!("asterport: {name} on {local_addr}, {endpoint_count} servers known");
+        Ok(Process {
+            configuration,
+            runtime,
+            listener,
+            admin_state,
+            predecessor,
+        })
+    }
+}
+
+/// Serves until SIGTERM and the shutdown that follows, and then until the successor process, if there is one, has all
+/// connections.
+async fn serve_until_stopped(
+    runtime: &Runtime,
+    listener: TcpListener,
+    mut terminate: Signal,
+    hand_over: Option<JoinHandle<()>>,
+) {
+    let stop = async {
+        terminate.recv().await;
+    };
+    let report = runtime.run(listener, stop).await;
+    if let Some(hand_over) = hand_over.filter(|_| runtime.lifecycle().is_handed_over()) {
+        // Idle connections are still on their way to the successor, however many these are.
+        let _ = tokio::time::timeout_at(report.exit_deadline.into(), hand_over).await;
+    }
+    log_coalescing_counters(runtime);
+    eprintln!("asterport: stopped, {}", describe_shutdown(&report));
+}
+
+/// Streams of the signals that the process handles.
+struct Signals {
+    /// SIGHUP: read the configuration file again.
+    reload: Signal,
+    /// SIGTERM: shut down.
+    terminate: Signal,
+    /// SIGUSR1: log the counters of coalescing.
+    log_counters: Signal,
+}
+
+impl Signals {
+    fn install() -> Result<Signals, StartError> {
+        let install = |kind| signal(kind).map_err(StartError::Signals);
+        Ok(Signals {
+            reload: install(SignalKind::hangup())?,
+            terminate: install(SignalKind::terminate())?,
+            log_counters: install(SignalKind::user_defined1())?,
+        })
+    }
+}
+
+/// All that the process reads before it starts, checked.
+struct StartSettings {
+    configuration: Configuration,
+    router_rules: RouterRules,
+    writes_summary: bool,
+}
+
+/// What the runtime is told besides addresses, limits and endpoints.
+struct RouterRules {
+    deployment: Deployment,
+    seed: u64,
+    coalescing: Option<CoalescingRules>,
+}
+
+impl StartSettings {
+    fn read() -> Result<StartSettings, StartError> {
+        let configuration = Configuration::read_at_start()?;
+        let deployment = configuration.deployment()?;
+        let seed = configuration.seed()?;
+        let operator_file = OperatorFile::read()?;
+        let coalescing = match operator_file.coalescing.rules(&deployment) {
+            Ok(rules) => rules,
+            Err(source) => {
+                let path = operator_file.path;
+                return Err(StartError::CoalescingRules { path, source });
+            }
+        };
+        Ok(StartSettings {
+            configuration,
+            router_rules: RouterRules {
+                deployment,
+                seed,
+                coalescing,
+            },
+            writes_summary: operator_file.summary.every_second,
+        })
+    }
+}
+
+/// The file with operators' overrides; `None` without a folder for it.
+fn state_store(router: &str) -> Option<StateStore> {
+    let folder = std::env::var_os(STATE_FOLDER_VARIABLE)?;
+    Some(StateStore::new(Path::new(&folder), router))
+}
+
+/// Where processes of this router find each other; `None` without a folder for it, and where the platform holds no
+/// listener that two of them can share.
+fn rendezvous_socket(router: &str) -> Option<RendezvousSocket> {
+    std::env::var_os(LISTENER_VARIABLE)?;
+    let folder = std::env::var_os(STATE_FOLDER_VARIABLE)?;
+    Some(RendezvousSocket::new(Path::new(&folder), router))
+}
+
+/// What the last process of this router left on disk. A file that cannot be used is logged, and counts as none.
+fn load_state(store: &StateStore) -> HandoverState {
+    match store.load() {
+        Ok(state) => state.unwrap_or_default(),
+        Err(error) => {
+            eprintln!("asterport: {}: {error}", store.path().display());
+            HandoverState::default()
+        }
+    }
+}
+
+/// The endpoints to start with: the predecessor's if they came from the same discovery, else the configuration's.
+fn initial_endpoints(
+    configuration: &mut Configuration,
+    inherited: Option<(SocketAddr, Vec<u8>)>,
+) -> EndpointList {
+    let inherited = inherited
+        .filter(|(discovery, _)| *discovery == configuration.discovery)
+        .and_then(|(_, json)| serde_json::from_slice(&json).ok());
+    inherited
+        .or_else(|| configuration.initial_endpoints.take())
+        .unwrap_or_default()
+}
+
+fn build_runtime(
+    configuration: &Configuration,
+    rules: RouterRules,
+    initial_endpoints: EndpointList,
+) -> Result<Rc<Runtime>, StartError> {
+    let config = RouterConfig {
+        deployment: rules.deployment,
+        seed: rules.seed,
+        discovery: configuration.discovery,
+        initial_endpoints,
+        memory_bytes: configuration.limits.memory_bytes(),
+        descriptor_limit: configuration.limits.descriptors,
+        coalescing: rules.coalescing,
+    };
+    match RouterRuntime::new(TokioEnvironment, config) {
+        Ok(runtime) => Ok(Rc::new(runtime)),
+        Err(error) => Err(StartError::Runtime(error.into())),
+    }
+}
+
+/// Gives the runtime what the predecessor knew: overrides first, since the warm state is restored under them.
+fn restore(runtime: &Runtime, state: HandoverState) {
+    let overrides = state.overrides.into_iter().map(|(server, stored)| {
+        let server = ServerId::from(server.as_str());
+        (server, admin_state::from_stored(stored))
+    });
+    runtime.apply_admin_overrides(overrides);
+    // A warm state that cannot be read is left out: the router learns it anew.
+    if let Ok(warm_state) = postcard::from_bytes(&state.warm_state) {
+        runtime.restore_warm_state(warm_state);
+    }
+    if state.drained {
+        runtime.drain_router();
+    }
+}
+
+/// The listener for clients: the one that the platform holds if the environment names it, else one of this process.
+fn open_listener(addr: SocketAddr) -> Result<TcpListener, StartError> {
+    let Ok(number) = std::env::var(LISTENER_VARIABLE) else {
+        return listen(addr);
+    };
+    let Ok(descriptor) = number.parse() else {
+        return Err(StartError::NotADescriptor(number));
+    };
+    let inherited = inherited_listener(descriptor, addr)
+        .map_err(|source| StartError::Inherit { descriptor, source })?;
+    TcpListener::from_std(inherited).map_err(StartError::RegisterListener)
+}
+
+fn listen(addr: SocketAddr) -> Result<TcpListener, StartError> {
+    tokio_environment::listen(addr).map_err(|source| StartError::Listen { addr, source })
+}
+
+fn spawn_signal_tasks(
+    reload: Signal,
+    mut log_counters: Signal,
+    settings: Value,
+    runtime: &Rc<Runtime>,
+) {
+    // Detached, both: they end with the thread's task set, when the process ends.
+    spawn_local(reload_configuration(reload, settings, runtime.clone()));
+    let runtime = runtime.clone();
+    spawn_local(async move {
+        while log_counters.recv().await.is_some() {
+            log_coalescing_counters(&runtime);
+        }
+    });
+}
+
+/// Reads the configuration file again at each SIGHUP. Of a running router only `discovery` can change.
+async fn reload_configuration(mut hangup: Signal, settings: Value, runtime: Rc<Runtime>) {
+    while hangup.recv().await.is_some() {
+        match Configuration::read_for_reload() {
+            Ok(configuration) => {
+                let discovery = configuration.discovery;
+                let remark = if configuration.settings == settings {
+                    ""
+                } else {
+                    "; other settings at the next start"
+                };
+                eprintln!("asterport: configuration reloaded: discovery {discovery}{remark}");
+                runtime.move_watch_to(discovery);
+            }
+            Err(error) => {
+                eprintln!("asterport: configuration not reloaded, the old one holds: {error}");
+            }
+        }
+    }
+}
+
+/// Logs what coalescing did so far, where it is on.
+fn log_coalescing_counters(runtime: &Runtime) {
+    let Some((counters, oldest_age)) = runtime.coalescing_counters() else {
+        return;
+    };
+    let usage = runtime.resource_usage();
+    let waiters = usage.coalesced_waiters;
+    let flights = usage.coalesced_flights;
+    let oldest_ms = oldest_age.map_or(0, |age| age.0 / 1_000);
+    eprintln!(
+        "asterport: joining: {counters}; now {waiters} waiters on {flights} flights, the oldest {oldest_ms} ms old"
+    );
+}
+
+/// How the shutdown went, for the log.
+fn describe_shutdown(report: &ShutdownReport) -> String {
+    let ShutdownReport {
+        failed, unanswered, ..
+    } = report;
+    match (failed, unanswered) {
+        (0, 0) => "all answered".into(),
+        (failed, 0) => format!("{failed} answered as failed: the time before SIGKILL was over"),
+        (failed, unanswered) => format!(
+            "{failed} failed and {unanswered} of them unanswered: the time before SIGKILL was over"
+        ),
+    }
+}
--- /dev/null
+++ b/crates/cache-router/tests/operator_file.rs
@@ -0,0 +1,52 @@
+//! The operator file: what cannot be read ends the start in one line that names the place; the shipped file changes
+//! nothing. The real binary.
+
+use request_coalescing::CoalescingFile;
+use test_support::*;
+
+#[test]
+fn a_file_that_cannot_be_read_is_one_line_that_names_the_place() {
+    let discovery = Discovery::start(list(7, false, &[]));
+    let config = config(discovery.addr, &[]).to_string();
+    let rows = [
+        (
+            "[joining]\nclasses = [\"a\"]\nspeed = 3\n",
+            "line 3: unknown field `speed`",
+        ),
+        ("[joining]\nclasses = 3\n", "line 2: invalid type"),
+        ("[joining]\n\nclasses = [\n", "line 3"),
+        ("[quotas]\n", "line 1: unknown field `quotas`"),
+        ("[joining.bounds]\nwaiters = -1\n", "line 2: "),
+    ];
+    for (text, expected) in rows {
+        let (status, log) = run_to_end_with(&config, text);
+        assert_eq!(status.code(), Some(2), "{text}: {log}");
+        let (_path, problem) = log
+            .strip_prefix("asterport: ")
+            .and_then(|line| line.split_once("operator.toml: "))
+            .unwrap_or_else(|| panic!("{text}: {log}"));
+        assert!(
+            problem.starts_with(expected) && log.lines().count() == 1,
+            "{text}: {log}"
+        );
+    }
+}
+
+#[test]
+fn the_shipped_file_is_read_and_joins_nothing() {
+    let text = include_str!("../../../deploy/operator.toml");
+    let mut tables: toml::Table = toml::from_str(text).expect("readable");
+    let joining = tables.remove("joining").expect("the table");
+    let joining: CoalescingFile = joining.try_into().expect("readable");
+    assert_eq!(joining, CoalescingFile::default());
+    let server = Server::start("s-a");
+    let discovery = Discovery::start(list(7, false, &[]));
+    let mut router = Router::start_with(&config(discovery.addr, &[server.entry("up")]), text);
+    let answer = router.client().ask("read", "00000000000000aa");
+    assert!(answer.contains("s-a"), "{answer}");
+    // A router that coalesces logs its counters before the last line.
+    router.terminate();
+    assert_eq!(router.wait().code(), Some(0));
+    wait_until("the last line", || router.log_has("stopped, all answered"));
+    assert!(!router.log_has("joining: "));
+}
--- a/crates/cache-router/tests/router_signals.rs
+++ b/crates/cache-router/tests/router_signals.rs
@@ -227,7 +227,7 @@
                 .lock()
                 .unwrap()
                 .iter()
-                .filter(|line| line.contains("old configuration holds"))
+                .filter(|line| line.contains("configuration not reloaded, the old one holds: "))
                 .count()
         };
         wait_until("it says so", || lines() == count + 1);
--- a/crates/cache-router/tests/warm_state_format.rs
+++ b/crates/cache-router/tests/warm_state_format.rs
@@ -17,7 +17,7 @@
 fn golden_bytes() -> Vec<u8> {
     let message = include_bytes!("../../hot-restart/tests/golden/state.message");
     let message = Message::decode(message).expect("readable");
-    message.state("n1").expect("of this router").learnt
+    message.into_state("n1").expect("of this router").warm_state
 }
 
 /// A router with the earlier one's settings and endpoints, new to all else.
--- a/crates/hot-restart/src/channel.rs
+++ b/crates/hot-restart/src/channel.rs
@@ -1,60 +1,49 @@
-//! Messages and descriptors between two processes of a router, over a Unix socket.
+//! A channel between two processes of one router: messages and descriptors over a Unix stream socket.
+//!
+//! Descriptors travel as ancillary data (`SCM_RIGHTS`, `unix(7)`) with the first byte of their message.
 
-use crate::message::{HEAD, Message, MessageError};
+use crate::message::{FRAME_HEADER_BYTES, FrameHeader, Message, MessageError};
 use rustix::net::{
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
     SendAncillaryMessage, SendFlags, recvmsg, sendmsg,
 };
-use std::fmt;
+use std::future::Future;
 use std::io::{self, IoSlice, IoSliceMut};
 use std::mem::MaybeUninit;
 use std::os::fd::{BorrowedFd, OwnedFd};
-use std::path::{Path, PathBuf};
+use std::pin::Pin;
+use thiserror::Error;
 use tokio::io::Interest;
-use tokio::net::{UnixListener, UnixStream};
+use tokio::net::UnixStream;
 
-/// Why a link is of no further use.
-#[derive(Debug)]
+/// Why a channel is of no further use.
+#[derive(Debug, Error)]
 pub enum ChannelError {
     /// The socket failed, or the other process has ended.
-    Io(io::Error),
-    /// What came is not used.
-    Form(MessageError),
-}
-
-impl fmt::Display for ChannelError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            ChannelError::Io(error) => write!(f, "{error}"),
-            ChannelError::Form(error) => write!(f, "{error}"),
-        }
-    }
-}
-
-impl From<io::Error> for ChannelError {
-    fn from(error: io::Error) -> Self {
-        ChannelError::Io(error)
-    }
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// The bytes or the message are not usable.
+    #[error(transparent)]
+    Message(#[from] MessageError),
 }
 
-impl From<MessageError> for ChannelError {
-    fn from(error: MessageError) -> Self {
-        ChannelError::Form(error)
-    }
-}
+/// A message, and the descriptor that came with it.
+pub type Received = (Message, Option<OwnedFd>);
 
-/// One end.
+/// One end of a channel.
+///
+/// Neither [`send`](HandoverChannel::send) nor [`receive`](HandoverChannel::receive) is cancel-safe: a future that is
+/// dropped halfway leaves a part of a message, and the channel is of no further use.
 #[derive(Debug)]
 pub struct HandoverChannel(UnixStream);
 
 impl HandoverChannel {
-    /// A link over this socket.
+    /// A channel over this socket.
     pub fn new(stream: UnixStream) -> HandoverChannel {
         HandoverChannel(stream)
     }
 
-    /// Sends a message, with a descriptor that stays the caller's own too. Left off halfway, the link is of no further
-    /// use.
+    /// Sends a message, with a copy of `descriptor` if there is one.
     ///
     /// # Errors
     /// When the other process has ended, or the message is too long.
@@ -67,56 +56,54 @@
         let mut written = 0;
         while written < bytes.len() {
             let descriptor = descriptor.filter(|_| written == 0);
-            let write = || {
-                let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
-                let mut ancillary = SendAncillaryBuffer::new(&mut space);
-                let descriptors = descriptor.map(|descriptor| [descriptor]);
-                if let Some(descriptors) = &descriptors {
-                    ancillary.push(SendAncillaryMessage::ScmRights(descriptors));
-                }
-                let parts = [IoSlice::new(&bytes[written..])];
-                let flags = SendFlags::NOSIGNAL | SendFlags::DONTWAIT;
-                Ok(sendmsg(&self.0, &parts, &mut ancillary, flags)?)
-            };
+            let unwritten = &bytes[written..];
+            let write = || self.try_send(unwritten, descriptor);
             written += self.0.async_io(Interest::WRITABLE, write).await?;
         }
         Ok(())
     }
 
-    /// The next message, and the descriptor that came with it. Left off halfway, the link is of no further use.
+    fn try_send(&self, bytes: &[u8], descriptor: Option<BorrowedFd<'_>>) -> io::Result<usize> {
+        let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
+        let mut ancillary = SendAncillaryBuffer::new(&mut space);
+        let descriptors = descriptor.map(|descriptor| [descriptor]);
+        if let Some(descriptors) = &descriptors {
+            ancillary.push(SendAncillaryMessage::ScmRights(descriptors));
+        }
+        let flags = SendFlags::NOSIGNAL | SendFlags::DONTWAIT;
+        Ok(sendmsg(
+            &self.0,
+            &[IoSlice::new(bytes)],
+            &mut ancillary,
+            flags,
+        )?)
+    }
+
+    /// Receives the next message, and the descriptor that came with it.
     ///
     /// # Errors
-    /// When the other process has ended, or what came is no message.
-    pub async fn receive(&self) -> Result<(Message, Option<OwnedFd>), ChannelError> {
-        let mut head = [0; HEAD];
+    /// When the other process has ended, or the bytes are not a message.
+    pub async fn receive(&self) -> Result<Received, ChannelError> {
+        let mut header = [0; FRAME_HEADER_BYTES];
         let mut descriptor = None;
-        self.fill(&mut head, &mut descriptor).await?;
-        let (length, checksum) = Message::head(head)?;
-        let mut body = vec![0; length];
-        self.fill(&mut body, &mut descriptor).await?;
-        Ok((Message::body(&body, checksum)?, descriptor))
+        self.read_exact(&mut header, &mut descriptor).await?;
+        let header = FrameHeader::decode(header)?;
+        let mut body = vec![0; header.body_bytes];
+        self.read_exact(&mut body, &mut descriptor).await?;
+        let message = Message::decode_body(&body, header.checksum)?;
+        Ok((message, descriptor))
     }
 
-    async fn fill(
+    /// Fills `buffer`; a descriptor that comes with the bytes replaces `descriptor`.
+    async fn read_exact(
         &self,
         buffer: &mut [u8],
         descriptor: &mut Option<OwnedFd>,
     ) -> Result<(), ChannelError> {
         let mut filled = 0;
         while filled < buffer.len() {
-            let rest = &mut buffer[filled..];
-            let read = || {
-                let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
-                let mut ancillary = RecvAncillaryBuffer::new(&mut space);
-                let flags = RecvFlags::CMSG_CLOEXEC | RecvFlags::DONTWAIT;
-                let got = recvmsg(&self.0, &mut [IoSliceMut::new(rest)], &mut ancillary, flags)?;
-                for message in ancillary.drain() {
-                    if let RecvAncillaryMessage::ScmRights(descriptors) = message {
-                        *descriptor = descriptors.last().or(descriptor.take());
-                    }
-                }
-                Ok(got.bytes)
-            };
+            let unfilled = &mut buffer[filled..];
+            let read = || self.try_receive(unfilled, descriptor);
             match self.0.async_io(Interest::READABLE, read).await? {
                 0 => return Err(io::Error::from(io::ErrorKind::UnexpectedEof).into()),
                 count => filled += count,
@@ -124,53 +111,55 @@
         }
         Ok(())
     }
-}
-
-/// Where processes of one router meet: a path that the one that came last has bound.
-#[derive(Clone, Debug)]
-pub struct RendezvousSocket {
-    folder: PathBuf,
-    name: String,
-}
 
-impl RendezvousSocket {
-    /// Under this folder, for a router of this name.
-    pub fn new(folder: &Path, router: &str) -> RendezvousSocket {
-        RendezvousSocket {
-            folder: folder.to_path_buf(),
-            name: crate::store::file_name(router, "sock"),
+    fn try_receive(
+        &self,
+        buffer: &mut [u8],
+        descriptor: &mut Option<OwnedFd>,
+    ) -> io::Result<usize> {
+        let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
+        let mut ancillary = RecvAncillaryBuffer::new(&mut space);
+        let flags = RecvFlags::CMSG_CLOEXEC | RecvFlags::DONTWAIT;
+        let received = recvmsg(
+            &self.0,
+            &mut [IoSliceMut::new(buffer)],
+            &mut ancillary,
+            flags,
+        )?;
+        for message in ancillary.drain() {
+            if let RecvAncillaryMessage::ScmRights(descriptors) = message {
+                *descriptor = descriptors.last().or(descriptor.take());
+            }
         }
+        Ok(received.bytes)
     }
+}
 
-    /// A path to the folder that is short enough for a socket's, however long the folder's own is.
-    fn short(&self) -> io::Result<(std::fs::File, PathBuf)> {
-        let folder = std::fs::File::open(&self.folder)?;
-        let number = std::os::fd::AsRawFd::as_raw_fd(&folder);
-        Ok((folder, PathBuf::from(format!("/proc/self/fd/{number}"))))
-    }
+/// Receives from a channel inside of a `select!`.
+///
+/// A receive that is dropped halfway loses a part of a message. This one keeps the unfinished receive for the next
+/// call, so that [`receive`](MessageReceiver::receive) is cancel-safe.
+pub struct MessageReceiver<'a> {
+    channel: &'a HandoverChannel,
+    unfinished: Pin<Box<dyn Future<Output = Result<Received, ChannelError>> + 'a>>,
+}
 
-    /// The process that serves now; `None` if there is none.
-    pub async fn join(&self) -> Option<HandoverChannel> {
-        let (_folder, path) = self.short().ok()?;
-        UnixStream::connect(path.join(&self.name))
-            .await
-            .ok()
-            .map(HandoverChannel)
+impl<'a> MessageReceiver<'a> {
+    /// A receiver of this channel; the channel has to have no other one.
+    pub fn new(channel: &'a HandoverChannel) -> MessageReceiver<'a> {
+        MessageReceiver {
+            channel,
+            unfinished: Box::pin(channel.receive()),
+        }
     }
 
-    /// From here on the next process meets this one.
+    /// Receives the next message, and the descriptor that came with it.
     ///
     /// # Errors
-    /// When the folder takes no socket.
-    pub fn take(&self) -> io::Result<UnixListener> {
-        let (_folder, path) = self.short()?;
-        let (new, place) = (
-            path.join(format!("{}.new", self.name)),
-            path.join(&self.name),
-        );
-        let _ = std::fs::remove_file(&new);
-        let listener = UnixListener::bind(&new)?;
-        std::fs::rename(&new, &place)?;
-        Ok(listener)
+    /// As [`HandoverChannel::receive`].
+    pub async fn receive(&mut self) -> Result<Received, ChannelError> {
+        let received = self.unfinished.as_mut().await;
+        self.unfinished = Box::pin(self.channel.receive());
+        received
     }
 }
--- a/crates/hot-restart/src/inherited_listener.rs
+++ b/crates/hot-restart/src/inherited_listener.rs
@@ -1,59 +1,55 @@
-//! The listening socket that the platform holds and every process inherits as a descriptor of a stated number.
+//! The listening socket that the platform holds, which every process inherits as a descriptor of a given number.
 //!
-//! The standard library takes a descriptor by number only with `unsafe`, which this project forbids. The kernel gives a
-//! process a copy of one of its own descriptors by number, checked by it (`pidfd_getfd(2)`, Linux 5.6): the copy is
-//! owned, the inherited one stays open and is never used. Socket activation's libraries (`listenfd`, `sd-listen-fds`)
-//! want other variables and take descriptors without looking what they are.
+//! The standard library takes a descriptor by its number only with `unsafe`, which this project forbids. Instead the
+//! kernel makes a checked, owned copy (`pidfd_getfd(2)`, Linux 5.6); the inherited descriptor stays open and unused.
+//! Libraries for socket activation (`listenfd`, `sd-listen-fds`) read other environment variables, and do not check
+//! what a descriptor is.
 
 use rustix::process::{PidfdFlags, PidfdGetfdFlags, getpid, pidfd_getfd, pidfd_open};
-use std::fmt;
 use std::io;
 use std::net::{SocketAddr, TcpListener};
+use std::os::fd::OwnedFd;
+use thiserror::Error;
 
 /// Why an inherited descriptor is not used.
-#[derive(Debug)]
+#[derive(Debug, Error)]
 pub enum InheritError {
-    /// It cannot be had: closed, or the kernel refuses.
-    Descriptor(io::Error),
-    /// It is no TCP socket that listens.
+    /// The descriptor is closed, or the kernel refuses a copy.
+    #[error(transparent)]
+    Descriptor(#[from] io::Error),
+    /// The descriptor is not a listening TCP socket.
+    #[error("is no listening TCP socket")]
     NotListening,
-    /// It listens elsewhere.
-    Elsewhere(SocketAddr),
+    /// The socket listens on this address, not on the configured one.
+    #[error("listens on {0}")]
+    OtherAddress(SocketAddr),
 }
 
-impl fmt::Display for InheritError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            InheritError::Descriptor(error) => write!(f, "{error}"),
-            InheritError::NotListening => f.write_str("is no listening TCP socket"),
-            InheritError::Elsewhere(addr) => write!(f, "listens on {addr}"),
-        }
-    }
-}
-
-/// The listener behind an inherited descriptor, without blocking; it must listen on `addr` (any address of its own if
-/// the port there is 0).
+/// The listener behind an inherited descriptor, in non-blocking mode. It must listen on `addr`, unless the port of
+/// `addr` is 0.
 ///
 /// # Errors
-/// When the descriptor is closed, no listening TCP socket, or listens elsewhere.
+/// When the descriptor is closed, not a listening TCP socket, or listens on another address.
 pub fn inherited_listener(descriptor: i32, addr: SocketAddr) -> Result<TcpListener, InheritError> {
-    let own = |error: rustix::io::Errno| InheritError::Descriptor(error.into());
-    let process = pidfd_open(getpid(), PidfdFlags::empty()).map_err(own)?;
-    let socket = pidfd_getfd(process, descriptor, PidfdGetfdFlags::empty()).map_err(own)?;
-    let socket = socket2::Socket::from(socket);
-    let is_tcp = matches!(socket.r#type(), Ok(socket2::Type::STREAM));
-    if !is_tcp || !socket.is_listener().unwrap_or(false) {
+    let socket = socket2::Socket::from(duplicate(descriptor)?);
+    let is_stream = matches!(socket.r#type(), Ok(socket2::Type::STREAM));
+    let is_listener = socket.is_listener().unwrap_or(false);
+    if !is_stream || !is_listener {
         return Err(InheritError::NotListening);
     }
-    socket
-        .set_nonblocking(true)
-        .map_err(InheritError::Descriptor)?;
+    socket.set_nonblocking(true)?;
     let listener = TcpListener::from(socket);
-    let found = listener
+    let local_addr = listener
         .local_addr()
         .map_err(|_| InheritError::NotListening)?;
-    if addr.port() != 0 && found != addr {
-        return Err(InheritError::Elsewhere(found));
+    if addr.port() != 0 && local_addr != addr {
+        return Err(InheritError::OtherAddress(local_addr));
     }
     Ok(listener)
 }
+
+/// A copy of one of this process's own descriptors.
+fn duplicate(descriptor: i32) -> io::Result<OwnedFd> {
+    let process = pidfd_open(getpid(), PidfdFlags::empty())?;
+    Ok(pidfd_getfd(process, descriptor, PidfdGetfdFlags::empty())?)
+}
--- a/crates/hot-restart/src/store.rs
+++ b/crates/hot-restart/src/store.rs
@@ -1,98 +1,80 @@
-//! The operators' word on disk, so that a ban outlives a process that was killed.
+//! The operators' overrides on disk, so that a ban outlives a process that is killed.
 //!
-//! One file a router, written whole to a temporary file and renamed over the old one: a reader finds the old or the new.
+//! One file a router, written whole to a temporary file and renamed over the old one: a reader finds the old content
+//! or the new.
 
 use crate::message::{HandoverState, Message, MessageError, VERSION};
-use std::fmt;
+use crate::state_file_name;
+use std::fs::File;
 use std::io::{self, Read};
 use std::path::{Path, PathBuf};
+use thiserror::Error;
 
-/// Words of the largest fleet take far less.
-const MOST: u64 = 1024 * 1024;
+/// Bytes that are read of a state file at most; the overrides of the largest fleet take far less.
+const MAX_FILE_BYTES: u64 = 1024 * 1024;
 
-/// Why a file is not used.
-#[derive(Debug)]
+/// Why a state file is not read or written.
+#[derive(Debug, Error)]
 pub enum StoreError {
-    /// It cannot be read or written.
-    Io(io::Error),
-    /// What it holds is not used.
-    Form(MessageError),
+    /// The file cannot be read or written.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// The content is not usable.
+    #[error(transparent)]
+    Message(#[from] MessageError),
 }
 
-impl fmt::Display for StoreError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            StoreError::Io(error) => write!(f, "{error}"),
-            StoreError::Form(error) => write!(f, "{error}"),
-        }
-    }
-}
-
-/// The file of one router.
+/// The state file of one router.
 #[derive(Clone, Debug)]
 pub struct StateStore {
     path: PathBuf,
     router: String,
 }
 
-/// A file's name from a router's: what is no letter, digit or dash is written as a number, so that no name leads
-/// elsewhere and no two names share a file.
-pub(crate) fn file_name(router: &str, kind: &str) -> String {
-    let mut name = String::from("asterport-");
-    for byte in router.bytes().take(60) {
-        match byte {
-            b'a'..=b'z' | b'A'..=b'Z' | b'0'..=b'9' | b'-' => name.push(char::from(byte)),
-            _ => name.push_str(&format!("_{byte:02x}")),
-        }
-    }
-    format!("{name}.{kind}")
-}
-
 impl StateStore {
-    /// Under this folder, for a router of this name.
+    /// In `folder`, for the router of this name. Nothing is created yet.
     pub fn new(folder: &Path, router: &str) -> StateStore {
         StateStore {
-            path: folder.join(file_name(router, "state")),
+            path: folder.join(state_file_name(router, "state")),
             router: router.to_string(),
         }
     }
 
-    /// Where the file lies.
+    /// Path of the file.
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// What the last process left; `None` if none did.
+    /// Reads what the last process saved; `None` if there is no file.
     ///
     /// # Errors
-    /// When the file cannot be read, is cut off, spoilt, of another version or another router's.
+    /// When the file cannot be read, is truncated, corrupted, of another version or another router.
     pub fn load(&self) -> Result<Option<HandoverState>, StoreError> {
-        let file = match std::fs::File::open(&self.path) {
+        let file = match File::open(&self.path) {
             Ok(file) => file,
             Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
-            Err(error) => return Err(StoreError::Io(error)),
+            Err(error) => return Err(error.into()),
         };
         let mut bytes = Vec::new();
-        file.take(MOST)
-            .read_to_end(&mut bytes)
-            .map_err(StoreError::Io)?;
-        let state = Message::decode(&bytes).and_then(|message| message.state(&self.router));
-        state.map(Some).map_err(StoreError::Form)
+        file.take(MAX_FILE_BYTES).read_to_end(&mut bytes)?;
+        let state = Message::decode(&bytes)?.into_state(&self.router)?;
+        Ok(Some(state))
     }
 
-    /// Keeps this for the next process.
+    /// Saves a state for the next process.
     ///
     /// # Errors
-    /// When the file cannot be written; the old one stands.
+    /// When the file cannot be written; the old content stays.
     pub fn save(&self, state: HandoverState) -> Result<(), StoreError> {
         let message = Message::State {
             version: VERSION,
             name: self.router.clone(),
             state,
         };
-        let bytes = message.encode().map_err(StoreError::Form)?;
-        let new = self.path.with_extension("state.new");
-        std::fs::write(&new, bytes).map_err(StoreError::Io)?;
-        std::fs::rename(&new, &self.path).map_err(StoreError::Io)
+        let bytes = message.encode()?;
+        let temporary_path = self.path.with_extension("state.new");
+        std::fs::write(&temporary_path, bytes)?;
+        std::fs::rename(&temporary_path, &self.path)?;
+        Ok(())
     }
 }
--- /dev/null
+++ b/crates/hot-restart/tests/state_store.rs
@@ -0,0 +1,41 @@
+//! The state file of a router: read as it was saved, in the folder that was given, and of this router only.
+
+use hot_restart::message::{HandoverState, MessageError, StoredOverride};
+use hot_restart::store::{StateStore, StoreError};
+
+fn state() -> HandoverState {
+    HandoverState {
+        overrides: vec![
+            ("s-a".into(), StoredOverride::Disabled),
+            (
+                "s-b".into(),
+                StoredOverride::EnabledAt(1_700_000_000_000_000),
+            ),
+        ],
+        drained: true,
+        endpoint_list: Some((([127, 0, 0, 1], 8500).into(), br#"{"seq":41}"#.to_vec())),
+        warm_state: vec![7; 100],
+    }
+}
+
+#[test]
+fn a_state_file_is_read_as_saved_and_another_routers_is_refused() {
+    let folder = std::env::temp_dir().join(format!("asterport-store-{}", std::process::id()));
+    std::fs::create_dir_all(&folder).expect("a folder");
+    let store = StateStore::new(&folder, "n/../1");
+    assert!(matches!(store.load(), Ok(None)));
+    store.save(state()).expect("saved");
+    assert!(matches!(store.load(), Ok(Some(found)) if found == state()));
+    assert_eq!(
+        store.path().parent(),
+        Some(&*folder),
+        "no name leads elsewhere"
+    );
+    let other = StateStore::new(&folder, "n2");
+    std::fs::copy(store.path(), other.path()).expect("copied");
+    assert!(matches!(
+        other.load(),
+        Err(StoreError::Message(MessageError::OtherRouter(_)))
+    ));
+    std::fs::remove_dir_all(&folder).expect("removed");
+}
--- a/crates/hot-restart/tests/stored_forms.rs
+++ b/crates/hot-restart/tests/stored_forms.rs
@@ -78,15 +78,15 @@
 fn a_whole_state_of_the_earlier_program_is_read_and_written_alike() {
     let bytes: &[u8] = include_bytes!("golden/state.message");
     let message = Message::decode(bytes).expect("readable");
-    let state = message.clone().state("n1").expect("of this router");
-    assert_eq!(state.words, overrides());
+    let state = message.clone().into_state("n1").expect("of this router");
+    assert_eq!(state.overrides, overrides());
     assert!(state.drained);
     assert_eq!(
-        state.list,
+        state.endpoint_list,
         Some((([127, 0, 0, 1], 8500).into(), br#"{"seq":41}"#.to_vec()))
     );
     // What these bytes hold is load-balancer's: cache-router/tests/warm_state_format.rs reads them.
-    assert_eq!(state.learnt.len(), 511);
+    assert_eq!(state.warm_state.len(), 511);
     assert_eq!(message.encode().as_deref(), Ok(bytes));
 }
 
@@ -102,7 +102,7 @@
     assert_eq!(
         state,
         HandoverState {
-            words: overrides(),
+            overrides: overrides(),
             ..HandoverState::default()
         }
     );
