--- a/crates/cache-router/benches/joining.rs
+++ b/crates/cache-router/benches/joining.rs
@@ -17,7 +17,8 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 use test_support::{
-    Client, Discovery, Does, Router, Server, command, config, entry, list, wait_until,
+    Behavior, CacheServer, Client, Discovery, RouterProcess, command, configuration, entry, list,
+    wait_until,
 };
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -49,7 +50,7 @@
     hot_fetches: AtomicUsize,
 }
 
-/// The words of the next command in the buffer, if it is whole.
+/// The arguments of the next command in the buffer, if it is whole.
 fn next_command(buffer: &mut Vec<u8>) -> Option<Vec<String>> {
     let mut at = 0;
     let mut line = |buffer: &[u8]| {
@@ -63,43 +64,43 @@
         Some(text)
     };
     let count: usize = line(buffer)?[1..].parse().ok()?;
-    let words = (0..count)
+    let arguments = (0..count)
         .map(|_| line(buffer).and_then(|_| line(buffer)))
         .collect::<Option<Vec<_>>>()?;
     buffer.drain(..at);
-    Some(words)
+    Some(arguments)
 }
 
 async fn serve(listener: TcpListener, fleet: Arc<Fleet>) {
-    let kept: Arc<Mutex<HashMap<String, Instant>>> = Arc::default();
+    let cached: Arc<Mutex<HashMap<String, Instant>>> = Arc::default();
     while let Ok((stream, _)) = listener.accept().await {
-        let (fleet, kept) = (fleet.clone(), kept.clone());
-        tokio::spawn(async move { serve_one(stream, &fleet, &kept).await });
+        let (fleet, cached) = (fleet.clone(), cached.clone());
+        tokio::spawn(async move { serve_one(stream, &fleet, &cached).await });
     }
 }
 
 async fn serve_one(
     mut stream: TcpStream,
     fleet: &Fleet,
-    kept: &Mutex<HashMap<String, Instant>>,
+    cached: &Mutex<HashMap<String, Instant>>,
 ) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let mut buffer = Vec::new();
     loop {
-        let Some(words) = next_command(&mut buffer) else {
+        let Some(arguments) = next_command(&mut buffer) else {
             if stream.read_buf(&mut buffer).await? == 0 {
                 return Ok(());
             }
             continue;
         };
         fleet.upstream.fetch_add(1, Ordering::Relaxed);
-        let key = &words[1];
-        let is_kept = kept
+        let key = &arguments[1];
+        let is_cached = cached
             .lock()
-            .expect("kept")
+            .expect("cached")
             .get(key)
             .is_some_and(|&until| Instant::now() < until);
-        if is_kept {
+        if is_cached {
             tokio::time::sleep(HIT).await;
         } else {
             fleet.fetches.fetch_add(1, Ordering::Relaxed);
@@ -110,11 +111,12 @@
             let place = fleet.origin.acquire().await.map_err(io::Error::other)?;
             tokio::time::sleep(FETCH).await;
             drop(place);
-            kept.lock()
-                .expect("kept")
+            cached
+                .lock()
+                .expect("cached")
                 .insert(key.clone(), Instant::now() + KEEPS);
         }
-        let note = if is_kept { "hit" } else { "miss" };
+        let note = if is_cached { "hit" } else { "miss" };
         let body = "v".repeat(600);
         let answer = format!(
             "*3\r\n$600\r\n{body}\r\n${}\r\n{note}\r\n$-1\r\n",
@@ -173,12 +175,15 @@
     ((z ^ (z >> 31)) >> 11) as f64 / (1_u64 << 53) as f64
 }
 
-fn start(known: &[String], operator: &str) -> (Router, Discovery) {
+fn start(known: &[String], operator: &str) -> (RouterProcess, Discovery) {
     let discovery = Discovery::start(list(7, false, &[]));
-    let mut config = config(discovery.addr, known);
+    let mut config = configuration(discovery.addr, known);
     config["settings"]["limits"]["cancel"] = true.into();
     config["limits"]["sockets"] = 4_096.into();
-    (Router::start_with(&config, operator), discovery)
+    (
+        RouterProcess::start_with_operator_file(&config, operator),
+        discovery,
+    )
 }
 
 fn load(skew: f64, joins: bool, seconds: f64) -> String {
@@ -255,13 +260,13 @@
     )
 }
 
-fn clients(router: &Router) -> Vec<Client> {
+fn clients(router: &RouterProcess) -> Vec<Client> {
     let mut clients: Vec<Client> = (0..WAITERS.div_ceil(PIPELINE))
         .map(|_| router.client())
         .collect();
     for client in &mut clients {
         client.write(&command(&["PING"]));
-        client.answer().expect("an answer");
+        client.read_reply().expect("an answer");
     }
     clients
 }
@@ -282,7 +287,7 @@
     let mut served = 0;
     for client in clients {
         for _ in 0..left.min(PIPELINE) {
-            served += usize::from(client.answer().expect("an answer").starts_with('*'));
+            served += usize::from(client.read_reply().expect("an answer").starts_with('*'));
         }
         left -= left.min(PIPELINE);
     }
@@ -291,8 +296,8 @@
 
 /// 10,000 reads that wait for one flight.
 fn waiters() {
-    let server = Server::start("s-a");
-    server.usually(Does::ServesLater);
+    let server = CacheServer::start("s-a");
+    server.set_default_behavior(Behavior::ServeOnceGateOpens);
     let (router, _discovery) = start(&[server.entry("up")], READS);
     let mut clients = clients(&router);
     // What the same number of commands costs that nobody waits for.
@@ -311,11 +316,11 @@
     };
     send(&mut clients, read);
     wait_until("all wait", || {
-        router.asks_what_joined();
+        router.log_coalescing_counters();
         std::thread::sleep(Duration::from_millis(20));
         router.log_has(&format!("now {WAITERS} waiters"))
     });
-    let held = router.memory_kb() - memory;
+    let added_kb = router.memory_kb() - memory;
     server.open_gate();
     assert_eq!(answers(&mut clients), WAITERS);
     let reads = router.cpu_ns() - cpu;
@@ -326,8 +331,8 @@
         clients.len()
     );
     println!(
-        "memory {:.0} bytes each beside their connections ({held} KB)",
-        held as f64 * 1024.0 / WAITERS as f64
+        "memory {:.0} bytes each beside their connections ({added_kb} KB)",
+        added_kb as f64 * 1024.0 / WAITERS as f64
     );
     println!(
         "CPU {:.2} us each with reading and writing, {:.2} us for as many PINGs: {:.2} us more",
@@ -338,7 +343,7 @@
 }
 
 fn main() {
-    // Cargo adds words of its own.
+    // Cargo adds arguments of its own.
     let seconds = std::env::args()
         .skip(1)
         .find_map(|word| word.parse().ok())
--- a/crates/cache-router/tests/router_clients.rs
+++ b/crates/cache-router/tests/client_connections.rs
@@ -1,44 +1,47 @@
-//! Clients of the router: what they send, and what they may hold. The real binary against fake peers on loopback sockets.
+//! Connections of clients: commands, replies, errors and limits. The real binary against stand-ins on loopback sockets.
 
 use std::time::Instant;
 use test_support::*;
 
 #[test]
-fn answers_keep_the_order_of_pipelined_commands() {
-    let server = Server::start("s-a");
-    server.does("00000000000000aa", Does::ServesLater);
-    server.does("00000000000000bb", Does::Says(value("second")));
-    let (router, _discovery) = router_of(&[&server]);
+fn replies_keep_the_order_of_pipelined_commands() {
+    let server = CacheServer::start("s-a");
+    server.set_behavior("00000000000000aa", Behavior::ServeOnceGateOpens);
+    server.set_behavior("00000000000000bb", Behavior::Reply(value_reply("second")));
+    let (router, _discovery) = start_router(&[&server]);
     let mut client = router.client();
     client.send("read", "00000000000000aa", 15_000);
     client.send("read", "00000000000000bb", 15_000);
     client.write(&command(&["PING"]));
     // The second is answered by the server while the first still waits: no request stands behind another.
     wait_until("both are at the server", || server.commands().len() == 2);
-    assert_eq!(server.connections().0, 2);
+    assert_eq!(server.connections().accepted, 2);
     server.open_gate();
-    assert!(client.answer().unwrap().contains("s-a"));
-    assert!(client.answer().unwrap().contains("second"));
-    assert_eq!(client.answer().unwrap(), "+PONG\r\n");
+    assert!(client.read_reply().unwrap().contains("s-a"));
+    assert!(client.read_reply().unwrap().contains("second"));
+    assert_eq!(client.read_reply().unwrap(), "+PONG\r\n");
 }
 
 #[test]
-fn nothing_goes_out_for_a_client_that_left() {
+fn nothing_is_sent_upstream_for_a_disconnected_client() {
     let key = "7f3a9c21e0b4d655";
-    let (owner, other, router, _discovery) = pair_for(key);
-    owner.usually(Does::IsSilent);
+    let (owner, other, router, _discovery) = start_router_and_pair(key);
+    owner.set_default_behavior(Behavior::StaySilent);
     let before = owner.commands().len();
     let mut leaving = router.client();
     leaving.write(&command(&["C.GET", key, "left", "c=read,t=acme,d=15000"]));
     wait_until("it is at the server", || owner.commands().len() > before);
-    leaving.leave();
+    leaving.disconnect();
     let mut client = router.client();
-    owner.usually(Does::SaysAndEnds(Vec::new()));
-    owner.end_connections();
+    owner.set_default_behavior(Behavior::ReplyAndClose(Vec::new()));
+    owner.close_connections();
     // Another client's request, whose attempt breaks after that of the one that left, goes on to the other server.
-    assert!(client.ask("read", key).contains(&other.name));
+    assert!(client.request("read", key).contains(&other.name));
     assert!(
-        other.commands().iter().all(|words| words[2] != "left"),
+        other
+            .commands()
+            .iter()
+            .all(|arguments| arguments[2] != "left"),
         "{:?}",
         other.commands()
     );
@@ -106,7 +109,7 @@
             "a length past all bounds",
             b"*1\r\n$99999999999999999999999\r\n".to_vec(),
         ),
-        ("many words", b"*99999999999\r\n".to_vec()),
+        ("many arguments", b"*99999999999\r\n".to_vec()),
         ("a negative length", b"*1\r\n$-9\r\n".to_vec()),
         ("a null", b"*-1\r\n".to_vec()),
         ("a length that is short", b"*1\r\n$2\r\nPING\r\n".to_vec()),
@@ -118,14 +121,14 @@
 
 /// Each gets an error line and the end of its connection, soon, and none of it reaches a cache server.
 #[test]
-fn a_malformed_command_gets_an_error_and_the_end_of_its_connection() {
-    let server = Server::start("s-a");
-    let (mut router, _discovery) = router_of(&[&server]);
+fn a_malformed_command_gets_an_error_and_closes_its_connection() {
+    let server = CacheServer::start("s-a");
+    let (mut router, _discovery) = start_router(&[&server]);
     for (what, bytes) in bad_commands() {
         let mut client = router.client();
-        client.write_what_it_takes(&bytes);
+        client.write_until_closed(&bytes);
         let start = Instant::now();
-        let rest = client.rest();
+        let rest = client.read_to_end();
         assert!(
             rest.starts_with(b"-ERR") && rest.ends_with(b"\r\n"),
             "{what}: {:?}",
@@ -147,16 +150,16 @@
     assert!(
         router
             .client()
-            .ask("read", "00000000000000aa")
+            .request("read", "00000000000000aa")
             .contains("s-a")
     );
 }
 
 /// A deadline past all bounds is that of the class; the arithmetic of time holds.
 #[test]
-fn a_huge_deadline_is_that_of_the_class() {
-    let server = Server::start("s-a");
-    let (mut router, _discovery) = router_of(&[&server]);
+fn a_huge_deadline_is_capped_by_the_class() {
+    let server = CacheServer::start("s-a");
+    let (mut router, _discovery) = start_router(&[&server]);
     for wait in [u64::MAX.to_string(), "9".repeat(60)] {
         let mut client = router.client();
         client.write(&command(&[
@@ -165,10 +168,10 @@
             "id",
             &format!("c=read,t=acme,d={wait}"),
         ]));
-        assert!(client.answer().unwrap().contains("s-a"));
+        assert!(client.read_reply().unwrap().contains("s-a"));
     }
-    for words in server.commands() {
-        let wait: u64 = words[3].rsplit("d=").next().unwrap().parse().unwrap();
+    for arguments in server.commands() {
+        let wait: u64 = arguments[3].rsplit("d=").next().unwrap().parse().unwrap();
         assert!((1..=4_000).contains(&wait), "{wait}");
     }
     assert!(router.is_running());
@@ -176,36 +179,36 @@
 
 /// The error line is read by a client that sends on and on, far more than is read of it.
 #[test]
-fn the_error_reaches_a_client_that_sends_on() {
-    let server = Server::start("s-a");
-    let (router, _discovery) = router_of(&[&server]);
+fn the_error_reaches_a_client_that_keeps_sending() {
+    let server = CacheServer::start("s-a");
+    let (router, _discovery) = start_router(&[&server]);
     let mut client = router.client();
     let mut bytes =
         b"*5\r\n$5\r\nC.SET\r\n$1\r\nk\r\n$2\r\nid\r\n$5\r\nc=put\r\n$60000000\r\n".to_vec();
     bytes.resize(200_000, b'v');
-    client.write_what_it_takes(&bytes);
-    assert_eq!(client.rest(), b"-ERR command too large\r\n");
+    client.write_until_closed(&bytes);
+    assert_eq!(client.read_to_end(), b"-ERR command too large\r\n");
     assert!(
         router
             .client()
-            .ask("read", "00000000000000aa")
+            .request("read", "00000000000000aa")
             .contains("s-a")
     );
 }
 
 #[test]
-fn answers_owed_before_an_error_still_go_out() {
-    let server = Server::start("s-a");
-    server.does("00000000000000aa", Does::ServesLater);
-    let (router, _discovery) = router_of(&[&server]);
+fn pending_replies_before_an_error_are_still_sent() {
+    let server = CacheServer::start("s-a");
+    server.set_behavior("00000000000000aa", Behavior::ServeOnceGateOpens);
+    let (router, _discovery) = start_router(&[&server]);
     let mut client = router.client();
     client.send("read", "00000000000000aa", 4_000);
     client.write(b"what?\r\n");
     client.send("read", "00000000000000bb", 4_000);
     wait_until("it is at the server", || !server.commands().is_empty());
     server.open_gate();
-    assert!(client.answer().unwrap().contains("s-a"));
-    assert!(client.rest().starts_with(b"-ERR protocol error"));
+    assert!(client.read_reply().unwrap().contains("s-a"));
+    assert!(client.read_to_end().starts_with(b"-ERR protocol error"));
     assert_eq!(
         server.commands().len(),
         1,
@@ -215,54 +218,54 @@
 
 /// The id of another client's open request is an error, never an answer; with the request the id is free again.
 #[test]
-fn the_id_of_an_open_request_is_an_error() {
-    let server = Server::start("s-a");
-    server.does("00000000000000aa", Does::ServesLater);
-    let (router, _discovery) = router_of(&[&server]);
+fn a_duplicate_id_of_an_open_request_is_an_error() {
+    let server = CacheServer::start("s-a");
+    server.set_behavior("00000000000000aa", Behavior::ServeOnceGateOpens);
+    let (router, _discovery) = start_router(&[&server]);
     let bytes = command(&["C.GET", "00000000000000aa", "same", "c=read,t=acme,d=4000"]);
     let (mut first, mut second) = (router.client(), router.client());
     first.write(&bytes);
     wait_until("it is at the server", || server.commands().len() == 1);
     second.write(&bytes);
-    assert!(second.rest().starts_with(b"-ERR"));
+    assert!(second.read_to_end().starts_with(b"-ERR"));
     server.open_gate();
-    assert!(first.answer().unwrap().contains("s-a"));
+    assert!(first.read_reply().unwrap().contains("s-a"));
     assert_eq!(server.commands().len(), 1);
     first.write(&bytes);
-    assert!(first.answer().unwrap().contains("s-a"));
+    assert!(first.read_reply().unwrap().contains("s-a"));
     // And so it is when its client leaves.
     let mut leaving = router.client();
-    server.does("00000000000000bb", Does::IsSilent);
+    server.set_behavior("00000000000000bb", Behavior::StaySilent);
     let left = command(&["C.GET", "00000000000000bb", "left", "c=read,t=acme,d=4000"]);
     leaving.write(&left);
     wait_until("it is at the server", || server.commands().len() == 3);
     drop(leaving);
-    server.does("00000000000000bb", Does::Serves);
+    server.set_behavior("00000000000000bb", Behavior::Serve);
     wait_until("its id is free", || {
         let mut client = router.client();
         client.write(&left);
-        client.answer().unwrap().contains("s-a")
+        client.read_reply().unwrap().contains("s-a")
     });
 }
 
 /// A client that never sends a whole command is closed in time; one that asked before keeps its connection.
 #[test]
-fn silent_and_half_clients_are_closed() {
-    let server = Server::start("s-a");
-    let (router, _discovery) = router_of(&[&server]);
-    let (mut silent, mut half, mut usual, mut stuck) = (
+fn clients_that_stay_silent_or_send_half_a_command_are_closed() {
+    let server = CacheServer::start("s-a");
+    let (router, _discovery) = start_router(&[&server]);
+    let (mut silent, mut half, mut active, mut stuck) = (
         router.client(),
         router.client(),
         router.client(),
         router.client(),
     );
     half.write(b"*4\r\n$5\r\nC.GET\r\n$16\r\n0000");
-    assert!(usual.ask("read", "00000000000000aa").contains("s-a"));
-    assert!(stuck.ask("read", "00000000000000bb").contains("s-a"));
+    assert!(active.request("read", "00000000000000aa").contains("s-a"));
+    assert!(stuck.request("read", "00000000000000bb").contains("s-a"));
     stuck.write(b"*4\r\n$5");
     let start = Instant::now();
     for client in [&mut silent, &mut half, &mut stuck] {
-        assert_eq!(client.rest(), b"");
+        assert_eq!(client.read_to_end(), b"");
         assert!(start.elapsed().as_secs_f64() < 6.0, "{:?}", start.elapsed());
     }
     assert!(
@@ -270,27 +273,27 @@
         "not at once: {:?}",
         start.elapsed()
     );
-    assert!(usual.ask("read", "00000000000000aa").contains("s-a"));
+    assert!(active.request("read", "00000000000000aa").contains("s-a"));
 }
 
 /// Hundreds that connect and say nothing take neither the descriptors of the others nor their service.
 #[test]
-fn usual_clients_are_served_beside_a_silent_crowd() {
-    let server = Server::start("s-a");
+fn active_clients_are_served_beside_many_silent_ones() {
+    let server = CacheServer::start("s-a");
     let discovery = Discovery::start(list(7, false, &[]));
-    let mut config = config(discovery.addr, &[server.entry("up")]);
+    let mut config = configuration(discovery.addr, &[server.entry("up")]);
     config["limits"]["sockets"] = 96.into();
-    let mut router = Router::start_after(&config, "ulimit -n 96;");
-    let mut usual: Vec<Client> = (0..4).map(|_| router.client()).collect();
+    let mut router = RouterProcess::start_after(&config, "ulimit -n 96;");
+    let mut active: Vec<Client> = (0..4).map(|_| router.client()).collect();
     let mut crowd = Vec::new();
     for round in 0..30 {
         crowd.extend((0..20).map(|_| router.client()));
-        for client in &mut usual {
+        for client in &mut active {
             // One that the router closed between two requests comes anew.
             client.send("read", "00000000000000aa", 4_000);
-            let answer = client.answer().unwrap_or_else(|| {
+            let answer = client.read_reply().unwrap_or_else(|| {
                 *client = router.client();
-                client.ask("read", "00000000000000aa")
+                client.request("read", "00000000000000aa")
             });
             assert!(answer.contains("s-a"), "round {round}: {answer}");
         }
@@ -305,25 +308,25 @@
 }
 
 #[test]
-fn a_client_past_the_limit_takes_the_place_of_the_idlest() {
-    let server = Server::start("s-a");
+fn a_client_over_the_limit_replaces_the_longest_idle() {
+    let server = CacheServer::start("s-a");
     let discovery = Discovery::start(list(7, false, &[]));
-    let mut config = config(discovery.addr, &[server.entry("up")]);
+    let mut config = configuration(discovery.addr, &[server.entry("up")]);
     config["limits"]["sockets"] = 56.into();
-    let router = Router::start(&config);
+    let router = RouterProcess::start(&config);
     let mut clients: Vec<Client> = (0..12).map(|_| router.client()).collect();
     for client in clients.iter_mut().skip(8) {
-        assert!(client.ask("read", "00000000000000aa").contains("s-a"));
+        assert!(client.request("read", "00000000000000aa").contains("s-a"));
     }
-    assert_eq!(clients[0].answer(), None, "closed between requests");
+    assert_eq!(clients[0].read_reply(), None, "closed between requests");
 }
 
 #[test]
-fn running_out_of_descriptors_does_not_end_it() {
-    let server = Server::start("s-a");
+fn running_out_of_descriptors_does_not_end_the_process() {
+    let server = CacheServer::start("s-a");
     let discovery = Discovery::start(list(7, false, &[]));
-    let mut router = Router::start_after(
-        &config(discovery.addr, &[server.entry("up")]),
+    let mut router = RouterProcess::start_after(
+        &configuration(discovery.addr, &[server.entry("up")]),
         "ulimit -n 24;",
     );
     let mut clients: Vec<Client> = (0..40).map(|_| router.client()).collect();
@@ -332,13 +335,13 @@
     assert!(
         router
             .client()
-            .ask("read", "00000000000000aa")
+            .request("read", "00000000000000aa")
             .starts_with(['*', '-'])
     );
     wait_until("it serves again", || {
         router
             .client()
-            .ask("read", "00000000000000aa")
+            .request("read", "00000000000000aa")
             .contains("s-a")
     });
     assert!(router.is_running());
@@ -347,31 +350,31 @@
 /// Clients that connect together while all places are taken by others that rest between commands: none of them is
 /// closed for the next before its first command is there.
 #[test]
-fn newcomers_to_a_full_router_are_heard() {
-    let server = Server::start("s-a");
+fn new_clients_of_a_full_router_are_served() {
+    let server = CacheServer::start("s-a");
     let discovery = Discovery::start(list(7, false, &[]));
-    let mut config = config(discovery.addr, &[server.entry("up")]);
+    let mut config = configuration(discovery.addr, &[server.entry("up")]);
     // Places for 24 clients.
     config["limits"]["sockets"] = 96.into();
     wait_until("a round in time", || {
-        let router = Router::start(&config);
-        let mut resting: Vec<Client> = (0..24).map(|_| router.client()).collect();
+        let router = RouterProcess::start(&config);
+        let mut idle: Vec<Client> = (0..24).map(|_| router.client()).collect();
         let pong = Some("+PONG\r\n");
-        for client in &mut resting {
+        for client in &mut idle {
             client.write(&command(&["PING"]));
-            assert_eq!(client.answer().as_deref(), pong);
+            assert_eq!(client.read_reply().as_deref(), pong);
         }
         let start = Instant::now();
         let mut newcomers: Vec<Client> = (0..6).map(|_| router.client()).collect();
         // The last is answered once all are accepted and have made room for themselves.
         let mut last = router.client();
         last.write(&command(&["PING"]));
-        let _ = last.answer();
+        let _ = last.read_reply();
         // On a machine that stood still meanwhile they had their time.
         let in_time = start.elapsed().as_millis() < 80;
         for (number, client) in newcomers.iter_mut().enumerate().filter(|_| in_time) {
-            client.write_what_it_takes(&command(&["PING"]));
-            assert_eq!(client.answer().as_deref(), pong, "newcomer {number}");
+            client.write_until_closed(&command(&["PING"]));
+            assert_eq!(client.read_reply().as_deref(), pong, "newcomer {number}");
         }
         in_time
     });
@@ -379,23 +382,31 @@
 
 /// Clients that ask once and keep their connection do not fill the router: who may come at all may be limited elsewhere.
 #[test]
-fn resting_clients_hold_a_quarter_of_the_places() {
-    let server = Server::start("s-a");
+fn idle_clients_keep_a_quarter_of_the_connection_slots() {
+    let server = CacheServer::start("s-a");
     let discovery = Discovery::start(list(7, false, &[]));
-    let mut config = config(discovery.addr, &[server.entry("up")]);
+    let mut config = configuration(discovery.addr, &[server.entry("up")]);
     // Places for 24 clients.
     config["limits"]["sockets"] = 96.into();
-    let router = Router::start(&config);
+    let router = RouterProcess::start(&config);
     let few = router.descriptors();
     let mut clients: Vec<Client> = (0..22).map(|_| router.client()).collect();
     for client in &mut clients {
-        assert!(client.ask("read", "00000000000000aa").contains("s-a"));
+        assert!(client.request("read", "00000000000000aa").contains("s-a"));
     }
     // A few connections lead to the server.
     wait_until("most places are free", || {
         router.descriptors() <= few + 6 + 4
     });
-    assert_eq!(clients[0].answer(), None, "who asked longest ago is closed");
+    assert_eq!(
+        clients[0].read_reply(),
+        None,
+        "who asked longest ago is closed"
+    );
     // Who asked last may ask again.
-    assert!(clients[21].ask("read", "00000000000000aa").contains("s-a"));
+    assert!(
+        clients[21]
+            .request("read", "00000000000000aa")
+            .contains("s-a")
+    );
 }
--- a/crates/cache-router/tests/router_departures.rs
+++ b/crates/cache-router/tests/client_disconnects.rs
@@ -1,14 +1,14 @@
-//! Clients that leave while their requests wait: nothing of theirs is sent on afterwards. The real binary against fake peers on loopback
+//! Clients that leave while their requests wait: nothing of theirs is sent on afterwards. The real binary against stand-ins on loopback
 //! sockets; each order of events is forced by a peer.
 
 use test_support::*;
 
 /// The ids of the commands that came to a server.
-fn ids(server: &Server) -> Vec<String> {
+fn ids(server: &CacheServer) -> Vec<String> {
     server
         .commands()
         .into_iter()
-        .map(|words| words[2].clone())
+        .map(|arguments| arguments[2].clone())
         .collect()
 }
 
@@ -20,14 +20,14 @@
 
 /// A router that knows one server, whose connections come up once the fillers are dropped.
 fn router_of_a_hung_server() -> (
-    Router,
+    RouterProcess,
     Discovery,
     std::net::TcpListener,
     Vec<std::net::TcpStream>,
 ) {
-    let (silent, fillers) = silent_listener();
+    let (silent, fillers) = unresponsive_listener();
     let discovery = Discovery::start(list(7, false, &[]));
-    let mut config = config(
+    let mut config = configuration(
         discovery.addr,
         &[entry("s-a", silent.local_addr().unwrap(), "up")],
     );
@@ -38,28 +38,29 @@
     {
         class["give_up"] = 20.0.into();
     }
-    let router = Router::start_with(&config, "[summary]\nevery_second = true\n");
+    let router =
+        RouterProcess::start_with_operator_file(&config, "[summary]\nevery_second = true\n");
     (router, discovery, silent, fillers)
 }
 
 #[test]
-fn a_connection_that_comes_up_after_the_client_left_carries_nothing_and_is_kept_for_others() {
+fn a_connection_established_after_the_disconnect_carries_nothing_and_is_pooled() {
     let (router, discovery, silent, fillers) = router_of_a_hung_server();
     let mut leaving = router.client();
     leaving.write(&command(&["PING"]));
-    assert_eq!(leaving.answer().as_deref(), Some("+PONG\r\n"));
+    assert_eq!(leaving.read_reply().as_deref(), Some("+PONG\r\n"));
     wait_until("the router watches", || !discovery.calls().is_empty());
     let before = router.descriptors();
     leaving.write(&get(KEY, "left"));
     wait_until("it dials", || router.descriptors() > before);
     // The router knows that it has left before the connection can come up.
-    leaving.leave();
+    leaving.disconnect();
     drop(fillers);
-    let server = Server::on("s-a", silent);
+    let server = CacheServer::on("s-a", silent);
     wait_until("the connection is up", || router.log_has(" opened=1 "));
     let mut client = router.client();
     client.write(&get(KEY, "stayed"));
-    assert!(client.answer().unwrap().contains("s-a"));
+    assert!(client.read_reply().unwrap().contains("s-a"));
     assert_eq!(ids(&server), ["stayed"]);
     wait_until("it went out on that connection", || {
         router.log_has(" written=1 ")
@@ -77,11 +78,11 @@
 }
 
 #[test]
-fn a_request_that_waits_for_a_place_is_not_sent_once_its_client_has_left() {
-    let server = Server::start("s-a");
-    server.usually(Does::IsSilent);
+fn a_request_waiting_for_a_connection_slot_is_not_sent_after_the_disconnect() {
+    let server = CacheServer::start("s-a");
+    server.set_default_behavior(Behavior::StaySilent);
     let discovery = Discovery::start(list(7, false, &[]));
-    let mut config = config(discovery.addr, &[server.entry("up")]);
+    let mut config = configuration(discovery.addr, &[server.entry("up")]);
     // Places for two clients and two connections to cache servers.
     config["limits"]["sockets"] = 52.into();
     config["settings"]["limits"]["dial_timeout"] = 15.0.into();
@@ -91,22 +92,22 @@
     {
         class["give_up"] = 20.0.into();
     }
-    let router = Router::start(&config);
+    let router = RouterProcess::start(&config);
     let mut client = router.client();
     client.send("once", KEY, 15_000);
     client.send("once", KEY, 15_000);
     wait_until("both places are taken", || server.commands().len() == 2);
     let mut leaving = router.client();
     leaving.write(&get(KEY, "left"));
-    leaving.leave();
-    server.usually(Does::Serves);
-    server.end_connections();
+    leaving.disconnect();
+    server.set_default_behavior(Behavior::Serve);
+    server.close_connections();
     assert!(
-        client.answer().unwrap().starts_with("-ERR")
-            && client.answer().unwrap().starts_with("-ERR")
+        client.read_reply().unwrap().starts_with("-ERR")
+            && client.read_reply().unwrap().starts_with("-ERR")
     );
     client.write(&get(KEY, "stayed"));
-    assert!(client.answer().unwrap().contains("s-a"));
+    assert!(client.read_reply().unwrap().contains("s-a"));
     assert!(
         !ids(&server).contains(&"left".to_string()),
         "{:?}",
@@ -115,36 +116,36 @@
 }
 
 #[test]
-fn a_connection_to_the_process_before_is_not_kept_for_the_one_that_the_list_names_now() {
-    let (server, new) = (Server::start("s-a"), Server::start("s-b"));
-    let (router, discovery) = router_of(&[&server]);
-    server.does(KEY, Does::ServesLater);
+fn a_connection_to_a_replaced_server_is_not_reused_for_its_replacement() {
+    let (server, new) = (CacheServer::start("s-a"), CacheServer::start("s-b"));
+    let (router, discovery) = start_router(&[&server]);
+    server.set_behavior(KEY, Behavior::ServeOnceGateOpens);
     let mut client = router.client();
     client.write(&get(KEY, "before"));
     wait_until("it is at the server", || server.commands().len() == 1);
     let anew = server
         .entry("up")
         .replace(r#""born_ms":0"#, r#""born_ms":1700000000000"#);
-    discovery.writes(&format!("{}\n", list(8, false, &[anew, new.entry("up")])));
+    discovery.write_to_watch(&format!("{}\n", list(8, false, &[anew, new.entry("up")])));
     // Each asks for another key until one of the new server shows that the list is known.
     let (mut other, mut key) = (router.client(), 0);
     wait_until("the list is known", || {
         key += 1;
         let asked = format!("{key:016x}");
         // What is not the new server's hangs at the other, and tells nothing.
-        server.does(&asked, Does::Says(value("old")));
-        other.ask("read", &asked).contains("s-b")
+        server.set_behavior(&asked, Behavior::Reply(value_reply("old")));
+        other.request("read", &asked).contains("s-b")
     });
-    let opened = server.connections().0;
+    let opened = server.connections().accepted;
     server.open_gate();
-    assert!(client.answer().unwrap().contains("s-a"));
+    assert!(client.read_reply().unwrap().contains("s-a"));
     let used = |id: &str| {
         server
-            .numbered()
+            .recorded_commands()
             .into_iter()
-            .find(|(_, words)| words[2] == id)
-            .expect("it came")
-            .0
+            .find(|command| command.arguments[2] == id)
+            .expect("it arrived")
+            .connection
     };
     // Past the time for which a connection has to stay quiet.
     std::thread::sleep(std::time::Duration::from_millis(100));
@@ -154,31 +155,31 @@
         client.write(&get(KEY, &format!("same-{number}")));
     }
     for _ in 0..=opened {
-        assert!(client.answer().is_some() && client.answer().is_some());
+        assert!(client.read_reply().is_some() && client.read_reply().is_some());
     }
     let before = used("before");
     assert!(
         server
-            .numbered()
+            .recorded_commands()
             .iter()
-            .all(|(number, words)| *number != before || words[2] == "before")
+            .all(|command| command.connection != before || command.arguments[2] == "before")
     );
 }
 
 /// The end stands behind commands that are not read, since as many answers are owed as may be.
 #[test]
-fn a_client_that_leaves_with_a_full_pipeline_has_left() {
+fn a_disconnect_behind_a_full_pipeline_is_seen() {
     let (router, _discovery, silent, fillers) = router_of_a_hung_server();
     let mut leaving = router.client();
     (0..100).for_each(|number| leaving.write(&get(KEY, &format!("left-{number}"))));
     // Long before the first one's time is up, without an answer.
-    leaving.leave();
+    leaving.disconnect();
     drop(fillers);
-    let server = Server::on("s-a", silent);
+    let server = CacheServer::on("s-a", silent);
     // What waits for its connection for nobody holds a place at the server until that is up.
     let mut client = router.client();
     wait_until("the server is free", || {
-        client.ask("read", KEY).contains("s-a")
+        client.request("read", KEY).contains("s-a")
     });
     assert!(
         ids(&server).iter().all(|id| !id.starts_with("left")),
@@ -189,19 +190,22 @@
 
 /// What it did wrong is still answered, but nobody waits for what it asked before.
 #[test]
-fn a_client_that_leaves_after_a_malformed_command_has_left() {
+fn a_disconnect_after_a_malformed_command_is_seen() {
     let (router, _discovery, silent, fillers) = router_of_a_hung_server();
     let mut leaving = router.client();
     leaving.write(&get(KEY, "left"));
     leaving.write(b"what?\r\n");
     let start = std::time::Instant::now();
-    leaving.end_sending();
-    assert_eq!(leaving.rest(), b"-ERR failed\r\n-ERR protocol error\r\n");
+    leaving.shutdown_write();
+    assert_eq!(
+        leaving.read_to_end(),
+        b"-ERR failed\r\n-ERR protocol error\r\n"
+    );
     assert!(start.elapsed().as_secs() < 10, "long before its time is up");
     drop(fillers);
-    let server = Server::on("s-a", silent);
+    let server = CacheServer::on("s-a", silent);
     let mut client = router.client();
     client.write(&get(KEY, "stayed"));
-    assert!(client.answer().unwrap().contains("s-a"));
+    assert!(client.read_reply().unwrap().contains("s-a"));
     assert_eq!(ids(&server), ["stayed"]);
 }
--- a/crates/cache-router/tests/router_joining.rs
+++ b/crates/cache-router/tests/coalesced_reads.rs
@@ -1,4 +1,4 @@
-//! Identical reads that share one upstream request: the real binary against fake peers on loopback sockets.
+//! Identical reads that share one upstream request. The real binary against stand-ins on loopback sockets.
 
 use std::time::{Duration, Instant};
 use test_support::*;
@@ -6,17 +6,17 @@
 const KEY: &str = "7f3a9c21e0b4d655";
 
 /// A router with this operator file that knows these servers, and its discovery.
-fn router_with(
+fn start_router_with_operator_file(
     operator: &str,
-    servers: &[&Server],
+    servers: &[&CacheServer],
     change: impl FnOnce(&mut serde_json::Value),
-) -> (Router, Discovery) {
+) -> (RouterProcess, Discovery) {
     let discovery = Discovery::start(list(7, false, &[]));
     let known: Vec<String> = servers.iter().map(|server| server.entry("up")).collect();
-    let mut config = config(discovery.addr, &known);
+    let mut config = configuration(discovery.addr, &known);
     config["settings"]["limits"]["cancel"] = true.into();
     change(&mut config);
-    let router = Router::start_with(&config, operator);
+    let router = RouterProcess::start_with_operator_file(&config, operator);
     wait_until("the router watches", || !discovery.calls().is_empty());
     (router, discovery)
 }
@@ -29,8 +29,8 @@
 
 const READS: &str = "[joining]\nclasses = [\"read\"]\n";
 
-fn joining(servers: &[&Server]) -> (Router, Discovery) {
-    router_with(READS, servers, |_| {})
+fn joining(servers: &[&CacheServer]) -> (RouterProcess, Discovery) {
+    start_router_with_operator_file(READS, servers, |_| {})
 }
 
 fn fields(client: usize, number: usize, wait_ms: u64) -> Vec<u8> {
@@ -42,7 +42,7 @@
 }
 
 /// 500 reads for the key over 50 connections.
-fn crowd(router: &Router, wait_ms: u64) -> Vec<Client> {
+fn crowd(router: &RouterProcess, wait_ms: u64) -> Vec<Client> {
     let mut clients: Vec<Client> = (0..50).map(|_| router.client()).collect();
     for (place, client) in clients.iter_mut().enumerate() {
         let bytes: Vec<u8> = (0..10)
@@ -58,7 +58,7 @@
     let (mut served, mut refused) = (0, 0);
     for client in clients {
         for _ in 0..10 {
-            let answer = client.answer().expect("an answer");
+            let answer = client.read_reply().expect("an answer");
             served += usize::from(answer.starts_with('*'));
             refused += usize::from(answer.starts_with("-BUSY "));
         }
@@ -67,10 +67,10 @@
 }
 
 /// Waits until so many reads wait for a flight.
-fn wait_for_waiters(router: &Router, count: usize) {
+fn wait_for_waiters(router: &RouterProcess, count: usize) {
     wait_until("the reads wait", || {
         let before = router.log.lock().unwrap().len();
-        router.asks_what_joined();
+        router.log_coalescing_counters();
         wait_until("it tells", || router.log.lock().unwrap().len() > before);
         router.log.lock().unwrap()[before..]
             .iter()
@@ -80,8 +80,8 @@
 
 #[test]
 fn five_hundred_identical_reads_at_once_are_one_fetch() {
-    let server = Server::start("s-a");
-    server.does(KEY, Does::ServesLater);
+    let server = CacheServer::start("s-a");
+    server.set_behavior(KEY, Behavior::ServeOnceGateOpens);
     let (router, _discovery) = joining(&[&server]);
     let mut clients = crowd(&router, 4_000);
     wait_for_waiters(&router, 500);
@@ -89,14 +89,14 @@
     assert_eq!(answers(&mut clients), (500, 0));
     assert_eq!(server.commands().len(), 1);
     assert!(
-        clients[0].ask("read", KEY).starts_with('*'),
+        clients[0].request("read", KEY).starts_with('*'),
         "and nothing is kept"
     );
     assert_eq!(server.commands().len(), 2);
 }
 
 #[test]
-fn what_may_not_be_joined_is_refused_at_the_start_in_one_line() {
+fn invalid_coalescing_rules_end_the_start_in_one_line() {
     let rows = [
         (
             "classes = [\"put\"]",
@@ -121,8 +121,8 @@
         ("clases = [\"read\"]", "line 2: unknown field `clases`"),
     ];
     for (text, expected) in rows {
-        let config = config(([127, 0, 0, 1], 1).into(), &[]).to_string();
-        let (status, log) = run_to_end_with(&config, &format!("[joining]\n{text}\n"));
+        let config = configuration(([127, 0, 0, 1], 1).into(), &[]).to_string();
+        let (status, log) = run_to_end_with_operator_file(&config, &format!("[joining]\n{text}\n"));
         assert_eq!(status.code(), Some(2), "{text}");
         assert!(
             log.contains(expected) && log.lines().count() == 1,
@@ -132,18 +132,18 @@
 }
 
 #[test]
-fn a_failed_flight_is_tried_once_more_for_all() {
-    let (a, b) = (Server::start("s-a"), Server::start("s-b"));
+fn a_failed_flight_is_retried_once_for_all_waiters() {
+    let (a, b) = (CacheServer::start("s-a"), CacheServer::start("s-b"));
     let owner = if key_is_at(&a, &b) { &a } else { &b };
-    owner.does(KEY, Does::SaysAfter(300, b"-BUSY\r\n".to_vec()));
+    owner.set_behavior(KEY, Behavior::ReplyAfter(300, b"-BUSY\r\n".to_vec()));
     let (router, _discovery) = joining(&[&a, &b]);
     let mut clients = crowd(&router, 4_000);
     assert_eq!(answers(&mut clients), (500, 0));
-    let of_key = |server: &Server| {
+    let of_key = |server: &CacheServer| {
         server
             .commands()
             .iter()
-            .filter(|words| words[1] == KEY)
+            .filter(|arguments| arguments[1] == KEY)
             .count()
     };
     // Some may have come after the answer, for whom there was another flight; none has one of its own.
@@ -152,33 +152,33 @@
 }
 
 /// Whether the first of two servers owns the key.
-fn key_is_at(a: &Server, b: &Server) -> bool {
-    let (router, _discovery) = router_of(&[a, b]);
-    assert!(router.client().ask("read", KEY).contains("s-"));
+fn key_is_at(a: &CacheServer, b: &CacheServer) -> bool {
+    let (router, _discovery) = start_router(&[a, b]);
+    assert!(router.client().request("read", KEY).contains("s-"));
     !a.commands().is_empty()
 }
 
 #[test]
-fn each_is_told_at_its_own_deadline_and_the_longest_lengthens_the_flight() {
-    let server = Server::start("s-a");
-    server.does(KEY, Does::SaysAfter(1_500, value("s-a")));
+fn each_waiter_expires_at_its_own_deadline_and_the_latest_extends_the_flight() {
+    let server = CacheServer::start("s-a");
+    server.set_behavior(KEY, Behavior::ReplyAfter(1_500, value_reply("s-a")));
     let (router, _discovery) = joining(&[&server]);
     let start = Instant::now();
     let (mut first, mut second) = (router.client(), router.client());
     first.write(&fields(0, 0, 300));
     wait_for_waiters(&router, 1);
     second.write(&fields(1, 0, 4_000));
-    assert!(first.answer().expect("an answer").starts_with("-BUSY "));
-    let told = start.elapsed().as_millis();
-    assert!((300..1_400).contains(&told), "{told}");
-    assert!(second.answer().expect("an answer").starts_with('*'));
+    assert!(first.read_reply().expect("an answer").starts_with("-BUSY "));
+    let elapsed_ms = start.elapsed().as_millis();
+    assert!((300..1_400).contains(&elapsed_ms), "{elapsed_ms}");
+    assert!(second.read_reply().expect("an answer").starts_with('*'));
     assert_eq!(server.commands().len(), 1);
 }
 
 #[test]
-fn the_flight_goes_on_without_its_leader_and_is_cancelled_without_anybody() {
-    let server = Server::start("s-a");
-    server.does(KEY, Does::ServesLater);
+fn a_flight_continues_without_its_leader_and_is_cancelled_without_waiters() {
+    let server = CacheServer::start("s-a");
+    server.set_behavior(KEY, Behavior::ServeOnceGateOpens);
     let (router, _discovery) = joining(&[&server]);
     let (mut leader, mut other) = (router.client(), router.client());
     leader.write(&fields(0, 0, 4_000));
@@ -188,28 +188,34 @@
     drop(leader);
     wait_for_waiters(&router, 1);
     server.open_gate();
-    assert!(other.answer().expect("an answer").starts_with('*'));
+    assert!(other.read_reply().expect("an answer").starts_with('*'));
     assert_eq!(server.commands().len(), 1);
     // Nobody waits for the next one.
-    server.does(KEY, Does::IsSilent);
+    server.set_behavior(KEY, Behavior::StaySilent);
     let mut alone = router.client();
     alone.write(&fields(2, 0, 4_000));
     wait_until("it is out", || server.commands().len() == 2);
-    let ended = server.connections().1;
+    let ended = server.connections().closed;
     drop(alone);
-    wait_until("its connection ends", || server.connections().1 > ended);
+    wait_until("its connection ends", || {
+        server.connections().closed > ended
+    });
 }
 
 #[test]
-fn newcomers_to_a_flight_that_hangs_begin_a_second_and_no_third() {
-    let server = Server::start("s-a");
+fn reads_after_a_hanging_flight_start_a_second_and_no_third() {
+    let server = CacheServer::start("s-a");
     let (router, _discovery) = joining(&[&server]);
     let mut client = router.client();
     for key in 0..80 {
-        assert!(client.ask("read", &format!("{key:016x}")).starts_with('*'));
+        assert!(
+            client
+                .request("read", &format!("{key:016x}"))
+                .starts_with('*')
+        );
     }
     let before = server.commands().len();
-    server.does(KEY, Does::IsSilent);
+    server.set_behavior(KEY, Behavior::StaySilent);
     let mut clients = Vec::new();
     for number in 0..6 {
         let mut client = router.client();
@@ -224,23 +230,23 @@
     assert!(
         clients
             .iter_mut()
-            .all(|client| client.answer().expect("an answer").starts_with("-BUSY"))
+            .all(|client| client.read_reply().expect("an answer").starts_with("-BUSY"))
     );
 }
 
 #[test]
-fn a_read_after_a_write_has_an_answer_of_its_own() {
-    for write in [value("s-a"), b"-ERR failed\r\n".to_vec()] {
-        let server = Server::start("s-a");
-        server.does(KEY, Does::ServesLater);
+fn a_read_after_a_write_has_a_reply_of_its_own() {
+    for write in [value_reply("s-a"), b"-ERR failed\r\n".to_vec()] {
+        let server = CacheServer::start("s-a");
+        server.set_behavior(KEY, Behavior::ServeOnceGateOpens);
         let (router, _discovery) = joining(&[&server]);
         let mut clients: Vec<Client> = (0..4).map(|_| router.client()).collect();
         clients[0].write(&fields(0, 0, 4_000));
         wait_until("it is out", || server.commands().len() == 1);
-        server.does(KEY, Does::Says(write.clone()));
-        let told = clients[1].ask("put", KEY);
-        assert_eq!(told.as_bytes().first(), write.first());
-        server.does(KEY, Does::ServesLater);
+        server.set_behavior(KEY, Behavior::Reply(write.clone()));
+        let reply = clients[1].request("put", KEY);
+        assert_eq!(reply.as_bytes().first(), write.first());
+        server.set_behavior(KEY, Behavior::ServeOnceGateOpens);
         clients[2].write(&fields(2, 0, 4_000));
         wait_for_waiters(&router, 2);
         clients[3].write(&fields(3, 0, 4_000));
@@ -249,22 +255,30 @@
             server
                 .commands()
                 .iter()
-                .filter(|words| words[0] == "C.GET")
+                .filter(|arguments| arguments[0] == "C.GET")
                 .count()
         };
         wait_until("those after the write are out", || reads() == 2);
         server.open_gate();
         for place in [0, 2, 3] {
-            assert!(clients[place].answer().expect("an answer").starts_with('*'));
+            assert!(
+                clients[place]
+                    .read_reply()
+                    .expect("an answer")
+                    .starts_with('*')
+            );
         }
         assert_eq!(reads(), 2, "one before the write, one for both after it");
     }
 }
 
 #[test]
-fn a_large_answer_reaches_all_and_those_who_do_not_read_hold_nobody_up() {
-    let server = Server::start("s-a");
-    server.does(KEY, Does::SaysAfter(1_000, value(&"x".repeat(65_536))));
+fn a_large_reply_reaches_all_waiters_and_slow_readers_delay_nobody() {
+    let server = CacheServer::start("s-a");
+    server.set_behavior(
+        KEY,
+        Behavior::ReplyAfter(1_000, value_reply(&"x".repeat(65_536))),
+    );
     let (router, _discovery) = joining(&[&server]);
     let mut deaf: Vec<Client> = (0..10).map(|_| router.client()).collect();
     for (place, client) in deaf.iter_mut().enumerate() {
@@ -283,9 +297,9 @@
 }
 
 #[test]
-fn at_sigterm_all_who_wait_for_a_flight_are_answered() {
-    let server = Server::start("s-a");
-    server.does(KEY, Does::ServesLater);
+fn at_sigterm_all_waiters_of_a_flight_are_answered() {
+    let server = CacheServer::start("s-a");
+    server.set_behavior(KEY, Behavior::ServeOnceGateOpens);
     let (mut router, _discovery) = joining(&[&server]);
     let mut clients = crowd(&router, 4_000);
     wait_for_waiters(&router, 500);
@@ -297,23 +311,27 @@
 }
 
 #[test]
-fn a_flight_outlasts_its_servers_drain_and_the_lists_change() {
-    let (a, b) = (Server::start("s-a"), Server::start("s-b"));
+fn a_flight_survives_its_servers_drain_and_a_list_change() {
+    let (a, b) = (CacheServer::start("s-a"), CacheServer::start("s-b"));
     let owner = if key_is_at(&a, &b) { &a } else { &b };
-    owner.does(KEY, Does::ServesLater);
+    owner.set_behavior(KEY, Behavior::ServeOnceGateOpens);
     let before = owner.commands().len();
     let (router, discovery) = joining(&[&a, &b]);
     let mut clients = crowd(&router, 4_000);
     wait_for_waiters(&router, 500);
     wait_until("the flight is out", || owner.commands().len() > before);
-    discovery.writes(&format!("{}\n", list(8, false, &[owner.entry("draining")])));
+    discovery.write_to_watch(&format!("{}\n", list(8, false, &[owner.entry("draining")])));
     let (mut other, mut key) = (router.client(), 0);
     wait_until("the drain is known", || {
         let had = owner.commands().len();
         (0..20).for_each(|_| {
             key += 1;
             // Not reads: how quick those are tells when a flight hangs.
-            assert!(other.ask("put", &format!("{key:016x}")).starts_with('*'));
+            assert!(
+                other
+                    .request("put", &format!("{key:016x}"))
+                    .starts_with('*')
+            );
         });
         owner.commands().len() == had
     });
@@ -322,22 +340,22 @@
     wait_for_waiters(&router, 501);
     owner.open_gate();
     assert_eq!(answers(&mut clients), (500, 0));
-    assert!(late.answer().expect("an answer").contains(&owner.name));
+    assert!(late.read_reply().expect("an answer").contains(&owner.name));
     assert_eq!(
         owner.commands()[before..]
             .iter()
-            .filter(|words| words[1] == KEY)
+            .filter(|arguments| arguments[1] == KEY)
             .count(),
         1
     );
 }
 
 #[test]
-fn past_the_bound_newcomers_travel_alone() {
-    let server = Server::start("s-a");
-    server.does(KEY, Does::ServesLater);
+fn reads_over_the_waiter_limit_are_not_coalesced() {
+    let server = CacheServer::start("s-a");
+    server.set_behavior(KEY, Behavior::ServeOnceGateOpens);
     let operator = format!("{READS}bounds = {{ waiters_per_flight = 3 }}\n");
-    let (router, _discovery) = router_with(&operator, &[&server], |_| {});
+    let (router, _discovery) = start_router_with_operator_file(&operator, &[&server], |_| {});
     let mut clients: Vec<Client> = (0..5).map(|_| router.client()).collect();
     for (place, client) in clients.iter_mut().enumerate() {
         client.write(&fields(place, 0, 4_000));
@@ -352,17 +370,17 @@
     assert!(
         clients
             .iter_mut()
-            .all(|client| client.answer().expect("an answer").starts_with('*'))
+            .all(|client| client.read_reply().expect("an answer").starts_with('*'))
     );
     assert_eq!(server.commands().len(), 3);
 }
 
 #[test]
-fn reads_meet_unless_something_tells_them_apart() {
-    let server = Server::start("s-a");
-    server.does(KEY, Does::ServesLater);
+fn reads_are_coalesced_unless_a_field_differs() {
+    let server = CacheServer::start("s-a");
+    server.set_behavior(KEY, Behavior::ServeOnceGateOpens);
     let operator = format!("{READS}ignore = [\"trace\"]\nper_tenant = true\n");
-    let (router, _discovery) = router_with(&operator, &[&server], two_tenants);
+    let (router, _discovery) = start_router_with_operator_file(&operator, &[&server], two_tenants);
     let mut client = router.client();
     let reads = [
         "c=read,t=acme,d=4000",
@@ -381,73 +399,77 @@
     assert!(
         reads
             .iter()
-            .all(|_| client.answer().expect("an answer").starts_with('*')),
+            .all(|_| client.read_reply().expect("an answer").starts_with('*')),
         "two or more on one connection"
     );
     assert_eq!(server.commands().len(), 3);
 }
 
 #[test]
-fn those_without_time_for_a_further_attempt_are_told_when_the_first_fails() {
-    let (a, b) = (Server::start("s-a"), Server::start("s-b"));
+fn waiters_without_time_for_a_retry_fail_with_the_first_attempt() {
+    let (a, b) = (CacheServer::start("s-a"), CacheServer::start("s-b"));
     let (owner, other) = if key_is_at(&a, &b) {
         (&a, &b)
     } else {
         (&b, &a)
     };
-    owner.does(KEY, Does::SaysAfter(1_000, b"-BUSY\r\n".to_vec()));
-    other.does(KEY, Does::SaysAfter(1_000, value("s-b")));
-    let (router, _discovery) = router_with(READS, &[&a, &b], |config| {
+    owner.set_behavior(KEY, Behavior::ReplyAfter(1_000, b"-BUSY\r\n".to_vec()));
+    other.set_behavior(KEY, Behavior::ReplyAfter(1_000, value_reply("s-b")));
+    let (router, _discovery) = start_router_with_operator_file(READS, &[&a, &b], |config| {
         // A further attempt needs a fifth of this.
         config["settings"]["request_classes"][0]["target"] = 4.0.into();
     });
     let (mut long, mut short) = (router.client(), router.client());
     long.write(&fields(0, 0, 4_000));
     short.write(&fields(1, 0, 1_400));
-    assert!(short.answer().expect("an answer").starts_with("-BUSY "));
-    assert!(long.answer().expect("an answer").starts_with('*'));
-    router.asks_what_joined();
+    assert!(short.read_reply().expect("an answer").starts_with("-BUSY "));
+    assert!(long.read_reply().expect("an answer").starts_with('*'));
+    router.log_coalescing_counters();
     wait_until("it tells", || router.log_has(" 0 expired, 1 outrun"));
 }
 
 #[test]
-fn a_list_that_moves_the_key_leaves_the_flight_and_takes_the_next() {
-    let (a, b) = (Server::start("s-a"), Server::start("s-b"));
+fn a_list_that_moves_the_key_leaves_the_flight_and_routes_the_next_read() {
+    let (a, b) = (CacheServer::start("s-a"), CacheServer::start("s-b"));
     let (owner, other) = if key_is_at(&a, &b) {
         (&a, &b)
     } else {
         (&b, &a)
     };
     let before = owner.commands().len();
-    other.does(KEY, Does::ServesLater);
+    other.set_behavior(KEY, Behavior::ServeOnceGateOpens);
     let (router, discovery) = joining(&[other]);
     let mut clients = crowd(&router, 4_000);
     wait_for_waiters(&router, 500);
-    discovery.writes(&format!("{}\n", list(8, false, &[owner.entry("up")])));
+    discovery.write_to_watch(&format!("{}\n", list(8, false, &[owner.entry("up")])));
     let (mut writer, mut key) = (router.client(), 0);
     wait_until("the owner is known", || {
         key += 1;
-        assert!(writer.ask("put", &format!("{key:016x}")).starts_with('*'));
+        assert!(
+            writer
+                .request("put", &format!("{key:016x}"))
+                .starts_with('*')
+        );
         owner.commands().len() > before
     });
     let of_key = || {
         owner.commands()[before..]
             .iter()
-            .filter(|words| words[1] == KEY)
+            .filter(|arguments| arguments[1] == KEY)
             .count()
     };
     assert_eq!(of_key(), 0);
     other.open_gate();
     assert_eq!(answers(&mut clients), (500, 0));
-    assert!(router.client().ask("read", KEY).contains(&owner.name));
+    assert!(router.client().request("read", KEY).contains(&owner.name));
     assert_eq!(of_key(), 1);
 }
 
 /// How many of 60 reads of `acme` go out at once, after 150 of this tenant have shared one flight.
 fn room_after_a_crowd_of(tenant: &str) -> usize {
-    let server = Server::start("s-a");
-    server.does(KEY, Does::ServesLater);
-    let (router, _discovery) = router_with(READS, &[&server], two_tenants);
+    let server = CacheServer::start("s-a");
+    server.set_behavior(KEY, Behavior::ServeOnceGateOpens);
+    let (router, _discovery) = start_router_with_operator_file(READS, &[&server], two_tenants);
     let mut clients: Vec<Client> = (0..15).map(|_| router.client()).collect();
     for (place, client) in clients.iter_mut().enumerate() {
         let fields = format!("c=read,t={tenant},d=4000");
@@ -457,9 +479,9 @@
     wait_for_waiters(&router, 150);
     server.open_gate();
     for client in &mut clients {
-        assert!((0..10).all(|_| client.answer().expect("an answer").starts_with('*')));
+        assert!((0..10).all(|_| client.read_reply().expect("an answer").starts_with('*')));
     }
-    server.usually(Does::IsSilent);
+    server.set_default_behavior(Behavior::StaySilent);
     let before = server.commands().len();
     let mut client = router.client();
     let read = |key| {
@@ -472,7 +494,7 @@
     };
     client.write(&(0..60).flat_map(read).collect::<Vec<u8>>());
     wait_until("all are taken", || {
-        router.asks_what_joined();
+        router.log_coalescing_counters();
         std::thread::sleep(Duration::from_millis(5));
         router.log_has("joining: 61 flights, 149 joined")
     });
--- a/crates/cache-router/tests/router_discovery.rs
+++ b/crates/cache-router/tests/endpoint_discovery.rs
@@ -1,29 +1,29 @@
-//! The list of cache servers as the router has it. The real binary against fake peers on loopback sockets.
+//! The endpoint list: watches, changes and outages of discovery. The real binary against stand-ins on loopback sockets.
 
 use test_support::*;
 
 /// The ways in which a watch is lost; each is followed by a new call, which goes on from the last version.
 #[test]
-fn a_lost_watch_is_called_again_from_the_last_version() {
+fn a_lost_watch_is_reopened_from_the_last_version() {
     type Lose = fn(&Discovery);
     let lose: [(&str, Lose); 4] = [
-        ("its end", |d| d.ends()),
+        ("its end", |d| d.close_watch()),
         ("a malformed line", |d| {
-            d.writes("{\"seq\":9,\"hosts\":[{\"host\":7}]}\n")
+            d.write_to_watch("{\"seq\":9,\"hosts\":[{\"host\":7}]}\n")
         }),
-        ("no JSON", |d| d.writes("what?\n")),
-        ("silence", |d| d.is_silent(true)),
+        ("no JSON", |d| d.write_to_watch("what?\n")),
+        ("silence", |d| d.set_silent(true)),
     ];
     for (what, lost) in lose {
-        let (old, new) = (Server::start("s-a"), Server::start("s-b"));
-        let (mut router, discovery) = router_of(&[&old]);
+        let (old, new) = (CacheServer::start("s-a"), CacheServer::start("s-b"));
+        let (mut router, discovery) = start_router(&[&old]);
         assert!(
             discovery.calls()[0].contains("/api/targets?watch=1&after=7 "),
             "{what}: {:?}",
             discovery.calls()
         );
-        discovery.writes(&format!("{}\n", list(8, false, &[])));
-        discovery.begins_with(list(12, true, &[new.entry("up")]));
+        discovery.write_to_watch(&format!("{}\n", list(8, false, &[])));
+        discovery.set_initial_list(list(12, true, &[new.entry("up")]));
         lost(&discovery);
         wait_until(what, || discovery.calls().len() >= 2);
         assert!(
@@ -33,7 +33,7 @@
         );
         let mut client = router.client();
         wait_until("the whole list replaces the old one", || {
-            client.ask("read", "00000000000000aa").contains("s-b")
+            client.request("read", "00000000000000aa").contains("s-b")
         });
         assert!(router.is_running(), "{what}");
         assert!(router.log_has("discovery: watch"), "{what}: logged");
@@ -41,73 +41,73 @@
 }
 
 #[test]
-fn a_refused_watch_is_called_again() {
-    let server = Server::start("s-a");
+fn a_refused_watch_is_retried() {
+    let server = CacheServer::start("s-a");
     let discovery = Discovery::start(list(7, false, &[]));
-    discovery.fails(true);
-    let router = Router::start(&config(discovery.addr, &[server.entry("up")]));
+    discovery.set_failing(true);
+    let router = RouterProcess::start(&configuration(discovery.addr, &[server.entry("up")]));
     wait_until("it calls again", || discovery.calls().len() >= 3);
     // The list that it knew goes on to hold.
     assert!(
         router
             .client()
-            .ask("read", "00000000000000aa")
+            .request("read", "00000000000000aa")
             .contains("s-a")
     );
-    discovery.fails(false);
-    let new = Server::start("s-b");
-    discovery.begins_with(list(9, true, &[new.entry("up")]));
+    discovery.set_failing(false);
+    let new = CacheServer::start("s-b");
+    discovery.set_initial_list(list(9, true, &[new.entry("up")]));
     let mut client = router.client();
     wait_until("the new list", || {
-        client.ask("read", "00000000000000aa").contains("s-b")
+        client.request("read", "00000000000000aa").contains("s-b")
     });
 }
 
 #[test]
 fn a_line_may_come_in_pieces() {
-    let (old, new) = (Server::start("s-a"), Server::start("s-b"));
-    let (router, discovery) = router_of(&[&old]);
+    let (old, new) = (CacheServer::start("s-a"), CacheServer::start("s-b"));
+    let (router, discovery) = start_router(&[&old]);
     let line = format!(
         "{}\n\n",
         list(8, false, &[new.entry("up"), old.entry("removed")])
     );
     let (first, rest) = line.split_at(31);
-    discovery.writes(first);
-    discovery.writes(rest);
+    discovery.write_to_watch(first);
+    discovery.write_to_watch(rest);
     let mut client = router.client();
     wait_until("the change", || {
-        client.ask("read", "00000000000000aa").contains("s-b")
+        client.request("read", "00000000000000aa").contains("s-b")
     });
     assert_eq!(discovery.calls().len(), 1);
 }
 
 #[test]
 fn a_server_may_move_to_another_address() {
-    let (old, new) = (Server::start("s-a"), Server::start("moved"));
-    let (router, discovery) = router_of(&[&old]);
+    let (old, new) = (CacheServer::start("s-a"), CacheServer::start("moved"));
+    let (router, discovery) = start_router(&[&old]);
     let mut client = router.client();
-    assert!(client.ask("read", "00000000000000aa").contains("s-a"));
-    discovery.writes(&format!(
+    assert!(client.request("read", "00000000000000aa").contains("s-a"));
+    discovery.write_to_watch(&format!(
         "{}\n",
         list(8, false, &[entry("s-a", new.addr, "up")])
     ));
     wait_until("the new address", || {
-        client.ask("read", "00000000000000aa").contains("moved")
+        client.request("read", "00000000000000aa").contains("moved")
     });
 }
 
 #[test]
-fn a_draining_server_gets_nothing_new() {
+fn a_draining_server_gets_no_new_requests() {
     let key = "7f3a9c21e0b4d655";
-    let (owner, other, router, discovery) = pair_for(key);
-    discovery.writes(&format!("{}\n", list(8, false, &[owner.entry("draining")])));
+    let (owner, other, router, discovery) = start_router_and_pair(key);
+    discovery.write_to_watch(&format!("{}\n", list(8, false, &[owner.entry("draining")])));
     let mut client = router.client();
     wait_until("its key moves", || {
-        client.ask("read", key).contains(&other.name)
+        client.request("read", key).contains(&other.name)
     });
     let before = owner.commands().len();
     for _ in 0..20 {
-        assert!(client.ask("read", key).contains(&other.name));
+        assert!(client.request("read", key).contains(&other.name));
     }
     assert_eq!(owner.commands().len(), before);
 }
@@ -115,14 +115,14 @@
 /// A fleet whose servers are replaced all day, under new ids and at addresses that were others': what each brought goes
 /// with it, and requests find those that are there.
 #[test]
-fn many_replaced_servers_leave_nothing_behind() {
+fn many_replaced_servers_leak_nothing() {
     let servers = [
-        Server::start("s-a"),
-        Server::start("s-b"),
-        Server::start("s-c"),
+        CacheServer::start("s-a"),
+        CacheServer::start("s-b"),
+        CacheServer::start("s-c"),
     ];
     let discovery = Discovery::start(list(7, false, &[]));
-    let mut config = config(discovery.addr, &[servers[0].entry("up")]);
+    let mut config = configuration(discovery.addr, &[servers[0].entry("up")]);
     // What is remembered of a server for the requests that it may still hold goes soon.
     for class in config["settings"]["request_classes"]
         .as_array_mut()
@@ -131,7 +131,7 @@
         class["give_up"] = 0.2.into();
         class["target"] = 0.1.into();
     }
-    let router = Router::start(&config);
+    let router = RouterProcess::start(&config);
     wait_until("the router watches", || !discovery.calls().is_empty());
     let mut client = router.client();
     let mut seq = 8;
@@ -146,13 +146,13 @@
                 entry(&new, servers[here % 3].addr, "up"),
                 servers[0].entry("removed"),
             ];
-            discovery.writes(&format!("{}\n", list(seq, false, &changed)));
+            discovery.write_to_watch(&format!("{}\n", list(seq, false, &changed)));
             seq += 1;
             if number % 20 == 0 {
                 let owner = &servers[here % 3].name;
                 wait_until("the newest serves", || {
                     client
-                        .ask("read", &format!("{here:016x}"))
+                        .request("read", &format!("{here:016x}"))
                         .contains(owner.as_str())
                 });
             }
@@ -169,28 +169,34 @@
 /// A watch that falls silent is broken wherever lists come from, and what it misses counts as told 6 s after that: a new call is
 /// answered by then, where an agent has the lists also if the first one hangs. Where discovery is asked a call may wait longer.
 #[test]
-fn a_silent_watch_is_opened_anew_in_time_wherever_lists_come_from() {
+fn a_silent_watch_is_reopened_in_time_in_every_discovery_mode() {
     let run = |mode: &'static str, hangs: usize| {
-        let (old, new) = (Server::start("s-a"), Server::start("s-b"));
+        let (old, new) = (CacheServer::start("s-a"), CacheServer::start("s-b"));
         let discovery = Discovery::start(list(7, false, &[]));
-        let mut config = config(discovery.addr, &[old.entry("up")]);
+        let mut config = configuration(discovery.addr, &[old.entry("up")]);
         config["settings"]["discovery"] = mode.into();
-        let router = Router::start(&config);
+        let router = RouterProcess::start(&config);
         wait_until("the router watches", || !discovery.calls().is_empty());
         // It has heard of this: from here on there is silence.
-        discovery.writes(&format!("{}\n", list(8, false, &[new.entry("up")])));
+        discovery.write_to_watch(&format!("{}\n", list(8, false, &[new.entry("up")])));
         let mut client = router.client();
         let mut key = 0;
         wait_until("the list is known", || {
             key += 1;
-            client.ask("read", &format!("{key:016x}")).contains("s-b")
+            client
+                .request("read", &format!("{key:016x}"))
+                .contains("s-b")
         });
-        discovery.is_silent(true);
+        discovery.set_silent(true);
         let start = std::time::Instant::now();
-        discovery.hangs_times(hangs);
-        discovery.begins_with(list(9, true, &[new.entry("up")]));
+        discovery.hang_next_calls(hangs);
+        discovery.set_initial_list(list(9, true, &[new.entry("up")]));
         wait_until("the old server is gone", || {
-            (0..16).all(|key| client.ask("read", &format!("{key:016x}")).contains("s-b"))
+            (0..16).all(|key| {
+                client
+                    .request("read", &format!("{key:016x}"))
+                    .contains("s-b")
+            })
         });
         assert!(
             start.elapsed().as_secs_f64() < 6.0,
@@ -212,80 +218,84 @@
 
 /// An agent that is silent while discovery is down costs calls, and nothing that the router has.
 #[test]
-fn a_silent_agent_takes_nothing_away() {
-    let server = Server::start("s-a");
+fn a_silent_agent_removes_no_endpoint() {
+    let server = CacheServer::start("s-a");
     let discovery = Discovery::start(list(7, false, &[]));
-    discovery.hangs_times(usize::MAX);
-    let mut config = config(discovery.addr, &[server.entry("up")]);
+    discovery.hang_next_calls(usize::MAX);
+    let mut config = configuration(discovery.addr, &[server.entry("up")]);
     config["settings"]["discovery"] = "automatic".into();
-    let router = Router::start(&config);
+    let router = RouterProcess::start(&config);
     wait_until("it has called and called again", || {
         discovery.calls().len() >= 2
     });
     assert!(
         router
             .client()
-            .ask("read", "00000000000000aa")
+            .request("read", "00000000000000aa")
             .contains("s-a")
     );
     assert!(router.log_has("discovery: watch silent for too long"));
 }
 
 #[test]
-fn lists_come_on_one_line_or_on_many_and_cut_anywhere() {
-    let (old, new) = (Server::start("s-a"), Server::start("s-b"));
-    let (router, discovery) = router_of(&[&old]);
+fn lists_may_span_lines_and_chunks() {
+    let (old, new) = (CacheServer::start("s-a"), CacheServer::start("s-b"));
+    let (router, discovery) = start_router(&[&old]);
     let text: serde_json::Value =
         serde_json::from_str(&list(8, true, &[new.entry("up")])).expect("a list");
     let text = serde_json::to_string_pretty(&text).expect("written") + "\n";
     // The last byte of the object is withheld: nothing of it counts.
     let (most, last) = text.split_at(text.len() - 2);
     for piece in most.as_bytes().chunks(7) {
-        discovery.writes(std::str::from_utf8(piece).expect("text"));
+        discovery.write_to_watch(std::str::from_utf8(piece).expect("text"));
     }
     let mut client = router.client();
-    assert!(client.ask("read", "00000000000000aa").contains("s-a"));
-    discovery.writes(last);
+    assert!(client.request("read", "00000000000000aa").contains("s-a"));
+    discovery.write_to_watch(last);
     wait_until("the list is known", || {
-        client.ask("read", "00000000000000aa").contains("s-b")
+        client.request("read", "00000000000000aa").contains("s-b")
     });
     // And two at once, with an empty line between them.
     let (drained, back) = (old.entry("up"), new.entry("draining"));
-    discovery.writes(&format!(
+    discovery.write_to_watch(&format!(
         "{}\n\n{}\n",
         list(9, true, std::slice::from_ref(&drained)),
         list(10, true, &[drained, back])
     ));
     wait_until("the last one holds", || {
-        client.ask("read", "00000000000000aa").contains("s-a")
+        client.request("read", "00000000000000aa").contains("s-a")
     });
     assert_eq!(discovery.calls().len(), 1, "{:?}", discovery.calls());
 }
 
 /// Half a list and then empty lines alone: no more comes of it.
 #[test]
-fn a_list_that_is_never_whole_is_silence() {
-    let (old, new) = (Server::start("s-a"), Server::start("s-b"));
-    let (router, discovery) = router_of(&[&old]);
-    discovery.writes("{\"seq\":8,\n\"hosts\":[\n");
-    discovery.begins_with(list(9, true, &[new.entry("up")]));
+fn a_list_that_never_completes_counts_as_silence() {
+    let (old, new) = (CacheServer::start("s-a"), CacheServer::start("s-b"));
+    let (router, discovery) = start_router(&[&old]);
+    discovery.write_to_watch("{\"seq\":8,\n\"hosts\":[\n");
+    discovery.set_initial_list(list(9, true, &[new.entry("up")]));
     let mut client = router.client();
     wait_until("a new watch", || {
-        client.ask("read", "00000000000000aa").contains("s-b")
+        client.request("read", "00000000000000aa").contains("s-b")
     });
 }
 
 /// A drain in the very chunk before the watch breaks is told.
 #[test]
-fn what_comes_right_before_the_end_of_a_watch_is_told() {
-    let (old, new) = (Server::start("s-a"), Server::start("s-b"));
-    let (router, discovery) = router_of(&[&old, &new]);
-    discovery.fails(true);
-    discovery.writes(&format!("{}\n", list(8, false, &[old.entry("draining")])));
-    discovery.ends();
+fn a_change_right_before_the_end_of_a_watch_is_applied() {
+    let (old, new) = (CacheServer::start("s-a"), CacheServer::start("s-b"));
+    let (router, discovery) = start_router(&[&old, &new]);
+    discovery.set_failing(true);
+    discovery.write_to_watch(&format!("{}\n", list(8, false, &[old.entry("draining")])));
+    discovery.close_watch();
     let mut client = router.client();
     wait_until("the drain is known", || {
-        (0..16).all(|key| client.ask("read", &format!("{key:016x}")).contains("s-b"))
+        (0..16).all(|key| {
+            client
+                .request("read", &format!("{key:016x}"))
+                .contains("s-b")
+        })
     });
     assert_eq!(
         discovery
--- a/crates/cache-router/tests/router_operators.rs
+++ b/crates/cache-router/tests/operator_commands.rs
@@ -1,4 +1,4 @@
-//! Operators' calls to the router: bans, drains, figures. The real binary against fake peers on loopback sockets.
+//! Operators' commands: overrides, drains and metrics. The real binary against stand-ins on loopback sockets.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -10,23 +10,23 @@
 }
 
 /// A router of these servers that operators can call.
-fn operated(servers: &[&Server]) -> (Router, Discovery, SocketAddr) {
+fn operated(servers: &[&CacheServer]) -> (RouterProcess, Discovery, SocketAddr) {
     let discovery = Discovery::start(list(7, false, &[]));
     let known: Vec<String> = servers.iter().map(|server| server.entry("up")).collect();
-    let mut config = config(discovery.addr, &known);
-    let admin = free_addr();
+    let mut config = configuration(discovery.addr, &known);
+    let admin = unused_addr();
     config["admin"] = admin.to_string().into();
-    let router = Router::start(&config);
+    let router = RouterProcess::start(&config);
     wait_until("the router watches", || !discovery.calls().is_empty());
     (router, discovery, admin)
 }
 
 fn post(admin: SocketAddr, path: &str, host: &str) -> u16 {
-    call(admin, "POST", path, &format!(r#"{{"host":"{host}"}}"#)).0
+    http_request(admin, "POST", path, &format!(r#"{{"host":"{host}"}}"#)).status
 }
 
 fn figure(admin: SocketAddr, name: &str) -> f64 {
-    let (_, text) = call(admin, "GET", "/api/telemetry", "");
+    let text = http_request(admin, "GET", "/api/telemetry", "").body;
     let line = text
         .lines()
         .find(|line| line.starts_with(&format!("{name} ")));
@@ -35,21 +35,21 @@
 }
 
 #[test]
-fn a_server_that_is_called_out_gets_nothing_until_it_is_called_back() {
-    let (a, b) = (Server::start("s-a"), Server::start("s-b"));
+fn a_disabled_server_gets_no_requests_until_it_is_enabled() {
+    let (a, b) = (CacheServer::start("s-a"), CacheServer::start("s-b"));
     let (router, discovery, admin) = operated(&[&a, &b]);
     let mut client = router.client();
     let ask_all = |client: &mut Client| {
         keys()
-            .filter(|key| client.ask("read", key).contains("s-a"))
+            .filter(|key| client.request("read", key).contains("s-a"))
             .count()
     };
-    let usual = ask_all(&mut client);
-    assert!(usual > 0 && usual < 40);
+    let served_before = ask_all(&mut client);
+    assert!(served_before > 0 && served_before < 40);
     assert_eq!(post(admin, "/api/exclude", "s-a"), 200);
     assert_eq!(ask_all(&mut client), 0);
     // Whatever the list says.
-    discovery.writes(&format!(
+    discovery.write_to_watch(&format!(
         "{}\n",
         list(8, true, &[a.entry("up"), b.entry("up")])
     ));
@@ -75,12 +75,12 @@
 }
 
 #[test]
-fn what_is_no_call_is_turned_down_with_one_line_and_changes_nothing() {
-    let a = Server::start("s-a");
+fn an_invalid_command_is_rejected_with_one_line_and_changes_nothing() {
+    let a = CacheServer::start("s-a");
     let (router, _discovery, admin) = operated(&[&a]);
     let named = r#"{"host":"s-a"}"#;
     let long = format!(r#"{{"host":"{}"}}"#, "s".repeat(1 << 20));
-    for (method, path, body, status) in [
+    for (method, path, body, expected) in [
         ("GET", "/", "", 404),
         ("GET", "/api/ready/", "", 404),
         ("POST", "/api/ready", "", 405),
@@ -93,34 +93,34 @@
         ("POST", "/api/include", r#"{"host":"s-x"}"#, 404),
         ("POST", "/api/exclude", &long, 413),
     ] {
-        let (found, text) = call(admin, method, path, body);
-        assert_eq!(found, status, "{method} {path}: {text}");
+        let HttpResponse { status, body: text } = http_request(admin, method, path, body);
+        assert_eq!(status, expected, "{method} {path}: {text}");
         assert!(
             text.starts_with("{\"error\":") && text.lines().count() == 1,
             "{method} {path}: {text}"
         );
     }
-    assert_eq!(call_with(admin, b"nonsense\r\n\r\n").0, 400);
+    assert_eq!(http_request_raw(admin, b"nonsense\r\n\r\n").status, 400);
     assert!(
         router
             .client()
-            .ask("read", "00000000000000aa")
+            .request("read", "00000000000000aa")
             .contains("s-a")
     );
 }
 
 #[test]
-fn callers_who_say_nothing_and_calls_in_pieces_keep_nobody_waiting() {
-    let a = Server::start("s-a");
+fn silent_connections_and_split_requests_delay_nobody() {
+    let a = CacheServer::start("s-a");
     let (_router, _discovery, admin) = operated(&[&a]);
     let silent: Vec<TcpStream> = (0..200)
         .map(|_| TcpStream::connect(admin).expect("connected"))
         .collect();
-    assert_eq!(call(admin, "GET", "/api/ready", "").0, 200);
+    assert_eq!(http_request(admin, "GET", "/api/ready", "").status, 200);
     let mut slow = TcpStream::connect(admin).expect("connected");
     for byte in b"GET /api/ready HTTP/1.1\r\nHost: x\r\n\r\n" {
         slow.write_all(&[*byte]).expect("written");
-        assert_eq!(call(admin, "GET", "/api/ready", "").0, 200);
+        assert_eq!(http_request(admin, "GET", "/api/ready", "").status, 200);
     }
     let mut answer = String::new();
     slow.read_to_string(&mut answer).expect("an answer");
@@ -129,18 +129,21 @@
 }
 
 #[test]
-fn figures_are_what_the_peers_saw() {
-    let a = Server::start("s-a");
-    a.does("00000000000000bb", Does::Says(b"-ERR failed\r\n".to_vec()));
-    a.does("00000000000000cc", Does::ServesLater);
+fn metrics_match_what_the_peers_saw() {
+    let a = CacheServer::start("s-a");
+    a.set_behavior(
+        "00000000000000bb",
+        Behavior::Reply(b"-ERR failed\r\n".to_vec()),
+    );
+    a.set_behavior("00000000000000cc", Behavior::ServeOnceGateOpens);
     let (router, _discovery, admin) = operated(&[&a]);
     let mut client = router.client();
     for _ in 0..3 {
-        assert!(client.ask("read", "00000000000000aa").contains("s-a"));
+        assert!(client.request("read", "00000000000000aa").contains("s-a"));
     }
     assert!(
         client
-            .ask("once", "00000000000000bb")
+            .request("once", "00000000000000bb")
             .contains("-ERR failed")
     );
     let mut waiting = router.client();
@@ -148,7 +151,7 @@
     wait_until("it is at the server", || a.commands().len() == 5);
     assert_eq!(figure(admin, "router_in_progress"), 1.0);
     a.open_gate();
-    assert!(waiting.answer().is_some());
+    assert!(waiting.read_reply().is_some());
     for (name, count) in [
         ("router_passed_total{category=\"read\"}", 4.0),
         ("router_passed_total{category=\"put\"}", 0.0),
@@ -164,65 +167,77 @@
 }
 
 #[test]
-fn a_drained_router_says_no_and_comes_to_hold_no_client() {
-    let a = Server::start("s-a");
-    a.does("00000000000000cc", Does::ServesLater);
-    a.does("00000000000000ce", Does::ServesLater);
+fn a_drained_router_reports_unhealthy_and_closes_all_clients() {
+    let a = CacheServer::start("s-a");
+    a.set_behavior("00000000000000cc", Behavior::ServeOnceGateOpens);
+    a.set_behavior("00000000000000ce", Behavior::ServeOnceGateOpens);
     let (router, _discovery, admin) = operated(&[&a]);
     let (mut idle, mut busy, mut pipelined) = (router.client(), router.client(), router.client());
-    assert!(idle.ask("read", "00000000000000aa").contains("s-a"));
+    assert!(idle.request("read", "00000000000000aa").contains("s-a"));
     busy.send("read", "00000000000000cc", 4_000);
     pipelined.send("read", "00000000000000ce", 4_000);
     wait_until("both are at the server", || a.commands().len() == 3);
-    assert_eq!(call(admin, "POST", "/api/evacuate", "").0, 200);
-    assert_eq!(idle.answer(), None);
+    assert_eq!(http_request(admin, "POST", "/api/evacuate", "").status, 200);
+    assert_eq!(idle.read_reply(), None);
     let mut front = router.client();
     front.write(&command(&["PING"]));
-    assert!(front.answer().is_some_and(|text| text.starts_with("-ERR")));
+    assert!(
+        front
+            .read_reply()
+            .is_some_and(|text| text.starts_with("-ERR"))
+    );
     assert_eq!(
-        front.answer(),
+        front.read_reply(),
         None,
         "the front's own connection is closed too"
     );
     // Whoever comes still is served, and closed then.
     let mut late = router.client();
-    assert!(late.ask("read", "00000000000000aa").contains("s-a"));
-    assert_eq!(late.answer(), None);
+    assert!(late.request("read", "00000000000000aa").contains("s-a"));
+    assert_eq!(late.read_reply(), None);
     assert_eq!(
-        router.client().answer(),
+        router.client().read_reply(),
         None,
         "one that says nothing is closed"
     );
     pipelined.send("read", "00000000000000dd", 4_000);
     a.open_gate();
-    assert!(busy.answer().is_some_and(|text| text.contains("s-a")));
-    assert_eq!(busy.answer(), None);
-    assert!(pipelined.answer().is_some_and(|text| text.contains("s-a")));
-    assert!(pipelined.answer().is_some_and(|text| text.contains("s-a")));
-    assert_eq!(pipelined.answer(), None);
+    assert!(busy.read_reply().is_some_and(|text| text.contains("s-a")));
+    assert_eq!(busy.read_reply(), None);
+    assert!(
+        pipelined
+            .read_reply()
+            .is_some_and(|text| text.contains("s-a"))
+    );
+    assert!(
+        pipelined
+            .read_reply()
+            .is_some_and(|text| text.contains("s-a"))
+    );
+    assert_eq!(pipelined.read_reply(), None);
     // It runs on, and is back with a rejoin.
-    assert_eq!(call(admin, "GET", "/api/ready", "").0, 200);
-    assert_eq!(call(admin, "POST", "/api/rejoin", "").0, 200);
+    assert_eq!(http_request(admin, "GET", "/api/ready", "").status, 200);
+    assert_eq!(http_request(admin, "POST", "/api/rejoin", "").status, 200);
     let mut front = router.client();
     front.write(&command(&["PING"]));
-    assert_eq!(front.answer().as_deref(), Some("+PONG\r\n"));
-    assert!(front.ask("read", "00000000000000aa").contains("s-a"));
+    assert_eq!(front.read_reply().as_deref(), Some("+PONG\r\n"));
+    assert!(front.request("read", "00000000000000aa").contains("s-a"));
 }
 
 #[test]
-fn a_drained_router_is_never_kept_by_a_client_that_does_not_rest() {
-    let a = Server::start("s-a");
-    a.usually(Does::SaysAfter(60, value("s-a")));
+fn a_client_that_is_never_idle_cannot_hold_a_drained_router() {
+    let a = CacheServer::start("s-a");
+    a.set_default_behavior(Behavior::ReplyAfter(60, value_reply("s-a")));
     let (router, _discovery, admin) = operated(&[&a]);
     let mut client = router.client();
     client.send("read", "00000000000000aa", 4_000);
     client.send("read", "00000000000000ab", 4_000);
-    assert_eq!(call(admin, "POST", "/api/evacuate", "").0, 200);
+    assert_eq!(http_request(admin, "POST", "/api/evacuate", "").status, 200);
     let start = std::time::Instant::now();
     let mut sent = 2;
     // Always one more than was answered.
-    while client.answer().is_some() {
-        client.write_what_it_takes(&command(&[
+    while client.read_reply().is_some() {
+        client.write_until_closed(&command(&[
             "C.GET",
             "00000000000000ac",
             &format!("id{sent}"),
@@ -236,9 +251,9 @@
 
 #[test]
 fn sigterm_while_drained_ends_the_process() {
-    let a = Server::start("s-a");
+    let a = CacheServer::start("s-a");
     let (mut router, _discovery, admin) = operated(&[&a]);
-    assert_eq!(call(admin, "POST", "/api/evacuate", "").0, 200);
+    assert_eq!(http_request(admin, "POST", "/api/evacuate", "").status, 200);
     router.terminate();
     assert_eq!(router.wait().code(), Some(0));
 }
--- a/crates/cache-router/tests/operator_file.rs
+++ b/crates/cache-router/tests/operator_file.rs
@@ -7,7 +7,7 @@
 #[test]
 fn a_file_that_cannot_be_read_is_one_line_that_names_the_place() {
     let discovery = Discovery::start(list(7, false, &[]));
-    let config = config(discovery.addr, &[]).to_string();
+    let config = configuration(discovery.addr, &[]).to_string();
     let rows = [
         (
             "[joining]\nclasses = [\"a\"]\nspeed = 3\n",
@@ -19,7 +19,7 @@
         ("[joining.bounds]\nwaiters = -1\n", "line 2: "),
     ];
     for (text, expected) in rows {
-        let (status, log) = run_to_end_with(&config, text);
+        let (status, log) = run_to_end_with_operator_file(&config, text);
         assert_eq!(status.code(), Some(2), "{text}: {log}");
         let (_path, problem) = log
             .strip_prefix("asterport: ")
@@ -39,10 +39,13 @@
     let joining = tables.remove("joining").expect("the table");
     let joining: CoalescingFile = joining.try_into().expect("readable");
     assert_eq!(joining, CoalescingFile::default());
-    let server = Server::start("s-a");
+    let server = CacheServer::start("s-a");
     let discovery = Discovery::start(list(7, false, &[]));
-    let mut router = Router::start_with(&config(discovery.addr, &[server.entry("up")]), text);
-    let answer = router.client().ask("read", "00000000000000aa");
+    let mut router = RouterProcess::start_with_operator_file(
+        &configuration(discovery.addr, &[server.entry("up")]),
+        text,
+    );
+    let answer = router.client().request("read", "00000000000000aa");
     assert!(answer.contains("s-a"), "{answer}");
     // A router that coalesces logs its counters before the last line.
     router.terminate();
--- a/crates/cache-router/tests/router_upgrade.rs
+++ b/crates/cache-router/tests/process_replacement.rs
@@ -1,13 +1,13 @@
-//! One process of the router after another, on a listening socket that the platform holds. The real binary against
-//! fake peers on loopback sockets.
+//! Replacement of one process of the router by another, on a listening socket that the platform holds. The real binary
+//! against stand-ins on loopback sockets.
 
 use test_support::*;
 
 /// A server, its discovery, and the configuration of a router that knows it.
-fn fleet() -> (Server, Discovery, serde_json::Value) {
-    let server = Server::start("s-a");
+fn fleet() -> (CacheServer, Discovery, serde_json::Value) {
+    let server = CacheServer::start("s-a");
     let discovery = Discovery::start(list(7, false, &[]));
-    let config = config(discovery.addr, &[server.entry("up")]);
+    let config = configuration(discovery.addr, &[server.entry("up")]);
     (server, discovery, config)
 }
 
@@ -20,13 +20,13 @@
     assert!(
         router
             .client()
-            .ask("read", "00000000000000aa")
+            .request("read", "00000000000000aa")
             .contains("s-a")
     );
 }
 
 #[test]
-fn a_descriptor_that_is_no_such_listener_is_one_plain_line() {
+fn an_unusable_descriptor_ends_the_start_in_one_line() {
     let (_server, _discovery, config) = fleet();
     for (before, expected) in [
         ("export GW_FD=three;", "GW_FD: 'three' is not a descriptor"),
@@ -48,13 +48,14 @@
 
 /// The configuration with another address for operators.
 fn with_admin(config: &serde_json::Value) -> (serde_json::Value, std::net::SocketAddr) {
-    let (mut config, admin) = (config.clone(), free_addr());
+    let (mut config, admin) = (config.clone(), unused_addr());
     config["admin"] = admin.to_string().into();
     (config, admin)
 }
 
 fn is_ready(admin: std::net::SocketAddr) -> bool {
-    std::net::TcpStream::connect(admin).is_ok() && call(admin, "GET", "/api/ready", "").0 == 200
+    std::net::TcpStream::connect(admin).is_ok()
+        && http_request(admin, "GET", "/api/ready", "").status == 200
 }
 
 #[test]
@@ -71,11 +72,11 @@
         wait_until("the next is ready", || is_ready(admin));
         old.terminate();
         for client in &mut clients {
-            assert!(client.ask("read", "00000000000000aa").contains("s-a"));
+            assert!(client.request("read", "00000000000000aa").contains("s-a"));
         }
         assert_eq!(old.wait().code(), Some(0));
         for client in &mut clients {
-            assert!(client.ask("read", "00000000000000aa").contains("s-a"));
+            assert!(client.request("read", "00000000000000aa").contains("s-a"));
         }
         old = new;
     }
@@ -83,34 +84,38 @@
 }
 
 #[test]
-fn a_half_written_command_and_one_that_is_owed_an_answer_go_over() {
+fn connections_with_an_incomplete_command_or_a_pending_reply_are_handed_over() {
     let (server, _discovery, config) = fleet();
-    server.does("00000000000000cc", Does::ServesLater);
+    server.set_behavior("00000000000000cc", Behavior::ServeOnceGateOpens);
     let platform = Platform::new();
     let (first, admin) = with_admin(&config);
     let mut old = platform.start(&first);
     wait_until("it is ready", || is_ready(admin));
-    let (mut half, mut owed) = (old.client(), old.client());
+    let (mut half, mut pending) = (old.client(), old.client());
     let text = command(&["C.GET", "00000000000000aa", "id-half", "c=read,d=4000"]);
     let (begin, end) = text.split_at(20);
     half.write(begin);
-    owed.send("read", "00000000000000cc", 4_000);
+    pending.send("read", "00000000000000cc", 4_000);
     wait_until("it is at the server", || !server.commands().is_empty());
     let (next, admin) = with_admin(&config);
     let new = platform.start(&next);
     wait_until("the next is ready", || is_ready(admin));
     old.terminate();
     half.write(end);
-    assert!(half.answer().is_some_and(|text| text.contains("s-a")));
+    assert!(half.read_reply().is_some_and(|text| text.contains("s-a")));
     server.open_gate();
-    assert!(owed.answer().is_some_and(|text| text.contains("s-a")));
+    assert!(
+        pending
+            .read_reply()
+            .is_some_and(|text| text.contains("s-a"))
+    );
     assert_eq!(old.wait().code(), Some(0));
-    assert!(owed.ask("read", "00000000000000aa").contains("s-a"));
+    assert!(pending.request("read", "00000000000000aa").contains("s-a"));
     assert!(new.log_has("2 connections taken over"));
 }
 
 #[test]
-fn a_process_that_dies_after_it_took_over_leaves_the_service_to_the_old_one() {
+fn a_successor_that_dies_returns_the_service_to_its_predecessor() {
     let (_server, _discovery, config) = fleet();
     let platform = Platform::new();
     let (first, admin) = with_admin(&config);
@@ -122,7 +127,11 @@
     // Killed.
     drop(new);
     wait_until("the old one serves again", || is_ready(admin));
-    assert!(old.client().ask("read", "00000000000000aa").contains("s-a"));
+    assert!(
+        old.client()
+            .request("read", "00000000000000aa")
+            .contains("s-a")
+    );
     // And the one after that takes over from it.
     let (next, new_admin) = with_admin(&config);
     let _new = platform.start(&next);
@@ -131,23 +140,23 @@
 }
 
 #[test]
-fn a_ban_holds_over_a_replacement_and_both_processes_hear_of_the_next() {
-    let (a, b) = (Server::start("s-a"), Server::start("s-b"));
+fn a_ban_survives_a_replacement_and_later_ones_reach_both_processes() {
+    let (a, b) = (CacheServer::start("s-a"), CacheServer::start("s-b"));
     let discovery = Discovery::start(list(7, false, &[]));
-    let config = config(discovery.addr, &[a.entry("up"), b.entry("up")]);
+    let config = configuration(discovery.addr, &[a.entry("up"), b.entry("up")]);
     let platform = Platform::new();
     let (first, admin) = with_admin(&config);
     let mut old = platform.start(&first);
     wait_until("it is ready", || is_ready(admin));
     let ban = |admin, path: &str, host: &str| {
         assert_eq!(
-            call(admin, "POST", path, &format!(r#"{{"host":"{host}"}}"#)).0,
+            http_request(admin, "POST", path, &format!(r#"{{"host":"{host}"}}"#)).status,
             200
         );
     };
     let skipped = |admin| {
-        call(admin, "GET", "/api/telemetry", "")
-            .1
+        http_request(admin, "GET", "/api/telemetry", "")
+            .body
             .contains("router_skipped_cache_servers 1")
     };
     ban(admin, "/api/exclude", "s-a");
@@ -157,7 +166,7 @@
     assert!(skipped(new_admin));
     let mut client = new.client();
     for i in 0..20 {
-        assert!(client.ask("read", &format!("{i:016x}")).contains("s-b"));
+        assert!(client.request("read", &format!("{i:016x}")).contains("s-b"));
     }
     // Both run: what one is told holds at the other.
     ban(new_admin, "/api/include", "s-a");
@@ -174,13 +183,13 @@
     assert!(skipped(admin));
     assert!(
         last.client()
-            .ask("read", "00000000000000aa")
+            .request("read", "00000000000000aa")
             .contains("s-a")
     );
 }
 
 #[test]
-fn a_state_file_that_cannot_be_used_is_one_line_and_the_router_starts() {
+fn an_unusable_state_file_is_logged_and_the_router_starts() {
     let (_server, _discovery, config) = fleet();
     let platform = Platform::new();
     let path = platform.folder.join("asterport-n1.state");
@@ -188,7 +197,7 @@
     let router = platform.start(&first);
     wait_until("it is ready", || is_ready(admin));
     assert_eq!(
-        call(admin, "POST", "/api/exclude", r#"{"host":"s-a"}"#).0,
+        http_request(admin, "POST", "/api/exclude", r#"{"host":"s-a"}"#).status,
         200
     );
     drop(router);
@@ -208,20 +217,20 @@
         assert!(
             router
                 .client()
-                .ask("read", "00000000000000aa")
+                .request("read", "00000000000000aa")
                 .contains("s-a")
         );
     }
 }
 
 #[test]
-fn a_drain_goes_over_to_the_next_process() {
+fn a_drain_is_handed_over() {
     let (_server, _discovery, config) = fleet();
     let platform = Platform::new();
     let (first, admin) = with_admin(&config);
     let mut old = platform.start(&first);
     wait_until("it is ready", || is_ready(admin));
-    assert_eq!(call(admin, "POST", "/api/evacuate", "").0, 200);
+    assert_eq!(http_request(admin, "POST", "/api/evacuate", "").status, 200);
     let (next, admin) = with_admin(&config);
     let new = platform.start(&next);
     wait_until("the next is ready", || is_ready(admin));
@@ -229,19 +238,23 @@
     assert_eq!(old.wait().code(), Some(0));
     let mut front = new.client();
     front.write(&command(&["PING"]));
-    assert!(front.answer().is_some_and(|text| text.starts_with("-ERR")));
-    assert_eq!(call(admin, "POST", "/api/rejoin", "").0, 200);
+    assert!(
+        front
+            .read_reply()
+            .is_some_and(|text| text.starts_with("-ERR"))
+    );
+    assert_eq!(http_request(admin, "POST", "/api/rejoin", "").status, 200);
     let mut front = new.client();
     front.write(&command(&["PING"]));
-    assert_eq!(front.answer().as_deref(), Some("+PONG\r\n"));
+    assert_eq!(front.read_reply().as_deref(), Some("+PONG\r\n"));
 }
 
-/// What is owed on a connection keeps it here, unread: its client's end is seen all the same.
+/// What is pending on a connection keeps it here, unread: its client's end is seen all the same.
 #[test]
-fn a_client_that_leaves_during_a_hand_over_has_left() {
-    let (silent, fillers) = silent_listener();
+fn a_disconnect_during_a_hand_over_is_seen() {
+    let (silent, fillers) = unresponsive_listener();
     let discovery = Discovery::start(list(7, false, &[]));
-    let mut config = config(
+    let mut config = configuration(
         discovery.addr,
         &[entry("s-a", silent.local_addr().unwrap(), "up")],
     );
@@ -270,15 +283,18 @@
         is_ready(next_admin) && !is_ready(admin)
     });
     // Long before its time is up, without an answer.
-    leaving.leave();
+    leaving.disconnect();
     drop(fillers);
-    let server = Server::on("s-a", silent);
+    let server = CacheServer::on("s-a", silent);
     let mut client = new.client();
     wait_until("the server is there", || {
-        client.ask("read", "00000000000000aa").contains("s-a")
+        client.request("read", "00000000000000aa").contains("s-a")
     });
     assert!(
-        server.commands().iter().all(|words| words[2] != "left"),
+        server
+            .commands()
+            .iter()
+            .all(|arguments| arguments[2] != "left"),
         "{:?}",
         server.commands()
     );
--- a/crates/cache-router/tests/router_signals.rs
+++ b/crates/cache-router/tests/process_signals.rs
@@ -1,15 +1,15 @@
-//! Start, SIGHUP, SIGTERM and end of the router. The real binary against fake peers on loopback sockets.
+//! Start, SIGHUP, SIGTERM and exit of the process. The real binary against stand-ins on loopback sockets.
 
 use std::time::Instant;
 use test_support::*;
 
 #[test]
-fn after_sigterm_all_that_was_taken_is_answered() {
-    let server = Server::start("s-a");
-    server.does("00000000000000aa", Does::ServesLater);
-    let (mut router, _discovery) = router_of(&[&server]);
+fn after_sigterm_all_accepted_requests_are_answered() {
+    let server = CacheServer::start("s-a");
+    server.set_behavior("00000000000000aa", Behavior::ServeOnceGateOpens);
+    let (mut router, _discovery) = start_router(&[&server]);
     let (mut busy, mut idle) = (router.client(), router.client());
-    assert!(idle.ask("read", "00000000000000bb").contains("s-a"));
+    assert!(idle.request("read", "00000000000000bb").contains("s-a"));
     busy.send("read", "00000000000000aa", 4_000);
     wait_until("it is at the server", || server.commands().len() == 2);
     router.terminate();
@@ -17,23 +17,23 @@
     assert!(
         router
             .client()
-            .ask("read", "00000000000000cc")
+            .request("read", "00000000000000cc")
             .contains("s-a")
     );
     // An idle one is closed, with nothing lost on it.
-    assert_eq!(idle.answer(), None);
+    assert_eq!(idle.read_reply(), None);
     assert!(router.is_running(), "it waits for the answer that it owes");
     server.open_gate();
-    assert!(busy.answer().unwrap().contains("s-a"));
-    assert_eq!(busy.answer(), None);
+    assert!(busy.read_reply().unwrap().contains("s-a"));
+    assert_eq!(busy.read_reply(), None);
     assert_eq!(router.wait().code(), Some(0));
 }
 
 #[test]
-fn after_sigterm_it_ends_before_it_is_killed() {
-    let server = Server::start("s-a");
-    server.usually(Does::IsSilent);
-    let (mut router, _discovery) = router_of(&[&server]);
+fn after_sigterm_the_process_ends_before_sigkill() {
+    let server = CacheServer::start("s-a");
+    server.set_default_behavior(Behavior::StaySilent);
+    let (mut router, _discovery) = start_router(&[&server]);
     let mut client = router.client();
     client.send("once", "00000000000000aa", 60_000);
     client.send("once", "00000000000000bb", 60_000);
@@ -41,9 +41,9 @@
     let start = Instant::now();
     router.terminate();
     // The longest deadline is 4 s and counts as 3 s; SIGKILL comes 0.7 s after it. What is owed then is answered.
-    assert_eq!(client.answer().as_deref(), Some("-ERR failed\r\n"));
-    assert_eq!(client.answer().as_deref(), Some("-ERR failed\r\n"));
-    assert_eq!(client.answer(), None);
+    assert_eq!(client.read_reply().as_deref(), Some("-ERR failed\r\n"));
+    assert_eq!(client.read_reply().as_deref(), Some("-ERR failed\r\n"));
+    assert_eq!(client.read_reply(), None);
     assert_eq!(router.wait().code(), Some(0));
     assert!(start.elapsed().as_millis() < 3_700, "{:?}", start.elapsed());
     wait_until("it says so", || {
@@ -53,14 +53,14 @@
 
 /// The machine has accepted them, and the listener's end would reset them.
 #[test]
-fn after_sigterm_those_who_wait_for_a_place_are_answered() {
-    let server = Server::start("s-a");
-    server.usually(Does::IsSilent);
+fn after_sigterm_clients_that_wait_for_a_slot_are_answered() {
+    let server = CacheServer::start("s-a");
+    server.set_default_behavior(Behavior::StaySilent);
     let discovery = Discovery::start(list(7, false, &[]));
-    let mut config = config(discovery.addr, &[server.entry("up")]);
+    let mut config = configuration(discovery.addr, &[server.entry("up")]);
     // Places for two clients.
     config["limits"]["sockets"] = 52.into();
-    let mut router = Router::start(&config);
+    let mut router = RouterProcess::start(&config);
     let mut busy = [router.client(), router.client()];
     busy[0].send("once", "00000000000000aa", 60_000);
     busy[1].send("once", "00000000000000bb", 60_000);
@@ -71,34 +71,34 @@
         .for_each(|client| client.write(&command(&["PING"])));
     router.terminate();
     for client in &mut waiting {
-        assert_eq!(client.answer().as_deref(), Some("+PONG\r\n"));
-        assert_eq!(client.answer(), None, "closed at rest");
+        assert_eq!(client.read_reply().as_deref(), Some("+PONG\r\n"));
+        assert_eq!(client.read_reply(), None, "closed at rest");
     }
     assert!(router.is_running(), "it waits for the answers that it owes");
-    server.end_connections();
+    server.close_connections();
     busy.iter_mut()
-        .for_each(|client| assert!(client.answer().expect("an answer").starts_with("-ERR")));
+        .for_each(|client| assert!(client.read_reply().expect("an answer").starts_with("-ERR")));
     assert_eq!(router.wait().code(), Some(0));
 }
 
 #[test]
-fn it_starts_again_at_the_same_address() {
-    let server = Server::start("s-a");
+fn a_new_process_listens_on_the_same_address() {
+    let server = CacheServer::start("s-a");
     let discovery = Discovery::start(list(7, false, &[]));
-    let mut config = config(discovery.addr, &[server.entry("up")]);
-    let first = Router::start(&config);
+    let mut config = configuration(discovery.addr, &[server.entry("up")]);
+    let first = RouterProcess::start(&config);
     let addr = first.addr;
     let mut client = first.client();
-    assert!(client.ask("read", "00000000000000aa").contains("s-a"));
+    assert!(client.request("read", "00000000000000aa").contains("s-a"));
     // Killed with a client connected: its side of that connection lingers.
     drop(first);
     config["listen"] = addr.to_string().into();
-    let second = Router::start(&config);
+    let second = RouterProcess::start(&config);
     assert_eq!(second.addr, addr);
     assert!(
         second
             .client()
-            .ask("read", "00000000000000aa")
+            .request("read", "00000000000000aa")
             .contains("s-a")
     );
 }
@@ -106,7 +106,7 @@
 #[test]
 fn a_bad_configuration_is_one_plain_line() {
     let discovery = Discovery::start(list(7, false, &[]));
-    let good = config(discovery.addr, &[]);
+    let good = configuration(discovery.addr, &[]);
     let mut no_classes = good.clone();
     no_classes["settings"]
         .as_object_mut()
@@ -126,26 +126,26 @@
 #[test]
 fn after_sighup_the_list_comes_from_the_new_discovery() {
     for mode in ["subscribe", "automatic"] {
-        let (old, new) = (Server::start("s-a"), Server::start("s-b"));
+        let (old, new) = (CacheServer::start("s-a"), CacheServer::start("s-b"));
         let (first, second) = (
             Discovery::start(list(41, false, &[])),
             Discovery::start(list(3, true, &[new.entry("up")])),
         );
-        let mut config = config(Server::start("nowhere").addr, &[old.entry("up")]);
+        let mut config = configuration(CacheServer::start("nowhere").addr, &[old.entry("up")]);
         config["settings"]["discovery"] = mode.into();
         let mut router =
-            Router::start_after(&config, &format!("export GW_DISCOVERY={};", first.addr));
+            RouterProcess::start_after(&config, &format!("export GW_DISCOVERY={};", first.addr));
         wait_until("the router watches", || !first.calls().is_empty());
         let mut client = router.client();
         assert!(
-            client.ask("read", "00000000000000aa").contains("s-a"),
+            client.request("read", "00000000000000aa").contains("s-a"),
             "{mode}"
         );
         config["discovery"] = second.addr.to_string().into();
         let start = Instant::now();
         router.reload(&config.to_string());
         wait_until("the new list", || {
-            client.ask("read", "00000000000000aa").contains("s-b")
+            client.request("read", "00000000000000aa").contains("s-b")
         });
         assert!(
             start.elapsed().as_secs_f64() < 4.0,
@@ -162,18 +162,18 @@
             (1, 1),
             "{mode}: one call each"
         );
-        wait_until("the old watch is closed", || first.is_left());
+        wait_until("the old watch is closed", || first.is_watch_closed());
         // And once more, back to the first.
-        first.begins_with(list(50, true, &[old.entry("up")]));
+        first.set_initial_list(list(50, true, &[old.entry("up")]));
         config["discovery"] = first.addr.to_string().into();
         router.reload(&config.to_string());
         wait_until("the old list again", || {
-            client.ask("read", "00000000000000aa").contains("s-a")
+            client.request("read", "00000000000000aa").contains("s-a")
         });
         // The watch at the last address is the one that counts.
-        first.writes(&format!("{}\n", list(51, true, &[new.entry("up")])));
+        first.write_to_watch(&format!("{}\n", list(51, true, &[new.entry("up")])));
         wait_until("its change", || {
-            client.ask("read", "00000000000000aa").contains("s-b")
+            client.request("read", "00000000000000aa").contains("s-b")
         });
         assert!(router.is_running());
     }
@@ -181,33 +181,33 @@
 
 /// The module's back-off has grown long with the old discovery: it does not hold up the new one, which fails at first.
 #[test]
-fn after_sighup_no_back_off_holds_the_new_discovery_up() {
-    let (old, new) = (Server::start("s-a"), Server::start("s-b"));
+fn after_sighup_the_backoff_does_not_delay_the_new_discovery() {
+    let (old, new) = (CacheServer::start("s-a"), CacheServer::start("s-b"));
     let (first, second) = (
         Discovery::start(list(7, false, &[])),
         Discovery::start(list(3, true, &[new.entry("up")])),
     );
-    first.fails(true);
-    second.fails_times(2);
-    let mut config = config(first.addr, &[old.entry("up")]);
+    first.set_failing(true);
+    second.fail_next_calls(2);
+    let mut config = configuration(first.addr, &[old.entry("up")]);
     config["settings"]["invariants"]["ask_within"] = 1_000.0.into();
-    let router = Router::start(&config);
+    let router = RouterProcess::start(&config);
     wait_until("the call has failed", || router.log_has("discovery: watch"));
     config["discovery"] = second.addr.to_string().into();
     router.reload(&config.to_string());
     let mut client = router.client();
     wait_until("the new list", || {
-        client.ask("read", "00000000000000aa").contains("s-b")
+        client.request("read", "00000000000000aa").contains("s-b")
     });
     assert_eq!(second.calls().len(), 3);
 }
 
 #[test]
 fn after_sighup_a_bad_file_leaves_the_old_configuration() {
-    let (old, new) = (Server::start("s-a"), Server::start("s-b"));
+    let (old, new) = (CacheServer::start("s-a"), CacheServer::start("s-b"));
     let discovery = Discovery::start(list(7, false, &[]));
-    let good = config(discovery.addr, &[old.entry("up")]);
-    let mut router = Router::start(&good);
+    let good = configuration(discovery.addr, &[old.entry("up")]);
+    let mut router = RouterProcess::start(&good);
     wait_until("the router watches", || !discovery.calls().is_empty());
     let mut no_classes = good.clone();
     no_classes["settings"]
@@ -233,11 +233,11 @@
         wait_until("it says so", || lines() == count + 1);
     }
     let mut client = router.client();
-    assert!(client.ask("read", "00000000000000aa").contains("s-a"));
+    assert!(client.request("read", "00000000000000aa").contains("s-a"));
     // The old watch goes on.
-    discovery.writes(&format!("{}\n", list(8, true, &[new.entry("up")])));
+    discovery.write_to_watch(&format!("{}\n", list(8, true, &[new.entry("up")])));
     wait_until("a change", || {
-        client.ask("read", "00000000000000aa").contains("s-b")
+        client.request("read", "00000000000000aa").contains("s-b")
     });
     assert_eq!(discovery.calls().len(), 1);
     assert!(router.is_running());
--- a/crates/cache-router/tests/router_long.rs
+++ b/crates/cache-router/tests/router_long.rs
@@ -1,4 +1,4 @@
-//! Long values: answers passed on as they come, writes under one budget. The real binary against fake peers on loopback
+//! Long values: answers passed on as they come, writes under one budget. The real binary against stand-ins on loopback
 //! sockets.
 
 use std::io::{Read, Write};
@@ -10,7 +10,7 @@
 const KEY: &str = "00000000000000aa";
 
 fn long_value() -> Vec<u8> {
-    value(&"v".repeat(SIZE))
+    value_reply(&"v".repeat(SIZE))
 }
 
 fn read_command(id: &str) -> Vec<u8> {
@@ -18,17 +18,20 @@
 }
 
 /// The configuration with operators' calls and this much memory.
-fn configured(server: &Server, memory_mb: usize) -> (Router, Discovery, std::net::SocketAddr) {
+fn configured(
+    server: &CacheServer,
+    memory_mb: usize,
+) -> (RouterProcess, Discovery, std::net::SocketAddr) {
     let discovery = Discovery::start(list(7, false, &[]));
-    let mut config = config(discovery.addr, &[server.entry("up")]);
-    let admin = free_addr();
+    let mut config = configuration(discovery.addr, &[server.entry("up")]);
+    let admin = unused_addr();
     config["admin"] = admin.to_string().into();
     config["limits"]["memory_mb"] = memory_mb.into();
-    (Router::start(&config), discovery, admin)
+    (RouterProcess::start(&config), discovery, admin)
 }
 
 fn in_progress(admin: std::net::SocketAddr) -> usize {
-    let (_, text) = call(admin, "GET", "/api/telemetry", "");
+    let text = http_request(admin, "GET", "/api/telemetry", "").body;
     let line = text
         .lines()
         .find_map(|line| line.strip_prefix("router_in_progress "))
@@ -36,39 +39,42 @@
     line.parse().expect("a number")
 }
 
-fn connect(router: &Router) -> TcpStream {
+fn connect(router: &RouterProcess) -> TcpStream {
     let stream = TcpStream::connect(router.addr).expect("connected");
-    stream.set_read_timeout(Some(LONG)).expect("a limit");
+    stream.set_read_timeout(Some(MAX_WAIT)).expect("a limit");
     stream
 }
 
 #[test]
 fn a_long_value_comes_whole_and_its_connection_is_used_again() {
-    let server = Server::start("s-a");
-    server.does(KEY, Does::Says(long_value()));
-    let (router, _discovery) = router_of(&[&server]);
+    let server = CacheServer::start("s-a");
+    server.set_behavior(KEY, Behavior::Reply(long_value()));
+    let (router, _discovery) = start_router(&[&server]);
     let mut client = router.client();
     for _ in 0..3 {
-        let answer = client.ask("read", KEY);
+        let answer = client.request("read", KEY);
         assert!(answer.as_bytes() == long_value(), "{} bytes", answer.len());
         std::thread::sleep(Duration::from_millis(20));
     }
-    assert_eq!(server.connections().0, 1);
+    assert_eq!(server.connections().accepted, 1);
 }
 
 #[test]
 fn the_first_bytes_go_out_before_the_rest_has_come() {
-    let server = Server::start("s-a");
+    let server = CacheServer::start("s-a");
     let bytes = long_value();
     let (first, rest) = bytes.split_at(10_000);
-    server.does(KEY, Does::SaysThen(first.to_vec(), 1_500, rest.to_vec()));
-    let (router, _discovery) = router_of(&[&server]);
+    server.set_behavior(
+        KEY,
+        Behavior::ReplyInTwoParts(first.to_vec(), 1_500, rest.to_vec()),
+    );
+    let (router, _discovery) = start_router(&[&server]);
     let mut client = connect(&router);
     client.write_all(&read_command("a")).expect("written");
     let mut begun = vec![0; 10_000];
     client.read_exact(&mut begun).expect("the first bytes");
     assert!(
-        server.gaps().is_empty(),
+        server.two_part_reply_durations().is_empty(),
         "the rest has not been written yet"
     );
     let mut left = vec![0; bytes.len() - 10_000];
@@ -78,12 +84,12 @@
 
 #[test]
 fn a_value_that_the_server_breaks_off_ends_the_connection_and_counts_as_failed() {
-    let server = Server::start("s-a");
+    let server = CacheServer::start("s-a");
     let (router, _discovery, admin) = configured(&server, 192);
     let bytes = long_value();
     // Within the first bytes of the value, at half, before its last byte.
     for length in [8_000, SIZE / 2, bytes.len() - 20] {
-        server.does(KEY, Does::SaysAndEnds(bytes[..length].to_vec()));
+        server.set_behavior(KEY, Behavior::ReplyAndClose(bytes[..length].to_vec()));
         let mut client = connect(&router);
         client.write_all(&read_command("a")).expect("written");
         let mut got = Vec::new();
@@ -91,21 +97,24 @@
         assert!(got.len() <= length, "{length}: {}", got.len());
     }
     // A load report that never comes is no loss: its place is filled.
-    server.does(KEY, Does::SaysAndEnds(bytes[..bytes.len() - 1].to_vec()));
-    assert!(router.client().ask("read", KEY).as_bytes() == bytes);
-    let (_, text) = call(admin, "GET", "/api/telemetry", "");
+    server.set_behavior(
+        KEY,
+        Behavior::ReplyAndClose(bytes[..bytes.len() - 1].to_vec()),
+    );
+    assert!(router.client().request("read", KEY).as_bytes() == bytes);
+    let text = http_request(admin, "GET", "/api/telemetry", "").body;
     assert!(
         text.contains("router_bad_gateway_total{category=\"read\"} 3"),
         "{text}"
     );
-    server.does(KEY, Does::Serves);
-    assert!(router.client().ask("read", KEY).contains("s-a"));
+    server.set_behavior(KEY, Behavior::Serve);
+    assert!(router.client().request("read", KEY).contains("s-a"));
 }
 
 #[test]
 fn slow_readers_cost_little_memory_and_hold_up_nobody() {
-    let server = Server::start("s-a");
-    server.does(KEY, Does::Says(long_value()));
+    let server = CacheServer::start("s-a");
+    server.set_behavior(KEY, Behavior::Reply(long_value()));
     let (router, _discovery, admin) = configured(&server, 48);
     let clients: Vec<TcpStream> = (0..100)
         .map(|i| {
@@ -130,7 +139,7 @@
     assert!(router.memory_kb() < 32 * 1024, "{} KB", router.memory_kb());
     let mut other = router.client();
     wait_until("another is served", || {
-        other.ask("read", "00000000000000bb").contains("s-a")
+        other.request("read", "00000000000000bb").contains("s-a")
     });
     // All leave in the middle.
     drop(clients);
@@ -139,7 +148,7 @@
 
 #[test]
 fn more_long_writes_at_once_than_memory_holds_are_all_served() {
-    let server = Server::start("s-a");
+    let server = CacheServer::start("s-a");
     let (router, _discovery, admin) = configured(&server, 48);
     let writers: Vec<_> = (0..24)
         .map(|i| {
@@ -151,7 +160,7 @@
                 &"w".repeat(SIZE),
             ]);
             let mut client = connect(&router);
-            client.set_write_timeout(Some(LONG)).expect("a limit");
+            client.set_write_timeout(Some(MAX_WAIT)).expect("a limit");
             std::thread::spawn(move || {
                 // In pieces, all of them half-written before any is whole.
                 for piece in text.chunks(256 * 1024) {
@@ -178,7 +187,7 @@
     let longest = server
         .commands()
         .iter()
-        .map(|words| words.last().map_or(0, String::len))
+        .map(|arguments| arguments.last().map_or(0, String::len))
         .max();
     assert_eq!(longest, Some(SIZE));
 }
@@ -186,22 +195,25 @@
 /// A length that was spoilt is found out before any of it is passed on: the read is served elsewhere.
 #[test]
 fn a_short_value_under_a_long_ones_header_is_not_passed_on() {
-    let (owner, other, router, _discovery) = pair_for(KEY);
+    let (owner, other, router, _discovery) = start_router_and_pair(KEY);
     let spoilt = b"*3\r\n$1048576\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n".to_vec();
-    owner.usually(Does::Says(spoilt));
-    assert!(router.client().ask("read", KEY).contains(&other.name));
+    owner.set_default_behavior(Behavior::Reply(spoilt));
+    assert!(router.client().request("read", KEY).contains(&other.name));
 }
 
 /// A server that still gives it is waited for past the client's time: whoever breaks it off loses it.
 #[test]
 fn a_value_that_comes_slowly_is_passed_on_whole_past_its_time() {
-    let server = Server::start("s-a");
-    let bytes = value(&"v".repeat(100_000));
+    let server = CacheServer::start("s-a");
+    let bytes = value_reply(&"v".repeat(100_000));
     let (first, rest) = bytes.split_at(10_000);
-    server.does(KEY, Does::SaysThen(first.to_vec(), 1_500, rest.to_vec()));
-    let (router, _discovery) = router_of(&[&server]);
+    server.set_behavior(
+        KEY,
+        Behavior::ReplyInTwoParts(first.to_vec(), 1_500, rest.to_vec()),
+    );
+    let (router, _discovery) = start_router(&[&server]);
     let mut client = router.client();
     client.write(&command(&["C.GET", KEY, "id", "c=read,t=acme,d=500"]));
-    let answer = client.answer().expect("an answer");
+    let answer = client.read_reply().expect("an answer");
     assert!(answer.as_bytes() == bytes, "{} bytes", answer.len());
 }
--- a/crates/test-support/examples/ordinary_path.rs
+++ b/crates/test-support/examples/ordinary_path.rs
@@ -7,7 +7,7 @@
 
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
-use test_support::{Client, Server, router_of};
+use test_support::{CacheServer, Client, start_router};
 
 const CLIENTS: usize = 16;
 /// Each client sends one request in this time.
@@ -19,7 +19,7 @@
         let start = Instant::now();
         for round in 0..each {
             let key = format!("{:016x}", (number * 7919 + round * 104_729) % 200);
-            assert!(client.ask("read", &key).contains("s-"), "served");
+            assert!(client.request("read", &key).contains("s-"), "served");
             let next = start + PACE * (round as u32 + 1);
             std::thread::sleep(next.saturating_duration_since(Instant::now()));
         }
@@ -36,8 +36,10 @@
     let each: usize = args
         .next()
         .map_or(500, |text| text.parse().expect("a number of requests"));
-    let servers: Vec<Server> = (0..8).map(|i| Server::start(&format!("s-{i}"))).collect();
-    let (router, _discovery) = router_of(&servers.iter().collect::<Vec<_>>());
+    let servers: Vec<CacheServer> = (0..8)
+        .map(|i| CacheServer::start(&format!("s-{i}")))
+        .collect();
+    let (router, _discovery) = start_router(&servers.iter().collect::<Vec<_>>());
     ask_all(router.addr, 50);
     let mut tracer = args.next().map(|tool| {
         let pid = router.pid().to_string();
--- /dev/null
+++ b/crates/test-support/src/admin.rs
@@ -0,0 +1,42 @@
+//! Requests to a router's admin API, over HTTP/1.1.
+
+use crate::wait::MAX_WAIT;
+use std::io::{Read, Write};
+use std::net::{SocketAddr, TcpStream};
+
+/// A response; status 0 and an empty body if none came.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct HttpResponse {
+    /// Its status.
+    pub status: u16,
+    /// Its body.
+    pub body: String,
+}
+
+/// Sends these bytes, and reads until the connection is closed.
+pub fn http_request_raw(addr: SocketAddr, request: &[u8]) -> HttpResponse {
+    let mut stream = TcpStream::connect(addr).expect("connected");
+    stream
+        .set_read_timeout(Some(MAX_WAIT))
+        .expect("a read timeout");
+    // A request that is answered by its head alone may be answered before all of it is written.
+    let _ = stream.write_all(request);
+    let mut response = Vec::new();
+    let _ = stream.read_to_end(&mut response);
+    let response = String::from_utf8_lossy(&response).into_owned();
+    let (head, body) = response.split_once("\r\n\r\n").unwrap_or_default();
+    let status = head.split(' ').nth(1);
+    HttpResponse {
+        status: status.and_then(|code| code.parse().ok()).unwrap_or(0),
+        body: body.to_string(),
+    }
+}
+
+/// Sends a request with a body, which may be empty.
+pub fn http_request(addr: SocketAddr, method: &str, path: &str, body: &str) -> HttpResponse {
+    let length = body.len();
+    let request = format!(
+        "{method} {path} HTTP/1.1\r\nHost: {addr}\r\nContent-Length: {length}\r\n\r\n{body}"
+    );
+    http_request_raw(addr, request.as_bytes())
+}
--- /dev/null
+++ b/crates/test-support/src/cache_server.rs
@@ -0,0 +1,272 @@
+//! A cache server that records its commands and behaves as the test sets it to.
+
+use crate::discovery::entry;
+use crate::resp::{arguments, read_frame, value_reply};
+use std::collections::HashMap;
+use std::io::{BufReader, Write};
+use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
+use std::sync::{Arc, Condvar, Mutex, MutexGuard};
+use std::thread;
+use std::time::{Duration, Instant};
+
+/// What a cache server does with a command.
+#[derive(Clone)]
+pub enum Behavior {
+    /// Replies with its name as the value.
+    Serve,
+    /// Replies with these bytes.
+    Reply(Vec<u8>),
+    /// Replies with these bytes after so many milliseconds.
+    ReplyAfter(u64, Vec<u8>),
+    /// Replies with these bytes and closes the connection.
+    ReplyAndClose(Vec<u8>),
+    /// Replies with the first bytes and, so many milliseconds later, with the others.
+    ReplyInTwoParts(Vec<u8>, u64, Vec<u8>),
+    /// Replies with the first bytes, and repeats the others until the connection is closed.
+    ReplyEndlessly(Vec<u8>, Vec<u8>),
+    /// Serves; the first command of each connection after so many milliseconds, as if a handshake took them.
+    ServeSlowlyOnNewConnection(u64),
+    /// Serves the first command of each connection, and closes it at the second, without a reply.
+    CloseOnReuse,
+    /// Does not reply.
+    StaySilent,
+    /// Serves once [`CacheServer::open_gate`] was called.
+    ServeOnceGateOpens,
+}
+
+/// A command, and the connection that it came on.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct RecordedCommand {
+    /// Number of the connection, from 1.
+    pub connection: usize,
+    /// Arguments of the command, its name first.
+    pub arguments: Vec<String>,
+}
+
+/// How many connections a cache server has seen.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ConnectionCounts {
+    /// Connections accepted so far.
+    pub accepted: usize,
+    /// Those of them that are closed.
+    pub closed: usize,
+}
+
+#[derive(Default)]
+struct State {
+    commands: Vec<RecordedCommand>,
+    accepted: usize,
+    closed: usize,
+    behaviors_by_key: HashMap<String, Behavior>,
+    default_behavior: Option<Behavior>,
+    two_part_reply_durations: Vec<Duration>,
+    is_gate_open: bool,
+    streams: Vec<TcpStream>,
+}
+
+#[derive(Default)]
+struct Shared {
+    state: Mutex<State>,
+    gate_opened: Condvar,
+}
+
+/// A cache server. Clones are handles of the same one.
+#[derive(Clone)]
+pub struct CacheServer {
+    /// Its id in the endpoint list.
+    pub name: String,
+    /// Where it listens.
+    pub addr: SocketAddr,
+    shared: Arc<Shared>,
+}
+
+impl CacheServer {
+    /// Starts a cache server on an ephemeral port.
+    pub fn start(name: &str) -> CacheServer {
+        CacheServer::on(name, TcpListener::bind("127.0.0.1:0").expect("a port"))
+    }
+
+    /// Starts a cache server on this listener.
+    pub fn on(name: &str, listener: TcpListener) -> CacheServer {
+        let addr = listener.local_addr().expect("an address");
+        let server = CacheServer {
+            name: name.to_string(),
+            addr,
+            shared: Arc::default(),
+        };
+        let accepting = server.clone();
+        thread::spawn(move || {
+            for stream in listener.incoming().map_while(Result::ok) {
+                let server = accepting.clone();
+                thread::spawn(move || server.serve(stream));
+            }
+        });
+        server
+    }
+
+    fn state(&self) -> MutexGuard<'_, State> {
+        self.shared.state.lock().unwrap()
+    }
+
+    fn serve(&self, stream: TcpStream) {
+        let connection = self.record_connection(&stream);
+        let mut reader = BufReader::new(stream.try_clone().expect("a handle"));
+        let mut writer = stream;
+        let mut is_new = true;
+        while let Some(frame) = read_frame(&mut reader) {
+            let behavior = self.record_command(connection, arguments(&frame));
+            if matches!(behavior, Behavior::StaySilent) {
+                continue;
+            }
+            let stays_open = self.reply(&mut writer, behavior, is_new);
+            is_new = false;
+            if !stays_open {
+                break;
+            }
+        }
+        let _ = writer.shutdown(Shutdown::Both);
+        self.state().closed += 1;
+    }
+
+    fn record_connection(&self, stream: &TcpStream) -> usize {
+        let mut state = self.state();
+        state.accepted += 1;
+        state.streams.push(stream.try_clone().expect("a handle"));
+        state.accepted
+    }
+
+    fn record_command(&self, connection: usize, arguments: Vec<String>) -> Behavior {
+        let mut state = self.state();
+        let behavior = state
+            .behaviors_by_key
+            .get(&arguments[1])
+            .cloned()
+            .or_else(|| state.default_behavior.clone());
+        state.commands.push(RecordedCommand {
+            connection,
+            arguments,
+        });
+        behavior.unwrap_or(Behavior::Serve)
+    }
+
+    /// Replies to a command; returns whether the connection stays open.
+    fn reply(&self, writer: &mut TcpStream, behavior: Behavior, is_new: bool) -> bool {
+        let own_reply = value_reply(&self.name);
+        match behavior {
+            Behavior::Serve => writer.write_all(&own_reply).is_ok(),
+            Behavior::Reply(bytes) => writer.write_all(&bytes).is_ok(),
+            Behavior::ReplyAfter(millis, bytes) => {
+                thread::sleep(Duration::from_millis(millis));
+                writer.write_all(&bytes).is_ok()
+            }
+            Behavior::ReplyAndClose(bytes) => {
+                let _ = writer.write_all(&bytes);
+                false
+            }
+            Behavior::ReplyInTwoParts(first, millis, second) => {
+                self.reply_in_two_parts(writer, &first, millis, &second)
+            }
+            Behavior::ReplyEndlessly(first, repeated) => {
+                let mut written = writer.write_all(&first);
+                while written.is_ok() {
+                    written = writer.write_all(&repeated);
+                }
+                false
+            }
+            Behavior::ServeSlowlyOnNewConnection(millis) => {
+                thread::sleep(Duration::from_millis(if is_new { millis } else { 0 }));
+                writer.write_all(&own_reply).is_ok()
+            }
+            Behavior::CloseOnReuse => is_new && writer.write_all(&own_reply).is_ok(),
+            Behavior::StaySilent => true,
+            Behavior::ServeOnceGateOpens => {
+                self.wait_for_gate();
+                writer.write_all(&own_reply).is_ok()
+            }
+        }
+    }
+
+    fn reply_in_two_parts(
+        &self,
+        writer: &mut TcpStream,
+        first: &[u8],
+        millis: u64,
+        second: &[u8],
+    ) -> bool {
+        let start = Instant::now();
+        let mut written = writer.write_all(first);
+        thread::sleep(Duration::from_millis(millis));
+        written = written.and_then(|()| writer.write_all(second));
+        self.state().two_part_reply_durations.push(start.elapsed());
+        written.is_ok()
+    }
+
+    fn wait_for_gate(&self) {
+        let state = self.state();
+        let is_closed = |state: &mut State| !state.is_gate_open;
+        drop(
+            self.shared
+                .gate_opened
+                .wait_while(state, is_closed)
+                .unwrap(),
+        );
+    }
+
+    /// Sets what it does with commands for all keys without a behavior of their own.
+    pub fn set_default_behavior(&self, behavior: Behavior) {
+        self.state().default_behavior = Some(behavior);
+    }
+
+    /// Sets what it does with commands for one key.
+    pub fn set_behavior(&self, key: &str, behavior: Behavior) {
+        self.state()
+            .behaviors_by_key
+            .insert(key.to_string(), behavior);
+    }
+
+    /// Of each [`Behavior::ReplyInTwoParts`] so far, the time from before its first write until after its second.
+    pub fn two_part_reply_durations(&self) -> Vec<Duration> {
+        self.state().two_part_reply_durations.clone()
+    }
+
+    /// Lets all commands with [`Behavior::ServeOnceGateOpens`] go on, from here on.
+    pub fn open_gate(&self) {
+        self.state().is_gate_open = true;
+        self.shared.gate_opened.notify_all();
+    }
+
+    /// Closes all its connections.
+    pub fn close_connections(&self) {
+        for stream in self.state().streams.drain(..) {
+            let _ = stream.shutdown(Shutdown::Both);
+        }
+    }
+
+    /// The arguments of all commands so far, in their order.
+    pub fn commands(&self) -> Vec<Vec<String>> {
+        self.state()
+            .commands
+            .iter()
+            .map(|command| command.arguments.clone())
+            .collect()
+    }
+
+    /// All commands so far with their connections, in their order.
+    pub fn recorded_commands(&self) -> Vec<RecordedCommand> {
+        self.state().commands.clone()
+    }
+
+    /// How many connections it has seen so far.
+    pub fn connections(&self) -> ConnectionCounts {
+        let state = self.state();
+        ConnectionCounts {
+            accepted: state.accepted,
+            closed: state.closed,
+        }
+    }
+
+    /// Its entry in an endpoint list.
+    pub fn entry(&self, health: &str) -> String {
+        entry(&self.name, self.addr, health)
+    }
+}
--- /dev/null
+++ b/crates/test-support/src/client.rs
@@ -0,0 +1,84 @@
+//! A client of the router.
+
+use crate::resp::{command, read_frame};
+use crate::wait::MAX_WAIT;
+use std::io::{BufReader, Read, Write};
+use std::net::{Shutdown, SocketAddr, TcpStream};
+
+/// Deadline of [`Client::request`], in milliseconds.
+const REQUEST_DEADLINE_MS: u64 = 4_000;
+
+/// One connection of a client.
+pub struct Client {
+    stream: TcpStream,
+    reader: BufReader<TcpStream>,
+    request_count: u32,
+}
+
+impl Client {
+    /// Connects to a router.
+    pub fn connect(addr: SocketAddr) -> Client {
+        let stream = TcpStream::connect(addr).expect("connected");
+        stream
+            .set_read_timeout(Some(MAX_WAIT))
+            .expect("a read timeout");
+        let reader = BufReader::new(stream.try_clone().expect("a handle"));
+        Client {
+            stream,
+            reader,
+            request_count: 0,
+        }
+    }
+
+    /// Writes all these bytes.
+    pub fn write(&mut self, bytes: &[u8]) {
+        self.stream.write_all(bytes).expect("written");
+    }
+
+    /// Writes these bytes, or as many as the router takes until it closes the connection.
+    pub fn write_until_closed(&mut self, bytes: &[u8]) {
+        let _ = self.stream.write_all(bytes);
+    }
+
+    /// Sends a request of a class for a key, as a write unless the class is `read`.
+    pub fn send(&mut self, class: &str, key: &str, deadline_ms: u64) {
+        self.request_count += 1;
+        let id = format!("id-{key}-{}", self.request_count);
+        let fields = format!("c={class},t=acme,d={deadline_ms},k=5c0f");
+        let bytes = match class {
+            "read" => command(&["C.GET", key, &id, &fields]),
+            _ => command(&["C.SET", key, &id, &fields, "v"]),
+        };
+        self.write(&bytes);
+    }
+
+    /// Reads the next reply; `None` if the connection is closed.
+    pub fn read_reply(&mut self) -> Option<String> {
+        read_frame(&mut self.reader).map(|frame| String::from_utf8_lossy(&frame).into_owned())
+    }
+
+    /// Sends a request and reads its reply.
+    pub fn request(&mut self, class: &str, key: &str) -> String {
+        self.send(class, key, REQUEST_DEADLINE_MS);
+        self.read_reply().expect("a reply")
+    }
+
+    /// Disconnects with requests unanswered, and waits until the router has closed the connection: it has seen the
+    /// disconnect by then.
+    pub fn disconnect(mut self) {
+        self.shutdown_write();
+        assert!(self.read_to_end().is_empty(), "nothing more comes");
+    }
+
+    /// Ends the stream to the router, and leaves the other direction open.
+    pub fn shutdown_write(&self) {
+        self.stream.shutdown(Shutdown::Write).expect("an end");
+    }
+
+    /// Reads until the connection is closed.
+    pub fn read_to_end(&mut self) -> Vec<u8> {
+        let mut bytes = Vec::new();
+        let _ = self.reader.read_to_end(&mut bytes);
+        bytes
+    }
+}
--- /dev/null
+++ b/crates/test-support/src/discovery.rs
@@ -0,0 +1,177 @@
+//! A discovery service: endpoint lists, and a server for one watch of them.
+
+use std::io::{BufRead, BufReader, Read, Write};
+use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
+use std::sync::{Arc, Mutex, MutexGuard};
+use std::thread;
+use std::time::Duration;
+
+/// Interval of the empty lines that a watch carries while nothing changes.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
+
+/// The entry of a cache server in an endpoint list, as JSON.
+pub fn entry(name: &str, addr: SocketAddr, health: &str) -> String {
+    format!(
+        r#"{{"host":"{name}","dial":"{addr}","site":"a","class":"m","block":1,"health":"{health}","share":1.0,"born_ms":0}}"#
+    )
+}
+
+/// An endpoint list of version `seq`, as JSON: the `whole` list, or changes to it.
+pub fn list(seq: u64, whole: bool, entries: &[String]) -> String {
+    format!(
+        r#"{{"seq":{seq},"whole":{whole},"hosts":[{}]}}"#,
+        entries.join(",")
+    )
+}
+
+#[derive(Default)]
+struct State {
+    /// Request lines of all calls.
+    calls: Vec<String>,
+    initial_list: String,
+    calls_to_fail: usize,
+    calls_to_hang: usize,
+    hanging: Vec<TcpStream>,
+    is_silent: bool,
+    watch: Option<TcpStream>,
+}
+
+/// A discovery service with at most one watch, the newest. Clones are handles of the same one.
+#[derive(Clone)]
+pub struct Discovery {
+    /// Where it listens.
+    pub addr: SocketAddr,
+    state: Arc<Mutex<State>>,
+}
+
+fn chunk(text: &str) -> String {
+    format!("{:x}\r\n{text}\r\n", text.len())
+}
+
+impl Discovery {
+    /// Starts a discovery service whose watches begin with this list.
+    pub fn start(initial_list: String) -> Discovery {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+        let addr = listener.local_addr().expect("an address");
+        let discovery = Discovery {
+            addr,
+            state: Arc::default(),
+        };
+        discovery.set_initial_list(initial_list);
+        let accepting = discovery.clone();
+        thread::spawn(move || {
+            for stream in listener.incoming().map_while(Result::ok) {
+                accepting.respond(stream);
+            }
+        });
+        let beating = discovery.clone();
+        thread::spawn(move || {
+            loop {
+                thread::sleep(HEARTBEAT_INTERVAL);
+                beating.send_heartbeat();
+            }
+        });
+        discovery
+    }
+
+    fn state(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap()
+    }
+
+    fn send_heartbeat(&self) {
+        let state = self.state();
+        if let Some(mut watch) = state.watch.as_ref().filter(|_| !state.is_silent) {
+            let _ = watch.write_all(chunk("\n").as_bytes());
+        }
+    }
+
+    fn respond(&self, mut stream: TcpStream) {
+        let call = read_request_line(&stream);
+        let mut state = self.state();
+        state.calls.push(call);
+        if state.calls_to_hang > 0 {
+            state.calls_to_hang -= 1;
+            state.hanging.push(stream);
+            return;
+        }
+        if state.calls_to_fail > 0 {
+            state.calls_to_fail -= 1;
+            let _ =
+                stream.write_all(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
+            return;
+        }
+        let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+        let first_chunk = chunk(&format!("{}\n", state.initial_list));
+        let _ = stream.write_all(format!("{head}{first_chunk}").as_bytes());
+        state.watch = Some(stream);
+    }
+
+    /// Request lines of all calls so far.
+    pub fn calls(&self) -> Vec<String> {
+        self.state().calls.clone()
+    }
+
+    /// Whether the router has closed the watch, or there is none.
+    pub fn is_watch_closed(&self) -> bool {
+        let state = self.state();
+        let Some(mut watch) = state.watch.as_ref() else {
+            return true;
+        };
+        let _ = watch.set_read_timeout(Some(Duration::from_millis(1)));
+        matches!(watch.read(&mut [0]), Ok(0))
+    }
+
+    /// Sets the list that later watches begin with.
+    pub fn set_initial_list(&self, list: String) {
+        self.state().initial_list = list;
+    }
+
+    /// Lets so many of the next calls fail.
+    pub fn fail_next_calls(&self, count: usize) {
+        self.state().calls_to_fail = count;
+    }
+
+    /// Lets all calls fail, or none.
+    pub fn set_failing(&self, is_failing: bool) {
+        self.fail_next_calls(if is_failing { usize::MAX } else { 0 });
+    }
+
+    /// Leaves so many of the next calls without a response.
+    pub fn hang_next_calls(&self, count: usize) {
+        self.state().calls_to_hang = count;
+    }
+
+    /// Stops the heartbeat, or starts it again.
+    pub fn set_silent(&self, is_silent: bool) {
+        self.state().is_silent = is_silent;
+    }
+
+    /// Writes to the watch, as one chunk.
+    pub fn write_to_watch(&self, text: &str) {
+        let state = self.state();
+        let mut watch = state.watch.as_ref().expect("a watch");
+        watch.write_all(chunk(text).as_bytes()).expect("written");
+    }
+
+    /// Closes the watch.
+    pub fn close_watch(&self) {
+        if let Some(watch) = self.state().watch.take() {
+            let _ = watch.shutdown(Shutdown::Both);
+        }
+    }
+}
+
+/// Reads the head of a request, and returns its first line.
+fn read_request_line(stream: &TcpStream) -> String {
+    let mut reader = BufReader::new(stream.try_clone().expect("a handle"));
+    let mut request_line = String::new();
+    let _ = reader.read_line(&mut request_line);
+    let mut line = String::from("-");
+    while !line.trim().is_empty() {
+        line.clear();
+        if reader.read_line(&mut line).unwrap_or(0) == 0 {
+            break;
+        }
+    }
+    request_line
+}
--- /dev/null
+++ b/crates/test-support/src/fleet.rs
@@ -0,0 +1,48 @@
+//! Whole fleets: cache servers, a discovery without news, and a router that knows them.
+
+use crate::cache_server::CacheServer;
+use crate::configuration::configuration;
+use crate::discovery::{Discovery, list};
+use crate::router_process::RouterProcess;
+use crate::wait::wait_until;
+use serde_json::Value;
+
+/// Starts a router that knows these cache servers.
+pub fn start_router(servers: &[&CacheServer]) -> (RouterProcess, Discovery) {
+    start_router_with_settings(servers, |_| {})
+}
+
+/// The same with other settings: `change` gets the `settings` of the configuration.
+pub fn start_router_with_settings(
+    servers: &[&CacheServer],
+    change: impl FnOnce(&mut Value),
+) -> (RouterProcess, Discovery) {
+    let discovery = Discovery::start(list(7, false, &[]));
+    let known: Vec<String> = servers.iter().map(|server| server.entry("up")).collect();
+    let mut configuration = configuration(discovery.addr, &known);
+    change(&mut configuration["settings"]);
+    let router = RouterProcess::start(&configuration);
+    wait_until("the router watches", || !discovery.calls().is_empty());
+    (router, discovery)
+}
+
+/// Starts two cache servers and a router; the first server is the owner of `key`.
+pub fn start_router_and_pair(key: &str) -> (CacheServer, CacheServer, RouterProcess, Discovery) {
+    start_router_and_pair_with_settings(key, |_| {})
+}
+
+/// The same with other settings, as in [`start_router_with_settings`].
+pub fn start_router_and_pair_with_settings(
+    key: &str,
+    change: impl FnOnce(&mut Value),
+) -> (CacheServer, CacheServer, RouterProcess, Discovery) {
+    let (a, b) = (CacheServer::start("s-a"), CacheServer::start("s-b"));
+    let (router, discovery) = start_router_with_settings(&[&a, &b], change);
+    assert!(router.client().request("read", key).contains("s-"));
+    let (owner, other) = if a.commands().is_empty() {
+        (b, a)
+    } else {
+        (a, b)
+    };
+    (owner, other, router, discovery)
+}
--- /dev/null
+++ b/crates/test-support/src/network.rs
@@ -0,0 +1,42 @@
+//! Addresses and listeners that no stand-in serves.
+
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::sync::atomic::{AtomicU16, Ordering};
+use std::time::Duration;
+
+/// First of the ports that [`unused_addr`] draws from: below the range of ephemeral ports, so that the kernel gives none
+/// of them to a connection.
+const FIRST_PORT: u16 = 10_000;
+/// Ports that one test process draws from, and how many processes have ports of their own.
+const PORTS_PER_PROCESS: u16 = 40;
+const PORT_RANGE_COUNT: u32 = 500;
+
+/// A loopback address that nothing listens on.
+pub fn unused_addr() -> SocketAddr {
+    static DRAWN_COUNT: AtomicU16 = AtomicU16::new(0);
+    let range = (std::process::id() % PORT_RANGE_COUNT) as u16;
+    let first = FIRST_PORT + range * PORTS_PER_PROCESS;
+    loop {
+        let port = first + DRAWN_COUNT.fetch_add(1, Ordering::Relaxed);
+        if let Ok(listener) = TcpListener::bind(("127.0.0.1", port)) {
+            return listener.local_addr().expect("an address");
+        }
+    }
+}
+
+/// A listener whose backlog is full, and the connections that fill it: the kernel drops further ones, as if the machine
+/// were unreachable.
+pub fn unresponsive_listener() -> (TcpListener, Vec<TcpStream>) {
+    let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
+    socket
+        .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
+        .unwrap();
+    socket.listen(0).unwrap();
+    let listener = TcpListener::from(socket);
+    let addr = listener.local_addr().unwrap();
+    let limit = Duration::from_millis(100);
+    let fillers = (0..4)
+        .map_while(|_| TcpStream::connect_timeout(&addr, limit).ok())
+        .collect();
+    (listener, fillers)
+}
--- /dev/null
+++ b/crates/test-support/src/router_process.rs
@@ -0,0 +1,307 @@
+//! The router's real binary as a process.
+
+use crate::client::Client;
+use crate::wait::{MAX_WAIT, wait_until};
+use std::io::{BufRead, BufReader};
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::process::{Child, ChildStderr, Command, ExitStatus, Stdio};
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::sync::{Arc, Mutex};
+use std::thread;
+use std::time::Instant;
+
+/// Environment variables of the router that a test does not inherit.
+const CLEARED_VARIABLES: [&str; 6] = [
+    "ASTERPORT_OPERATOR_FILE",
+    "GW_LISTEN",
+    "GW_DISCOVERY",
+    "GW_NAME",
+    "GW_ADMIN",
+    "GW_FD",
+];
+
+/// Creates a folder that no other test uses.
+pub(crate) fn unique_folder(prefix: &str) -> PathBuf {
+    static COUNT: AtomicUsize = AtomicUsize::new(0);
+    let number = COUNT.fetch_add(1, Ordering::Relaxed);
+    let folder = std::env::temp_dir().join(format!("{prefix}-{}-{number}", std::process::id()));
+    std::fs::create_dir_all(&folder).expect("a folder");
+    folder
+}
+
+/// The router's binary: what `ASTERPORT_PROGRAM` names, else where cargo builds it, one folder above the tests.
+fn program() -> PathBuf {
+    if let Some(path) = std::env::var_os("ASTERPORT_PROGRAM") {
+        return path.into();
+    }
+    let test = std::env::current_exe().expect("the test's own path");
+    let folder = test
+        .parent()
+        .and_then(Path::parent)
+        .expect("cargo's folder for binaries");
+    folder.join("cache-router")
+}
+
+/// How a process is started.
+pub(crate) struct Launch<'a> {
+    /// Text of the configuration file.
+    pub configuration: &'a str,
+    /// Commands that the shell runs before it executes the binary, each with its semicolon.
+    pub shell_commands: &'a str,
+    /// Text of the operator file, if there is one.
+    pub operator_file: Option<&'a str>,
+    /// Standard input of the shell.
+    pub stdin: Stdio,
+}
+
+/// A child process, and the folder with its files.
+struct Launched {
+    child: Child,
+    folder: PathBuf,
+}
+
+impl<'a> Launch<'a> {
+    /// A start with this configuration and nothing else.
+    pub fn new(configuration: &'a str) -> Launch<'a> {
+        Launch {
+            configuration,
+            shell_commands: "",
+            operator_file: None,
+            stdin: Stdio::inherit(),
+        }
+    }
+
+    fn spawn(self) -> Launched {
+        let folder = unique_folder("asterport-test");
+        let configuration_path = folder.join("config.json");
+        std::fs::write(&configuration_path, self.configuration).expect("written");
+        let mut command = Command::new("/bin/sh");
+        for variable in CLEARED_VARIABLES {
+            command.env_remove(variable);
+        }
+        if let Some(text) = self.operator_file {
+            let path = folder.join("operator.toml");
+            std::fs::write(&path, text).expect("written");
+            command.env("ASTERPORT_OPERATOR_FILE", path);
+        }
+        let child = command
+            .arg("-c")
+            .arg(format!("{} exec \"$0\"", self.shell_commands))
+            .arg(program())
+            .env("GW_CONFIG", &configuration_path)
+            .stdin(self.stdin)
+            .stderr(Stdio::piped())
+            .spawn()
+            .expect("the router starts");
+        Launched { child, folder }
+    }
+
+    fn run_to_end(self) -> (ExitStatus, String) {
+        let Launched { child, folder } = self.spawn();
+        let output = child.wait_with_output().expect("the router ends");
+        let _ = std::fs::remove_dir_all(folder);
+        let log = String::from_utf8_lossy(&output.stderr).into_owned();
+        (output.status, log)
+    }
+}
+
+/// Runs the binary to its end: its exit status and its log.
+pub fn run_to_end(configuration: &str) -> (ExitStatus, String) {
+    Launch::new(configuration).run_to_end()
+}
+
+/// The same in a shell that runs `shell_commands` before.
+pub fn run_to_end_after(configuration: &str, shell_commands: &str) -> (ExitStatus, String) {
+    let launch = Launch {
+        shell_commands,
+        ..Launch::new(configuration)
+    };
+    launch.run_to_end()
+}
+
+/// The same with an operator file of this text.
+pub fn run_to_end_with_operator_file(
+    configuration: &str,
+    operator_file: &str,
+) -> (ExitStatus, String) {
+    let launch = Launch {
+        operator_file: Some(operator_file),
+        ..Launch::new(configuration)
+    };
+    launch.run_to_end()
+}
+
+/// A running router; killed by its id when it is dropped.
+pub struct RouterProcess {
+    child: Child,
+    /// Where clients connect.
+    pub addr: SocketAddr,
+    /// The lines of its log so far.
+    pub log: Arc<Mutex<Vec<String>>>,
+    folder: PathBuf,
+}
+
+impl RouterProcess {
+    /// Starts a router and waits until it listens.
+    pub fn start(configuration: &serde_json::Value) -> RouterProcess {
+        RouterProcess::launch(Launch::new(&configuration.to_string()))
+    }
+
+    /// The same in a shell that runs `shell_commands` before.
+    pub fn start_after(configuration: &serde_json::Value, shell_commands: &str) -> RouterProcess {
+        RouterProcess::launch(Launch {
+            shell_commands,
+            ..Launch::new(&configuration.to_string())
+        })
+    }
+
+    /// The same with an operator file of this text.
+    pub fn start_with_operator_file(
+        configuration: &serde_json::Value,
+        operator_file: &str,
+    ) -> RouterProcess {
+        RouterProcess::launch(Launch {
+            operator_file: Some(operator_file),
+            ..Launch::new(&configuration.to_string())
+        })
+    }
+
+    pub(crate) fn launch(launch: Launch<'_>) -> RouterProcess {
+        let Launched { mut child, folder } = launch.spawn();
+        let log = collect_log(child.stderr.take().expect("its log"));
+        let addr = wait_for_address(&log);
+        RouterProcess {
+            child,
+            addr,
+            log,
+            folder,
+        }
+    }
+
+    /// A new client of this router.
+    pub fn client(&self) -> Client {
+        Client::connect(self.addr)
+    }
+
+    /// Whether a line of the log contains this text.
+    pub fn log_has(&self, text: &str) -> bool {
+        self.log
+            .lock()
+            .unwrap()
+            .iter()
+            .any(|line| line.contains(text))
+    }
+
+    fn signal(&self, name: &str) {
+        let kill = Command::new("/bin/sh")
+            .arg("-c")
+            .arg(format!("kill -{name} {}", self.child.id()))
+            .status();
+        assert!(kill.expect("kill runs").success());
+    }
+
+    /// Sends SIGTERM.
+    pub fn terminate(&self) {
+        self.signal("TERM");
+    }
+
+    /// Sends SIGUSR1: the router logs the counters of coalescing.
+    pub fn log_coalescing_counters(&self) {
+        self.signal("USR1");
+    }
+
+    /// Replaces the configuration file, and sends SIGHUP.
+    pub fn reload(&self, configuration: &str) {
+        let temporary_path = self.folder.join("new.json");
+        std::fs::write(&temporary_path, configuration).expect("written");
+        std::fs::rename(&temporary_path, self.folder.join("config.json")).expect("replaced");
+        self.signal("HUP");
+    }
+
+    fn proc_path(&self, file: &str) -> String {
+        format!("/proc/{}/{file}", self.child.id())
+    }
+
+    /// CPU time that it has used, in nanoseconds.
+    pub fn cpu_ns(&self) -> u64 {
+        let text = std::fs::read_to_string(self.proc_path("schedstat")).expect("its time");
+        text.split_whitespace()
+            .next()
+            .and_then(|number| number.parse().ok())
+            .expect("a number")
+    }
+
+    /// Its process id.
+    pub fn pid(&self) -> u32 {
+        self.child.id()
+    }
+
+    /// How many descriptors it has open.
+    pub fn descriptors(&self) -> usize {
+        std::fs::read_dir(self.proc_path("fd"))
+            .expect("its descriptors")
+            .count()
+    }
+
+    /// Its resident memory, in KB.
+    pub fn memory_kb(&self) -> usize {
+        let status = std::fs::read_to_string(self.proc_path("status")).expect("its status");
+        let line = status
+            .lines()
+            .find(|line| line.starts_with("VmRSS"))
+            .expect("its memory");
+        line.split_whitespace()
+            .nth(1)
+            .and_then(|number| number.parse().ok())
+            .expect("a number")
+    }
+
+    /// Whether it has not ended.
+    pub fn is_running(&mut self) -> bool {
+        self.child.try_wait().expect("its status").is_none()
+    }
+
+    /// Waits until it has ended, and returns its exit status.
+    pub fn wait(&mut self) -> ExitStatus {
+        wait_until("the router ends", || !self.is_running());
+        self.child.wait().expect("its status")
+    }
+}
+
+impl Drop for RouterProcess {
+    fn drop(&mut self) {
+        let _ = self.child.kill();
+        let _ = self.child.wait();
+        let _ = std::fs::remove_dir_all(&self.folder);
+    }
+}
+
+/// Collects the lines of a log on a thread that ends with the process.
+fn collect_log(stderr: ChildStderr) -> Arc<Mutex<Vec<String>>> {
+    let log = Arc::new(Mutex::new(Vec::new()));
+    let lines = log.clone();
+    thread::spawn(move || {
+        for line in BufReader::new(stderr).lines().map_while(Result::ok) {
+            lines.lock().unwrap().push(line);
+        }
+    });
+    log
+}
+
+/// Waits for the line that says where the router listens.
+fn wait_for_address(log: &Mutex<Vec<String>>) -> SocketAddr {
+    let address_in = |line: &String| line.split(" on ").nth(1)?.split(',').next()?.parse().ok();
+    let start = Instant::now();
+    let mut address = None;
+    wait_until("the router listens", || {
+        let log = log.lock().unwrap();
+        assert!(
+            start.elapsed() < MAX_WAIT / 2,
+            "the router does not listen: {log:?}"
+        );
+        address = log.iter().find_map(address_in);
+        address.is_some()
+    });
+    address.expect("its address")
+}
