--- a/crates/cache-router/benches/joining.rs
+++ b/crates/cache-router/benches/joining.rs
@@ -17,39 +17,66 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 use test_support::{
-    Behavior, CacheServer, Client, Discovery, RouterProcess, command, configuration, entry, list,
-    wait_until,
+    Behavior, CacheServer, Client, Discovery, Fleet, RouterProcess, command, configuration, entry,
+    list, wait_until,
 };
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
+use tokio::runtime::Runtime;
 use tokio::sync::Semaphore;
 
-const SERVERS: usize = 4;
-const KEYS: usize = 1_000;
-/// The keys that are asked for most.
-const HOT: usize = 10;
-const RATE: f64 = 2_000.0;
-/// How long a server keeps a key.
-const KEEPS: Duration = Duration::from_secs(4);
-/// What a fetch from the origin takes, and how many it works on at a time.
-const FETCH: Duration = Duration::from_millis(300);
-const FETCHES: usize = 128;
-/// What a hit takes.
-const HIT: Duration = Duration::from_micros(500);
-const WAIT_MS: u64 = 2_000;
+const SERVER_COUNT: usize = 4;
+const KEY_COUNT: usize = 1_000;
+/// Keys that are requested most, by rank.
+const HOT_KEY_COUNT: usize = 10;
+const REQUESTS_PER_SECOND: f64 = 2_000.0;
+/// Time for which a server caches a key.
+const TIME_TO_LIVE: Duration = Duration::from_secs(4);
+/// Time of a fetch from the origin.
+const FETCH_TIME: Duration = Duration::from_millis(300);
+/// Fetches that the origin works on at a time.
+const CONCURRENT_FETCH_COUNT: usize = 128;
+/// Time of a hit.
+const HIT_TIME: Duration = Duration::from_micros(500);
+const DEADLINE_MS: u64 = 2_000;
 const READS: &str = "[joining]\nclasses = [\"read\"]\nbounds = { waiters_per_flight = 20000 }\n";
-const WAITERS: usize = 10_000;
-/// Commands that may wait on one connection.
-const PIPELINE: usize = 64;
+const WAITER_COUNT: usize = 10_000;
+/// Commands that may be pending on one connection.
+const PIPELINE_DEPTH: usize = 64;
+const VALUE_BYTES: usize = 600;
+/// Seed of the sequence of keys, the same in all rows.
+const KEY_SEED: u64 = 17;
 
-/// What the stand-ins see.
-struct Fleet {
+/// The origin behind all cache servers, and what reached them and it.
+struct Upstream {
     origin: Semaphore,
-    upstream: AtomicUsize,
+    requests: AtomicUsize,
     fetches: AtomicUsize,
     hot_fetches: AtomicUsize,
 }
 
+impl Upstream {
+    fn new() -> Upstream {
+        Upstream {
+            origin: Semaphore::new(CONCURRENT_FETCH_COUNT),
+            requests: AtomicUsize::new(0),
+            fetches: AtomicUsize::new(0),
+            hot_fetches: AtomicUsize::new(0),
+        }
+    }
+
+    async fn fetch(&self, key: &str) -> io::Result<()> {
+        self.fetches.fetch_add(1, Ordering::Relaxed);
+        let rank = usize::from_str_radix(key, 16);
+        if rank.is_ok_and(|rank| rank < HOT_KEY_COUNT) {
+            self.hot_fetches.fetch_add(1, Ordering::Relaxed);
+        }
+        let _slot = self.origin.acquire().await.map_err(io::Error::other)?;
+        tokio::time::sleep(FETCH_TIME).await;
+        Ok(())
+    }
+}
+
 /// The arguments of the next command in the buffer, if it is whole.
 fn next_command(buffer: &mut Vec<u8>) -> Option<Vec<String>> {
     let mut at = 0;
@@ -71,18 +98,20 @@
     Some(arguments)
 }
 
-async fn serve(listener: TcpListener, fleet: Arc<Fleet>) {
-    let cached: Arc<Mutex<HashMap<String, Instant>>> = Arc::default();
+/// Serves a cache server's connections. Each task ends with its connection.
+async fn serve(listener: TcpListener, upstream: Arc<Upstream>) {
+    let expiries: Arc<Mutex<HashMap<String, Instant>>> = Arc::default();
     while let Ok((stream, _)) = listener.accept().await {
-        let (fleet, cached) = (fleet.clone(), cached.clone());
-        tokio::spawn(async move { serve_one(stream, &fleet, &cached).await });
+        let upstream = upstream.clone();
+        let expiries = expiries.clone();
+        tokio::spawn(async move { serve_connection(stream, &upstream, &expiries).await });
     }
 }
 
-async fn serve_one(
+async fn serve_connection(
     mut stream: TcpStream,
-    fleet: &Fleet,
-    cached: &Mutex<HashMap<String, Instant>>,
+    upstream: &Upstream,
+    expiries: &Mutex<HashMap<String, Instant>>,
 ) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let mut buffer = Vec::new();
@@ -93,76 +122,77 @@
             }
             continue;
         };
-        fleet.upstream.fetch_add(1, Ordering::Relaxed);
+        upstream.requests.fetch_add(1, Ordering::Relaxed);
         let key = &arguments[1];
-        let is_cached = cached
-            .lock()
-            .expect("cached")
-            .get(key)
-            .is_some_and(|&until| Instant::now() < until);
-        if is_cached {
-            tokio::time::sleep(HIT).await;
+        let expiry = expiries.lock().expect("expiries").get(key).copied();
+        let cache_status = if expiry.is_some_and(|expiry| Instant::now() < expiry) {
+            tokio::time::sleep(HIT_TIME).await;
+            "hit"
         } else {
-            fleet.fetches.fetch_add(1, Ordering::Relaxed);
-            let is_hot = u64::from_str_radix(key, 16).is_ok_and(|rank| (rank as usize) < HOT);
-            fleet
-                .hot_fetches
-                .fetch_add(usize::from(is_hot), Ordering::Relaxed);
-            let place = fleet.origin.acquire().await.map_err(io::Error::other)?;
-            tokio::time::sleep(FETCH).await;
-            drop(place);
-            cached
+            upstream.fetch(key).await?;
+            let expiry = Instant::now() + TIME_TO_LIVE;
+            expiries
                 .lock()
-                .expect("cached")
-                .insert(key.clone(), Instant::now() + KEEPS);
-        }
-        let note = if is_cached { "hit" } else { "miss" };
-        let body = "v".repeat(600);
-        let answer = format!(
-            "*3\r\n$600\r\n{body}\r\n${}\r\n{note}\r\n$-1\r\n",
-            note.len()
+                .expect("expiries")
+                .insert(key.clone(), expiry);
+            "miss"
+        };
+        let value = "v".repeat(VALUE_BYTES);
+        let reply = format!(
+            "*3\r\n${VALUE_BYTES}\r\n{value}\r\n${}\r\n{cache_status}\r\n$-1\r\n",
+            cache_status.len()
         );
-        stream.write_all(answer.as_bytes()).await?;
+        stream.write_all(reply.as_bytes()).await?;
     }
 }
 
-/// What clients saw.
+/// What the clients of one row saw.
 #[derive(Default)]
-struct Seen {
-    served: Vec<Duration>,
-    others: usize,
-    idle: Vec<TcpStream>,
+struct ClientResults {
+    /// Of each request that was served, the time from its intended start.
+    latencies: Vec<Duration>,
+    not_served: usize,
+    idle_connections: Vec<TcpStream>,
 }
 
-async fn ask(
+impl ClientResults {
+    /// The latency in milliseconds that this share of the requests stays below; needs sorted latencies.
+    fn percentile_ms(&self, share: f64) -> f64 {
+        let index = (self.latencies.len() as f64 * share) as usize;
+        self.latencies
+            .get(index)
+            .map_or(f64::NAN, |latency| latency.as_secs_f64() * 1e3)
+    }
+}
+
+async fn request(
     router: SocketAddr,
     bytes: Vec<u8>,
-    due: Instant,
-    seen: &Mutex<Seen>,
+    intended_start: Instant,
+    results: &Mutex<ClientResults>,
 ) -> io::Result<()> {
-    let idle = seen.lock().expect("seen").idle.pop();
+    let idle = results.lock().expect("results").idle_connections.pop();
     let mut stream = match idle {
         Some(stream) => stream,
         None => TcpStream::connect(router).await?,
     };
     stream.set_nodelay(true)?;
     stream.write_all(&bytes).await?;
-    let mut answer = Vec::new();
-    // Served answers are long and end with a null for the load report; all others are one line.
-    while !(answer.ends_with(b"$-1\r\n")
-        || (answer.first() == Some(&b'-') && answer.ends_with(b"\r\n")))
+    let mut reply = Vec::new();
+    while !(reply.ends_with(b"$-1\r\n")
+        || (reply.first() == Some(&b'-') && reply.ends_with(b"\r\n")))
     {
-        if stream.read_buf(&mut answer).await? == 0 {
+        if stream.read_buf(&mut reply).await? == 0 {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
     }
-    let mut seen = seen.lock().expect("seen");
-    if answer.first() == Some(&b'*') {
-        seen.served.push(due.elapsed());
+    let mut results = results.lock().expect("results");
+    if reply.first() == Some(&b'*') {
+        results.latencies.push(intended_start.elapsed());
     } else {
-        seen.others += 1;
+        results.not_served += 1;
     }
-    seen.idle.push(stream);
+    results.idle_connections.push(stream);
     Ok(())
 }
 
@@ -175,93 +205,107 @@
     ((z ^ (z >> 31)) >> 11) as f64 / (1_u64 << 53) as f64
 }
 
-fn start(known: &[String], operator: &str) -> (RouterProcess, Discovery) {
+fn start(known: &[String], operator_file: &str) -> Fleet {
     let discovery = Discovery::start(list(7, false, &[]));
-    let mut config = configuration(discovery.addr, known);
-    config["settings"]["limits"]["cancel"] = true.into();
-    config["limits"]["sockets"] = 4_096.into();
-    (
-        RouterProcess::start_with_operator_file(&config, operator),
-        discovery,
-    )
+    let mut configuration = configuration(discovery.addr, known);
+    configuration["settings"]["limits"]["cancel"] = true.into();
+    configuration["limits"]["sockets"] = 4_096.into();
+    let router = RouterProcess::start_with_operator_file(&configuration, operator_file);
+    Fleet { router, discovery }
 }
 
-fn load(skew: f64, joins: bool, seconds: f64) -> String {
-    let runtime = tokio::runtime::Builder::new_multi_thread()
-        .worker_threads(2)
-        .enable_all()
-        .build()
-        .expect("threads");
-    let fleet = Arc::new(Fleet {
-        origin: Semaphore::new(FETCHES),
-        upstream: AtomicUsize::new(0),
-        fetches: AtomicUsize::new(0),
-        hot_fetches: AtomicUsize::new(0),
-    });
-    let known: Vec<String> = (0..SERVERS)
-        .map(|i| {
+/// Starts the cache servers; returns their entries in the endpoint list.
+fn start_servers(runtime: &Runtime, upstream: &Arc<Upstream>) -> Vec<String> {
+    (0..SERVER_COUNT)
+        .map(|index| {
             let listener = runtime
                 .block_on(TcpListener::bind("127.0.0.1:0"))
                 .expect("a port");
             let addr = listener.local_addr().expect("an address");
-            runtime.spawn(serve(listener, fleet.clone()));
-            entry(&format!("s-{i}"), addr, "up")
+            // Ends with the runtime, at the end of the row.
+            runtime.spawn(serve(listener, upstream.clone()));
+            entry(&format!("s-{index}"), addr, "up")
         })
+        .collect()
+}
+
+/// Cumulative shares of the keys' requests, by rank: Zipf's law with this exponent.
+fn cumulative_shares(skew: f64) -> Vec<f64> {
+    let weights: Vec<f64> = (1..=KEY_COUNT)
+        .map(|rank| (rank as f64).powf(-skew))
         .collect();
-    let (router, _discovery) = start(&known, if joins { READS } else { "" });
-    let mut weights: Vec<f64> = (1..=KEYS).map(|rank| (rank as f64).powf(-skew)).collect();
-    let all: f64 = weights.iter().sum();
-    weights.iter_mut().fold(0.0, |sum, weight| {
-        *weight = sum + *weight / all;
-        *weight
-    });
-    let seen: Arc<Mutex<Seen>> = Arc::default();
-    let count = (RATE * seconds) as usize;
-    let cpu = router.cpu_ns();
-    runtime.block_on(async {
-        let (start, mut state, mut asks) = (Instant::now(), 17, Vec::new());
-        for number in 0..count {
-            let due = start + Duration::from_secs_f64(number as f64 / RATE);
-            tokio::time::sleep_until(due.into()).await;
-            let lot = unit(&mut state);
-            let key = weights
-                .partition_point(|&weight| weight < lot)
-                .min(KEYS - 1);
-            let (key, id) = (format!("{key:016x}"), format!("id-{number}"));
-            let bytes = command(&["C.GET", &key, &id, &format!("c=read,t=acme,d={WAIT_MS}")]);
-            let (seen, addr) = (seen.clone(), router.addr);
-            asks.push(tokio::spawn(
-                async move { ask(addr, bytes, due, &seen).await },
-            ));
-        }
-        for ask in asks {
-            ask.await.expect("a task").expect("an answer");
-        }
-    });
-    let cpu = (router.cpu_ns() - cpu) as f64 / 1e3 / count as f64;
-    let mut seen = seen.lock().expect("seen");
-    seen.served.sort_unstable();
-    let place = |share: f64| {
-        let place = (seen.served.len() as f64 * share) as usize;
-        seen.served
-            .get(place)
-            .map_or(f64::NAN, |time| time.as_secs_f64() * 1e3)
-    };
-    let of = |count: &AtomicUsize| count.load(Ordering::Relaxed);
+    let total: f64 = weights.iter().sum();
+    let mut sum = 0.0;
+    let mut shares = Vec::with_capacity(KEY_COUNT);
+    for weight in weights {
+        sum += weight / total;
+        shares.push(sum);
+    }
+    shares
+}
+
+/// Sends requests at their intended times, whatever came back of earlier ones, and waits for all replies.
+async fn send_open_loop(
+    router: SocketAddr,
+    shares: &[f64],
+    count: usize,
+    results: &Arc<Mutex<ClientResults>>,
+) {
+    let start = Instant::now();
+    let mut random = KEY_SEED;
+    let mut tasks = Vec::new();
+    for number in 0..count {
+        let intended_start = start + Duration::from_secs_f64(number as f64 / REQUESTS_PER_SECOND);
+        tokio::time::sleep_until(intended_start.into()).await;
+        let draw = unit(&mut random);
+        let rank = shares.partition_point(|&share| share < draw);
+        let key = format!("{:016x}", rank.min(KEY_COUNT - 1));
+        let id = format!("id-{number}");
+        let fields = format!("c=read,t=acme,d={DEADLINE_MS}");
+        let bytes = command(&["C.GET", &key, &id, &fields]);
+        let results = results.clone();
+        tasks.push(tokio::spawn(async move {
+            request(router, bytes, intended_start, &results).await
+        }));
+    }
+    for task in tasks {
+        task.await.expect("a task").expect("a reply");
+    }
+}
+
+/// One row: load of this skew for so many seconds, with or without joining.
+fn measure_load(skew: f64, joins: bool, seconds: f64) -> String {
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(2)
+        .enable_all()
+        .build()
+        .expect("threads");
+    let upstream = Arc::new(Upstream::new());
+    let known = start_servers(&runtime, &upstream);
+    let Fleet { router, .. } = start(&known, if joins { READS } else { "" });
+    let shares = cumulative_shares(skew);
+    let results: Arc<Mutex<ClientResults>> = Arc::default();
+    let count = (REQUESTS_PER_SECOND * seconds) as usize;
+    let cpu_before = router.cpu_ns();
+    runtime.block_on(send_open_loop(router.addr, &shares, count, &results));
+    let cpu_us = (router.cpu_ns() - cpu_before) as f64 / 1e3 / count as f64;
+    let mut results = results.lock().expect("results");
+    results.latencies.sort_unstable();
+    let load = |counter: &AtomicUsize| counter.load(Ordering::Relaxed);
     format!(
-        "| {skew:.1} | {} | {count} | {:.1} % | {} | {} | {} | {:.1} | {:.0} | {cpu:.1} |",
+        "| {skew:.1} | {} | {count} | {:.1} % | {} | {} | {} | {:.1} | {:.0} | {cpu_us:.1} |",
         if joins { "on" } else { "off" },
-        100.0 * seen.served.len() as f64 / count as f64,
-        of(&fleet.upstream),
-        of(&fleet.fetches),
-        of(&fleet.hot_fetches),
-        place(0.5),
-        place(0.99),
+        100.0 * results.latencies.len() as f64 / count as f64,
+        load(&upstream.requests),
+        load(&upstream.fetches),
+        load(&upstream.hot_fetches),
+        results.percentile_ms(0.5),
+        results.percentile_ms(0.99),
     )
 }
 
 fn clients(router: &RouterProcess) -> Vec<Client> {
-    let mut clients: Vec<Client> = (0..WAITERS.div_ceil(PIPELINE))
+    let mut clients: Vec<Client> = (0..WAITER_COUNT.div_ceil(PIPELINE_DEPTH))
         .map(|_| router.client())
         .collect();
     for client in &mut clients {
@@ -273,9 +317,9 @@
 
 /// Each of the clients sends what `bytes` makes of its number and a place, as many as may wait.
 fn send(clients: &mut [Client], bytes: impl Fn(usize) -> Vec<u8>) {
-    let mut left = WAITERS;
+    let mut left = WAITER_COUNT;
     for client in clients {
-        let count = left.min(PIPELINE);
+        let count = left.min(PIPELINE_DEPTH);
         let all: Vec<u8> = (0..count).flat_map(|place| bytes(left - place)).collect();
         client.write(&all);
         left -= count;
@@ -283,29 +327,30 @@
 }
 
 fn answers(clients: &mut [Client]) -> usize {
-    let mut left = WAITERS;
+    let mut left = WAITER_COUNT;
     let mut served = 0;
     for client in clients {
-        for _ in 0..left.min(PIPELINE) {
+        for _ in 0..left.min(PIPELINE_DEPTH) {
             served += usize::from(client.read_reply().expect("an answer").starts_with('*'));
         }
-        left -= left.min(PIPELINE);
+        left -= left.min(PIPELINE_DEPTH);
     }
     served
 }
 
-/// 10,000 reads that wait for one flight.
-fn waiters() {
+/// Memory and CPU of many reads that wait for one flight.
+fn measure_waiters() {
     let server = CacheServer::start("s-a");
     server.set_default_behavior(Behavior::ServeOnceGateOpens);
-    let (router, _discovery) = start(&[server.entry("up")], READS);
+    let Fleet { router, .. } = start(&[server.entry("up")], READS);
     let mut clients = clients(&router);
     // What the same number of commands costs that nobody waits for.
     let cpu = router.cpu_ns();
     send(&mut clients, |_| command(&["PING"]));
     answers(&mut clients);
     let pings = router.cpu_ns() - cpu;
-    let (memory, cpu) = (router.memory_kb(), router.cpu_ns());
+    let memory = router.memory_kb();
+    let cpu = router.cpu_ns();
     let read = |number: usize| {
         command(&[
             "C.GET",
@@ -318,21 +363,21 @@
     wait_until("all wait", || {
         router.log_coalescing_counters();
         std::thread::sleep(Duration::from_millis(20));
-        router.log_has(&format!("now {WAITERS} waiters"))
+        router.log_has(&format!("now {WAITER_COUNT} waiters"))
     });
     let added_kb = router.memory_kb() - memory;
     server.open_gate();
-    assert_eq!(answers(&mut clients), WAITERS);
+    assert_eq!(answers(&mut clients), WAITER_COUNT);
     let reads = router.cpu_ns() - cpu;
     assert_eq!(server.commands().len(), 1);
-    let each = |all: u64| all as f64 / 1e3 / WAITERS as f64;
+    let each = |all: u64| all as f64 / 1e3 / WAITER_COUNT as f64;
     println!(
-        "\n{WAITERS} reads that waited for one flight, on {} connections:",
+        "\n{WAITER_COUNT} reads that waited for one flight, on {} connections:",
         clients.len()
     );
     println!(
         "memory {:.0} bytes each beside their connections ({added_kb} KB)",
-        added_kb as f64 * 1024.0 / WAITERS as f64
+        added_kb as f64 * 1024.0 / WAITER_COUNT as f64
     );
     println!(
         "CPU {:.2} us each with reading and writing, {:.2} us for as many PINGs: {:.2} us more",
@@ -349,16 +394,16 @@
         .find_map(|word| word.parse().ok())
         .unwrap_or(6.0);
     println!(
-        "{KEYS} keys by Zipf, {RATE} reads a second, a fetch takes {FETCH:?}, kept for {KEEPS:?}\n"
+        "{KEY_COUNT} keys by Zipf, {REQUESTS_PER_SECOND} reads a second, a fetch takes {FETCH_TIME:?}, kept for {TIME_TO_LIVE:?}\n"
     );
     println!(
-        "| skew | joining | reads | served | upstream | fetches | of the {HOT} hottest keys | p50 ms | p99 ms | CPU us a read |"
+        "| skew | joining | reads | served | upstream | fetches | of the {HOT_KEY_COUNT} hottest keys | p50 ms | p99 ms | CPU us a read |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     for skew in [0.8, 1.0, 1.2] {
         for joins in [false, true] {
-            println!("{}", load(skew, joins, seconds));
+            println!("{}", measure_load(skew, joins, seconds));
         }
     }
-    waiters();
+    measure_waiters();
 }
--- a/crates/cache-router/src/main.rs
+++ b/crates/cache-router/src/main.rs
@@ -8,6 +8,7 @@
 mod hand_over;
 mod operator_file;
 mod process;
+mod signals;
 mod summary;
 mod takeover;
 
--- a/crates/cache-router/src/process.rs
+++ b/crates/cache-router/src/process.rs
@@ -1,10 +1,12 @@
-//! One process of the router from its start to its end: configuration, predecessor, runtime, signals, successor.
+//! One process of the router from its start to its end: it reads its configuration, starts the runtime with what the
+//! predecessor process knows, serves, and hands over to its successor.
 
 use crate::Runtime;
 use crate::admin_state::{self, AdminState};
 use crate::configuration::{Configuration, ConfigurationError};
 use crate::hand_over::HandOver;
 use crate::operator_file::{OperatorFile, OperatorFileError};
+use crate::signals::{self, Signals};
 use crate::summary;
 use crate::takeover::{self, Predecessor};
 use hot_restart::channel::HandoverChannel;
@@ -17,7 +19,6 @@
 use request_coalescing::{CoalescingRules, SettingsError};
 use router_runtime::tokio_environment::{self, TokioEnvironment};
 use router_runtime::{EndpointList, RouterConfig, RouterRuntime, ShutdownReport};
-use serde_json::Value;
 use std::error::Error;
 use std::io;
 use std::net::SocketAddr;
@@ -25,7 +26,7 @@
 use std::rc::Rc;
 use thiserror::Error;
 use tokio::net::TcpListener;
-use tokio::signal::unix::{Signal, SignalKind, signal};
+use tokio::signal::unix::Signal;
 use tokio::task::{JoinHandle, spawn_local};
 
 /// Environment variable with the number of the descriptor that is the inherited listening socket.
@@ -92,7 +93,7 @@
 /// When it cannot start. Once it serves there is none.
 pub async fn run() -> Result<(), StartError> {
     // Before anything else: without a handler each of these signals kills the process.
-    let signals = Signals::install()?;
+    let signals = Signals::install().map_err(StartError::Signals)?;
     let settings = StartSettings::read()?;
     let writes_summary = settings.writes_summary;
     let rendezvous = rendezvous_socket(&settings.configuration.name);
@@ -120,7 +121,7 @@
     // Joined once the runtime has ended, if there is a successor; else ends with the thread's task set.
     let hand_over = hand_over.map(|hand_over| spawn_local(hand_over.run()));
     let settings = process.configuration.settings;
-    spawn_signal_tasks(signals.reload, signals.log_counters, settings, &runtime);
+    signals::spawn_tasks(signals.reload, signals.log_counters, settings, &runtime);
     if writes_summary {
         // Detached: ends with the thread's task set, when the process ends.
         spawn_local(summary::write(runtime.clone()));
@@ -191,31 +192,10 @@
         // Idle connections are still on their way to the successor, however many these are.
         let _ = tokio::time::timeout_at(report.exit_deadline.into(), hand_over).await;
     }
-    log_coalescing_counters(runtime);
+    signals::log_coalescing_counters(runtime);
     eprintln!("asterport: stopped, {}", describe_shutdown(&report));
 }
 
-/// Streams of the signals that the process handles.
-struct Signals {
-    /// SIGHUP: read the configuration file again.
-    reload: Signal,
-    /// SIGTERM: shut down.
-    terminate: Signal,
-    /// SIGUSR1: log the counters of coalescing.
-    log_counters: Signal,
-}
-
-impl Signals {
-    fn install() -> Result<Signals, StartError> {
-        let install = |kind| signal(kind).map_err(StartError::Signals);
-        Ok(Signals {
-            reload: install(SignalKind::hangup())?,
-            terminate: install(SignalKind::terminate())?,
-            log_counters: install(SignalKind::user_defined1())?,
-        })
-    }
-}
-
 /// All that the process reads before it starts, checked.
 struct StartSettings {
     configuration: Configuration,
@@ -346,57 +326,6 @@
     tokio_environment::listen(addr).map_err(|source| StartError::Listen { addr, source })
 }
 
-fn spawn_signal_tasks(
-    reload: Signal,
-    mut log_counters: Signal,
-    settings: Value,
-    runtime: &Rc<Runtime>,
-) {
-    // Detached, both: they end with the thread's task set, when the process ends.
-    spawn_local(reload_configuration(reload, settings, runtime.clone()));
-    let runtime = runtime.clone();
-    spawn_local(async move {
-        while log_counters.recv().await.is_some() {
-            log_coalescing_counters(&runtime);
-        }
-    });
-}
-
-/// Reads the configuration file again at each SIGHUP. Of a running router only `discovery` can change.
-async fn reload_configuration(mut hangup: Signal, settings: Value, runtime: Rc<Runtime>) {
-    while hangup.recv().await.is_some() {
-        match Configuration::read_for_reload() {
-            Ok(configuration) => {
-                let discovery = configuration.discovery;
-                let remark = if configuration.settings == settings {
-                    ""
-                } else {
-                    "; other settings at the next start"
-                };
-                eprintln!("asterport: configuration reloaded: discovery {discovery}{remark}");
-                runtime.move_watch_to(discovery);
-            }
-            Err(error) => {
-                eprintln!("asterport: configuration not reloaded, the old one holds: {error}");
-            }
-        }
-    }
-}
-
-/// Logs what coalescing did so far, where it is on.
-fn log_coalescing_counters(runtime: &Runtime) {
-    let Some((counters, oldest_age)) = runtime.coalescing_counters() else {
-        return;
-    };
-    let usage = runtime.resource_usage();
-    let waiters = usage.coalesced_waiters;
-    let flights = usage.coalesced_flights;
-    let oldest_ms = oldest_age.map_or(0, |age| age.0 / 1_000);
-    eprintln!(
-        "asterport: joining: {counters}; now {waiters} waiters on {flights} flights, the oldest {oldest_ms} ms old"
-    );
-}
-
 /// How the shutdown went, for the log.
 fn describe_shutdown(report: &ShutdownReport) -> String {
     let ShutdownReport {
--- /dev/null
+++ b/crates/cache-router/src/signals.rs
@@ -0,0 +1,85 @@
+//! Signals of the process, and what it does at each besides the shutdown.
+
+use crate::Runtime;
+use crate::configuration::Configuration;
+use serde_json::Value;
+use std::io;
+use std::rc::Rc;
+use tokio::signal::unix::{Signal, SignalKind, signal};
+use tokio::task::spawn_local;
+
+/// Streams of the signals that the process handles.
+pub struct Signals {
+    /// SIGHUP: read the configuration file again.
+    pub reload: Signal,
+    /// SIGTERM: shut down.
+    pub terminate: Signal,
+    /// SIGUSR1: log the counters of coalescing.
+    pub log_counters: Signal,
+}
+
+impl Signals {
+    /// Installs the handlers.
+    ///
+    /// # Errors
+    /// When the executor or the kernel refuses one.
+    pub fn install() -> io::Result<Signals> {
+        Ok(Signals {
+            reload: signal(SignalKind::hangup())?,
+            terminate: signal(SignalKind::terminate())?,
+            log_counters: signal(SignalKind::user_defined1())?,
+        })
+    }
+}
+
+/// Spawns the tasks that handle the signals besides SIGTERM. `settings`: those that the process has started with.
+pub fn spawn_tasks(
+    reload: Signal,
+    mut log_counters: Signal,
+    settings: Value,
+    runtime: &Rc<Runtime>,
+) {
+    // Detached, both: they end with the thread's task set, when the process ends.
+    spawn_local(reload_configuration(reload, settings, runtime.clone()));
+    let runtime = runtime.clone();
+    spawn_local(async move {
+        while log_counters.recv().await.is_some() {
+            log_coalescing_counters(&runtime);
+        }
+    });
+}
+
+/// Reads the configuration file again at each SIGHUP. Of a running router only `discovery` can change.
+async fn reload_configuration(mut hangup: Signal, settings: Value, runtime: Rc<Runtime>) {
+    while hangup.recv().await.is_some() {
+        match Configuration::read_for_reload() {
+            Ok(configuration) => {
+                let discovery = configuration.discovery;
+                let remark = if configuration.settings == settings {
+                    ""
+                } else {
+                    "; other settings at the next start"
+                };
+                eprintln!("asterport: configuration reloaded: discovery {discovery}{remark}");
+                runtime.move_watch_to(discovery);
+            }
+            Err(error) => {
+                eprintln!("asterport: configuration not reloaded, the old one holds: {error}");
+            }
+        }
+    }
+}
+
+/// Logs what coalescing did so far, where it is on.
+pub fn log_coalescing_counters(runtime: &Runtime) {
+    let Some((counters, oldest_age)) = runtime.coalescing_counters() else {
+        return;
+    };
+    let usage = runtime.resource_usage();
+    let waiters = usage.coalesced_waiters;
+    let flights = usage.coalesced_flights;
+    let oldest_ms = oldest_age.map_or(0, |age| age.0 / 1_000);
+    eprintln!(
+        "asterport: joining: {counters}; now {waiters} waiters on {flights} flights, the oldest {oldest_ms} ms old"
+    );
+}
--- a/crates/cache-router/tests/client_connections.rs
+++ b/crates/cache-router/tests/client_connections.rs
@@ -8,7 +8,7 @@
     let server = CacheServer::start("s-a");
     server.set_behavior("00000000000000aa", Behavior::ServeOnceGateOpens);
     server.set_behavior("00000000000000bb", Behavior::Reply(value_reply("second")));
-    let (router, _discovery) = start_router(&[&server]);
+    let Fleet { router, .. } = start_router(&[&server]);
     let mut client = router.client();
     client.send("read", "00000000000000aa", 15_000);
     client.send("read", "00000000000000bb", 15_000);
@@ -25,7 +25,12 @@
 #[test]
 fn nothing_is_sent_upstream_for_a_disconnected_client() {
     let key = "7f3a9c21e0b4d655";
-    let (owner, other, router, _discovery) = start_router_and_pair(key);
+    let PairFleet {
+        owner,
+        other,
+        router,
+        ..
+    } = start_router_and_pair(key);
     owner.set_default_behavior(Behavior::StaySilent);
     let before = owner.commands().len();
     let mut leaving = router.client();
@@ -123,7 +128,7 @@
 #[test]
 fn a_malformed_command_gets_an_error_and_closes_its_connection() {
     let server = CacheServer::start("s-a");
-    let (mut router, _discovery) = start_router(&[&server]);
+    let Fleet { mut router, .. } = start_router(&[&server]);
     for (what, bytes) in bad_commands() {
         let mut client = router.client();
         client.write_until_closed(&bytes);
@@ -159,7 +164,7 @@
 #[test]
 fn a_huge_deadline_is_capped_by_the_class() {
     let server = CacheServer::start("s-a");
-    let (mut router, _discovery) = start_router(&[&server]);
+    let Fleet { mut router, .. } = start_router(&[&server]);
     for wait in [u64::MAX.to_string(), "9".repeat(60)] {
         let mut client = router.client();
         client.write(&command(&[
@@ -181,7 +186,7 @@
 #[test]
 fn the_error_reaches_a_client_that_keeps_sending() {
     let server = CacheServer::start("s-a");
-    let (router, _discovery) = start_router(&[&server]);
+    let Fleet { router, .. } = start_router(&[&server]);
     let mut client = router.client();
     let mut bytes =
         b"*5\r\n$5\r\nC.SET\r\n$1\r\nk\r\n$2\r\nid\r\n$5\r\nc=put\r\n$60000000\r\n".to_vec();
@@ -200,7 +205,7 @@
 fn pending_replies_before_an_error_are_still_sent() {
     let server = CacheServer::start("s-a");
     server.set_behavior("00000000000000aa", Behavior::ServeOnceGateOpens);
-    let (router, _discovery) = start_router(&[&server]);
+    let Fleet { router, .. } = start_router(&[&server]);
     let mut client = router.client();
     client.send("read", "00000000000000aa", 4_000);
     client.write(b"what?\r\n");
@@ -221,7 +226,7 @@
 fn a_duplicate_id_of_an_open_request_is_an_error() {
     let server = CacheServer::start("s-a");
     server.set_behavior("00000000000000aa", Behavior::ServeOnceGateOpens);
-    let (router, _discovery) = start_router(&[&server]);
+    let Fleet { router, .. } = start_router(&[&server]);
     let bytes = command(&["C.GET", "00000000000000aa", "same", "c=read,t=acme,d=4000"]);
     let (mut first, mut second) = (router.client(), router.client());
     first.write(&bytes);
@@ -252,7 +257,7 @@
 #[test]
 fn clients_that_stay_silent_or_send_half_a_command_are_closed() {
     let server = CacheServer::start("s-a");
-    let (router, _discovery) = start_router(&[&server]);
+    let Fleet { router, .. } = start_router(&[&server]);
     let (mut silent, mut half, mut active, mut stuck) = (
         router.client(),
         router.client(),
--- a/crates/cache-router/tests/client_disconnects.rs
+++ b/crates/cache-router/tests/client_disconnects.rs
@@ -118,7 +118,7 @@
 #[test]
 fn a_connection_to_a_replaced_server_is_not_reused_for_its_replacement() {
     let (server, new) = (CacheServer::start("s-a"), CacheServer::start("s-b"));
-    let (router, discovery) = start_router(&[&server]);
+    let Fleet { router, discovery } = start_router(&[&server]);
     server.set_behavior(KEY, Behavior::ServeOnceGateOpens);
     let mut client = router.client();
     client.write(&get(KEY, "before"));
--- a/crates/cache-router/tests/coalesced_reads.rs
+++ b/crates/cache-router/tests/coalesced_reads.rs
@@ -10,7 +10,7 @@
     operator: &str,
     servers: &[&CacheServer],
     change: impl FnOnce(&mut serde_json::Value),
-) -> (RouterProcess, Discovery) {
+) -> Fleet {
     let discovery = Discovery::start(list(7, false, &[]));
     let known: Vec<String> = servers.iter().map(|server| server.entry("up")).collect();
     let mut config = configuration(discovery.addr, &known);
@@ -18,7 +18,7 @@
     change(&mut config);
     let router = RouterProcess::start_with_operator_file(&config, operator);
     wait_until("the router watches", || !discovery.calls().is_empty());
-    (router, discovery)
+    Fleet { router, discovery }
 }
 
 fn two_tenants(config: &mut serde_json::Value) {
@@ -29,7 +29,7 @@
 
 const READS: &str = "[joining]\nclasses = [\"read\"]\n";
 
-fn joining(servers: &[&CacheServer]) -> (RouterProcess, Discovery) {
+fn joining(servers: &[&CacheServer]) -> Fleet {
     start_router_with_operator_file(READS, servers, |_| {})
 }
 
@@ -82,7 +82,7 @@
 fn five_hundred_identical_reads_at_once_are_one_fetch() {
     let server = CacheServer::start("s-a");
     server.set_behavior(KEY, Behavior::ServeOnceGateOpens);
-    let (router, _discovery) = joining(&[&server]);
+    let Fleet { router, .. } = joining(&[&server]);
     let mut clients = crowd(&router, 4_000);
     wait_for_waiters(&router, 500);
     server.open_gate();
@@ -122,7 +122,8 @@
     ];
     for (text, expected) in rows {
         let config = configuration(([127, 0, 0, 1], 1).into(), &[]).to_string();
-        let (status, log) = run_to_end_with_operator_file(&config, &format!("[joining]\n{text}\n"));
+        let Exit { status, log } =
+            run_to_end_with_operator_file(&config, &format!("[joining]\n{text}\n"));
         assert_eq!(status.code(), Some(2), "{text}");
         assert!(
             log.contains(expected) && log.lines().count() == 1,
@@ -136,7 +137,7 @@
     let (a, b) = (CacheServer::start("s-a"), CacheServer::start("s-b"));
     let owner = if key_is_at(&a, &b) { &a } else { &b };
     owner.set_behavior(KEY, Behavior::ReplyAfter(300, b"-BUSY\r\n".to_vec()));
-    let (router, _discovery) = joining(&[&a, &b]);
+    let Fleet { router, .. } = joining(&[&a, &b]);
     let mut clients = crowd(&router, 4_000);
     assert_eq!(answers(&mut clients), (500, 0));
     let of_key = |server: &CacheServer| {
@@ -153,7 +154,7 @@
 
 /// Whether the first of two servers owns the key.
 fn key_is_at(a: &CacheServer, b: &CacheServer) -> bool {
-    let (router, _discovery) = start_router(&[a, b]);
+    let Fleet { router, .. } = start_router(&[a, b]);
     assert!(router.client().request("read", KEY).contains("s-"));
     !a.commands().is_empty()
 }
@@ -162,7 +163,7 @@
 fn each_waiter_expires_at_its_own_deadline_and_the_latest_extends_the_flight() {
     let server = CacheServer::start("s-a");
     server.set_behavior(KEY, Behavior::ReplyAfter(1_500, value_reply("s-a")));
-    let (router, _discovery) = joining(&[&server]);
+    let Fleet { router, .. } = joining(&[&server]);
     let start = Instant::now();
     let (mut first, mut second) = (router.client(), router.client());
     first.write(&fields(0, 0, 300));
@@ -179,7 +180,7 @@
 fn a_flight_continues_without_its_leader_and_is_cancelled_without_waiters() {
     let server = CacheServer::start("s-a");
     server.set_behavior(KEY, Behavior::ServeOnceGateOpens);
-    let (router, _discovery) = joining(&[&server]);
+    let Fleet { router, .. } = joining(&[&server]);
     let (mut leader, mut other) = (router.client(), router.client());
     leader.write(&fields(0, 0, 4_000));
     wait_for_waiters(&router, 1);
@@ -205,7 +206,7 @@
 #[test]
 fn reads_after_a_hanging_flight_start_a_second_and_no_third() {
     let server = CacheServer::start("s-a");
-    let (router, _discovery) = joining(&[&server]);
+    let Fleet { router, .. } = joining(&[&server]);
     let mut client = router.client();
     for key in 0..80 {
         assert!(
@@ -239,7 +240,7 @@
     for write in [value_reply("s-a"), b"-ERR failed\r\n".to_vec()] {
         let server = CacheServer::start("s-a");
         server.set_behavior(KEY, Behavior::ServeOnceGateOpens);
-        let (router, _discovery) = joining(&[&server]);
+        let Fleet { router, .. } = joining(&[&server]);
         let mut clients: Vec<Client> = (0..4).map(|_| router.client()).collect();
         clients[0].write(&fields(0, 0, 4_000));
         wait_until("it is out", || server.commands().len() == 1);
@@ -279,7 +280,7 @@
         KEY,
         Behavior::ReplyAfter(1_000, value_reply(&"x".repeat(65_536))),
     );
-    let (router, _discovery) = joining(&[&server]);
+    let Fleet { router, .. } = joining(&[&server]);
     let mut deaf: Vec<Client> = (0..10).map(|_| router.client()).collect();
     for (place, client) in deaf.iter_mut().enumerate() {
         let bytes: Vec<u8> = (0..60)
@@ -300,7 +301,7 @@
 fn at_sigterm_all_waiters_of_a_flight_are_answered() {
     let server = CacheServer::start("s-a");
     server.set_behavior(KEY, Behavior::ServeOnceGateOpens);
-    let (mut router, _discovery) = joining(&[&server]);
+    let Fleet { mut router, .. } = joining(&[&server]);
     let mut clients = crowd(&router, 4_000);
     wait_for_waiters(&router, 500);
     router.terminate();
@@ -316,7 +317,7 @@
     let owner = if key_is_at(&a, &b) { &a } else { &b };
     owner.set_behavior(KEY, Behavior::ServeOnceGateOpens);
     let before = owner.commands().len();
-    let (router, discovery) = joining(&[&a, &b]);
+    let Fleet { router, discovery } = joining(&[&a, &b]);
     let mut clients = crowd(&router, 4_000);
     wait_for_waiters(&router, 500);
     wait_until("the flight is out", || owner.commands().len() > before);
@@ -355,7 +356,7 @@
     let server = CacheServer::start("s-a");
     server.set_behavior(KEY, Behavior::ServeOnceGateOpens);
     let operator = format!("{READS}bounds = {{ waiters_per_flight = 3 }}\n");
-    let (router, _discovery) = start_router_with_operator_file(&operator, &[&server], |_| {});
+    let Fleet { router, .. } = start_router_with_operator_file(&operator, &[&server], |_| {});
     let mut clients: Vec<Client> = (0..5).map(|_| router.client()).collect();
     for (place, client) in clients.iter_mut().enumerate() {
         client.write(&fields(place, 0, 4_000));
@@ -380,7 +381,7 @@
     let server = CacheServer::start("s-a");
     server.set_behavior(KEY, Behavior::ServeOnceGateOpens);
     let operator = format!("{READS}ignore = [\"trace\"]\nper_tenant = true\n");
-    let (router, _discovery) = start_router_with_operator_file(&operator, &[&server], two_tenants);
+    let Fleet { router, .. } = start_router_with_operator_file(&operator, &[&server], two_tenants);
     let mut client = router.client();
     let reads = [
         "c=read,t=acme,d=4000",
@@ -415,7 +416,7 @@
     };
     owner.set_behavior(KEY, Behavior::ReplyAfter(1_000, b"-BUSY\r\n".to_vec()));
     other.set_behavior(KEY, Behavior::ReplyAfter(1_000, value_reply("s-b")));
-    let (router, _discovery) = start_router_with_operator_file(READS, &[&a, &b], |config| {
+    let Fleet { router, .. } = start_router_with_operator_file(READS, &[&a, &b], |config| {
         // A further attempt needs a fifth of this.
         config["settings"]["request_classes"][0]["target"] = 4.0.into();
     });
@@ -438,7 +439,7 @@
     };
     let before = owner.commands().len();
     other.set_behavior(KEY, Behavior::ServeOnceGateOpens);
-    let (router, discovery) = joining(&[other]);
+    let Fleet { router, discovery } = joining(&[other]);
     let mut clients = crowd(&router, 4_000);
     wait_for_waiters(&router, 500);
     discovery.write_to_watch(&format!("{}\n", list(8, false, &[owner.entry("up")])));
@@ -469,7 +470,7 @@
 fn room_after_a_crowd_of(tenant: &str) -> usize {
     let server = CacheServer::start("s-a");
     server.set_behavior(KEY, Behavior::ServeOnceGateOpens);
-    let (router, _discovery) = start_router_with_operator_file(READS, &[&server], two_tenants);
+    let Fleet { router, .. } = start_router_with_operator_file(READS, &[&server], two_tenants);
     let mut clients: Vec<Client> = (0..15).map(|_| router.client()).collect();
     for (place, client) in clients.iter_mut().enumerate() {
         let fields = format!("c=read,t={tenant},d=4000");
--- a/crates/cache-router/tests/endpoint_discovery.rs
+++ b/crates/cache-router/tests/endpoint_discovery.rs
@@ -16,7 +16,10 @@
     ];
     for (what, lost) in lose {
         let (old, new) = (CacheServer::start("s-a"), CacheServer::start("s-b"));
-        let (mut router, discovery) = start_router(&[&old]);
+        let Fleet {
+            mut router,
+            discovery,
+        } = start_router(&[&old]);
         assert!(
             discovery.calls()[0].contains("/api/targets?watch=1&after=7 "),
             "{what}: {:?}",
@@ -66,7 +69,7 @@
 #[test]
 fn a_line_may_come_in_pieces() {
     let (old, new) = (CacheServer::start("s-a"), CacheServer::start("s-b"));
-    let (router, discovery) = start_router(&[&old]);
+    let Fleet { router, discovery } = start_router(&[&old]);
     let line = format!(
         "{}\n\n",
         list(8, false, &[new.entry("up"), old.entry("removed")])
@@ -84,7 +87,7 @@
 #[test]
 fn a_server_may_move_to_another_address() {
     let (old, new) = (CacheServer::start("s-a"), CacheServer::start("moved"));
-    let (router, discovery) = start_router(&[&old]);
+    let Fleet { router, discovery } = start_router(&[&old]);
     let mut client = router.client();
     assert!(client.request("read", "00000000000000aa").contains("s-a"));
     discovery.write_to_watch(&format!(
@@ -99,7 +102,12 @@
 #[test]
 fn a_draining_server_gets_no_new_requests() {
     let key = "7f3a9c21e0b4d655";
-    let (owner, other, router, discovery) = start_router_and_pair(key);
+    let PairFleet {
+        owner,
+        other,
+        router,
+        discovery,
+    } = start_router_and_pair(key);
     discovery.write_to_watch(&format!("{}\n", list(8, false, &[owner.entry("draining")])));
     let mut client = router.client();
     wait_until("its key moves", || {
@@ -240,7 +248,7 @@
 #[test]
 fn lists_may_span_lines_and_chunks() {
     let (old, new) = (CacheServer::start("s-a"), CacheServer::start("s-b"));
-    let (router, discovery) = start_router(&[&old]);
+    let Fleet { router, discovery } = start_router(&[&old]);
     let text: serde_json::Value =
         serde_json::from_str(&list(8, true, &[new.entry("up")])).expect("a list");
     let text = serde_json::to_string_pretty(&text).expect("written") + "\n";
@@ -272,7 +280,7 @@
 #[test]
 fn a_list_that_never_completes_counts_as_silence() {
     let (old, new) = (CacheServer::start("s-a"), CacheServer::start("s-b"));
-    let (router, discovery) = start_router(&[&old]);
+    let Fleet { router, discovery } = start_router(&[&old]);
     discovery.write_to_watch("{\"seq\":8,\n\"hosts\":[\n");
     discovery.set_initial_list(list(9, true, &[new.entry("up")]));
     let mut client = router.client();
@@ -285,7 +293,7 @@
 #[test]
 fn a_change_right_before_the_end_of_a_watch_is_applied() {
     let (old, new) = (CacheServer::start("s-a"), CacheServer::start("s-b"));
-    let (router, discovery) = start_router(&[&old, &new]);
+    let Fleet { router, discovery } = start_router(&[&old, &new]);
     discovery.set_failing(true);
     discovery.write_to_watch(&format!("{}\n", list(8, false, &[old.entry("draining")])));
     discovery.close_watch();
--- a/crates/cache-router/tests/operator_file.rs
+++ b/crates/cache-router/tests/operator_file.rs
@@ -19,7 +19,7 @@
         ("[joining.bounds]\nwaiters = -1\n", "line 2: "),
     ];
     for (text, expected) in rows {
-        let (status, log) = run_to_end_with_operator_file(&config, text);
+        let Exit { status, log } = run_to_end_with_operator_file(&config, text);
         assert_eq!(status.code(), Some(2), "{text}: {log}");
         let (_path, problem) = log
             .strip_prefix("asterport: ")
--- a/crates/cache-router/tests/process_replacement.rs
+++ b/crates/cache-router/tests/process_replacement.rs
@@ -37,7 +37,7 @@
             "GW_FD: descriptor 3: is no listening TCP socket",
         ),
     ] {
-        let (status, log) = run_to_end_after(&config.to_string(), before);
+        let Exit { status, log } = run_to_end_after(&config.to_string(), before);
         assert_eq!(status.code(), Some(2), "{log}");
         assert!(
             log.starts_with(&format!("asterport: {expected}")) && log.lines().count() == 1,
--- a/crates/cache-router/tests/process_signals.rs
+++ b/crates/cache-router/tests/process_signals.rs
@@ -7,7 +7,7 @@
 fn after_sigterm_all_accepted_requests_are_answered() {
     let server = CacheServer::start("s-a");
     server.set_behavior("00000000000000aa", Behavior::ServeOnceGateOpens);
-    let (mut router, _discovery) = start_router(&[&server]);
+    let Fleet { mut router, .. } = start_router(&[&server]);
     let (mut busy, mut idle) = (router.client(), router.client());
     assert!(idle.request("read", "00000000000000bb").contains("s-a"));
     busy.send("read", "00000000000000aa", 4_000);
@@ -33,7 +33,7 @@
 fn after_sigterm_the_process_ends_before_sigkill() {
     let server = CacheServer::start("s-a");
     server.set_default_behavior(Behavior::StaySilent);
-    let (mut router, _discovery) = start_router(&[&server]);
+    let Fleet { mut router, .. } = start_router(&[&server]);
     let mut client = router.client();
     client.send("once", "00000000000000aa", 60_000);
     client.send("once", "00000000000000bb", 60_000);
@@ -115,7 +115,7 @@
     let mut bad_address = good;
     bad_address["listen"] = "here".into();
     for text in ["{", "[]", &no_classes.to_string(), &bad_address.to_string()] {
-        let (status, log) = run_to_end(text);
+        let Exit { status, log } = run_to_end(text);
         assert_eq!(status.code(), Some(2), "{log}");
         assert_eq!(log.lines().count(), 1, "{log}");
     }
--- a/crates/cache-router/tests/router_long.rs
+++ b/crates/cache-router/tests/router_long.rs
@@ -49,7 +49,7 @@
 fn a_long_value_comes_whole_and_its_connection_is_used_again() {
     let server = CacheServer::start("s-a");
     server.set_behavior(KEY, Behavior::Reply(long_value()));
-    let (router, _discovery) = start_router(&[&server]);
+    let Fleet { router, .. } = start_router(&[&server]);
     let mut client = router.client();
     for _ in 0..3 {
         let answer = client.request("read", KEY);
@@ -68,7 +68,7 @@
         KEY,
         Behavior::ReplyInTwoParts(first.to_vec(), 1_500, rest.to_vec()),
     );
-    let (router, _discovery) = start_router(&[&server]);
+    let Fleet { router, .. } = start_router(&[&server]);
     let mut client = connect(&router);
     client.write_all(&read_command("a")).expect("written");
     let mut begun = vec![0; 10_000];
@@ -195,7 +195,12 @@
 /// A length that was spoilt is found out before any of it is passed on: the read is served elsewhere.
 #[test]
 fn a_short_value_under_a_long_ones_header_is_not_passed_on() {
-    let (owner, other, router, _discovery) = start_router_and_pair(KEY);
+    let PairFleet {
+        owner,
+        other,
+        router,
+        ..
+    } = start_router_and_pair(KEY);
     let spoilt = b"*3\r\n$1048576\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n".to_vec();
     owner.set_default_behavior(Behavior::Reply(spoilt));
     assert!(router.client().request("read", KEY).contains(&other.name));
@@ -211,7 +216,7 @@
         KEY,
         Behavior::ReplyInTwoParts(first.to_vec(), 1_500, rest.to_vec()),
     );
-    let (router, _discovery) = start_router(&[&server]);
+    let Fleet { router, .. } = start_router(&[&server]);
     let mut client = router.client();
     client.write(&command(&["C.GET", KEY, "id", "c=read,t=acme,d=500"]));
     let answer = client.read_reply().expect("an answer");
--- a/crates/cache-router/tests/upstream_attempts.rs
+++ b/crates/cache-router/tests/upstream_attempts.rs
@@ -7,7 +7,7 @@
 #[test]
 fn requests_are_forwarded_unchanged_except_for_the_deadline() {
     let server = CacheServer::start("s-a");
-    let (router, _discovery) = start_router(&[&server]);
+    let Fleet { router, .. } = start_router(&[&server]);
     let mut client = router.client();
     client.write(&command(&["PING"]));
     assert_eq!(client.read_reply().unwrap(), "+PONG\r\n");
@@ -105,7 +105,7 @@
     for (what, does, expected) in rows {
         let server = CacheServer::start("s-a");
         server.set_default_behavior(does);
-        let (router, _discovery) = start_router(&[&server]);
+        let Fleet { router, .. } = start_router(&[&server]);
         let mut client = router.client();
         client.send("once", "7f3a9c21e0b4d655", 300);
         let answer = client
@@ -207,7 +207,12 @@
 #[test]
 fn a_keyed_write_that_may_have_run_is_retried_unchanged() {
     let key = "7f3a9c21e0b4d655";
-    let (owner, other, router, _discovery) = start_router_and_pair(key);
+    let PairFleet {
+        owner,
+        other,
+        router,
+        ..
+    } = start_router_and_pair(key);
     owner.set_default_behavior(Behavior::ReplyAndClose(Vec::new()));
     let mut client = router.client();
     assert!(client.request("put", key).contains(&other.name));
@@ -229,7 +234,7 @@
         server.set_behavior("00000000000000aa", Behavior::Reply(error.clone()));
         server.set_behavior("00000000000000bb", Behavior::ReplyAfter(600, error.clone()));
     }
-    let (router, _discovery) = start_router(&[&a, &b]);
+    let Fleet { router, .. } = start_router(&[&a, &b]);
     let mut client = router.client();
     let sent = |key: &str| {
         a.commands()
@@ -295,7 +300,7 @@
 #[test]
 fn a_connection_that_ended_while_idle_is_not_written_to() {
     let server = CacheServer::start("s-a");
-    let (router, _discovery) = start_router(&[&server]);
+    let Fleet { router, .. } = start_router(&[&server]);
     let mut client = router.client();
     assert!(client.request("once", "00000000000000aa").contains("s-a"));
     server.close_connections();
@@ -316,7 +321,7 @@
 fn a_late_reply_is_dropped() {
     let server = CacheServer::start("s-a");
     server.set_behavior("00000000000000aa", Behavior::ServeOnceGateOpens);
-    let (router, _discovery) = start_router(&[&server]);
+    let Fleet { router, .. } = start_router(&[&server]);
     let mut client = router.client();
     client.send("once", "00000000000000aa", 200);
     assert!(client.read_reply().unwrap().starts_with("-ERR"));
@@ -389,7 +394,7 @@
         ),
     ];
     let server = CacheServer::start("s-a");
-    let (router, _discovery) = start_router(&[&server]);
+    let Fleet { router, .. } = start_router(&[&server]);
     let mut client = router.client();
     for (count, (what, does)) in kinds.into_iter().enumerate() {
         server.set_behavior("00000000000000aa", does);
@@ -412,7 +417,12 @@
 #[test]
 fn a_read_with_a_malformed_reply_is_served_elsewhere() {
     let key = "7f3a9c21e0b4d655";
-    let (owner, other, router, _discovery) = start_router_and_pair(key);
+    let PairFleet {
+        owner,
+        other,
+        router,
+        ..
+    } = start_router_and_pair(key);
     owner.set_default_behavior(Behavior::Reply(b"what?\r\n".to_vec()));
     assert!(router.client().request("read", key).contains(&other.name));
 }
@@ -439,7 +449,7 @@
         ("no report", good.to_string()),
     ];
     let server = CacheServer::start("s-a");
-    let (router, _discovery) = start_router(&[&server]);
+    let Fleet { router, .. } = start_router(&[&server]);
     let mut client = router.client();
     for (count, (what, bytes)) in kinds.into_iter().enumerate() {
         server.set_behavior("00000000000000aa", Behavior::Reply(bytes.into_bytes()));
@@ -462,7 +472,7 @@
         "00000000000000aa",
         Behavior::ReplyInTwoParts(value_reply("first"), 3, value_reply("first")),
     );
-    let (router, _discovery) = start_router(&[&server]);
+    let Fleet { router, .. } = start_router(&[&server]);
     let mut client = router.client();
     // A fake that slept for longer than it should proves nothing either way.
     let in_time = || {
@@ -500,7 +510,7 @@
 /// Whatever a server does with one key's connections, those that carry another key are used on.
 fn closes_no_other_connection(does: Behavior) {
     let server = CacheServer::start("s-a");
-    let (router, _discovery) = start_router(&[&server]);
+    let Fleet { router, .. } = start_router(&[&server]);
     let mut client = router.client();
     server.set_behavior("00000000000000aa", does);
     for _ in 0..2 {
@@ -541,7 +551,12 @@
 #[test]
 fn an_unresponsive_server_is_avoided_until_it_recovers() {
     let key = "7f3a9c21e0b4d655";
-    let (owner, other, router, _discovery) = start_router_and_pair(key);
+    let PairFleet {
+        owner,
+        other,
+        router,
+        ..
+    } = start_router_and_pair(key);
     let mut client = router.client();
     owner.set_default_behavior(Behavior::StaySilent);
     for _ in 0..2 {
@@ -580,7 +595,7 @@
     let server = CacheServer::start("s-a");
     // Longer than half of the aim, which would be slow for an answer.
     server.set_default_behavior(Behavior::ServeSlowlyOnNewConnection(300));
-    let (router, _discovery) = start_router(&[&server]);
+    let Fleet { router, .. } = start_router(&[&server]);
     let mut clients: Vec<Client> = (0..12).map(|_| router.client()).collect();
     for round in 0..4 {
         let sent = clients.iter_mut().enumerate();
@@ -612,8 +627,12 @@
 fn a_stale_connection_costs_a_key_neither_its_owner_nor_a_retry() {
     let key = "7f3a9c21e0b4d655";
     // One of many routers starts with few further attempts in hand.
-    let (owner, other, router, _discovery) =
-        start_router_and_pair_with_settings(key, |settings| settings["peers_total"] = 12.into());
+    let PairFleet {
+        owner,
+        other,
+        router,
+        ..
+    } = start_router_and_pair_with_settings(key, |settings| settings["peers_total"] = 12.into());
     let mut client = router.client();
     // The router learns how long the owner's answers take: what breaks much sooner did no work.
     owner.set_default_behavior(Behavior::ReplyAfter(100, value_reply(&owner.name)));
@@ -648,8 +667,12 @@
 #[test]
 fn a_reply_that_takes_most_of_the_objective_is_waited_for() {
     let key = "7f3a9c21e0b4d655";
-    let (owner, other, router, _discovery) =
-        start_router_and_pair_with_settings(key, without_late_weight);
+    let PairFleet {
+        owner,
+        other,
+        router,
+        ..
+    } = start_router_and_pair_with_settings(key, without_late_weight);
     owner.set_behavior(key, Behavior::ReplyAfter(400, value_reply("in time")));
     assert!(router.client().request("read", key).contains("in time"));
     assert!(other.commands().is_empty(), "{:?}", other.commands());
@@ -659,8 +682,12 @@
 #[test]
 fn an_overdue_reply_is_retried_elsewhere() {
     let key = "7f3a9c21e0b4d655";
-    let (owner, other, router, _discovery) =
-        start_router_and_pair_with_settings(key, without_late_weight);
+    let PairFleet {
+        owner,
+        other,
+        router,
+        ..
+    } = start_router_and_pair_with_settings(key, without_late_weight);
     let mut client = router.client();
     (0..60).for_each(|i| assert!(client.request("read", &format!("other{i}")).contains("s-")));
     owner.set_behavior(key, Behavior::StaySilent);
@@ -674,7 +701,7 @@
     let key = "7f3a9c21e0b4d655";
     let waiting_count = 8;
     let server = CacheServer::start("s-a");
-    let (router, _discovery) = start_router_with_settings(&[&server], without_late_weight);
+    let Fleet { router, .. } = start_router_with_settings(&[&server], without_late_weight);
     server.set_default_behavior(Behavior::ServeOnceGateOpens);
     server.set_behavior(key, Behavior::StaySilent);
     let mut client = router.client();
@@ -723,7 +750,7 @@
     let reached = |columns: &str, report: &str| {
         let server = CacheServer::start("s-a");
         server.set_default_behavior(Behavior::Reply(format!("-BUSY {report}\r\n").into_bytes()));
-        let (router, _discovery) = start_router_with_settings(&[&server], |config| {
+        let Fleet { router, .. } = start_router_with_settings(&[&server], |config| {
             config["peers_total"] = 40.into();
             config["stats"] = serde_json::json!({"how": "inline", "columns": columns});
         });
--- a/crates/test-support/examples/ordinary_path.rs
+++ b/crates/test-support/examples/ordinary_path.rs
@@ -7,7 +7,7 @@
 
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
-use test_support::{CacheServer, Client, start_router};
+use test_support::{CacheServer, Client, Fleet, start_router};
 
 const CLIENTS: usize = 16;
 /// Each client sends one request in this time.
@@ -39,7 +39,7 @@
     let servers: Vec<CacheServer> = (0..8)
         .map(|i| CacheServer::start(&format!("s-{i}")))
         .collect();
-    let (router, _discovery) = start_router(&servers.iter().collect::<Vec<_>>());
+    let Fleet { router, .. } = start_router(&servers.iter().collect::<Vec<_>>());
     ask_all(router.addr, 50);
     let mut tracer = args.next().map(|tool| {
         let pid = router.pid().to_string();
--- a/crates/test-support/src/fleet.rs
+++ b/crates/test-support/src/fleet.rs
@@ -7,8 +7,28 @@
 use crate::wait::wait_until;
 use serde_json::Value;
 
+/// A router and its discovery.
+pub struct Fleet {
+    /// The router.
+    pub router: RouterProcess,
+    /// The discovery that it watches.
+    pub discovery: Discovery,
+}
+
+/// Two cache servers and a router that knows them.
+pub struct PairFleet {
+    /// The owner of the key.
+    pub owner: CacheServer,
+    /// The other cache server.
+    pub other: CacheServer,
+    /// The router.
+    pub router: RouterProcess,
+    /// The discovery that it watches.
+    pub discovery: Discovery,
+}
+
 /// Starts a router that knows these cache servers.
-pub fn start_router(servers: &[&CacheServer]) -> (RouterProcess, Discovery) {
+pub fn start_router(servers: &[&CacheServer]) -> Fleet {
     start_router_with_settings(servers, |_| {})
 }
 
@@ -16,18 +36,18 @@
 pub fn start_router_with_settings(
     servers: &[&CacheServer],
     change: impl FnOnce(&mut Value),
-) -> (RouterProcess, Discovery) {
+) -> Fleet {
     let discovery = Discovery::start(list(7, false, &[]));
     let known: Vec<String> = servers.iter().map(|server| server.entry("up")).collect();
     let mut configuration = configuration(discovery.addr, &known);
     change(&mut configuration["settings"]);
     let router = RouterProcess::start(&configuration);
     wait_until("the router watches", || !discovery.calls().is_empty());
-    (router, discovery)
+    Fleet { router, discovery }
 }
 
 /// Starts two cache servers and a router; the first server is the owner of `key`.
-pub fn start_router_and_pair(key: &str) -> (CacheServer, CacheServer, RouterProcess, Discovery) {
+pub fn start_router_and_pair(key: &str) -> PairFleet {
     start_router_and_pair_with_settings(key, |_| {})
 }
 
@@ -35,14 +55,20 @@
 pub fn start_router_and_pair_with_settings(
     key: &str,
     change: impl FnOnce(&mut Value),
-) -> (CacheServer, CacheServer, RouterProcess, Discovery) {
-    let (a, b) = (CacheServer::start("s-a"), CacheServer::start("s-b"));
-    let (router, discovery) = start_router_with_settings(&[&a, &b], change);
+) -> PairFleet {
+    let a = CacheServer::start("s-a");
+    let b = CacheServer::start("s-b");
+    let Fleet { router, discovery } = start_router_with_settings(&[&a, &b], change);
     assert!(router.client().request("read", key).contains("s-"));
     let (owner, other) = if a.commands().is_empty() {
         (b, a)
     } else {
         (a, b)
     };
-    (owner, other, router, discovery)
+    PairFleet {
+        owner,
+        other,
+        router,
+        discovery,
+    }
 }
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -22,13 +22,13 @@
 pub use configuration::configuration;
 pub use discovery::{Discovery, entry, list};
 pub use fleet::{
-    start_router, start_router_and_pair, start_router_and_pair_with_settings,
+    Fleet, PairFleet, start_router, start_router_and_pair, start_router_and_pair_with_settings,
     start_router_with_settings,
 };
 pub use network::{unresponsive_listener, unused_addr};
 pub use platform::Platform;
 pub use resp::{command, read_frame, value_reply};
 pub use router_process::{
-    RouterProcess, run_to_end, run_to_end_after, run_to_end_with_operator_file,
+    Exit, RouterProcess, run_to_end, run_to_end_after, run_to_end_with_operator_file,
 };
 pub use wait::{MAX_WAIT, wait_until};
--- a/crates/test-support/src/router_process.rs
+++ b/crates/test-support/src/router_process.rs
@@ -97,22 +97,32 @@
         Launched { child, folder }
     }
 
-    fn run_to_end(self) -> (ExitStatus, String) {
+    fn run_to_end(self) -> Exit {
         let Launched { child, folder } = self.spawn();
         let output = child.wait_with_output().expect("the router ends");
         let _ = std::fs::remove_dir_all(folder);
-        let log = String::from_utf8_lossy(&output.stderr).into_owned();
-        (output.status, log)
+        Exit {
+            status: output.status,
+            log: String::from_utf8_lossy(&output.stderr).into_owned(),
+        }
     }
 }
 
-/// Runs the binary to its end: its exit status and its log.
-pub fn run_to_end(configuration: &str) -> (ExitStatus, String) {
+/// How a process ended.
+pub struct Exit {
+    /// Its exit status.
+    pub status: ExitStatus,
+    /// Its log.
+    pub log: String,
+}
+
+/// Runs the binary to its end.
+pub fn run_to_end(configuration: &str) -> Exit {
     Launch::new(configuration).run_to_end()
 }
 
 /// The same in a shell that runs `shell_commands` before.
-pub fn run_to_end_after(configuration: &str, shell_commands: &str) -> (ExitStatus, String) {
+pub fn run_to_end_after(configuration: &str, shell_commands: &str) -> Exit {
     let launch = Launch {
         shell_commands,
         ..Launch::new(configuration)
@@ -121,10 +131,7 @@
 }
 
 /// The same with an operator file of this text.
-pub fn run_to_end_with_operator_file(
-    configuration: &str,
-    operator_file: &str,
-) -> (ExitStatus, String) {
+pub fn run_to_end_with_operator_file(configuration: &str, operator_file: &str) -> Exit {
     let launch = Launch {
         operator_file: Some(operator_file),
         ..Launch::new(configuration)
