--- a/crates/router-simulation/src/clients.rs
+++ b/crates/router-simulation/src/clients.rs
@@ -1,47 +1,96 @@
-//! Stand-ins for clients: they keep connections, wait as long as they said, and try again as the protocol lets them.
+//! A model of the clients of one router: they keep connections, wait as long as they said, and retry as the protocol lets
+//! them.
 
-use crate::executor::{Executor, Node, Time};
+use crate::executor::{Node, Time};
 use crate::fault_plan::{CLASSES, MILLI, PlannedRequest, RunPlan};
-use crate::network::{Network, SimulatedStream};
-use crate::wire::{FrameDecoder, Response, command};
+use crate::network::SimulatedStream;
+use crate::simulation::Simulation;
+use crate::wire::{FrameDecoder, Response, read_command, request_id, write_command};
 use router_runtime::environment::Environment;
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// Tries of one ask.
+/// Tries of one request.
 const MAX_TRY_COUNT: u64 = 3;
-/// A client that was told nothing on when to come back waits so long.
-const BACK_OFF: Time = 30 * MILLI;
-/// A client gives a connection up so long after its time was up: late enough to see a late answer.
-const ANSWER_GRACE: Time = 120 * MILLI;
+/// A client that was not told when to retry waits this long, in microseconds.
+const DEFAULT_RETRY_DELAY: Time = 30 * MILLI;
+/// A client closes a connection this long after its timeout, in microseconds: late enough to read a late answer.
+const LATE_ANSWER_GRACE: Time = 120 * MILLI;
+/// A client does not retry with less time than this left, in microseconds.
+const MIN_RETRY_TIMEOUT: Time = 50 * MILLI;
 
 /// What became of one try.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum RequestOutcome {
+enum TryOutcome {
     Served,
+    /// With the time after which to retry, in milliseconds.
     Rejected(Option<u64>),
     Failed,
     /// Nothing was sent: no connection came up.
     Unreachable,
-    /// The client left by itself.
-    Left,
+    /// The client disconnected by itself.
+    Departed,
 }
 
-/// How a client behaves with one ask.
+impl TryOutcome {
+    /// How long to wait before a request is sent once more that has no effect or whose repeats are dropped; none if it
+    /// is not to be. `is_repeatable` tells whether a failed one may run again.
+    fn retry_delay(self, is_repeatable: bool) -> Option<Time> {
+        match self {
+            TryOutcome::Served | TryOutcome::Departed => None,
+            TryOutcome::Rejected(Some(millis)) => Some(millis * MILLI),
+            TryOutcome::Rejected(None) | TryOutcome::Unreachable => Some(DEFAULT_RETRY_DELAY),
+            TryOutcome::Failed => is_repeatable.then_some(DEFAULT_RETRY_DELAY),
+        }
+    }
+}
+
+impl From<&Response> for TryOutcome {
+    fn from(response: &Response) -> TryOutcome {
+        match response {
+            Response::Served(_) => TryOutcome::Served,
+            Response::Rejected(retry_after_ms) => TryOutcome::Rejected(*retry_after_ms),
+            Response::Failed => TryOutcome::Failed,
+        }
+    }
+}
+
+/// How a client behaves with its requests; times in microseconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ClientBehavior {
-    /// It leaves so long after it has asked.
-    pub leaves: Option<Time>,
-    /// It reads its answer so much later.
-    pub reads_late: Time,
+    /// It disconnects this long after it has sent them.
+    pub leaves_after: Option<Time>,
+    /// It reads its answers this much later.
+    pub read_delay: Time,
+}
+
+/// A try of requests on one connection.
+struct Try<'a> {
+    requests: &'a [PlannedRequest],
+    /// 0 for the first.
+    number: u64,
+    behavior: ClientBehavior,
+}
+
+impl Try<'_> {
+    fn bytes(&self) -> Vec<u8> {
+        let requests = self.requests.iter();
+        requests
+            .flat_map(|request| request_bytes(request, self.number))
+            .collect()
+    }
+
+    fn longest_timeout(&self) -> Time {
+        let timeouts = self.requests.iter().map(|request| request.timeout);
+        timeouts.max().unwrap_or_default()
+    }
 }
 
-/// The clients of one router.
+/// The clients of one router, on one machine. Their tasks end by themselves.
 pub struct Clients {
-    executor: Executor,
-    network: Network,
+    simulation: Simulation,
     node: Node,
     router: SocketAddr,
     plan: Rc<RunPlan>,
@@ -49,17 +98,15 @@
 }
 
 impl Clients {
-    /// On this machine, for the router at this address.
+    /// Clients on this machine, for the router at this address.
     pub fn new(
-        executor: Executor,
-        network: Network,
+        simulation: Simulation,
         node: Node,
         router: SocketAddr,
         plan: Rc<RunPlan>,
     ) -> Rc<Clients> {
         Rc::new(Clients {
-            executor,
-            network,
+            simulation,
             node,
             router,
             plan,
@@ -67,22 +114,31 @@
         })
     }
 
-    /// Asks all of these at once, on one connection, and tries again what may be tried again.
+    fn now(&self) -> Time {
+        self.simulation.executor.now()
+    }
+
+    /// Sends requests at once on one connection, and each that may be retried again.
     pub fn send(self: &Rc<Self>, requests: Vec<PlannedRequest>, behavior: ClientBehavior) {
         let clients = self.clone();
-        self.executor.spawn(self.node, async move {
-            let outcomes = clients.try_all(&requests, 0, behavior).await;
+        self.simulation.executor.spawn(self.node, async move {
+            let first = Try {
+                requests: &requests,
+                number: 0,
+                behavior,
+            };
+            let outcomes = clients.attempt(&first).await;
             for (request, outcome) in requests.into_iter().zip(outcomes) {
-                let again = clients.clone();
-                clients.executor.spawn(
-                    clients.node,
-                    async move { again.retry(request, outcome).await },
-                );
+                let retrying = clients.clone();
+                let executor = &clients.simulation.executor;
+                executor.spawn(clients.node, async move {
+                    retrying.retry(request, outcome).await;
+                });
             }
         });
     }
 
-    /// Asks all of these at once, on one connection, and again what was declined, still on one: a crowd keeps the
+    /// Sends requests at once on one connection, and those that were declined again, still on one: a crowd keeps the
     /// connections that it has.
     pub fn send_as_crowd(
         self: &Rc<Self>,
@@ -90,37 +146,24 @@
         behavior: ClientBehavior,
     ) {
         let clients = self.clone();
-        self.executor.spawn(self.node, async move {
+        self.simulation.executor.spawn(self.node, async move {
             for number in 0..MAX_TRY_COUNT {
-                let outcomes = clients.try_all(&requests, number, behavior).await;
-                let mut pause = 0;
-                let declined =
-                    requests
-                        .into_iter()
-                        .zip(outcomes)
-                        .filter_map(|(request, outcome)| {
-                            let after = match outcome {
-                                RequestOutcome::Rejected(after) => {
-                                    after.map_or(BACK_OFF, |millis| millis * MILLI)
-                                }
-                                RequestOutcome::Unreachable => BACK_OFF,
-                                RequestOutcome::Failed if request.class == 0 => BACK_OFF,
-                                RequestOutcome::Failed
-                                | RequestOutcome::Served
-                                | RequestOutcome::Left => return None,
-                            };
-                            pause = pause.max(after);
-                            Some(request)
-                        });
-                requests = declined.collect();
-                clients.executor.sleep(pause).await;
-                requests.retain_mut(|request| {
-                    let deadline = request.at + clients.plan.longest_deadline();
-                    request.timeout = request
-                        .timeout
-                        .min(deadline.saturating_sub(clients.executor.now()));
-                    request.timeout >= 50 * MILLI
-                });
+                let current = Try {
+                    requests: &requests,
+                    number,
+                    behavior,
+                };
+                let outcomes = clients.attempt(&current).await;
+                let mut delay = 0;
+                let mut declined = Vec::new();
+                for (request, outcome) in requests.into_iter().zip(outcomes) {
+                    if let Some(after) = outcome.retry_delay(request.class == 0) {
+                        delay = delay.max(after);
+                        declined.push(request);
+                    }
+                }
+                clients.simulation.executor.sleep(delay).await;
+                requests = clients.with_time_left(declined);
                 if requests.is_empty() {
                     return;
                 }
@@ -128,158 +171,154 @@
         });
     }
 
-    async fn retry(self: Rc<Self>, request: PlannedRequest, mut outcome: RequestOutcome) {
+    /// The requests that may still be sent, with the time that is left to each.
+    fn with_time_left(&self, mut requests: Vec<PlannedRequest>) -> Vec<PlannedRequest> {
+        requests.retain_mut(|request| {
+            request.timeout = request.timeout.min(self.time_left(request));
+            request.timeout >= MIN_RETRY_TIMEOUT
+        });
+        requests
+    }
+
+    fn time_left(&self, request: &PlannedRequest) -> Time {
         let deadline = request.at + self.plan.longest_deadline();
+        deadline.saturating_sub(self.now())
+    }
+
+    /// Retries a request after its first try.
+    async fn retry(self: Rc<Self>, request: PlannedRequest, mut outcome: TryOutcome) {
         for number in 1..MAX_TRY_COUNT {
-            let pause = match outcome {
-                RequestOutcome::Served | RequestOutcome::Left => return,
-                RequestOutcome::Rejected(after) => after.map_or(BACK_OFF, |millis| millis * MILLI),
-                RequestOutcome::Unreachable => BACK_OFF,
-                RequestOutcome::Failed if request.class == 0 => BACK_OFF,
-                // Within the time for which its key is remembered, and a margin for the way.
-                RequestOutcome::Failed
-                    if request.class == 1
-                        && self.executor.now() + request.timeout
-                            < request.at + self.plan.deduplication_window =>
-                {
-                    BACK_OFF
-                }
-                RequestOutcome::Failed => return,
+            let Some(delay) = outcome.retry_delay(self.is_repeatable(&request)) else {
+                return;
             };
-            self.executor.sleep(pause).await;
-            let left = deadline.saturating_sub(self.executor.now());
-            if left < 50 * MILLI {
+            self.simulation.executor.sleep(delay).await;
+            let time_left = self.time_left(&request);
+            if time_left < MIN_RETRY_TIMEOUT {
                 return;
             }
             let retry = PlannedRequest {
-                timeout: request.timeout.min(left),
+                timeout: request.timeout.min(time_left),
                 ..request.clone()
             };
-            let tried = self
-                .try_all(&[retry], number, ClientBehavior::default())
-                .await;
-            outcome = tried.first().copied().unwrap_or(RequestOutcome::Failed);
+            let next = Try {
+                requests: &[retry],
+                number,
+                behavior: ClientBehavior::default(),
+            };
+            let outcomes = self.attempt(&next).await;
+            outcome = outcomes.first().copied().unwrap_or(TryOutcome::Failed);
         }
     }
 
-    /// One try of these, on one connection: what became of each.
-    async fn try_all(
-        &self,
-        requests: &[PlannedRequest],
-        number: u64,
-        behavior: ClientBehavior,
-    ) -> Vec<RequestOutcome> {
-        let mut outcomes = vec![RequestOutcome::Unreachable; requests.len()];
-        let idle_stream = self.idle.borrow_mut().pop();
-        let stream = match idle_stream {
-            Some(stream) => stream,
-            None => {
-                let environment = self.network.environment(self.node);
-                let longest = requests
-                    .iter()
-                    .map(|request| request.timeout)
-                    .max()
-                    .unwrap_or_default();
-                tokio::select! {
-                    biased;
-                    dialled = environment.connect(self.router) => match dialled {
-                        Ok(stream) => stream,
-                        Err(_) => return outcomes,
-                    },
-                    () = self.executor.sleep(longest) => return outcomes,
-                }
-            }
+    /// Whether a request that failed may run again: a read, or a keyed write within its deduplication window.
+    fn is_repeatable(&self, request: &PlannedRequest) -> bool {
+        let window_end = request.at + self.plan.deduplication_window;
+        match request.class {
+            0 => true,
+            1 => self.now() + request.timeout < window_end,
+            _ => false,
+        }
+    }
+
+    /// One try, on one connection: what became of each request.
+    async fn attempt(&self, current: &Try<'_>) -> Vec<TryOutcome> {
+        let count = current.requests.len();
+        let Some(stream) = self.connection(current.longest_timeout()).await else {
+            return vec![TryOutcome::Unreachable; count];
         };
-        outcomes.fill(RequestOutcome::Failed);
-        self.exchange(stream, requests, number, behavior, &mut outcomes)
-            .await;
+        let mut outcomes = vec![TryOutcome::Failed; count];
+        self.exchange(stream, current, &mut outcomes).await;
         outcomes
     }
 
+    /// An idle connection or a new one; none if it does not come up in time.
+    async fn connection(&self, timeout: Time) -> Option<SimulatedStream> {
+        let idle = self.idle.borrow_mut().pop();
+        if idle.is_some() {
+            return idle;
+        }
+        let environment = self.simulation.network.environment(self.node);
+        tokio::select! {
+            biased;
+            connected = environment.connect(self.router) => connected.ok(),
+            () = self.simulation.executor.sleep(timeout) => None,
+        }
+    }
+
+    /// Sends requests and reads their answers, as far as they come in time.
     async fn exchange(
         &self,
         mut stream: SimulatedStream,
-        requests: &[PlannedRequest],
-        number: u64,
-        behavior: ClientBehavior,
-        outcomes: &mut [RequestOutcome],
+        current: &Try<'_>,
+        outcomes: &mut [TryOutcome],
     ) {
-        let now = self.executor.now();
-        let bytes: Vec<u8> = requests
-            .iter()
-            .flat_map(|request| request_bytes(request, number))
-            .collect();
-        if stream.write_all(&bytes).await.is_err() {
+        let executor = &self.simulation.executor;
+        let started_at = self.now();
+        if stream.write_all(&current.bytes()).await.is_err() {
             return;
         }
-        if let Some(time) = behavior.leaves {
-            self.executor.sleep(time).await;
-            outcomes.fill(RequestOutcome::Left);
+        if let Some(delay) = current.behavior.leaves_after {
+            executor.sleep(delay).await;
+            outcomes.fill(TryOutcome::Departed);
             return;
         }
-        self.executor.sleep(behavior.reads_late).await;
-        let longest = requests
-            .iter()
-            .map(|request| request.timeout)
-            .max()
-            .unwrap_or_default();
-        let until = now + longest + behavior.reads_late + ANSWER_GRACE;
-        let (mut frames, mut buffer) = (FrameDecoder::default(), vec![0; 8_192]);
+        let read_delay = current.behavior.read_delay;
+        executor.sleep(read_delay).await;
+        let until = started_at + current.longest_timeout() + read_delay + LATE_ANSWER_GRACE;
+        let mut frames = FrameDecoder::default();
         for outcome in outcomes.iter_mut() {
-            *outcome = loop {
-                match frames.next(self.executor.now()) {
-                    Ok(Some((frame, _))) => match Response::of(&frame) {
-                        Response::Served(_) => break RequestOutcome::Served,
-                        Response::Rejected(after) => break RequestOutcome::Rejected(after),
-                        Response::Failed => break RequestOutcome::Failed,
-                    },
-                    Ok(None) => {}
-                    Err(_) => return,
-                }
-                let read = tokio::select! {
-                    biased;
-                    read = stream.read(&mut buffer) => read.unwrap_or(0),
-                    () = self.executor.sleep_until(until) => 0,
-                };
-                if read == 0 {
-                    return;
-                }
-                frames.feed(self.executor.now(), &buffer[..read]);
+            let Some(response) = self.read_answer(&mut stream, &mut frames, until).await else {
+                return;
             };
+            *outcome = TryOutcome::from(&response);
         }
         if frames.buffered_bytes() == 0 {
             self.idle.borrow_mut().push(stream);
         }
     }
+
+    /// The next answer; none if the connection ends before, or does not bring it by this time.
+    async fn read_answer(
+        &self,
+        stream: &mut SimulatedStream,
+        frames: &mut FrameDecoder,
+        until: Time,
+    ) -> Option<Response> {
+        let mut buffer = vec![0; 8_192];
+        loop {
+            match frames.next(self.now()) {
+                Ok(Some((frame, _))) => return Some(Response::of(&frame)),
+                Ok(None) => {}
+                Err(_) => return None,
+            }
+            let count = tokio::select! {
+                biased;
+                read = stream.read(&mut buffer) => read.unwrap_or(0),
+                () = self.simulation.executor.sleep_until(until) => 0,
+            };
+            if count == 0 {
+                return None;
+            }
+            frames.feed(self.now(), &buffer[..count]);
+        }
+    }
 }
 
-fn request_bytes(request: &PlannedRequest, number: u64) -> Vec<u8> {
-    let id = format!("{:016x}", u64::from(request.number) << 8 | number);
-    let key = format!("{:016x}", request.key);
+/// The command of a try. Its class decides whether it is a read, and whether a write has an idempotency key.
+fn request_bytes(request: &PlannedRequest, try_number: u64) -> Vec<u8> {
+    let id = request_id(request.number, try_number);
+    let class = CLASSES[request.class];
+    let tenant = request.number % 2;
+    let timeout_ms = request.timeout / MILLI;
     let work_estimate = request.work as u64;
-    let again = if number > 0 { ",r=1" } else { "" };
-    let fields = format!(
-        "c={},t=t{},d={},h={work_estimate}{again}",
-        CLASSES[request.class],
-        request.number % 2,
-        request.timeout / MILLI
-    );
-    let keyed = format!("{fields},k={:016x}", request.number);
+    let retry = if try_number > 0 { ",r=1" } else { "" };
+    let fields = format!("c={class},t=t{tenant},d={timeout_ms},h={work_estimate}{retry}");
     match request.class {
-        0 => command(&[b"C.GET", key.as_bytes(), id.as_bytes(), fields.as_bytes()]),
-        3 => command(&[
-            b"C.SET",
-            key.as_bytes(),
-            id.as_bytes(),
-            fields.as_bytes(),
-            b"sheet",
-        ]),
-        _ => command(&[
-            b"C.SET",
-            key.as_bytes(),
-            id.as_bytes(),
-            keyed.as_bytes(),
-            b"sheet",
-        ]),
+        0 => read_command(request.key, id, &fields),
+        3 => write_command(request.key, id, &fields, b"sheet"),
+        _ => {
+            let keyed = format!("{fields},k={:016x}", request.number);
+            write_command(request.key, id, &keyed, b"sheet")
+        }
     }
 }
--- a/crates/router-simulation/src/discovery.rs
+++ b/crates/router-simulation/src/discovery.rs
@@ -1,11 +1,16 @@
-//! A stand-in for discovery: the list over HTTP/1.1, whole or as a watch on its changes, with the troubles that a plan
+//! A model of discovery: the endpoint list over HTTP/1.1, whole or as a watch on its changes, with the faults that a plan
 //! wants of it.
 
-use crate::executor::{Executor, Node, Time};
+mod list;
+
+pub(crate) use list::{ListEntry, RESPONSE_HEAD, chunk, list_json};
+
+use crate::executor::{Node, Time};
 use crate::fault_plan::{MILLI, SECOND};
 use crate::fleet::Server;
-use crate::invariant_checker::InvariantChecker;
-use crate::network::{Network, SimulatedStream};
+use crate::invariant_checker::Role;
+use crate::network::SimulatedStream;
+use crate::simulation::Simulation;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,10 +18,17 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::Notify;
 
+/// While nothing changes, a heartbeat is sent this often, in microseconds.
+const HEARTBEAT_INTERVAL: Time = 2 * SECOND;
+/// How long discovery takes to answer, in microseconds.
+const RESPONSE_TIME: Time = 3 * MILLI;
+/// The longest head of a request that discovery reads.
+const MAX_HEAD_BYTES: usize = 8_192;
+
 /// What the list says of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
-    /// Takes work.
+    /// Accepts work.
     Up,
     /// Finishes its work.
     Draining,
@@ -24,24 +36,33 @@
     Removed,
 }
 
+impl Health {
+    fn name(self) -> &'static str {
+        match self {
+            Health::Up => "up",
+            Health::Draining => "draining",
+            Health::Removed => "removed",
+        }
+    }
+}
+
+/// What the list says of one server.
 struct Entry {
     health: Health,
     born_ms: u64,
-    changed: u64,
+    /// The version of the list that changed it last.
+    changed_in: u64,
 }
 
-/// See the module.
+/// Discovery's process. It never ends by itself.
 pub struct Discovery {
-    executor: Executor,
-    network: Network,
-    checker: Rc<RefCell<InvariantChecker>>,
+    simulation: Simulation,
     node: Node,
     /// Where it listens.
     pub address: SocketAddr,
     servers: Vec<Rc<Server>>,
-    zones: Vec<usize>,
     entries: RefCell<Vec<Entry>>,
-    seq: Cell<u64>,
+    version: Cell<u64>,
     changed: Notify,
     ended: Notify,
     silenced: Notify,
@@ -51,81 +72,46 @@
     last_lists: RefCell<BTreeMap<Node, String>>,
 }
 
-/// One server as the list has it.
-pub(crate) fn entry(
-    name: &str,
-    address: SocketAddr,
-    zone: usize,
-    health: &str,
-    born_ms: u64,
-) -> String {
-    format!(
-        r#"{{"host":"{name}","dial":"{address}","site":"z{zone}","class":"m","block":1,"health":"{health}","share":1.0,"born_ms":{born_ms}}}"#
-    )
-}
-
-/// A list, or the changes to one, without its line's end.
-pub(crate) fn list(seq: u64, whole: bool, entries: &[String]) -> String {
-    format!(
-        r#"{{"seq":{seq},"whole":{whole},"hosts":[{}]}}"#,
-        entries.join(",")
-    )
-}
-
-/// While nothing changes, an empty line comes as often.
-const BEAT: Time = 2 * SECOND;
-/// How long a call takes it.
-const CALL: Time = 3 * MILLI;
-
 impl Discovery {
-    /// Starts with all servers up since long ago.
+    /// Starts with all servers up since long ago. Its tasks belong to its machine and end with the run.
     pub fn start(
-        executor: Executor,
-        network: Network,
-        checker: Rc<RefCell<InvariantChecker>>,
-        node: Node,
+        simulation: Simulation,
         address: SocketAddr,
         servers: &[Rc<Server>],
-        zones: Vec<usize>,
     ) -> Rc<Discovery> {
-        let entries = servers
-            .iter()
-            .map(|_| Entry {
-                health: Health::Up,
-                born_ms: 0,
-                changed: 1,
-            })
-            .collect();
+        let entry = |_| Entry {
+            health: Health::Up,
+            born_ms: 0,
+            changed_in: 1,
+        };
         let discovery = Rc::new(Discovery {
-            executor,
-            network,
-            checker,
-            node,
+            node: simulation.add_machine(Role::Discovery, 0, usize::MAX),
+            simulation,
             address,
             servers: servers.to_vec(),
-            zones,
-            entries: RefCell::new(entries),
-            seq: Cell::new(1),
+            entries: RefCell::new(servers.iter().map(entry).collect()),
+            version: Cell::new(1),
             changed: Notify::new(),
             ended: Notify::new(),
             silenced: Notify::new(),
             down_until: Cell::new(0),
             last_lists: RefCell::default(),
         });
-        let listener = discovery.network.listen(node, address);
+        let node = discovery.node;
+        let listener = discovery.simulation.network.listen(node, address);
+        let executor = discovery.simulation.executor.clone();
         let accepting = discovery.clone();
-        discovery.executor.spawn(node, async move {
+        discovery.simulation.executor.spawn(node, async move {
             while let Ok(stream) = listener.accept().await {
-                let work = accepting.clone().serve(stream);
-                accepting.executor.spawn(accepting.node, work);
+                executor.spawn(node, accepting.clone().serve(stream));
             }
         });
         discovery
     }
 
-    /// The list has this to say of a server from now on.
+    /// The list says this of a server from now on; `born_ms` is Unix time in milliseconds.
     pub fn set(&self, server: usize, health: Health, born_ms: u64) {
-        let seq = self.seq.get() + 1;
+        let version = self.version.get() + 1;
         let mut entries = self.entries.borrow_mut();
         let entry = &mut entries[server];
         if (entry.health, entry.born_ms) == (health, born_ms) {
@@ -134,134 +120,149 @@
         *entry = Entry {
             health,
             born_ms,
-            changed: seq,
+            changed_in: version,
         };
-        self.seq.set(seq);
+        self.version.set(version);
         drop(entries);
-        self.checker.borrow_mut().endpoint_announced(
-            self.executor.now(),
-            server,
-            health == Health::Up,
-            born_ms,
-        );
+        let now = self.simulation.executor.now();
+        let mut checker = self.simulation.checker.borrow_mut();
+        checker.endpoint_announced(now, server, health == Health::Up, born_ms);
+        drop(checker);
         self.changed.notify_waiters();
     }
 
-    /// Ends all watches.
+    /// Ends all open watches.
     pub fn end_watches(&self) {
         self.ended.notify_waiters();
     }
 
-    /// All watches that are open say nothing any more.
+    /// All open watches send nothing any more, and do not end.
     pub fn silence_watches(&self) {
         self.silenced.notify_waiters();
     }
 
     /// The list as a router's machine last had it, else as it is now.
     pub fn known_to(&self, router: Node) -> String {
-        self.last_lists
-            .borrow()
-            .get(&router)
-            .cloned()
-            .unwrap_or_else(|| self.line(0))
+        let last = self.last_lists.borrow().get(&router).cloned();
+        last.unwrap_or_else(|| self.snapshot())
     }
 
-    /// What changed after a version, or the whole list for version 0.
-    fn line(&self, after: u64) -> String {
-        let hosts: Vec<String> = self
-            .entries
-            .borrow()
-            .iter()
-            .zip(&self.servers)
-            .zip(&self.zones)
-            .filter(|((entry, _), _)| {
-                if after == 0 {
-                    entry.health != Health::Removed
-                } else {
-                    entry.changed > after
-                }
-            })
-            .map(|((entry_of, server), zone)| {
-                let health = match entry_of.health {
-                    Health::Up => "up",
-                    Health::Draining => "draining",
-                    Health::Removed => "removed",
+    /// The whole list.
+    fn snapshot(&self) -> String {
+        self.list(true, |entry| entry.health != Health::Removed)
+    }
+
+    /// What changed after a version.
+    fn changes_after(&self, version: u64) -> String {
+        self.list(false, |entry| entry.changed_in > version)
+    }
+
+    fn list(&self, is_snapshot: bool, contains: impl Fn(&Entry) -> bool) -> String {
+        let entries = self.entries.borrow();
+        let listed = entries.iter().zip(&self.servers);
+        let hosts: Vec<String> = listed
+            .filter(|(entry, _)| contains(entry))
+            .map(|(entry, server)| {
+                let listed = ListEntry {
+                    name: &server.name,
+                    address: server.address,
+                    zone: server.zone(),
+                    health: entry.health.name(),
+                    born_ms: entry.born_ms,
                 };
-                entry(
-                    &server.name,
-                    server.address,
-                    *zone,
-                    health,
-                    entry_of.born_ms,
-                )
+                listed.json()
             })
             .collect();
-        list(self.seq.get(), after == 0, &hosts)
+        list_json(self.version.get(), is_snapshot, &hosts)
     }
 
+    /// Answers one call.
     async fn serve(self: Rc<Self>, mut stream: SimulatedStream) {
-        let (mut head, mut buffer) = (Vec::new(), [0; 1024]);
-        while !head.windows(4).any(|end| end == b"\r\n\r\n") {
-            match stream.read(&mut buffer).await {
-                Ok(count @ 1..) if head.len() < 8_192 => head.extend_from_slice(&buffer[..count]),
-                _ => return,
-            }
-        }
-        self.executor.sleep(CALL).await;
-        if self.executor.now() < self.down_until.get() {
+        let Some(head) = read_head(&mut stream).await else {
+            return;
+        };
+        let executor = &self.simulation.executor;
+        executor.sleep(RESPONSE_TIME).await;
+        if executor.now() < self.down_until.get() {
             let busy = b"HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n\r\n";
+            // The router has gone if this fails.
             let _ = stream.write_all(busy).await;
             return;
         }
-        let text = String::from_utf8_lossy(&head).into_owned();
-        let after = text.split("after=").nth(1).map_or("", |buffered_bytes| {
-            buffered_bytes.split([' ', '&']).next().unwrap_or("")
-        });
-        let after: u64 = after.parse().unwrap_or(0);
-        let after = if after > self.seq.get() { 0 } else { after };
+        let known = Some(known_version(&head)).filter(|&known| known <= self.version.get());
+        self.watch(stream, known.unwrap_or(0)).await;
+    }
+
+    /// Sends the list, or the changes after a version other than 0, and then each change and heartbeats.
+    async fn watch(&self, mut stream: SimulatedStream, known: u64) {
         let router = stream.peer();
-        let head = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
-        let (ended, silenced) = (self.ended.notified(), self.silenced.notified());
+        let ended = self.ended.notified();
+        let silenced = self.silenced.notified();
         tokio::pin!(ended, silenced);
-        if stream.write_all(head).await.is_err() {
+        if stream.write_all(RESPONSE_HEAD.as_bytes()).await.is_err() {
             return;
         }
-        let mut sent_version = after;
+        let mut sent = known;
         let mut is_first = true;
+        let mut buffer = [0; 1024];
         loop {
             let changed = self.changed.notified();
             tokio::pin!(changed);
             changed.as_mut().enable();
-            let line = if is_first && after == 0 {
-                self.line(0)
-            } else if self.seq.get() > sent_version || is_first {
-                self.line(sent_version.max(1))
+            let line = if is_first && known == 0 {
+                self.snapshot()
+            } else if self.version.get() > sent || is_first {
+                self.changes_after(sent.max(1))
             } else {
                 String::new()
             };
             is_first = false;
             if !line.is_empty() {
-                sent_version = self.seq.get();
-                self.last_lists.borrow_mut().insert(router, self.line(0));
+                sent = self.version.get();
+                let mut last_lists = self.last_lists.borrow_mut();
+                last_lists.insert(router, self.snapshot());
             }
-            let chunk = format!("{:x}\r\n{line}\n\r\n", line.len() + 1);
-            if stream.write_all(chunk.as_bytes()).await.is_err() {
+            if stream.write_all(chunk(&line).as_bytes()).await.is_err() {
                 return;
             }
-            let beat = self.executor.sleep(BEAT);
+            let heartbeat = self.simulation.executor.sleep(HEARTBEAT_INTERVAL);
             tokio::select! {
                 biased;
                 () = &mut changed => {}
-                () = beat => {}
+                () = heartbeat => {}
                 () = &mut ended => return stream.reset(),
-                () = &mut silenced => {
-                    // It reads on, so that it hears of the end.
-                    while !matches!(stream.read(&mut buffer).await, Ok(0) | Err(_)) {}
-                    return;
-                }
-                // It has left, or sends what it should not.
+                () = &mut silenced => return read_to_end(&mut stream).await,
+                // The router has closed the watch, or sends what it should not.
                 _ = stream.read(&mut buffer) => return,
             }
         }
     }
 }
+
+/// Reads the head of a call; none if it does not come whole.
+async fn read_head(stream: &mut SimulatedStream) -> Option<String> {
+    let mut head = Vec::new();
+    let mut buffer = [0; 1024];
+    while !head.windows(4).any(|end| end == b"\r\n\r\n") {
+        match stream.read(&mut buffer).await {
+            Ok(count @ 1..) if head.len() < MAX_HEAD_BYTES => {
+                head.extend_from_slice(&buffer[..count]);
+            }
+            _ => return None,
+        }
+    }
+    Some(String::from_utf8_lossy(&head).into_owned())
+}
+
+/// The version of the list that a call says it knows; 0 for none.
+fn known_version(head: &str) -> u64 {
+    let after = head.split("after=").nth(1);
+    let digits = after.and_then(|rest| rest.split([' ', '&']).next());
+    digits.and_then(|digits| digits.parse().ok()).unwrap_or(0)
+}
+
+/// Reads until the other end closes, and sends nothing.
+pub(crate) async fn read_to_end(stream: &mut SimulatedStream) {
+    let mut buffer = [0; 1024];
+    while !matches!(stream.read(&mut buffer).await, Ok(0) | Err(_)) {}
+}
--- /dev/null
+++ b/crates/router-simulation/src/fleet/server.rs
@@ -0,0 +1,370 @@
+//! A cache server: its queue, its cache, its slow start, and its faults.
+
+use super::{ALL_ZONES, FleetState};
+use crate::discovery::read_to_end;
+use crate::executor::{Node, Time};
+use crate::fault_plan::{CLASSES, MILLI, SECOND, ServerPlan};
+use crate::invariant_checker::ProcessStart;
+use crate::network::SimulatedStream;
+use crate::simulation::{Subnet, address};
+use crate::wire::{CacheRequest, Command, Frame, FrameDecoder, served_reply, value_for};
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::sync::Notify;
+
+/// How long a key is cached, in microseconds.
+const CACHE_LIFETIME: Time = 8 * SECOND;
+/// How long a request that fails at once takes, in microseconds.
+const FAST_ERROR_TIME: Time = 2 * MILLI;
+/// How long a request that the origin rejects takes, in microseconds.
+const ORIGIN_REJECTION_TIME: Time = MILLI;
+/// Kinds of malformed replies.
+const MALFORMED_KIND_COUNT: usize = 6;
+
+/// What is wrong with a server now; ratios of its requests, from 0 to 1.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct ServerFaults {
+    /// Fail at once.
+    pub error_ratio: f64,
+    /// Get a malformed reply after they have run.
+    pub malformed_ratio: f64,
+    /// Are rejected.
+    pub busy_ratio: f64,
+    /// All requests are read and never answered.
+    pub hangs: bool,
+    /// How much longer than usual requests take, as a ratio.
+    pub slowdown: f64,
+}
+
+/// What a request comes to.
+enum RequestResult {
+    Served { is_miss: bool },
+    Failed,
+    Busy,
+}
+
+/// A connection that carries no request now.
+struct IdleConnection {
+    id: u32,
+    reset: Rc<Notify>,
+}
+
+/// A cache server.
+pub struct Server {
+    number: usize,
+    /// Its name on the list.
+    pub name: String,
+    /// Its machine.
+    pub node: Node,
+    /// Where it listens.
+    pub address: SocketAddr,
+    plan: ServerPlan,
+    fleet: Rc<FleetState>,
+    /// When its process started, Unix time in milliseconds; 0 for long ago.
+    pub born_ms: Cell<u64>,
+    started_at: Cell<Time>,
+    /// What is wrong with it.
+    pub faults: Cell<ServerFaults>,
+    /// It finishes what it has and rejects the rest.
+    pub is_draining: Cell<bool>,
+    /// When each slot is free.
+    slots: RefCell<Vec<Time>>,
+    /// Requests in a slot or in the queue.
+    queued: Cell<usize>,
+    /// Until when each key is cached.
+    cached_until: RefCell<BTreeMap<Vec<u8>, Time>>,
+    idle: RefCell<Vec<IdleConnection>>,
+}
+
+impl Server {
+    /// A server that does not run yet.
+    pub fn new(number: usize, node: Node, plan: ServerPlan, fleet: Rc<FleetState>) -> Rc<Server> {
+        Rc::new(Server {
+            number,
+            name: format!("s-{number:02}"),
+            node,
+            address: address(Subnet::Servers, number, 6379),
+            slots: RefCell::new(vec![0; plan.slots]),
+            plan,
+            fleet,
+            born_ms: Cell::new(0),
+            started_at: Cell::new(0),
+            faults: Cell::default(),
+            is_draining: Cell::new(false),
+            queued: Cell::new(0),
+            cached_until: RefCell::default(),
+            idle: RefCell::default(),
+        })
+    }
+
+    /// Its zone.
+    pub fn zone(&self) -> usize {
+        self.plan.zone
+    }
+
+    /// Starts its process, in slow start unless `born_ms` is 0. Its tasks end when the process is killed.
+    pub fn start(self: &Rc<Self>, born_ms: u64) {
+        let simulation = &self.fleet.simulation;
+        let now = simulation.executor.now();
+        self.born_ms.set(born_ms);
+        self.started_at.set(now);
+        self.is_draining.set(false);
+        *self.slots.borrow_mut() = vec![0; self.plan.slots];
+        self.queued.set(0);
+        self.cached_until.borrow_mut().clear();
+        self.idle.borrow_mut().clear();
+        if born_ms > 0 {
+            let mut checker = simulation.checker.borrow_mut();
+            checker.server_started(now, self.number, self.process_start());
+        }
+        let listener = simulation.network.listen(self.node, self.address);
+        let server = self.clone();
+        simulation.executor.spawn(self.node, async move {
+            let executor = &server.fleet.simulation.executor;
+            while let Ok(stream) = listener.accept().await {
+                executor.spawn(server.node, server.clone().serve(stream));
+            }
+        });
+    }
+
+    fn process_start(&self) -> ProcessStart {
+        ProcessStart {
+            born_ms: self.born_ms.get(),
+            starting_capacity_ratio: self.fleet.plan.starting_capacity_ratio,
+            slow_start_duration: self.fleet.plan.slow_start_duration,
+        }
+    }
+
+    /// Ends its process, or its machine with it.
+    pub fn kill(&self, vanishes: bool) {
+        self.fleet.simulation.network.kill(self.node, vanishes);
+    }
+
+    /// Resets the connections that carry no request now.
+    pub fn reset_idle(&self) {
+        for connection in self.idle.borrow_mut().drain(..) {
+            connection.reset.notify_one();
+        }
+    }
+
+    /// Serves the requests of one connection.
+    async fn serve(self: Rc<Self>, mut stream: SimulatedStream) {
+        let executor = &self.fleet.simulation.executor;
+        let router = self.fleet.router_at(stream.peer());
+        let mut frames = FrameDecoder::default();
+        let mut is_new = true;
+        loop {
+            let reset = self.add_idle(stream.id());
+            let Some(frame) = self.read_frame(&mut stream, &mut frames, &reset).await else {
+                return;
+            };
+            self.remove_idle(stream.id());
+            if std::mem::take(&mut is_new) {
+                executor.sleep(self.fleet.plan.handshake_time).await;
+            }
+            let Command::CacheRequest(request) = Command::of(&frame) else {
+                // The router has gone if this fails.
+                let _ = stream.write_all(b"-SYNTAX\r\n").await;
+                return;
+            };
+            if self.faults.get().hangs {
+                return read_to_end(&mut stream).await;
+            }
+            let result = self.execute(&request, router).await;
+            let reply = self.reply(&request, &result);
+            if stream.write_all(&reply).await.is_err() {
+                return;
+            }
+        }
+    }
+
+    fn add_idle(&self, id: u32) -> Rc<Notify> {
+        let reset = Rc::new(Notify::new());
+        self.idle.borrow_mut().push(IdleConnection {
+            id,
+            reset: reset.clone(),
+        });
+        reset
+    }
+
+    fn remove_idle(&self, id: u32) {
+        self.idle
+            .borrow_mut()
+            .retain(|connection| connection.id != id);
+    }
+
+    /// Reads a command; none once the connection is over. One that is reset while idle is left to the caller to drop.
+    async fn read_frame(
+        &self,
+        stream: &mut SimulatedStream,
+        frames: &mut FrameDecoder,
+        reset: &Notify,
+    ) -> Option<Frame> {
+        let executor = &self.fleet.simulation.executor;
+        let mut buffer = vec![0; 4096];
+        loop {
+            match frames.next(executor.now()) {
+                Ok(Some((frame, _))) => return Some(frame),
+                Ok(None) => {}
+                Err(_) => return None,
+            }
+            let count = tokio::select! {
+                biased;
+                read = stream.read(&mut buffer) => read.unwrap_or(0),
+                () = reset.notified(), if frames.buffered_bytes() == 0 => {
+                    stream.reset();
+                    return None;
+                }
+                () = executor.sleep(self.fleet.plan.idle_timeout) => 0,
+            };
+            if count == 0 {
+                return None;
+            }
+            frames.feed(executor.now(), &buffer[..count]);
+        }
+    }
+
+    /// The reply to a request, or a malformed one.
+    fn reply(&self, request: &CacheRequest, result: &RequestResult) -> Vec<u8> {
+        let malformed_ratio = self.faults.get().malformed_ratio;
+        if malformed_ratio > 0.0 && self.fleet.rng.borrow_mut().chance(malformed_ratio) {
+            self.malformed_reply(request)
+        } else {
+            self.valid_reply(request, result)
+        }
+    }
+
+    fn valid_reply(&self, request: &CacheRequest, result: &RequestResult) -> Vec<u8> {
+        match result {
+            RequestResult::Served { is_miss } => {
+                let cost = self.fleet.cost(request.id);
+                let size = cost.map_or(0, |cost| cost.value_size);
+                let source = if *is_miss { "miss" } else { "hit" };
+                served_reply(&value_for(request.id, &self.name, size), source)
+            }
+            RequestResult::Failed => b"-ERR failed\r\n".to_vec(),
+            RequestResult::Busy => b"-BUSY\r\n".to_vec(),
+        }
+    }
+
+    /// A reply that is in no row of the protocol's table, or brings more than belongs to it.
+    fn malformed_reply(&self, request: &CacheRequest) -> Vec<u8> {
+        let valid = self.valid_reply(request, &RequestResult::Served { is_miss: false });
+        match self.fleet.rng.borrow_mut().index(MALFORMED_KIND_COUNT) {
+            0 => b"*3\r\n$99999\r\nnoise".to_vec(),
+            1 => b"%what\r\n".to_vec(),
+            2 => valid[..valid.len() / 2].to_vec(),
+            3 => [&valid[..], &valid[..]].concat(),
+            4 => [&valid[..], b"-noise"].concat(),
+            _ => b"*3\r\n$3000000000\r\n".to_vec(),
+        }
+    }
+
+    /// Executes a request, from its last byte to its end.
+    async fn execute(&self, request: &CacheRequest, router: usize) -> RequestResult {
+        let executor = &self.fleet.simulation.executor;
+        let faults = self.faults.get();
+        let now = executor.now();
+        let cost = self.fleet.cost(request.id);
+        let work = cost.map_or(self.fleet.plan.mean_work, |cost| cost.work);
+        if self.fails_under(now, router, work) {
+            return self.crash().await;
+        }
+        let fails = self.fleet.rng.borrow_mut().chance(faults.error_ratio);
+        let is_busy = self.fleet.rng.borrow_mut().chance(faults.busy_ratio);
+        if self.is_draining.get() || is_busy {
+            return RequestResult::Busy;
+        }
+        if fails {
+            executor.sleep(FAST_ERROR_TIME).await;
+            return RequestResult::Failed;
+        }
+        if self.is_repeat(request, now) {
+            // The receipt is the same as that of the first.
+            return RequestResult::Served { is_miss: false };
+        }
+        let is_miss = request.is_write || !self.is_cached(&request.key, now);
+        if is_miss && !self.fetch(request).await {
+            executor.sleep(ORIGIN_REJECTION_TIME).await;
+            return RequestResult::Failed;
+        }
+        let Some(end) = self.take_slot(work, faults.slowdown) else {
+            return RequestResult::Busy;
+        };
+        self.queued.set(self.queued.get() + 1);
+        executor.sleep_until(end).await;
+        self.queued.set(self.queued.get().saturating_sub(1));
+        RequestResult::Served { is_miss }
+    }
+
+    /// Whether the server fails under work that arrives now.
+    fn fails_under(&self, now: Time, router: usize, work: f64) -> bool {
+        let mut checker = self.fleet.simulation.checker.borrow_mut();
+        checker.work_arrived(now, self.number, router, work / self.plan.speed)
+    }
+
+    /// Ends the process; never returns. A process cannot end its own machine's tasks from within one.
+    async fn crash(&self) -> RequestResult {
+        let executor = &self.fleet.simulation.executor;
+        let network = self.fleet.simulation.network.clone();
+        let node = self.node;
+        executor.call_at(executor.now(), move || network.kill(node, false));
+        std::future::pending().await
+    }
+
+    /// Whether a request with an idempotency key was executed before, by this server or another of its scope.
+    fn is_repeat(&self, request: &CacheRequest, now: Time) -> bool {
+        let is_zonal = request.class == CLASSES[2];
+        let scope = if is_zonal { self.plan.zone } else { ALL_ZONES };
+        let key = request.idempotency_key.as_ref();
+        key.is_some_and(|key| self.fleet.is_repeat(scope, key, now))
+    }
+
+    fn is_cached(&self, key: &[u8], now: Time) -> bool {
+        let cached_until = self.cached_until.borrow();
+        cached_until.get(key).is_some_and(|&until| until >= now)
+    }
+
+    /// Fetches a key from the origin, or writes it there; false if the origin rejects it.
+    async fn fetch(&self, request: &CacheRequest) -> bool {
+        let Some(done_at) = self.fleet.start_fetch() else {
+            return false;
+        };
+        self.fleet.origin.wait_until(done_at).await;
+        let until = self.fleet.simulation.executor.now() + CACHE_LIFETIME;
+        let mut cached_until = self.cached_until.borrow_mut();
+        if request.is_write {
+            cached_until.remove(&request.key);
+        } else {
+            cached_until.insert(request.key.clone(), until);
+        }
+        true
+    }
+
+    /// When work that comes now is done; none if the queue is full.
+    fn take_slot(&self, work: f64, slowdown: f64) -> Option<Time> {
+        if self.queued.get() >= self.plan.slots + self.plan.queue {
+            return None;
+        }
+        let now = self.fleet.simulation.executor.now();
+        let mut slots = self.slots.borrow_mut();
+        let count = slots.len() as f64;
+        let slot = slots.iter_mut().min()?;
+        let start = (*slot).max(now);
+        let speed = self.plan.speed * self.capacity_ratio(start);
+        *slot = start + (work * count / speed * (1.0 + slowdown)) as Time;
+        Some(*slot)
+    }
+
+    fn capacity_ratio(&self, at: Time) -> f64 {
+        if self.born_ms.get() == 0 {
+            1.0
+        } else {
+            let age = at - self.started_at.get();
+            self.process_start().capacity_ratio(age)
+        }
+    }
+}
--- a/crates/router-simulation/src/network/stream.rs
+++ b/crates/router-simulation/src/network/stream.rs
@@ -52,7 +52,7 @@
     }
 
     /// Ends the connection with a reset.
-    pub fn reset(self) {
+    pub fn reset(&self) {
         self.close(CloseKind::Reset);
     }
 
--- /dev/null
+++ b/crates/router-simulation/src/run/end_check.rs
@@ -0,0 +1,58 @@
+//! What has to hold at the end of a run: every router runs and holds nothing of any request, and service has come back.
+
+use super::Run;
+use super::routers::RouterProcess;
+use crate::invariant_checker::{CalmService, Rule};
+
+/// From this many requests on, the ratio of served ones in the calm is judged.
+const MIN_CALM_REQUEST_COUNT: u64 = 20;
+/// The least ratio of them that has to be served for service to have come back.
+const MIN_CALM_SERVED_RATIO: f64 = 0.1;
+/// The decision library's poll of the endpoint list may always be set.
+const IDLE_TIMER_COUNT: usize = 1;
+/// A router's watch at discovery.
+const WATCH_CONNECTION_COUNT: usize = 1;
+
+impl Run {
+    /// Checks the end of the run, once every deadline has passed.
+    pub(super) fn check_end(&self) {
+        for router in &self.routers {
+            self.check_router_is_idle(router);
+        }
+        self.check_service_is_back();
+    }
+
+    fn check_router_is_idle(&self, router: &RouterProcess) {
+        let number = router.number;
+        let Some(runtime) = router.runtime.borrow().clone() else {
+            self.record_violation(Rule::Liveness, format!("router {number} is not back"));
+            return;
+        };
+        let usage = runtime.resource_usage();
+        let requests = usage.unanswered_requests
+            + usage.open_requests
+            + usage.tracked_requests
+            + usage.coalesced_waiters
+            + usage.coalesced_flights;
+        if requests > 0 || usage.timers > IDLE_TIMER_COUNT {
+            let text = format!("router {number} still holds {usage:?} when all is over");
+            self.record_violation(Rule::ResourceLimits, text);
+        }
+        let open = self.simulation.network.open_connections(router.node);
+        let known = usage.client_connections + usage.idle_upstream_connections;
+        if open > known + WATCH_CONNECTION_COUNT {
+            let text = format!("router {number} holds {open} connections and knows of {usage:?}");
+            self.record_violation(Rule::ResourceLimits, text);
+        }
+    }
+
+    fn check_service_is_back(&self) {
+        let calm = self.simulation.checker.borrow().calm.unwrap_or_default();
+        let CalmService { taken, served, .. } = calm;
+        let required = MIN_CALM_SERVED_RATIO * taken as f64;
+        if taken >= MIN_CALM_REQUEST_COUNT && (served as f64) < required {
+            let text = format!("only {served} of {taken} requests were served once all was calm");
+            self.record_violation(Rule::Liveness, text);
+        }
+    }
+}
--- /dev/null
+++ b/crates/router-simulation/src/run/faults.rs
@@ -0,0 +1,186 @@
+//! Brings the faults of a plan about at their times, and ends them.
+
+use super::Run;
+use crate::discovery::Health;
+use crate::executor::Time;
+use crate::fault_plan::{Fault, FaultKind, MILLI, SECOND};
+use crate::fleet::{Server, ServerFaults};
+use std::rc::Rc;
+
+/// How much later than the server the list shows its restart.
+const RESTART_NOTICE: Time = 20 * MILLI;
+/// A server is listed as draining this much before it stops to accept work.
+const DRAIN_NOTICE: Time = 300 * MILLI;
+/// A server that was drained is away for this time ...
+const DRAINED_PAUSE: Time = 400 * MILLI;
+/// ... and listed this much after its restart.
+const DRAINED_RESTART_NOTICE: Time = 300 * MILLI;
+/// How often watches end while discovery flaps.
+const FLAP_COUNT: Time = 6;
+/// How often idle connections are reset.
+const IDLE_RESET_COUNT: Time = 8;
+/// The range of a stepped wall clock, in microseconds: an hour either way.
+const CLOCK_STEP_RANGE: f64 = 7.2e9;
+
+impl Run {
+    pub(super) fn schedule_faults(self: &Rc<Self>) {
+        for fault in self.plan.faults.clone() {
+            self.at(fault.at, move |run| run.begin(&fault));
+        }
+    }
+
+    fn begin(self: &Rc<Self>, fault: &Fault) {
+        match fault.kind {
+            FaultKind::RouterCrash => self.crash_routers(fault),
+            FaultKind::RouterRoll => self.roll_routers(fault),
+            FaultKind::ServerCrash => self.crash_servers(fault, false),
+            FaultKind::ServerVanish => self.crash_servers(fault, true),
+            FaultKind::ServerDrain => self.drain_servers(fault),
+            FaultKind::OriginSlow => self.slow_origin(fault),
+            FaultKind::DiscoveryDown => {
+                let until = self.now() + fault.duration;
+                self.discovery.down_until.set(until);
+                self.discovery.end_watches();
+            }
+            FaultKind::DiscoveryFlaps => self.flap_discovery(fault),
+            // Late news: discovery's zone is cut off for part of the time.
+            FaultKind::DiscoveryLate => self.isolate_zone(0, fault.duration / 2),
+            FaultKind::ZoneCut => {
+                for &zone in &fault.targets {
+                    self.isolate_zone(zone, fault.duration);
+                }
+            }
+            FaultKind::Deaf => self.ignore_connects(fault),
+            FaultKind::LateDials => self.delay_connects(fault),
+            FaultKind::SilentWatches => self.discovery.silence_watches(),
+            FaultKind::ClockSteps => self.step_clocks(fault),
+            FaultKind::IdleReset => self.reset_idle_connections(fault),
+            FaultKind::FastErrors => self.impair(fault, |faults, size| faults.error_ratio = size),
+            FaultKind::Spoils => self.impair(fault, |faults, size| faults.malformed_ratio = size),
+            FaultKind::Full => self.impair(fault, |faults, size| faults.busy_ratio = size),
+            FaultKind::Hangs => self.impair(fault, |faults, size| faults.hangs = size > 0.0),
+            FaultKind::ServerSlow => {
+                self.impair(fault, |faults, size| faults.slowdown = 6.0 * size);
+            }
+            // These are in what clients do.
+            FaultKind::ClientsLeave | FaultKind::ClientsPipeline | FaultKind::ClientsReadSlowly => {
+            }
+        }
+    }
+
+    fn crash_routers(self: &Rc<Self>, fault: &Fault) {
+        for &router in &fault.targets {
+            self.kill_router(&self.routers[router], fault.duration);
+        }
+    }
+
+    fn roll_routers(self: &Rc<Self>, fault: &Fault) {
+        let gap = 50 * MILLI + (fault.size * 300.0) as Time * MILLI;
+        for (turn, &router) in fault.targets.iter().enumerate() {
+            let router = self.routers[router].clone();
+            self.after(gap * turn as Time, move |run| run.terminate_router(&router));
+        }
+    }
+
+    fn crash_servers(self: &Rc<Self>, fault: &Fault, vanishes: bool) {
+        for &server in &fault.targets {
+            self.servers[server].kill(vanishes);
+            // A short absence shows on the list by the new start alone.
+            if fault.duration > SECOND {
+                let born_ms = self.servers[server].born_ms.get();
+                self.announce(server, Health::Removed, born_ms, 0);
+            }
+            self.after(fault.duration, move |run| {
+                run.start_server(server, RESTART_NOTICE);
+            });
+        }
+    }
+
+    fn drain_servers(self: &Rc<Self>, fault: &Fault) {
+        for &server in &fault.targets {
+            let born_ms = self.servers[server].born_ms.get();
+            self.announce(server, Health::Draining, born_ms, 0);
+            self.after(self.plan.notice_delay + DRAIN_NOTICE, move |run| {
+                run.servers[server].is_draining.set(true);
+            });
+            self.after(self.plan.notice_delay + fault.duration, move |run| {
+                run.announce(server, Health::Removed, born_ms, 0);
+                run.servers[server].kill(false);
+                run.after(DRAINED_PAUSE, move |run| {
+                    run.start_server(server, DRAINED_RESTART_NOTICE);
+                });
+            });
+        }
+    }
+
+    fn slow_origin(self: &Rc<Self>, fault: &Fault) {
+        self.fleet.origin.slow_down(1.5 + 5.0 * fault.size);
+        self.after(fault.duration, |run| run.fleet.origin.slow_down(0.0));
+    }
+
+    fn flap_discovery(self: &Rc<Self>, fault: &Fault) {
+        for turn in 0..FLAP_COUNT {
+            self.after(fault.duration / FLAP_COUNT * turn, |run| {
+                run.discovery.end_watches();
+            });
+        }
+    }
+
+    fn isolate_zone(&self, zone: usize, duration: Time) {
+        let until = self.now() + duration;
+        self.simulation.network.isolate_zone(zone, until);
+    }
+
+    fn ignore_connects(&self, fault: &Fault) {
+        let until = self.now() + fault.duration;
+        for &server in &fault.targets {
+            let node = self.servers[server].node;
+            self.simulation.network.ignore_connects(node, until);
+        }
+    }
+
+    /// Most connections come up before the router's dial timeout, some do not.
+    fn delay_connects(&self, fault: &Fault) {
+        let until = self.now() + fault.duration;
+        let delay = (self.plan.dial_timeout as f64 * (0.4 + 0.7 * fault.size)) as Time;
+        for &server in &fault.targets {
+            let node = self.servers[server].node;
+            self.simulation.network.delay_connects(node, until, delay);
+        }
+    }
+
+    fn step_clocks(self: &Rc<Self>, fault: &Fault) {
+        let offset = ((fault.size - 0.5) * CLOCK_STEP_RANGE) as i64;
+        for &router in &fault.targets {
+            let node = self.routers[router].node;
+            self.simulation.network.set_clock(node, offset);
+            self.after(fault.duration, move |run| {
+                run.simulation.network.set_clock(node, 0);
+            });
+        }
+    }
+
+    fn reset_idle_connections(self: &Rc<Self>, fault: &Fault) {
+        for turn in 0..IDLE_RESET_COUNT {
+            let targets = fault.targets.clone();
+            self.after(fault.duration / IDLE_RESET_COUNT * turn, move |run| {
+                for server in targets {
+                    run.servers[server].reset_idle();
+                }
+            });
+        }
+    }
+
+    /// Sets a fault of servers to a size from 0.2 to 1, and to 0 once it ends.
+    fn impair(self: &Rc<Self>, fault: &Fault, set: fn(&mut ServerFaults, f64)) {
+        let change = move |server: &Server, size: f64| {
+            let mut faults = server.faults.get();
+            set(&mut faults, size);
+            server.faults.set(faults);
+        };
+        for &server in &fault.targets {
+            change(&self.servers[server], 0.2 + 0.8 * fault.size);
+            self.after(fault.duration, move |run| change(&run.servers[server], 0.0));
+        }
+    }
+}
--- /dev/null
+++ b/crates/router-simulation/src/run/operators.rs
@@ -0,0 +1,81 @@
+//! What operators do in a run: disable and enable servers, drain and resume routers.
+
+use super::Run;
+use super::routers::RouterProcess;
+use crate::UNIX_START;
+use crate::executor::Time;
+use crate::fault_plan::{MILLI, OperatorAction, PlannedAction};
+use load_balancer::{AdminOverride, Micros, ServerId};
+use std::rc::Rc;
+
+impl Run {
+    pub(super) fn schedule_operator_actions(self: &Rc<Self>) {
+        for &PlannedAction {
+            action,
+            at,
+            duration,
+        } in &self.plan.operator_actions
+        {
+            self.at(at, move |run| match action {
+                OperatorAction::ServerOut(server) => run.disable_server(server, duration),
+                OperatorAction::RouterDrain(router) => run.drain_router(router, duration),
+            });
+        }
+    }
+
+    /// Disables a server at every router, restarts it, and enables it again after this time.
+    fn disable_server(self: &Rc<Self>, server: usize, duration: Time) {
+        self.set_override(server, true);
+        self.after(duration / 3, move |run| run.servers[server].kill(false));
+        self.after(duration * 2 / 3, move |run| {
+            run.start_server(server, 20 * MILLI);
+        });
+        self.after(duration, move |run| run.set_override(server, false));
+    }
+
+    /// Tells every router; one that does not run learns of it from its file when it starts.
+    fn set_override(self: &Rc<Self>, server: usize, is_disabled: bool) {
+        let id = ServerId::from(self.servers[server].name.as_str());
+        let admin_override = if is_disabled {
+            AdminOverride::Disabled
+        } else {
+            AdminOverride::EnabledAt(Micros(UNIX_START + self.now()))
+        };
+        for router in &self.routers {
+            let mut overrides = router.admin_overrides.borrow_mut();
+            overrides.insert(id.clone(), admin_override);
+            drop(overrides);
+            apply_override(router, &id, is_disabled);
+            self.simulation
+                .checker
+                .borrow_mut()
+                .server_override_changed(self.now(), router.number, server, is_disabled);
+        }
+    }
+
+    /// Drains a router, and resumes it after this time.
+    fn drain_router(self: &Rc<Self>, router: usize, duration: Time) {
+        let runtime = self.routers[router].runtime.borrow().clone();
+        if let Some(runtime) = runtime {
+            runtime.drain_router();
+        }
+        self.after(duration, move |run| {
+            let runtime = run.routers[router].runtime.borrow().clone();
+            if let Some(runtime) = runtime {
+                runtime.resume_router();
+            }
+        });
+    }
+}
+
+fn apply_override(router: &RouterProcess, server: &ServerId, is_disabled: bool) {
+    let runtime = router.runtime.borrow();
+    let Some(runtime) = &*runtime else { return };
+    // A router that does not know the server yet refuses this, and takes it from its overrides.
+    let _ = if is_disabled {
+        runtime.disable_server(&server.0)
+    } else {
+        runtime.enable_server(&server.0)
+    };
+    runtime.apply_admin_overrides(router.admin_overrides.borrow().clone());
+}
--- a/crates/router-simulation/src/wire.rs
+++ b/crates/router-simulation/src/wire.rs
@@ -1,6 +1,18 @@
-//! RESP2 as the invariant checker and the stand-ins read it: a reading of their own, with nothing of the router's.
+//! RESP2 as the checker and the models read and write it; it shares nothing with the router's own.
 
 use crate::executor::Time;
+use thiserror::Error;
+
+/// The longest line that is read, in bytes.
+const MAX_LINE_BYTES: usize = 4_096;
+/// The longest bulk string that is read, in bytes.
+const MAX_BULK_BYTES: i64 = 1_048_576;
+/// The longest array that is read.
+const MAX_ARRAY_LENGTH: i64 = 16;
+/// How deep arrays may nest.
+const MAX_DEPTH: u32 = 2;
+/// The bits of a request id that hold the number of the client's try.
+const TRY_BITS: u32 = 8;
 
 /// One whole frame.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -14,13 +26,15 @@
 }
 
 /// The bytes cannot be read as RESP2.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+#[error("the bytes are no RESP2")]
 pub struct InvalidFrame;
 
 /// Bytes in one direction, cut into frames.
 #[derive(Clone, Debug, Default)]
 pub struct FrameDecoder {
     buffer: Vec<u8>,
+    /// When the first byte of the buffer came.
     first_at: Time,
 }
 
@@ -34,10 +48,13 @@
     }
 
     /// The next frame if it is whole, and when its first byte came.
+    ///
+    /// # Errors
+    /// The bytes are no RESP2: nothing more can be read.
     pub fn next(&mut self, now: Time) -> Result<Option<(Frame, Time)>, InvalidFrame> {
         match parse(&self.buffer, 0, 0)? {
             None => Ok(None),
-            Some((frame, end)) => {
+            Some(Parsed { frame, end }) => {
                 self.buffer.drain(..end);
                 let first_at = std::mem::replace(&mut self.first_at, now);
                 Ok(Some((frame, first_at)))
@@ -51,61 +68,86 @@
     }
 }
 
-/// A frame that begins at this place, and where it ends.
-fn parse(bytes: &[u8], at: usize, depth: u32) -> Result<Option<(Frame, usize)>, InvalidFrame> {
-    let Some(duration) = bytes[at..].iter().position(|&byte| byte == b'\n') else {
-        return if bytes.len() - at > 4096 {
+/// A whole frame and where it ends.
+struct Parsed {
+    frame: Frame,
+    end: usize,
+}
+
+/// The frame that begins at this index; none if it is not whole.
+fn parse(bytes: &[u8], start: usize, depth: u32) -> Result<Option<Parsed>, InvalidFrame> {
+    let Some(length) = bytes[start..].iter().position(|&byte| byte == b'\n') else {
+        let is_too_long = bytes.len() - start > MAX_LINE_BYTES;
+        return if is_too_long {
             Err(InvalidFrame)
         } else {
             Ok(None)
         };
     };
-    let line = &bytes[at..at + duration + 1];
-    let text = line.strip_suffix(b"\r\n").ok_or(InvalidFrame)?;
-    let end = at + line.len();
-    let number = || {
-        std::str::from_utf8(&text[1..])
-            .ok()
-            .and_then(|digits| digits.parse::<i64>().ok())
-    };
-    match text.first() {
-        Some(b'+' | b'-' | b':') => Ok(Some((Frame::Line(text.to_vec()), end))),
-        Some(b'$') => match number().ok_or(InvalidFrame)? {
-            -1 => Ok(Some((Frame::Bulk(None), end))),
-            size @ 0..=1_048_576 => {
-                let size = size as usize;
-                match bytes.get(end..end + size + 2) {
-                    None => Ok(None),
-                    Some(body) if body.ends_with(b"\r\n") => Ok(Some((
-                        Frame::Bulk(Some(body[..size].to_vec())),
-                        end + size + 2,
-                    ))),
-                    Some(_) => Err(InvalidFrame),
-                }
-            }
-            _ => Err(InvalidFrame),
-        },
-        Some(b'*') if depth < 2 => {
-            let count = number()
-                .filter(|count| (0..=16).contains(count))
-                .ok_or(InvalidFrame)?;
-            let (mut items, mut at) = (Vec::new(), end);
-            for _ in 0..count {
-                if at >= bytes.len() {
-                    return Ok(None);
-                }
-                let Some((item, next)) = parse(bytes, at, depth + 1)? else {
-                    return Ok(None);
-                };
-                items.push(item);
-                at = next;
-            }
-            Ok(Some((Frame::Array(items), at)))
+    let end = start + length + 1;
+    let line = bytes[start..end].strip_suffix(b"\r\n");
+    let line = line.ok_or(InvalidFrame)?;
+    match line.first() {
+        Some(b'+' | b'-' | b':') => {
+            let frame = Frame::Line(line.to_vec());
+            Ok(Some(Parsed { frame, end }))
         }
+        Some(b'$') => parse_bulk(bytes, end, number(line)?),
+        Some(b'*') if depth < MAX_DEPTH => parse_array(bytes, end, number(line)?, depth),
         _ => Err(InvalidFrame),
     }
 }
 
+/// The number after the first byte of a line.
+fn number(line: &[u8]) -> Result<i64, InvalidFrame> {
+    let digits = std::str::from_utf8(&line[1..]).map_err(|_| InvalidFrame)?;
+    digits.parse().map_err(|_| InvalidFrame)
+}
+
+/// A bulk string of this length whose body begins at this index.
+fn parse_bulk(bytes: &[u8], start: usize, length: i64) -> Result<Option<Parsed>, InvalidFrame> {
+    if length == -1 {
+        let frame = Frame::Bulk(None);
+        return Ok(Some(Parsed { frame, end: start }));
+    }
+    if !(0..=MAX_BULK_BYTES).contains(&length) {
+        return Err(InvalidFrame);
+    }
+    let end = start + length as usize + 2;
+    let Some(body) = bytes.get(start..end) else {
+        return Ok(None);
+    };
+    let body = body.strip_suffix(b"\r\n").ok_or(InvalidFrame)?;
+    let frame = Frame::Bulk(Some(body.to_vec()));
+    Ok(Some(Parsed { frame, end }))
+}
+
+/// An array of this length whose first item begins at this index.
+fn parse_array(
+    bytes: &[u8],
+    start: usize,
+    length: i64,
+    depth: u32,
+) -> Result<Option<Parsed>, InvalidFrame> {
+    if !(0..=MAX_ARRAY_LENGTH).contains(&length) {
+        return Err(InvalidFrame);
+    }
+    let mut items = Vec::new();
+    let mut end = start;
+    for _ in 0..length {
+        if end >= bytes.len() {
+            return Ok(None);
+        }
+        let Some(item) = parse(bytes, end, depth + 1)? else {
+            return Ok(None);
+        };
+        items.push(item.frame);
+        end = item.end;
+    }
+    let frame = Frame::Array(items);
+    Ok(Some(Parsed { frame, end }))
+}
+
 /// A read or a write as it stands on the wire.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CacheRequest {
@@ -152,7 +194,7 @@
         let text = |index: usize| {
             arguments
                 .get(index)
-                .and_then(|word| std::str::from_utf8(word).ok())
+                .and_then(|argument| std::str::from_utf8(argument).ok())
         };
         let is_write = match arguments.first() {
             Some(&b"PING") => return Command::Ping,
@@ -186,12 +228,12 @@
     }
 }
 
-/// What an answer is to a request.
+/// What an answer says of its request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Response {
     /// Served, with the value.
     Served(Vec<u8>),
-    /// `-BUSY`, with the advice in milliseconds.
+    /// `-BUSY`, with the time after which to retry, in milliseconds.
     Rejected(Option<u64>),
     /// Anything else.
     Failed,
@@ -217,12 +259,48 @@
     }
 }
 
+/// The id of a client's try of a request: 0 for the first.
+pub fn request_id(number: u32, attempt: u64) -> u64 {
+    u64::from(number) << TRY_BITS | attempt
+}
+
+/// The number of the request that an id belongs to.
+pub fn request_number(id: u64) -> u32 {
+    (id >> TRY_BITS) as u32
+}
+
+/// A key as it stands on the wire.
+pub fn key_bytes(key: u64) -> Vec<u8> {
+    format!("{key:016x}").into_bytes()
+}
+
+/// The bytes of a read.
+pub fn read_command(key: u64, id: u64, fields: &str) -> Vec<u8> {
+    let id = format!("{id:016x}");
+    command(&[b"C.GET", &key_bytes(key), id.as_bytes(), fields.as_bytes()])
+}
+
+/// The bytes of a write.
+pub fn write_command(key: u64, id: u64, fields: &str, value: &[u8]) -> Vec<u8> {
+    let id = format!("{id:016x}");
+    let key = key_bytes(key);
+    command(&[b"C.SET", &key, id.as_bytes(), fields.as_bytes(), value])
+}
+
+/// The reply that serves a value from a source, `hit` or `miss`.
+pub fn served_reply(value: &[u8], source: &str) -> Vec<u8> {
+    let mut reply = format!("*3\r\n${}\r\n", value.len()).into_bytes();
+    reply.extend_from_slice(value);
+    reply.extend_from_slice(format!("\r\n${}\r\n{source}\r\n$-1\r\n", source.len()).as_bytes());
+    reply
+}
+
 /// A command as bytes.
 pub fn command(arguments: &[&[u8]]) -> Vec<u8> {
     let mut out = format!("*{}\r\n", arguments.len()).into_bytes();
-    for word in arguments {
-        out.extend_from_slice(format!("${}\r\n", word.len()).as_bytes());
-        out.extend_from_slice(word);
+    for argument in arguments {
+        out.extend_from_slice(format!("${}\r\n", argument.len()).as_bytes());
+        out.extend_from_slice(argument);
         out.extend_from_slice(b"\r\n");
     }
     out
--- a/crates/router-simulation/tests/coalescing_scenarios.rs
+++ b/crates/router-simulation/tests/coalescing_scenarios.rs
@@ -71,7 +71,7 @@
 fn five_hundred_identical_reads_at_once_are_one_fetch() {
     for seed in 0..5 {
         let scenario = Scenario::coalescing(3, seed);
-        scenario.set_all_behaviors(&ServerBehavior::Serves(100 * MILLI));
+        scenario.set_all_behaviors(&ServerBehavior::Serve(100 * MILLI));
         let received = crowd(&scenario, SECOND, 7, SECOND);
         scenario.run_until(3 * SECOND);
         assert_eq!(scenario.total_received_requests(), 1);
@@ -83,7 +83,7 @@
 #[test]
 fn without_joining_they_are_as_many_as_the_limits_let_through() {
     let scenario = Scenario::new(3, 1);
-    scenario.set_all_behaviors(&ServerBehavior::Serves(100 * MILLI));
+    scenario.set_all_behaviors(&ServerBehavior::Serve(100 * MILLI));
     crowd(&scenario, SECOND, 7, SECOND);
     scenario.run_until(3 * SECOND);
     assert!(
@@ -96,12 +96,12 @@
 #[test]
 fn a_failed_flight_is_tried_once_more_for_all() {
     for behavior in [
-        ServerBehavior::Resets(50 * MILLI),
-        ServerBehavior::Says(50 * MILLI, b"-BUSY\r\n"),
+        ServerBehavior::Reset(50 * MILLI),
+        ServerBehavior::Reply(50 * MILLI, b"-BUSY\r\n"),
     ] {
         let scenario = Scenario::coalescing(3, 1);
         let owner = owner(3, 7);
-        scenario.set_all_behaviors(&ServerBehavior::Serves(50 * MILLI));
+        scenario.set_all_behaviors(&ServerBehavior::Serve(50 * MILLI));
         scenario.set_behavior(owner, behavior.clone());
         let received = crowd(&scenario, SECOND, 7, SECOND);
         scenario.run_until(3 * SECOND);
@@ -121,7 +121,7 @@
 #[test]
 fn refused_by_all_the_group_is_told_at_once_and_called_back_at_different_times() {
     let scenario = Scenario::coalescing(3, 1);
-    scenario.set_all_behaviors(&ServerBehavior::Says(10 * MILLI, b"-BUSY\r\n"));
+    scenario.set_all_behaviors(&ServerBehavior::Reply(10 * MILLI, b"-BUSY\r\n"));
     let received = crowd(&scenario, SECOND, 7, SECOND);
     scenario.run_until(SECOND + 200 * MILLI);
     assert!(
@@ -144,8 +144,8 @@
 fn those_without_time_for_a_further_attempt_are_told_when_the_first_fails() {
     let scenario = Scenario::coalescing(2, 1);
     let owner = owner(2, 7);
-    scenario.set_all_behaviors(&ServerBehavior::Serves(300 * MILLI));
-    scenario.set_behavior(owner, ServerBehavior::Resets(100 * MILLI));
+    scenario.set_all_behaviors(&ServerBehavior::Serve(300 * MILLI));
+    scenario.set_behavior(owner, ServerBehavior::Reset(100 * MILLI));
     let long = scenario.request_at(SECOND, 0, 7, SECOND);
     // A fifth of the aim, 100 ms, is what a further attempt needs.
     let short = scenario.request_at(SECOND + MILLI, 0, 7, 150 * MILLI);
@@ -159,7 +159,7 @@
 #[test]
 fn each_is_told_at_its_own_deadline_and_the_longest_lengthens_the_flight() {
     let scenario = Scenario::coalescing(1, 1);
-    scenario.set_all_behaviors(&ServerBehavior::Serves(700 * MILLI));
+    scenario.set_all_behaviors(&ServerBehavior::Serve(700 * MILLI));
     let first = scenario.request_at(SECOND, 0, 7, 300 * MILLI);
     let long = scenario.request_at(SECOND + 50 * MILLI, 0, 7, 1_500 * MILLI);
     let short = scenario.request_at(SECOND + 60 * MILLI, 0, 7, 100 * MILLI);
@@ -185,7 +185,7 @@
 #[test]
 fn the_flight_goes_on_without_its_leader_and_is_cancelled_without_anybody() {
     let scenario = Scenario::coalescing(1, 1);
-    scenario.set_all_behaviors(&ServerBehavior::Serves(500 * MILLI));
+    scenario.set_all_behaviors(&ServerBehavior::Serve(500 * MILLI));
     let (bytes, _) = scenario.request_bytes(0, 7, SECOND);
     scenario.client(vec![(SECOND, bytes)], Some(SECOND + 100 * MILLI));
     let other = scenario.request_at(SECOND + 50 * MILLI, 0, 7, SECOND);
@@ -216,11 +216,11 @@
     }
     scenario.run_until(3 * SECOND);
     let before = scenario.total_received_requests();
-    scenario.set_behavior(owner, ServerBehavior::Nothing);
+    scenario.set_behavior(owner, ServerBehavior::Ignore);
     let first = crowd(&scenario, 4 * SECOND, 7, DEADLINE);
     scenario.run_until(4 * SECOND + 40 * MILLI);
     assert_eq!(scenario.total_received_requests() - before, 1);
-    scenario.set_all_behaviors(&ServerBehavior::Serves(30 * MILLI));
+    scenario.set_all_behaviors(&ServerBehavior::Serve(30 * MILLI));
     let second = crowd(&scenario, 4 * SECOND + 50 * MILLI, 7, DEADLINE);
     let third = crowd(&scenario, 4 * SECOND + 60 * MILLI, 7, DEADLINE);
     scenario.run_until(5 * SECOND);
@@ -241,13 +241,13 @@
 /// A read under way, a write, and reads that come after the write began, and after its answer.
 fn around_a_write(write: ServerBehavior) -> Scenario {
     let scenario = Scenario::coalescing(1, 1);
-    scenario.set_all_behaviors(&ServerBehavior::Serves(400 * MILLI));
+    scenario.set_all_behaviors(&ServerBehavior::Serve(400 * MILLI));
     let before = scenario.request_at(SECOND, 0, 7, DEADLINE);
     scenario.run_until(SECOND + 10 * MILLI);
     scenario.set_all_behaviors(&write);
     scenario.request_at(SECOND + 50 * MILLI, 1, 7, 300 * MILLI);
     scenario.run_until(SECOND + 60 * MILLI);
-    scenario.set_all_behaviors(&ServerBehavior::Serves(500 * MILLI));
+    scenario.set_all_behaviors(&ServerBehavior::Serve(500 * MILLI));
     let during = scenario.request_at(SECOND + 70 * MILLI, 0, 7, DEADLINE);
     scenario.run_until(SECOND + 399 * MILLI);
     let after = scenario.request_at(SECOND + 400 * MILLI, 0, 7, DEADLINE);
@@ -264,9 +264,9 @@
 fn no_read_after_a_write_has_an_answer_from_before_it() {
     // Served 100 ms later; failed, so that it may have run; and without an answer until its time is up.
     for write in [
-        ServerBehavior::Serves(100 * MILLI),
-        ServerBehavior::Says(100 * MILLI, b"-ERR failed\r\n"),
-        ServerBehavior::Nothing,
+        ServerBehavior::Serve(100 * MILLI),
+        ServerBehavior::Reply(100 * MILLI, b"-ERR failed\r\n"),
+        ServerBehavior::Ignore,
     ] {
         let scenario = around_a_write(write.clone());
         let reads = scenario
@@ -281,7 +281,7 @@
 #[test]
 fn a_write_for_another_key_ends_nothing() {
     let scenario = Scenario::coalescing(1, 1);
-    scenario.set_all_behaviors(&ServerBehavior::Serves(400 * MILLI));
+    scenario.set_all_behaviors(&ServerBehavior::Serve(400 * MILLI));
     scenario.request_at(SECOND, 0, 7, DEADLINE);
     scenario.request_at(SECOND + 50 * MILLI, 1, 8, DEADLINE);
     scenario.request_at(SECOND + 70 * MILLI, 0, 7, DEADLINE);
@@ -293,7 +293,7 @@
 #[test]
 fn writes_are_never_joined() {
     let scenario = Scenario::coalescing(1, 1);
-    scenario.set_all_behaviors(&ServerBehavior::Serves(50 * MILLI));
+    scenario.set_all_behaviors(&ServerBehavior::Serve(50 * MILLI));
     for class in [1, 2, 3] {
         let before = scenario.total_received_requests();
         let at = SECOND * class as Time;
@@ -316,7 +316,7 @@
 #[test]
 fn a_large_answer_reaches_all_and_those_who_do_not_read_hold_nobody_up() {
     let scenario = Scenario::coalescing(1, 1);
-    scenario.set_all_behaviors(&ServerBehavior::ServesLarge(50 * MILLI, 65_536));
+    scenario.set_all_behaviors(&ServerBehavior::ServeLarge(50 * MILLI, 65_536));
     // Each of them leaves ten answers of 64 KiB unread, with room for one on the way.
     for _ in 0..10 {
         let bytes: Vec<u8> = (0..10)
@@ -337,7 +337,7 @@
 #[test]
 fn at_sigterm_all_who_wait_for_a_flight_are_answered() {
     let scenario = Scenario::coalescing(2, 1);
-    scenario.set_all_behaviors(&ServerBehavior::Serves(500 * MILLI));
+    scenario.set_all_behaviors(&ServerBehavior::Serve(500 * MILLI));
     let received = crowd(&scenario, SECOND, 7, SECOND);
     scenario.run_until(SECOND + 20 * MILLI);
     scenario.terminate();
@@ -359,7 +359,7 @@
 fn a_flight_outlasts_its_servers_drain_and_newcomers_share_it_still() {
     let scenario = Scenario::coalescing(2, 1);
     let owner = owner(2, 7);
-    scenario.set_all_behaviors(&ServerBehavior::Serves(500 * MILLI));
+    scenario.set_all_behaviors(&ServerBehavior::Serve(500 * MILLI));
     let received = crowd(&scenario, SECOND, 7, SECOND);
     scenario.announce_at(SECOND + 100 * MILLI, owner, "draining", 0);
     let late = crowd(&scenario, SECOND + 400 * MILLI, 7, SECOND);
@@ -379,8 +379,8 @@
 fn a_server_that_goes_with_its_flight_costs_the_group_one_further_attempt() {
     let scenario = Scenario::coalescing(2, 1);
     let owner = owner(2, 7);
-    scenario.set_all_behaviors(&ServerBehavior::Serves(200 * MILLI));
-    scenario.set_behavior(owner, ServerBehavior::Resets(300 * MILLI));
+    scenario.set_all_behaviors(&ServerBehavior::Serve(200 * MILLI));
+    scenario.set_behavior(owner, ServerBehavior::Reset(300 * MILLI));
     let received = crowd(&scenario, SECOND, 7, SECOND);
     scenario.announce_at(SECOND + 100 * MILLI, owner, "removed", 0);
     scenario.run_until(4 * SECOND);
@@ -401,7 +401,7 @@
     let owner = owner(2, 7);
     // The owner is not there at first.
     scenario.announce_at(500 * MILLI, owner, "removed", 0);
-    scenario.set_all_behaviors(&ServerBehavior::Serves(500 * MILLI));
+    scenario.set_all_behaviors(&ServerBehavior::Serve(500 * MILLI));
     let received = crowd(&scenario, SECOND, 7, SECOND);
     scenario.announce_at(SECOND + 100 * MILLI, owner, "up", 1_000);
     scenario.run_until(SECOND + 400 * MILLI);
@@ -428,7 +428,7 @@
 #[test]
 fn one_client_may_wait_twice_on_one_connection_and_on_two() {
     let scenario = Scenario::coalescing(1, 1);
-    scenario.set_all_behaviors(&ServerBehavior::Serves(100 * MILLI));
+    scenario.set_all_behaviors(&ServerBehavior::Serve(100 * MILLI));
     let (first, _) = scenario.request_bytes(0, 7, SECOND);
     let (second, _) = scenario.request_bytes(0, 7, SECOND);
     let received = scenario.client(vec![(SECOND, first), (SECOND + 10 * MILLI, second)], None);
@@ -448,7 +448,7 @@
 #[test]
 fn an_id_that_waits_already_is_turned_away_whether_it_is_joined_or_not() {
     let scenario = Scenario::coalescing(1, 1);
-    scenario.set_all_behaviors(&ServerBehavior::Serves(100 * MILLI));
+    scenario.set_all_behaviors(&ServerBehavior::Serve(100 * MILLI));
     let (bytes, _) = scenario.request_bytes(0, 7, SECOND);
     let received = scenario.client(vec![(SECOND, bytes.clone())], None);
     let again = scenario.client(vec![(SECOND + 10 * MILLI, bytes)], None);
@@ -465,7 +465,7 @@
 /// How many of 60 reads of the first tenant go out at once, after 150 of this one have shared one flight.
 fn room_after_a_crowd_of(tenant: usize) -> usize {
     let scenario = Scenario::coalescing(1, 1);
-    scenario.set_all_behaviors(&ServerBehavior::Serves(100 * MILLI));
+    scenario.set_all_behaviors(&ServerBehavior::Serve(100 * MILLI));
     let received: Vec<ReceivedChunks> = (0..150)
         .map(|_| scenario.request_as_tenant(tenant, SECOND, 7, SECOND))
         .collect();
@@ -474,7 +474,7 @@
         (scenario.total_received_requests(), all(&received, served)),
         (1, 150)
     );
-    scenario.set_all_behaviors(&ServerBehavior::Nothing);
+    scenario.set_all_behaviors(&ServerBehavior::Ignore);
     (0..60).for_each(|key| _ = scenario.request_as_tenant(0, 4 * SECOND, 100 + key, SECOND));
     scenario.run_until(4 * SECOND + 50 * MILLI);
     scenario.total_received_requests() - 1
--- a/crates/router-simulation/tests/rare_fault_scenarios.rs
+++ b/crates/router-simulation/tests/rare_fault_scenarios.rs
@@ -49,7 +49,7 @@
 /// A client that is never at rest asks once more long after SIGTERM, for longer than the process has.
 fn unanswered_at_shutdown() -> Scenario {
     let scenario = Scenario::new(1, 1);
-    scenario.set_behavior(0, ServerBehavior::Nothing);
+    scenario.set_behavior(0, ServerBehavior::Ignore);
     let (first, second) = (
         scenario.request_bytes(3, 1, 2 * SECOND).0,
         scenario.request_bytes(3, 2, 2 * SECOND).0,
@@ -73,7 +73,7 @@
 /// next request was served.
 fn connections_after_restart() -> usize {
     let scenario = Scenario::new(1, 1);
-    scenario.set_behavior(0, ServerBehavior::Serves(200 * MILLI));
+    scenario.set_behavior(0, ServerBehavior::Serve(200 * MILLI));
     scenario.request_at(SECOND, 0, 1, 2 * SECOND);
     scenario.announce_at(SECOND + 100 * MILLI, 0, "up", scenario.born_now());
     scenario.run_until(SECOND + 400 * MILLI);
@@ -131,7 +131,7 @@
     for later in [1, 3, 5, 6] {
         for step in 0..60 {
             let scenario = Scenario::new(1, step);
-            scenario.set_behavior(0, ServerBehavior::ServesTwice(5 * MILLI, later * MILLI));
+            scenario.set_behavior(0, ServerBehavior::ServeTwice(5 * MILLI, later * MILLI));
             scenario.request_at(SECOND, 0, 1, SECOND);
             let answered: Time = SECOND + 5 * MILLI;
             scenario.request_at(answered + step * 200, 0, 2, SECOND);
--- a/crates/router-simulation/tests/scenarios.rs
+++ b/crates/router-simulation/tests/scenarios.rs
@@ -30,7 +30,7 @@
 #[test]
 fn an_answer_that_comes_after_the_deadline_goes_to_nobody() {
     let scenario = Scenario::new(1, 1);
-    scenario.set_behavior(0, ServerBehavior::Serves(300 * MILLI));
+    scenario.set_behavior(0, ServerBehavior::Serve(300 * MILLI));
     let received = scenario.request_at(SECOND, 0, 1, 200 * MILLI);
     scenario.run_until(4 * SECOND);
     assert_eq!(scenario.received_requests(0).len(), 1);
@@ -56,11 +56,11 @@
     for seed in 0..40 {
         let scenario = Scenario::new(1, seed);
         // The first request opens the connection.
-        scenario.set_behavior(0, ServerBehavior::Serves(MILLI));
+        scenario.set_behavior(0, ServerBehavior::Serve(MILLI));
         scenario.request_at(SECOND, 0, 1, 200 * MILLI);
         scenario.run_until(SECOND + 100 * MILLI);
         let way = 2 * LATENCY;
-        scenario.set_behavior(0, ServerBehavior::Serves(200 * MILLI - way));
+        scenario.set_behavior(0, ServerBehavior::Serve(200 * MILLI - way));
         let received = scenario.request_at(2 * SECOND, 0, 1, 200 * MILLI);
         scenario.run_until(4 * SECOND);
         let output = text(&received);
@@ -179,7 +179,7 @@
     let scenario = Scenario::new(2, 1);
     // On the wire to the server the wait is a little shorter, and as many digits long.
     let duration = length_on_the_wire(class, timeout);
-    scenario.set_behavior(0, ServerBehavior::NeverReads(50 * MILLI));
+    scenario.set_behavior(0, ServerBehavior::NeverRead(50 * MILLI));
     scenario.set_receive_window(0, duration - short_of);
     let received = scenario.request_at(SECOND, class, key, timeout);
     scenario.run_until(4 * SECOND);
@@ -237,7 +237,7 @@
     }
     scenario.run_until(900 * MILLI);
     let before = scenario.received_requests(1).len();
-    scenario.set_behavior(0, ServerBehavior::Resets(age - 2 * LATENCY));
+    scenario.set_behavior(0, ServerBehavior::Reset(age - 2 * LATENCY));
     scenario.request_at(SECOND, 1, key, DEADLINE);
     scenario.run_until(4 * SECOND);
     assert_eq!(
@@ -261,10 +261,7 @@
 fn a_keyed_repeat_that_waits_for_its_connection_does_not_outlast_its_memory() {
     let key = key_of(0);
     let scenario = Scenario::new(2, 1);
-    scenario.set_behavior(
-        0,
-        ServerBehavior::Resets(DEDUPLICATION_WINDOW - 5 * LATENCY),
-    );
+    scenario.set_behavior(0, ServerBehavior::Reset(DEDUPLICATION_WINDOW - 5 * LATENCY));
     scenario.request_at(SECOND, 1, key, DEADLINE);
     scenario.run_until(SECOND + DEDUPLICATION_WINDOW - MILLI);
     assert_eq!(scenario.accepted_connections(1), 0, "it has to be opened");
@@ -312,7 +309,7 @@
 #[test]
 fn pipelined_requests_at_sigterm_are_all_answered_in_order() {
     let scenario = Scenario::new(2, 1);
-    scenario.set_all_behaviors(&ServerBehavior::Serves(300 * MILLI));
+    scenario.set_all_behaviors(&ServerBehavior::Serve(300 * MILLI));
     let mut bytes = Vec::new();
     let mut ids = Vec::new();
     for key in 0..5 {
