--- a/crates/router-simulation/src/clients.rs
+++ b/crates/router-simulation/src/clients.rs
@@ -5,7 +5,7 @@
 use crate::fault_plan::{CLASSES, MILLI, PlannedRequest, RunPlan};
 use crate::network::SimulatedStream;
 use crate::simulation::Simulation;
-use crate::wire::{FrameDecoder, Response, read_command, request_id, write_command};
+use crate::wire::{DecodedFrame, FrameDecoder, Response, read_command, request_id, write_command};
 use router_runtime::environment::Environment;
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -287,7 +287,7 @@
         let mut buffer = vec![0; 8_192];
         loop {
             match frames.next(self.now()) {
-                Ok(Some((frame, _))) => return Some(Response::of(&frame)),
+                Ok(Some(DecodedFrame { frame, .. })) => return Some(Response::of(&frame)),
                 Ok(None) => {}
                 Err(_) => return None,
             }
--- a/crates/router-simulation/src/fault_plan/fault.rs
+++ b/crates/router-simulation/src/fault_plan/fault.rs
@@ -158,7 +158,9 @@
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (name, at, duration) = (self.kind.name(), self.at / MILLI, self.duration / MILLI);
+        let name = self.kind.name();
+        let at = self.at / MILLI;
+        let duration = self.duration / MILLI;
         write!(
             f,
             "{name} at {at} ms for {duration} ms, size {:.2}, targets {:?}",
--- a/crates/router-simulation/src/fleet/server.rs
+++ b/crates/router-simulation/src/fleet/server.rs
@@ -7,7 +7,9 @@
 use crate::invariant_checker::ProcessStart;
 use crate::network::SimulatedStream;
 use crate::simulation::{Subnet, address};
-use crate::wire::{CacheRequest, Command, Frame, FrameDecoder, served_reply, value_for};
+use crate::wire::{
+    CacheRequest, Command, DecodedFrame, Frame, FrameDecoder, served_reply, value_for,
+};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -207,7 +209,7 @@
         let mut buffer = vec![0; 4096];
         loop {
             match frames.next(executor.now()) {
-                Ok(Some((frame, _))) => return Some(frame),
+                Ok(Some(DecodedFrame { frame, .. })) => return Some(frame),
                 Ok(None) => {}
                 Err(_) => return None,
             }
--- a/crates/router-simulation/src/invariant_checker/answers.rs
+++ b/crates/router-simulation/src/invariant_checker/answers.rs
@@ -9,7 +9,7 @@
 use super::request::{DEADLINE_UNKNOWN, RequestState};
 use super::rule::Rule;
 use crate::executor::Time;
-use crate::wire::{self, CacheRequest, Command, Response};
+use crate::wire::{self, CacheRequest, Command, DecodedFrame, Response};
 
 /// A whole answer of a router.
 struct WrittenAnswer {
@@ -46,7 +46,7 @@
         }
         loop {
             match connection.commands.next(now) {
-                Ok(Some((frame, _))) => {
+                Ok(Some(DecodedFrame { frame, .. })) => {
                     let expected = self.command_written(now, id, connection, &Command::of(&frame));
                     connection.expected.push_back(expected);
                 }
@@ -147,7 +147,7 @@
         connection.router_wrote(now, bytes);
         loop {
             match connection.answers.next(now) {
-                Ok(Some((frame, began_at))) => {
+                Ok(Some(DecodedFrame { frame, began_at })) => {
                     let response = Response::of(&frame);
                     let answer = WrittenAnswer { began_at, response };
                     self.answer_written(now, connection_id, connection, &answer);
--- a/crates/router-simulation/src/invariant_checker/attempts.rs
+++ b/crates/router-simulation/src/invariant_checker/attempts.rs
@@ -6,7 +6,7 @@
 use super::rule::Rule;
 use super::{InvariantChecker, answers, departures, effects};
 use crate::executor::Time;
-use crate::wire::{CacheRequest, Command, Response};
+use crate::wire::{CacheRequest, Command, DecodedFrame, Response};
 
 /// The low bits of a request id hold the number of the client's try: 0 for the first.
 const TRIES_PER_REQUEST: u64 = 256;
@@ -37,7 +37,7 @@
             }
         }
         connection.commands.feed(now, bytes);
-        while let Ok(Some((frame, _))) = connection.commands.next(now) {
+        while let Ok(Some(DecodedFrame { frame, .. })) = connection.commands.next(now) {
             let Command::CacheRequest(call) = Command::of(&frame) else {
                 continue;
             };
@@ -143,7 +143,7 @@
         connection.replies.feed(now, &bytes);
         loop {
             let frame = match connection.replies.next(now) {
-                Ok(Some((frame, _))) => frame,
+                Ok(Some(DecodedFrame { frame, .. })) => frame,
                 Ok(None) => return,
                 Err(_) => {
                     connection.is_malformed = true;
--- a/crates/router-simulation/src/network.rs
+++ b/crates/router-simulation/src/network.rs
@@ -240,9 +240,12 @@
     /// Whether two machines are in different zones of which one is cut off.
     fn are_cut_off(&self, from: Node, to: Node) -> bool {
         let state = self.state.borrow();
-        let (from, to) = (state.zone(from), state.zone(to));
-        let isolated_until = state.isolated_until(from).max(state.isolated_until(to));
-        from != to && isolated_until > self.executor.now()
+        let from_zone = state.zone(from);
+        let to_zone = state.zone(to);
+        let isolated_until = state
+            .isolated_until(from_zone)
+            .max(state.isolated_until(to_zone));
+        from_zone != to_zone && isolated_until > self.executor.now()
     }
 
     /// When a packet that is sent now arrives; none if it never does. A lost one is sent again after
@@ -254,8 +257,9 @@
         if is_off(from) || is_off(to) {
             return None;
         }
-        let (from, to) = (state.zone(from), state.zone(to));
-        let is_within_zone = from == to;
+        let from_zone = state.zone(from);
+        let to_zone = state.zone(to);
+        let is_within_zone = from_zone == to_zone;
         let conditions = state.conditions;
         let base = if is_within_zone {
             conditions.latency_within_zone
@@ -267,7 +271,9 @@
         if conditions.loss_ratio > 0.0 && state.rng.chance(conditions.loss_ratio) {
             latency += retransmission_timeout;
         }
-        let isolated_until = state.isolated_until(from).max(state.isolated_until(to));
+        let isolated_until = state
+            .isolated_until(from_zone)
+            .max(state.isolated_until(to_zone));
         if !is_within_zone && isolated_until > now {
             Some(isolated_until + retransmission_timeout + latency)
         } else {
--- a/crates/router-simulation/src/network/connection.rs
+++ b/crates/router-simulation/src/network/connection.rs
@@ -91,7 +91,8 @@
 impl Network {
     /// Sends a packet from one end. Those of one direction arrive in order.
     pub(super) fn send(&self, connection: &Rc<Connection>, from: Side, packet: Packet) {
-        let (sender, receiver) = (connection.node(from), connection.node(from.other()));
+        let sender = connection.node(from);
+        let receiver = connection.node(from.other());
         let Some(arrival) = self.arrival(sender, receiver, RETRANSMISSION_TIMEOUT) else {
             return;
         };
--- a/crates/router-simulation/src/run/traffic.rs
+++ b/crates/router-simulation/src/run/traffic.rs
@@ -22,9 +22,11 @@
             }
             let requests = self.take_pipeline(first, &mut is_taken);
             let request = &self.plan.requests[first];
-            let (at, router) = (request.at, request.router);
+            let router = request.router;
             let behavior = self.client_behavior(request);
-            self.at(at, move |run| run.clients[router].send(requests, behavior));
+            self.at(request.at, move |run| {
+                run.clients[router].send(requests, behavior)
+            });
         }
     }
 
--- a/crates/router-simulation/src/scenario.rs
+++ b/crates/router-simulation/src/scenario.rs
@@ -4,9 +4,11 @@
 //! checker observes as in a drawn run.
 
 mod cache_server;
+mod client;
 mod discovery;
 
-pub use cache_server::ServerBehavior;
+pub use cache_server::{ReceivedRequest, ServerBehavior};
+pub use client::{EncodedRequest, ReceivedChunk, ReceivedChunks};
 
 use crate::UNIX_START;
 use crate::deployment::{
@@ -14,21 +16,18 @@
 };
 use crate::discovery::{ListEntry, list_json};
 use crate::executor::{Executor, Node, Time};
-use crate::fault_plan::{CLASSES, MILLI, SECOND};
+use crate::fault_plan::{MILLI, SECOND};
 use crate::invariant_checker::{InvariantChecker, Role, RuleParameters, ServerIdentity, Violation};
 use crate::network::{DatagramConditions, Network, NetworkConditions, SimulatedEnvironment};
 use crate::rng::SeededRng;
 use crate::simulation::{Simulation, Subnet, address};
-use crate::wire::{CacheRequest, read_command, write_command};
 use cache_server::ScriptedServer;
 use discovery::ScriptedDiscovery;
 use load_balancer::Discovery;
-use router_runtime::environment::Environment;
 use router_runtime::{RouterConfig, RouterRuntime};
 use std::cell::{Cell, RefCell, RefMut};
 use std::net::SocketAddr;
 use std::rc::Rc;
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::Notify;
 
 /// One way between any two machines of a scenario, in microseconds.
@@ -53,9 +52,6 @@
 /// When the router's watch is up.
 const READY_AT: Time = 100 * MILLI;
 
-/// What a client has received, and when, in whole reads.
-pub type ReceivedChunks = Rc<RefCell<Vec<(Time, Vec<u8>)>>>;
-
 /// How the router of a scenario is configured.
 #[derive(Clone, Copy, Default)]
 struct Options {
@@ -205,8 +201,8 @@
         self.network.set_receive_window(node, bytes);
     }
 
-    /// The requests that a server has received whole, and when.
-    pub fn received_requests(&self, server: usize) -> Vec<(Time, CacheRequest)> {
+    /// The requests that a server has received whole.
+    pub fn received_requests(&self, server: usize) -> Vec<ReceivedRequest> {
         self.servers[server].received_requests.borrow().clone()
     }
 
@@ -247,101 +243,6 @@
         (UNIX_START + self.executor.now()) / 1_000
     }
 
-    /// The bytes of a request of a class for a key, and its id. The client waits `timeout` microseconds.
-    pub fn request_bytes(&self, class: usize, key: u64, timeout: Time) -> (Vec<u8>, u64) {
-        self.request_bytes_for(None, class, key, timeout)
-    }
-
-    fn request_bytes_for(
-        &self,
-        tenant: Option<usize>,
-        class: usize,
-        key: u64,
-        timeout: Time,
-    ) -> (Vec<u8>, u64) {
-        let id = self.last_request_id.get() + 1;
-        self.last_request_id.set(id);
-        let tenant = tenant.map_or(String::new(), |tenant| format!(",t=t{tenant}"));
-        let class_name = CLASSES[class];
-        let timeout_ms = timeout / MILLI;
-        let fields = format!("c={class_name}{tenant},d={timeout_ms},k={id:016x}");
-        let bytes = match class {
-            0 => read_command(key, id, &fields),
-            _ => write_command(key, id, &fields, b"v"),
-        };
-        (bytes, id)
-    }
-
-    /// A client that connects, writes each of these at its time, and reads until the connection ends or it leaves.
-    pub fn client(&self, writes: Vec<(Time, Vec<u8>)>, leaves_at: Option<Time>) -> ReceivedChunks {
-        let received = ReceivedChunks::default();
-        let sink = received.clone();
-        let environment = self.network.environment(self.client);
-        let executor = self.executor.clone();
-        let address = self.router_address;
-        self.executor.spawn(self.client, async move {
-            let Ok(mut stream) = environment.connect(address).await else {
-                return;
-            };
-            for (at, bytes) in writes {
-                executor.sleep_until(at).await;
-                if stream.write_all(&bytes).await.is_err() {
-                    return;
-                }
-            }
-            let mut buffer = vec![0; 65_536];
-            let leaves = executor.sleep_until(leaves_at.unwrap_or(Time::MAX));
-            tokio::pin!(leaves);
-            loop {
-                let count = tokio::select! {
-                    biased;
-                    read = stream.read(&mut buffer) => read.unwrap_or(0),
-                    () = &mut leaves => 0,
-                };
-                if count == 0 {
-                    return;
-                }
-                let chunk = (executor.now(), buffer[..count].to_vec());
-                sink.borrow_mut().push(chunk);
-            }
-        });
-        received
-    }
-
-    /// A client that writes at a time, and reads nothing until another.
-    pub fn non_reading_client(&self, at: Time, bytes: Vec<u8>, until: Time) {
-        let environment = self.network.environment(self.client);
-        let executor = self.executor.clone();
-        let address = self.router_address;
-        self.executor.spawn(self.client, async move {
-            let Ok(mut stream) = environment.connect(address).await else {
-                return;
-            };
-            executor.sleep_until(at).await;
-            // The window has room for it.
-            let _ = stream.write_all(&bytes).await;
-            executor.sleep_until(until).await;
-        });
-    }
-
-    /// A client that sends one request, so that its last byte is at the router's machine at this time.
-    pub fn request_at(&self, at: Time, class: usize, key: u64, timeout: Time) -> ReceivedChunks {
-        let (bytes, _) = self.request_bytes(class, key, timeout);
-        self.client(vec![(at - LATENCY, bytes)], None)
-    }
-
-    /// The same for a read of one of two tenants.
-    pub fn request_as_tenant(
-        &self,
-        tenant: usize,
-        at: Time,
-        key: u64,
-        timeout: Time,
-    ) -> ReceivedChunks {
-        let (bytes, _) = self.request_bytes_for(Some(tenant), 0, key, timeout);
-        self.client(vec![(at - LATENCY, bytes)], None)
-    }
-
     /// Runs the clock up to this time.
     pub fn run_until(&self, at: Time) {
         self.executor.run_until(at);
--- a/crates/router-simulation/src/scenario/cache_server.rs
+++ b/crates/router-simulation/src/scenario/cache_server.rs
@@ -2,7 +2,7 @@
 
 use crate::executor::{Executor, Node, Time};
 use crate::network::{Network, SimulatedStream};
-use crate::wire::{CacheRequest, Command, FrameDecoder, served_reply, value_for};
+use crate::wire::{CacheRequest, Command, DecodedFrame, FrameDecoder, served_reply, value_for};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -30,12 +30,21 @@
     NeverRead(Time),
 }
 
+/// A request that a scripted server has received whole.
+#[derive(Clone, Debug)]
+pub struct ReceivedRequest {
+    /// Virtual time in microseconds.
+    pub at: Time,
+    /// The request.
+    pub request: CacheRequest,
+}
+
 /// A scripted cache server. Its tasks end with the scenario.
 pub(super) struct ScriptedServer {
     pub(super) node: Node,
     pub(super) address: SocketAddr,
     pub(super) behavior: RefCell<ServerBehavior>,
-    pub(super) received_requests: RefCell<Vec<(Time, CacheRequest)>>,
+    pub(super) received_requests: RefCell<Vec<ReceivedRequest>>,
     pub(super) accepted_connections: Cell<usize>,
 }
 
@@ -75,7 +84,10 @@
         }
         let mut frames = FrameDecoder::default();
         while let Some(request) = read_request(&executor, &mut stream, &mut frames).await {
-            let received = (executor.now(), request.clone());
+            let received = ReceivedRequest {
+                at: executor.now(),
+                request: request.clone(),
+            };
             self.received_requests.borrow_mut().push(received);
             let behavior = self.behavior.borrow().clone();
             if !respond(&executor, &mut stream, &request, &behavior).await {
@@ -94,7 +106,7 @@
     let mut buffer = vec![0; 8_192];
     loop {
         match frames.next(executor.now()) {
-            Ok(Some((frame, _))) => match Command::of(&frame) {
+            Ok(Some(DecodedFrame { frame, .. })) => match Command::of(&frame) {
                 Command::CacheRequest(request) => return Some(request),
                 Command::Ping | Command::Other => return None,
             },
--- a/crates/router-simulation/src/wire.rs
+++ b/crates/router-simulation/src/wire.rs
@@ -30,6 +30,15 @@
 #[error("the bytes are no RESP2")]
 pub struct InvalidFrame;
 
+/// A whole frame, and when its first byte came.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct DecodedFrame {
+    /// The frame.
+    pub frame: Frame,
+    /// Microseconds of virtual time.
+    pub began_at: Time,
+}
+
 /// Bytes in one direction, cut into frames.
 #[derive(Clone, Debug, Default)]
 pub struct FrameDecoder {
@@ -47,17 +56,17 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next frame if it is whole, and when its first byte came.
+    /// The next frame if it is whole.
     ///
     /// # Errors
     /// The bytes are no RESP2: nothing more can be read.
-    pub fn next(&mut self, now: Time) -> Result<Option<(Frame, Time)>, InvalidFrame> {
+    pub fn next(&mut self, now: Time) -> Result<Option<DecodedFrame>, InvalidFrame> {
         match parse(&self.buffer, 0, 0)? {
             None => Ok(None),
             Some(Parsed { frame, end }) => {
                 self.buffer.drain(..end);
-                let first_at = std::mem::replace(&mut self.first_at, now);
-                Ok(Some((frame, first_at)))
+                let began_at = std::mem::replace(&mut self.first_at, now);
+                Ok(Some(DecodedFrame { frame, began_at }))
             }
         }
     }
@@ -155,19 +164,19 @@
     pub is_write: bool,
     /// The key.
     pub key: Vec<u8>,
-    /// The request's id, 16 hex digits in this rig.
+    /// The request's id, 16 hex digits on the wire.
     pub id: u64,
     /// The class.
     pub class: String,
-    /// How long its sender waits, in milliseconds.
+    /// How long its sender waits for the answer, in milliseconds.
     pub timeout_ms: u64,
     /// The idempotency key.
     pub idempotency_key: Option<String>,
-    /// The guess at the work, in microseconds.
+    /// The estimate of its work, in microseconds.
     pub work_estimate: Option<u64>,
 }
 
-/// What a command is.
+/// A command, as far as the simulation tells them apart.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
     /// A read or a write.
@@ -179,7 +188,7 @@
 }
 
 impl Command {
-    /// What a frame says as a command.
+    /// Reads a frame as a command.
     pub fn of(frame: &Frame) -> Command {
         let Frame::Array(items) = frame else {
             return Command::Other;
@@ -240,7 +249,7 @@
 }
 
 impl Response {
-    /// What a frame says as an answer.
+    /// Reads a frame as an answer.
     pub fn of(frame: &Frame) -> Response {
         match frame {
             Frame::Bulk(Some(value)) => Response::Served(value.clone()),
--- a/crates/router-simulation/tests/coalescing_scenarios.rs
+++ b/crates/router-simulation/tests/coalescing_scenarios.rs
@@ -8,7 +8,7 @@
     received
         .borrow()
         .iter()
-        .map(|(_, bytes)| String::from_utf8_lossy(bytes).into_owned())
+        .map(|chunk| String::from_utf8_lossy(&chunk.bytes).into_owned())
         .collect()
 }
 
@@ -24,7 +24,7 @@
 fn crowd(scenario: &Scenario, at: Time, key: u64, timeout: Time) -> Vec<ReceivedChunks> {
     let request = |_| {
         let bytes: Vec<u8> = (0..10)
-            .flat_map(|_| scenario.request_bytes(0, key, timeout).0)
+            .flat_map(|_| scenario.encode_request(0, key, timeout).bytes)
             .collect();
         scenario.client(vec![(at - LATENCY, bytes)], None)
     };
@@ -169,11 +169,11 @@
         (1, 1, 1)
     );
     assert_eq!(
-        first.borrow()[0].0,
+        first.borrow()[0].at,
         SECOND + 300 * MILLI + LATENCY,
         "to the microsecond"
     );
-    assert_eq!(short.borrow()[0].0, SECOND + 160 * MILLI + LATENCY);
+    assert_eq!(short.borrow()[0].at, SECOND + 160 * MILLI + LATENCY);
     assert_eq!(
         scenario.total_received_requests(),
         1,
@@ -186,13 +186,13 @@
 fn the_flight_goes_on_without_its_leader_and_is_cancelled_without_anybody() {
     let scenario = Scenario::coalescing(1, 1);
     scenario.set_all_behaviors(&ServerBehavior::Serve(500 * MILLI));
-    let (bytes, _) = scenario.request_bytes(0, 7, SECOND);
+    let bytes = scenario.encode_request(0, 7, SECOND).bytes;
     scenario.client(vec![(SECOND, bytes)], Some(SECOND + 100 * MILLI));
     let other = scenario.request_at(SECOND + 50 * MILLI, 0, 7, SECOND);
     scenario.run_until(3 * SECOND);
     assert_eq!((served(&other), scenario.total_received_requests()), (1, 1));
-    let (bytes, _) = scenario.request_bytes(0, 8, SECOND);
-    let (more, _) = scenario.request_bytes(0, 8, SECOND);
+    let bytes = scenario.encode_request(0, 8, SECOND).bytes;
+    let more = scenario.encode_request(0, 8, SECOND).bytes;
     scenario.client(vec![(4 * SECOND, bytes)], Some(4 * SECOND + 100 * MILLI));
     scenario.client(vec![(4 * SECOND, more)], Some(4 * SECOND + 200 * MILLI));
     scenario.run_until(4 * SECOND + 199 * MILLI);
@@ -272,7 +272,7 @@
         let reads = scenario
             .received_requests(0)
             .iter()
-            .filter(|(_, call)| !call.is_write)
+            .filter(|received| !received.request.is_write)
             .count();
         assert_eq!(reads, 3, "{write:?}: each has one of its own");
     }
@@ -320,7 +320,7 @@
     // Each of them leaves ten answers of 64 KiB unread, with room for one on the way.
     for _ in 0..10 {
         let bytes: Vec<u8> = (0..10)
-            .flat_map(|_| scenario.request_bytes(0, 7, SECOND).0)
+            .flat_map(|_| scenario.encode_request(0, 7, SECOND).bytes)
             .collect();
         scenario.non_reading_client(SECOND - LATENCY, bytes, 4 * SECOND);
     }
@@ -429,8 +429,8 @@
 fn one_client_may_wait_twice_on_one_connection_and_on_two() {
     let scenario = Scenario::coalescing(1, 1);
     scenario.set_all_behaviors(&ServerBehavior::Serve(100 * MILLI));
-    let (first, _) = scenario.request_bytes(0, 7, SECOND);
-    let (second, _) = scenario.request_bytes(0, 7, SECOND);
+    let first = scenario.encode_request(0, 7, SECOND).bytes;
+    let second = scenario.encode_request(0, 7, SECOND).bytes;
     let received = scenario.client(vec![(SECOND, first), (SECOND + 10 * MILLI, second)], None);
     let other = scenario.request_at(SECOND + 20 * MILLI, 0, 7, SECOND);
     scenario.run_until(3 * SECOND);
@@ -449,7 +449,7 @@
 fn an_id_that_waits_already_is_turned_away_whether_it_is_joined_or_not() {
     let scenario = Scenario::coalescing(1, 1);
     scenario.set_all_behaviors(&ServerBehavior::Serve(100 * MILLI));
-    let (bytes, _) = scenario.request_bytes(0, 7, SECOND);
+    let bytes = scenario.encode_request(0, 7, SECOND).bytes;
     let received = scenario.client(vec![(SECOND, bytes.clone())], None);
     let again = scenario.client(vec![(SECOND + 10 * MILLI, bytes)], None);
     scenario.run_until(3 * SECOND);
--- a/crates/router-simulation/tests/invariant_checker.rs
+++ b/crates/router-simulation/tests/invariant_checker.rs
@@ -106,10 +106,8 @@
 }
 
 fn request_bytes(id: u64, class: usize, timeout: Time) -> Vec<u8> {
-    let (id, fields) = (
-        format!("{id:016x}"),
-        format!("c={},d={},k=1", CLASSES[class], timeout / MILLI),
-    );
+    let id = format!("{id:016x}");
+    let fields = format!("c={},d={},k=1", CLASSES[class], timeout / MILLI);
     match class {
         0 => command(&[b"C.GET", b"key", id.as_bytes(), fields.as_bytes()]),
         _ => command(&[b"C.SET", b"key", id.as_bytes(), fields.as_bytes(), b"v"]),
--- a/crates/router-simulation/tests/rare_fault_scenarios.rs
+++ b/crates/router-simulation/tests/rare_fault_scenarios.rs
@@ -9,7 +9,7 @@
 fn departure() -> Scenario {
     let scenario = Scenario::new(1, 1);
     scenario.delay_connects(0, 230 * MILLI);
-    let (bytes, _) = scenario.request_bytes(0, 1, 2 * SECOND);
+    let bytes = scenario.encode_request(0, 1, 2 * SECOND).bytes;
     scenario.client(vec![(SECOND, bytes)], Some(SECOND + 30 * MILLI));
     scenario.run_until(3 * SECOND);
     scenario
@@ -20,7 +20,7 @@
     let scenario = Scenario::new(1, 1);
     scenario.delay_connects(0, 230 * MILLI);
     let bytes: Vec<u8> = (0..80)
-        .flat_map(|key| scenario.request_bytes(0, key, 2 * SECOND).0)
+        .flat_map(|key| scenario.encode_request(0, key, 2 * SECOND).bytes)
         .collect();
     scenario.client(vec![(SECOND, bytes)], Some(SECOND + 30 * MILLI));
     scenario.run_until(3 * SECOND);
@@ -50,10 +50,8 @@
 fn unanswered_at_shutdown() -> Scenario {
     let scenario = Scenario::new(1, 1);
     scenario.set_behavior(0, ServerBehavior::Ignore);
-    let (first, second) = (
-        scenario.request_bytes(3, 1, 2 * SECOND).0,
-        scenario.request_bytes(3, 2, 2 * SECOND).0,
-    );
+    let first = scenario.encode_request(3, 1, 2 * SECOND).bytes;
+    let second = scenario.encode_request(3, 2, 2 * SECOND).bytes;
     scenario.client(
         vec![(SECOND + 400 * MILLI, first), (3 * SECOND, second)],
         None,
--- a/crates/router-simulation/tests/scenarios.rs
+++ b/crates/router-simulation/tests/scenarios.rs
@@ -23,7 +23,7 @@
     received
         .borrow()
         .iter()
-        .map(|(_, bytes)| String::from_utf8_lossy(bytes).into_owned())
+        .map(|chunk| String::from_utf8_lossy(&chunk.bytes).into_owned())
         .collect()
 }
 
@@ -66,7 +66,7 @@
         let output = text(&received);
         assert_eq!(received.borrow().len(), 1, "one answer: {output}");
         assert_eq!(
-            received.borrow()[0].0,
+            received.borrow()[0].at,
             2 * SECOND + 200 * MILLI + LATENCY,
             "at the very instant"
         );
@@ -167,7 +167,7 @@
 /// The bytes of a request as a scenario's router writes it to a server.
 fn length_on_the_wire(class: usize, timeout: Time) -> usize {
     let scenario = Scenario::new(1, 1);
-    let (bytes, _) = scenario.request_bytes(class, 1, timeout);
+    let bytes = scenario.encode_request(class, 1, timeout).bytes;
     bytes.len()
 }
 
@@ -283,7 +283,7 @@
 #[test]
 fn a_request_half_read_at_sigterm_is_served_and_the_router_ends_in_time() {
     let scenario = Scenario::new(2, 1);
-    let (bytes, _) = scenario.request_bytes(0, 1, SECOND);
+    let bytes = scenario.encode_request(0, 1, SECOND).bytes;
     let (head, tail) = bytes.split_at(bytes.len() / 2);
     let received = scenario.client(
         vec![
@@ -313,9 +313,9 @@
     let mut bytes = Vec::new();
     let mut ids = Vec::new();
     for key in 0..5 {
-        let (request_bytes, id) = scenario.request_bytes(0, key, 1_500 * MILLI);
-        bytes.extend(request_bytes);
-        ids.push(format!("{id:016x}@"));
+        let request = scenario.encode_request(0, key, 1_500 * MILLI);
+        bytes.extend(request.bytes);
+        ids.push(format!("{:016x}@", request.id));
     }
     let received = scenario.client(vec![(SECOND, bytes)], None);
     scenario.run_until(SECOND + 10 * MILLI);
