--- a/crates/router-simulation/tests/rare_fault_scenarios.rs
+++ b/crates/router-simulation/tests/rare_fault_scenarios.rs
@@ -9,7 +9,7 @@
 fn departure() -> Scenario {
     let scenario = Scenario::new(1, 1);
     scenario.delay_connects(0, 230 * MILLI);
-    let (bytes, _) = scenario.request_bytes(0, 1, 2 * SECOND);
+    let bytes = scenario.encode_request(0, 1, 2 * SECOND).bytes;
     scenario.client(vec![(SECOND, bytes)], Some(SECOND + 30 * MILLI));
     scenario.run_until(3 * SECOND);
     scenario
@@ -20,7 +20,7 @@
     let scenario = Scenario::new(1, 1);
     scenario.delay_connects(0, 230 * MILLI);
     let bytes: Vec<u8> = (0..80)
-        .flat_map(|key| scenario.request_bytes(0, key, 2 * SECOND).0)
+        .flat_map(|key| scenario.encode_request(0, key, 2 * SECOND).bytes)
         .collect();
     scenario.client(vec![(SECOND, bytes)], Some(SECOND + 30 * MILLI));
     scenario.run_until(3 * SECOND);
@@ -49,11 +49,9 @@
 /// A client that is never at rest asks once more long after SIGTERM, for longer than the process has.
 fn unanswered_at_shutdown() -> Scenario {
     let scenario = Scenario::new(1, 1);
-    scenario.set_behavior(0, ServerBehavior::Nothing);
-    let (first, second) = (
-        scenario.request_bytes(3, 1, 2 * SECOND).0,
-        scenario.request_bytes(3, 2, 2 * SECOND).0,
-    );
+    scenario.set_behavior(0, ServerBehavior::Ignore);
+    let first = scenario.encode_request(3, 1, 2 * SECOND).bytes;
+    let second = scenario.encode_request(3, 2, 2 * SECOND).bytes;
     scenario.client(
         vec![(SECOND + 400 * MILLI, first), (3 * SECOND, second)],
         None,
@@ -73,7 +71,7 @@
 /// next request was served.
 fn connections_after_restart() -> usize {
     let scenario = Scenario::new(1, 1);
-    scenario.set_behavior(0, ServerBehavior::Serves(200 * MILLI));
+    scenario.set_behavior(0, ServerBehavior::Serve(200 * MILLI));
     scenario.request_at(SECOND, 0, 1, 2 * SECOND);
     scenario.announce_at(SECOND + 100 * MILLI, 0, "up", scenario.born_now());
     scenario.run_until(SECOND + 400 * MILLI);
@@ -131,7 +129,7 @@
     for later in [1, 3, 5, 6] {
         for step in 0..60 {
             let scenario = Scenario::new(1, step);
-            scenario.set_behavior(0, ServerBehavior::ServesTwice(5 * MILLI, later * MILLI));
+            scenario.set_behavior(0, ServerBehavior::ServeTwice(5 * MILLI, later * MILLI));
             scenario.request_at(SECOND, 0, 1, SECOND);
             let answered: Time = SECOND + 5 * MILLI;
             scenario.request_at(answered + step * 200, 0, 2, SECOND);
@@ -148,7 +146,7 @@
 /// With the mutations built in each is caught.
 #[cfg(feature = "mutations")]
 #[test]
-fn each_rare_bug_is_caught() {
+fn each_rare_mutation_is_caught() {
     use router_runtime::mutation::{Mutation, activate};
     let mutations = [
         Mutation::SendsAfterDeparture,
