--- a/crates/cache-router/tests/client_connections.rs
+++ b/crates/cache-router/tests/client_connections.rs
@@ -13,7 +13,7 @@
     client.send("read", "00000000000000aa", 15_000);
     client.send("read", "00000000000000bb", 15_000);
     client.write(&command(&["PING"]));
-    // The second is answered by the server while the first still waits: no request stands behind another.
+    // The server replies to the second while the first is pending: no request waits behind another.
     wait_until("both are at the server", || server.commands().len() == 2);
     assert_eq!(server.connections().accepted, 2);
     server.open_gate();
@@ -40,7 +40,7 @@
     let mut client = router.client();
     owner.set_default_behavior(Behavior::ReplyAndClose(Vec::new()));
     owner.close_connections();
-    // Another client's request, whose attempt breaks after that of the one that left, goes on to the other server.
+    // Another client's request, whose connection is lost after that of the disconnected one, is retried at the other server.
     assert!(client.request("read", key).contains(&other.name));
     assert!(
         other
@@ -52,7 +52,7 @@
     );
 }
 
-/// What a client may send that is no command for a cache server, each whole but for the last ones.
+/// Commands that are none for a cache server; all but the last ones are complete.
 fn bad_commands() -> Vec<(&'static str, Vec<u8>)> {
     let get = |id: &str, fields: &str| command(&["C.GET", "00000000000000aa", id, fields]);
     let long = "x".repeat(100);
@@ -124,7 +124,7 @@
     ]
 }
 
-/// Each gets an error line and the end of its connection, soon, and none of it reaches a cache server.
+/// Each gets an error and a closed connection soon, and none of it reaches a cache server.
 #[test]
 fn a_malformed_command_gets_an_error_and_closes_its_connection() {
     let server = CacheServer::start("s-a");
@@ -160,7 +160,7 @@
     );
 }
 
-/// A deadline past all bounds is that of the class; the arithmetic of time holds.
+/// A deadline past all bounds counts as that of the class, and no arithmetic of time overflows.
 #[test]
 fn a_huge_deadline_is_capped_by_the_class() {
     let server = CacheServer::start("s-a");
@@ -182,7 +182,7 @@
     assert!(router.is_running());
 }
 
-/// The error line is read by a client that sends on and on, far more than is read of it.
+/// A client that keeps sending, far more than is read from it, still receives the error.
 #[test]
 fn the_error_reaches_a_client_that_keeps_sending() {
     let server = CacheServer::start("s-a");
@@ -221,7 +221,7 @@
     );
 }
 
-/// The id of another client's open request is an error, never an answer; with the request the id is free again.
+/// The id of another client's open request is an error, never a reply; after that request the id is free again.
 #[test]
 fn a_duplicate_id_of_an_open_request_is_an_error() {
     let server = CacheServer::start("s-a");
@@ -238,7 +238,7 @@
     assert_eq!(server.commands().len(), 1);
     first.write(&bytes);
     assert!(first.read_reply().unwrap().contains("s-a"));
-    // And so it is when its client leaves.
+    // It is free after a disconnect as well.
     let mut leaving = router.client();
     server.set_behavior("00000000000000bb", Behavior::StaySilent);
     let left = command(&["C.GET", "00000000000000bb", "left", "c=read,t=acme,d=4000"]);
@@ -253,7 +253,7 @@
     });
 }
 
-/// A client that never sends a whole command is closed in time; one that asked before keeps its connection.
+/// A client that never sends a complete command is closed in time; one that has sent one keeps its connection.
 #[test]
 fn clients_that_stay_silent_or_send_half_a_command_are_closed() {
     let server = CacheServer::start("s-a");
@@ -281,7 +281,7 @@
     assert!(active.request("read", "00000000000000aa").contains("s-a"));
 }
 
-/// Hundreds that connect and say nothing take neither the descriptors of the others nor their service.
+/// Hundreds of silent connections take neither the descriptors of active clients nor their service.
 #[test]
 fn active_clients_are_served_beside_many_silent_ones() {
     let server = CacheServer::start("s-a");
@@ -352,14 +352,14 @@
     assert!(router.is_running());
 }
 
-/// Clients that connect together while all places are taken by others that rest between commands: none of them is
-/// closed for the next before its first command is there.
+/// Clients that connect together while idle ones take all slots: none of them is closed for the next before its first
+/// command has arrived.
 #[test]
 fn new_clients_of_a_full_router_are_served() {
     let server = CacheServer::start("s-a");
     let discovery = Discovery::start(list(7, false, &[]));
     let mut config = configuration(discovery.addr, &[server.entry("up")]);
-    // Places for 24 clients.
+    // Slots for 24 clients.
     config["limits"]["sockets"] = 96.into();
     wait_until("a round in time", || {
         let router = RouterProcess::start(&config);
@@ -385,13 +385,13 @@
     });
 }
 
-/// Clients that ask once and keep their connection do not fill the router: who may come at all may be limited elsewhere.
+/// Clients that send one request and keep their connection do not fill the router.
 #[test]
 fn idle_clients_keep_a_quarter_of_the_connection_slots() {
     let server = CacheServer::start("s-a");
     let discovery = Discovery::start(list(7, false, &[]));
     let mut config = configuration(discovery.addr, &[server.entry("up")]);
-    // Places for 24 clients.
+    // Slots for 24 clients.
     config["limits"]["sockets"] = 96.into();
     let router = RouterProcess::start(&config);
     let few = router.descriptors();
@@ -399,7 +399,7 @@
     for client in &mut clients {
         assert!(client.request("read", "00000000000000aa").contains("s-a"));
     }
-    // A few connections lead to the server.
+    // A few of the slots are connections to the server.
     wait_until("most places are free", || {
         router.descriptors() <= few + 6 + 4
     });
@@ -408,7 +408,7 @@
         None,
         "who asked longest ago is closed"
     );
-    // Who asked last may ask again.
+    // The client of the last request may send another.
     assert!(
         clients[21]
             .request("read", "00000000000000aa")
--- a/crates/cache-router/tests/client_disconnects.rs
+++ b/crates/cache-router/tests/client_disconnects.rs
@@ -3,7 +3,7 @@
 
 use test_support::*;
 
-/// The ids of the commands that came to a server.
+/// The ids of the commands that have reached a server.
 fn ids(server: &CacheServer) -> Vec<String> {
     server
         .commands()
@@ -18,7 +18,7 @@
 
 const KEY: &str = "7f3a9c21e0b4d655";
 
-/// A router that knows one server, whose connections come up once the fillers are dropped.
+/// A router that knows one server, to which connections are established once the fillers are dropped.
 fn router_of_a_hung_server() -> (
     RouterProcess,
     Discovery,
@@ -53,7 +53,7 @@
     let before = router.descriptors();
     leaving.write(&get(KEY, "left"));
     wait_until("it dials", || router.descriptors() > before);
-    // The router knows that it has left before the connection can come up.
+    // The router has seen the disconnect before the connection can be established.
     leaving.disconnect();
     drop(fillers);
     let server = CacheServer::on("s-a", silent);
@@ -83,7 +83,7 @@
     server.set_default_behavior(Behavior::StaySilent);
     let discovery = Discovery::start(list(7, false, &[]));
     let mut config = configuration(discovery.addr, &[server.entry("up")]);
-    // Places for two clients and two connections to cache servers.
+    // Slots for two clients and two connections to cache servers.
     config["limits"]["sockets"] = 52.into();
     config["settings"]["limits"]["dial_timeout"] = 15.0.into();
     for class in config["settings"]["request_classes"]
@@ -127,7 +127,7 @@
         .entry("up")
         .replace(r#""born_ms":0"#, r#""born_ms":1700000000000"#);
     discovery.write_to_watch(&format!("{}\n", list(8, false, &[anew, new.entry("up")])));
-    // Each asks for another key until one of the new server shows that the list is known.
+    // Requests for one key after another, until a reply of the new server shows that the list is applied.
     let (mut other, mut key) = (router.client(), 0);
     wait_until("the list is known", || {
         key += 1;
@@ -147,9 +147,9 @@
             .expect("it arrived")
             .connection
     };
-    // Past the time for which a connection has to stay quiet.
+    // Longer than a connection has to stay quiet before it is pooled.
     std::thread::sleep(std::time::Duration::from_millis(100));
-    // As many at once as there may be idle connections.
+    // As many at once as there may be pooled connections.
     for number in 0..=opened {
         client.write(&get("000000000000aaaa", &format!("after-{number}")));
         client.write(&get(KEY, &format!("same-{number}")));
@@ -166,17 +166,17 @@
     );
 }
 
-/// The end stands behind commands that are not read, since as many answers are owed as may be.
+/// The end of the stream follows commands that are not read, since the pipeline is full.
 #[test]
 fn a_disconnect_behind_a_full_pipeline_is_seen() {
     let (router, _discovery, silent, fillers) = router_of_a_hung_server();
     let mut leaving = router.client();
     (0..100).for_each(|number| leaving.write(&get(KEY, &format!("left-{number}"))));
-    // Long before the first one's time is up, without an answer.
+    // Long before the deadline of the first request, without a reply.
     leaving.disconnect();
     drop(fillers);
     let server = CacheServer::on("s-a", silent);
-    // What waits for its connection for nobody holds a place at the server until that is up.
+    // A request that nobody waits for keeps its share of the server until its connection is established.
     let mut client = router.client();
     wait_until("the server is free", || {
         client.request("read", KEY).contains("s-a")
@@ -188,7 +188,7 @@
     );
 }
 
-/// What it did wrong is still answered, but nobody waits for what it asked before.
+/// The error is still sent, but the requests before it are cancelled.
 #[test]
 fn a_disconnect_after_a_malformed_command_is_seen() {
     let (router, _discovery, silent, fillers) = router_of_a_hung_server();
--- a/crates/cache-router/tests/coalesced_reads.rs
+++ b/crates/cache-router/tests/coalesced_reads.rs
@@ -5,7 +5,7 @@
 
 const KEY: &str = "7f3a9c21e0b4d655";
 
-/// A router with this operator file that knows these servers, and its discovery.
+/// Starts a router with this operator file that knows these cache servers.
 fn start_router_with_operator_file(
     operator: &str,
     servers: &[&CacheServer],
@@ -41,7 +41,7 @@
     command(&["C.GET", KEY, &id, &fields])
 }
 
-/// 500 reads for the key over 50 connections.
+/// Sends 500 reads for the key over 50 connections.
 fn crowd(router: &RouterProcess, wait_ms: u64) -> Vec<Client> {
     let mut clients: Vec<Client> = (0..50).map(|_| router.client()).collect();
     for (place, client) in clients.iter_mut().enumerate() {
@@ -53,7 +53,7 @@
     clients
 }
 
-/// Their answers: how many are served, and how many declined.
+/// Reads their replies: how many are served, and how many declined.
 fn answers(clients: &mut [Client]) -> (usize, usize) {
     let (mut served, mut refused) = (0, 0);
     for client in clients {
@@ -147,7 +147,7 @@
             .filter(|arguments| arguments[1] == KEY)
             .count()
     };
-    // Some may have come after the answer, for whom there was another flight; none has one of its own.
+    // Reads after the reply start another flight; none has a flight of its own.
     let sent = of_key(&a) + of_key(&b);
     assert!((2..20).contains(&sent), "{sent}");
 }
@@ -191,7 +191,7 @@
     server.open_gate();
     assert!(other.read_reply().expect("an answer").starts_with('*'));
     assert_eq!(server.commands().len(), 1);
-    // Nobody waits for the next one.
+    // The next flight has no waiter left.
     server.set_behavior(KEY, Behavior::StaySilent);
     let mut alone = router.client();
     alone.write(&fields(2, 0, 4_000));
@@ -291,7 +291,7 @@
     let mut clients = crowd(&router, 4_000);
     let before = router.memory_kb();
     assert_eq!(answers(&mut clients), (500, 0));
-    // 1,100 waiters, of whom 600 do not read: copies of theirs alone would be 39 MB.
+    // 1,100 waiters, of which 600 do not read: copies for these alone would take 39 MB.
     let grown = router.memory_kb().saturating_sub(before);
     assert!(grown < 20_000, "{grown} KB");
     assert!(server.commands().len() < 10, "{}", server.commands().len());
@@ -466,7 +466,7 @@
     assert_eq!(of_key(), 1);
 }
 
-/// How many of 60 reads of `acme` go out at once, after 150 of this tenant have shared one flight.
+/// How many of 60 reads of `acme` are sent upstream at once, after 150 of this tenant have shared one flight.
 fn room_after_a_crowd_of(tenant: &str) -> usize {
     let server = CacheServer::start("s-a");
     server.set_behavior(KEY, Behavior::ServeOnceGateOpens);
--- a/crates/cache-router/tests/endpoint_discovery.rs
+++ b/crates/cache-router/tests/endpoint_discovery.rs
@@ -2,7 +2,7 @@
 
 use test_support::*;
 
-/// The ways in which a watch is lost; each is followed by a new call, which goes on from the last version.
+/// Each way in which a watch is lost is followed by a new call, which continues from the last version.
 #[test]
 fn a_lost_watch_is_reopened_from_the_last_version() {
     type Lose = fn(&Discovery);
@@ -50,7 +50,7 @@
     discovery.set_failing(true);
     let router = RouterProcess::start(&configuration(discovery.addr, &[server.entry("up")]));
     wait_until("it calls again", || discovery.calls().len() >= 3);
-    // The list that it knew goes on to hold.
+    // The last list stays in use.
     assert!(
         router
             .client()
@@ -120,8 +120,8 @@
     assert_eq!(owner.commands().len(), before);
 }
 
-/// A fleet whose servers are replaced all day, under new ids and at addresses that were others': what each brought goes
-/// with it, and requests find those that are there.
+/// Servers are replaced again and again, under new ids and at reused addresses: the state of each goes with it, and
+/// requests find the current ones.
 #[test]
 fn many_replaced_servers_leak_nothing() {
     let servers = [
@@ -131,7 +131,7 @@
     ];
     let discovery = Discovery::start(list(7, false, &[]));
     let mut config = configuration(discovery.addr, &[servers[0].entry("up")]);
-    // What is remembered of a server for the requests that it may still hold goes soon.
+    // The state of a removed server stays while it may still have requests, and goes soon after.
     for class in config["settings"]["request_classes"]
         .as_array_mut()
         .unwrap()
@@ -174,8 +174,8 @@
     assert!(router.descriptors() < 40, "{}", router.descriptors());
 }
 
-/// A watch that falls silent is broken wherever lists come from, and what it misses counts as told 6 s after that: a new call is
-/// answered by then, where an agent has the lists also if the first one hangs. Where discovery is asked a call may wait longer.
+/// A watch that falls silent counts as lost in every discovery mode, and its changes have to be known 6 s later: a new
+/// call is answered by then, with an agent also if the first call hangs. Where discovery is polled a call may wait longer.
 #[test]
 fn a_silent_watch_is_reopened_in_time_in_every_discovery_mode() {
     let run = |mode: &'static str, hangs: usize| {
@@ -224,7 +224,7 @@
         .for_each(|run| run.join().expect("both hold"));
 }
 
-/// An agent that is silent while discovery is down costs calls, and nothing that the router has.
+/// An agent that is silent while discovery is down costs calls, and no endpoint.
 #[test]
 fn a_silent_agent_removes_no_endpoint() {
     let server = CacheServer::start("s-a");
@@ -252,7 +252,7 @@
     let text: serde_json::Value =
         serde_json::from_str(&list(8, true, &[new.entry("up")])).expect("a list");
     let text = serde_json::to_string_pretty(&text).expect("written") + "\n";
-    // The last byte of the object is withheld: nothing of it counts.
+    // Without its last byte nothing of the list counts.
     let (most, last) = text.split_at(text.len() - 2);
     for piece in most.as_bytes().chunks(7) {
         discovery.write_to_watch(std::str::from_utf8(piece).expect("text"));
@@ -263,7 +263,7 @@
     wait_until("the list is known", || {
         client.request("read", "00000000000000aa").contains("s-b")
     });
-    // And two at once, with an empty line between them.
+    // Two lists at once, with an empty line between them.
     let (drained, back) = (old.entry("up"), new.entry("draining"));
     discovery.write_to_watch(&format!(
         "{}\n\n{}\n",
@@ -276,7 +276,7 @@
     assert_eq!(discovery.calls().len(), 1, "{:?}", discovery.calls());
 }
 
-/// Half a list and then empty lines alone: no more comes of it.
+/// Half a list, followed by nothing but heartbeats.
 #[test]
 fn a_list_that_never_completes_counts_as_silence() {
     let (old, new) = (CacheServer::start("s-a"), CacheServer::start("s-b"));
@@ -289,7 +289,7 @@
     });
 }
 
-/// A drain in the very chunk before the watch breaks is told.
+/// A drain in the last chunk before the end of the watch is applied.
 #[test]
 fn a_change_right_before_the_end_of_a_watch_is_applied() {
     let (old, new) = (CacheServer::start("s-a"), CacheServer::start("s-b"));
--- a/crates/cache-router/tests/operator_commands.rs
+++ b/crates/cache-router/tests/operator_commands.rs
@@ -4,12 +4,12 @@
 use std::net::{SocketAddr, TcpStream};
 use test_support::*;
 
-/// Keys that both of two servers own some of.
+/// Keys of which each of two servers owns some.
 fn keys() -> impl Iterator<Item = String> {
     (0..40).map(|i| format!("{i:016x}"))
 }
 
-/// A router of these servers that operators can call.
+/// Starts a router that knows these servers and has an admin API.
 fn operated(servers: &[&CacheServer]) -> (RouterProcess, Discovery, SocketAddr) {
     let discovery = Discovery::start(list(7, false, &[]));
     let known: Vec<String> = servers.iter().map(|server| server.entry("up")).collect();
@@ -48,7 +48,7 @@
     assert!(served_before > 0 && served_before < 40);
     assert_eq!(post(admin, "/api/exclude", "s-a"), 200);
     assert_eq!(ask_all(&mut client), 0);
-    // Whatever the list says.
+    // Whatever the endpoint list says.
     discovery.write_to_watch(&format!(
         "{}\n",
         list(8, true, &[a.entry("up"), b.entry("up")])
@@ -191,7 +191,7 @@
         None,
         "the front's own connection is closed too"
     );
-    // Whoever comes still is served, and closed then.
+    // A client that still connects is served once, and closed.
     let mut late = router.client();
     assert!(late.request("read", "00000000000000aa").contains("s-a"));
     assert_eq!(late.read_reply(), None);
@@ -215,7 +215,7 @@
             .is_some_and(|text| text.contains("s-a"))
     );
     assert_eq!(pipelined.read_reply(), None);
-    // It runs on, and is back with a rejoin.
+    // The process keeps running, and serves again after `rejoin`.
     assert_eq!(http_request(admin, "GET", "/api/ready", "").status, 200);
     assert_eq!(http_request(admin, "POST", "/api/rejoin", "").status, 200);
     let mut front = router.client();
@@ -235,7 +235,7 @@
     assert_eq!(http_request(admin, "POST", "/api/evacuate", "").status, 200);
     let start = std::time::Instant::now();
     let mut sent = 2;
-    // Always one more than was answered.
+    // Always one more request than replies.
     while client.read_reply().is_some() {
         client.write_until_closed(&command(&[
             "C.GET",
--- a/crates/cache-router/tests/process_replacement.rs
+++ b/crates/cache-router/tests/process_replacement.rs
@@ -46,7 +46,7 @@
     }
 }
 
-/// The configuration with another address for operators.
+/// The configuration with an address of its own for the admin API, and that address.
 fn with_admin(config: &serde_json::Value) -> (serde_json::Value, std::net::SocketAddr) {
     let (mut config, admin) = (config.clone(), unused_addr());
     config["admin"] = admin.to_string().into();
@@ -132,7 +132,7 @@
             .request("read", "00000000000000aa")
             .contains("s-a")
     );
-    // And the one after that takes over from it.
+    // The next process takes over from it.
     let (next, new_admin) = with_admin(&config);
     let _new = platform.start(&next);
     wait_until("the next is ready", || is_ready(new_admin));
@@ -168,14 +168,14 @@
     for i in 0..20 {
         assert!(client.request("read", &format!("{i:016x}")).contains("s-b"));
     }
-    // Both run: what one is told holds at the other.
+    // While both run, an override at one holds at the other.
     ban(new_admin, "/api/include", "s-a");
     wait_until("the old one has heard", || !skipped(admin));
     ban(admin, "/api/exclude", "s-b");
     wait_until("the new one has heard", || skipped(new_admin));
     old.terminate();
     assert_eq!(old.wait().code(), Some(0));
-    // Killed, and started anew: the word is on disk.
+    // Killed, and started again: the overrides are on disk.
     drop(new);
     let (next, admin) = with_admin(&config);
     let last = platform.start(&next);
@@ -249,7 +249,7 @@
     assert_eq!(front.read_reply().as_deref(), Some("+PONG\r\n"));
 }
 
-/// What is pending on a connection keeps it here, unread: its client's end is seen all the same.
+/// A pending request keeps its connection at the old process, unread; a disconnect is seen all the same.
 #[test]
 fn a_disconnect_during_a_hand_over_is_seen() {
     let (silent, fillers) = unresponsive_listener();
@@ -282,7 +282,7 @@
     wait_until("the next serves", || {
         is_ready(next_admin) && !is_ready(admin)
     });
-    // Long before its time is up, without an answer.
+    // Long before its deadline, without a reply.
     leaving.disconnect();
     drop(fillers);
     let server = CacheServer::on("s-a", silent);
--- a/crates/cache-router/tests/process_signals.rs
+++ b/crates/cache-router/tests/process_signals.rs
@@ -13,14 +13,14 @@
     busy.send("read", "00000000000000aa", 4_000);
     wait_until("it is at the server", || server.commands().len() == 2);
     router.terminate();
-    // New connections go on coming for a while, and are served.
+    // New connections are still accepted for a while, and served.
     assert!(
         router
             .client()
             .request("read", "00000000000000cc")
             .contains("s-a")
     );
-    // An idle one is closed, with nothing lost on it.
+    // An idle connection is closed without a loss.
     assert_eq!(idle.read_reply(), None);
     assert!(router.is_running(), "it waits for the answer that it owes");
     server.open_gate();
@@ -40,7 +40,8 @@
     wait_until("they are at the server", || server.commands().len() == 2);
     let start = Instant::now();
     router.terminate();
-    // The longest deadline is 4 s and counts as 3 s; SIGKILL comes 0.7 s after it. What is owed then is answered.
+    // The longest deadline is 4 s and counts as 3 s; SIGKILL comes 0.7 s after it. Pending requests fail
+    // before that.
     assert_eq!(client.read_reply().as_deref(), Some("-ERR failed\r\n"));
     assert_eq!(client.read_reply().as_deref(), Some("-ERR failed\r\n"));
     assert_eq!(client.read_reply(), None);
@@ -51,14 +52,14 @@
     });
 }
 
-/// The machine has accepted them, and the listener's end would reset them.
+/// The kernel has accepted these connections, and closing the listener would reset them.
 #[test]
 fn after_sigterm_clients_that_wait_for_a_slot_are_answered() {
     let server = CacheServer::start("s-a");
     server.set_default_behavior(Behavior::StaySilent);
     let discovery = Discovery::start(list(7, false, &[]));
     let mut config = configuration(discovery.addr, &[server.entry("up")]);
-    // Places for two clients.
+    // Slots for two clients.
     config["limits"]["sockets"] = 52.into();
     let mut router = RouterProcess::start(&config);
     let mut busy = [router.client(), router.client()];
@@ -90,7 +91,7 @@
     let addr = first.addr;
     let mut client = first.client();
     assert!(client.request("read", "00000000000000aa").contains("s-a"));
-    // Killed with a client connected: its side of that connection lingers.
+    // Killed with a client connected: the socket of that connection lingers.
     drop(first);
     config["listen"] = addr.to_string().into();
     let second = RouterProcess::start(&config);
@@ -121,8 +122,8 @@
     }
 }
 
-/// A new configuration under load: where lists are asked for and where an agent has them. What the environment said
-/// at the start does not hold the router at the old address.
+/// A reload under load, in both discovery modes. The environment at the start does not keep the router at the old
+/// address.
 #[test]
 fn after_sighup_the_list_comes_from_the_new_discovery() {
     for mode in ["subscribe", "automatic"] {
@@ -179,7 +180,7 @@
     }
 }
 
-/// The module's back-off has grown long with the old discovery: it does not hold up the new one, which fails at first.
+/// The backoff has grown long with the old discovery; it does not delay the new one, which fails at first.
 #[test]
 fn after_sighup_the_backoff_does_not_delay_the_new_discovery() {
     let (old, new) = (CacheServer::start("s-a"), CacheServer::start("s-b"));
@@ -234,7 +235,7 @@
     }
     let mut client = router.client();
     assert!(client.request("read", "00000000000000aa").contains("s-a"));
-    // The old watch goes on.
+    // The old watch continues.
     discovery.write_to_watch(&format!("{}\n", list(8, true, &[new.entry("up")])));
     wait_until("a change", || {
         client.request("read", "00000000000000aa").contains("s-b")
--- a/crates/cache-router/tests/router_long.rs
+++ b/crates/cache-router/tests/router_long.rs
@@ -17,7 +17,7 @@
     command(&["C.GET", KEY, id, "c=read,t=acme,d=4000"])
 }
 
-/// The configuration with operators' calls and this much memory.
+/// Starts a router with an admin API and this memory limit.
 fn configured(
     server: &CacheServer,
     memory_mb: usize,
@@ -96,7 +96,7 @@
         let _ = client.read_to_end(&mut got);
         assert!(got.len() <= length, "{length}: {}", got.len());
     }
-    // A load report that never comes is no loss: its place is filled.
+    // A load report that never arrives is no failure: an empty one is sent instead.
     server.set_behavior(
         KEY,
         Behavior::ReplyAndClose(bytes[..bytes.len() - 1].to_vec()),
@@ -135,13 +135,13 @@
         })
         .collect();
     assert_eq!(in_progress(admin), 100);
-    // 400 MiB are under way.
+    // 400 MiB are in flight.
     assert!(router.memory_kb() < 32 * 1024, "{} KB", router.memory_kb());
     let mut other = router.client();
     wait_until("another is served", || {
         other.request("read", "00000000000000bb").contains("s-a")
     });
-    // All leave in the middle.
+    // All disconnect in the middle.
     drop(clients);
     wait_until("nothing is under way", || in_progress(admin) == 0);
 }
@@ -192,7 +192,7 @@
     assert_eq!(longest, Some(SIZE));
 }
 
-/// A length that was spoilt is found out before any of it is passed on: the read is served elsewhere.
+/// A corrupted length is detected before any byte is forwarded: the read is served elsewhere.
 #[test]
 fn a_short_value_under_a_long_ones_header_is_not_passed_on() {
     let PairFleet {
@@ -206,7 +206,7 @@
     assert!(router.client().request("read", KEY).contains(&other.name));
 }
 
-/// A server that still gives it is waited for past the client's time: whoever breaks it off loses it.
+/// A server that is still sending is waited for after the client's deadline: breaking off would lose the value.
 #[test]
 fn a_value_that_comes_slowly_is_passed_on_whole_past_its_time() {
     let server = CacheServer::start("s-a");
--- /dev/null
+++ b/crates/cache-router/tests/upstream_connections.rs
@@ -0,0 +1,229 @@
+//! Connections to cache servers: opened, pooled, retired and lost. The real binary against stand-ins on loopback sockets.
+
+use std::time::Instant;
+use test_support::*;
+
+#[test]
+fn connecting_has_a_timeout_of_its_own() {
+    let (silent, _fillers) = unresponsive_listener();
+    let discovery = Discovery::start(list(7, false, &[]));
+    let router = RouterProcess::start(&configuration(
+        discovery.addr,
+        &[entry("s-a", silent.local_addr().unwrap(), "up")],
+    ));
+    let start = Instant::now();
+    // Declined: the proof that nothing ran. And long before the client's 4 s are up.
+    assert!(
+        router
+            .client()
+            .request("once", "7f3a9c21e0b4d655")
+            .starts_with("-BUSY")
+    );
+    assert!(start.elapsed().as_millis() < 3_000, "{:?}", start.elapsed());
+}
+
+/// Guards the drain grace: a connection that is established after the notice carries nothing.
+#[test]
+fn nothing_reaches_a_server_that_drains_while_connecting() {
+    let (silent, fillers) = unresponsive_listener();
+    let other = CacheServer::start("s-b");
+    let addr = silent.local_addr().unwrap();
+    let discovery = Discovery::start(list(7, false, &[]));
+    let mut config = configuration(discovery.addr, &[entry("s-a", addr, "up")]);
+    config["settings"]["limits"]["dial_timeout"] = 15.0.into();
+    for class in config["settings"]["request_classes"]
+        .as_array_mut()
+        .unwrap()
+    {
+        class["give_up"] = 20.0.into();
+    }
+    let router = RouterProcess::start(&config);
+    wait_until("the router watches", || !discovery.calls().is_empty());
+    let mut client = router.client();
+    client.send("once", "7f3a9c21e0b4d655", 16_000);
+    client.write(&command(&["PING"]));
+    let news = list(
+        8,
+        false,
+        &[entry("s-a", addr, "draining"), other.entry("up")],
+    );
+    discovery.write_to_watch(&format!("{news}\n"));
+    let mut second = router.client();
+    wait_until("the drain is known", || {
+        second.request("read", "00000000000000aa").contains("s-b")
+    });
+    drop(fillers);
+    let drained = CacheServer::on("s-a", silent);
+    // It never ran there, so that it may go to the other server.
+    assert!(client.read_reply().unwrap().contains("s-b"));
+    assert!(drained.commands().is_empty(), "{:?}", drained.commands());
+}
+
+/// Guards against a reset of a request that may have run: connections are retired before the server closes them.
+#[test]
+fn idle_connections_are_retired_in_time() {
+    let server = CacheServer::start("s-a");
+    let discovery = Discovery::start(list(7, false, &[]));
+    let mut config = configuration(discovery.addr, &[server.entry("up")]);
+    config["settings"]["limits"]["conn_idle"] = 1.0.into();
+    let router = RouterProcess::start(&config);
+    let mut client = router.client();
+    assert!(client.request("read", "00000000000000aa").contains("s-a"));
+    wait_until("the router closes it", || {
+        server.connections()
+            == ConnectionCounts {
+                accepted: 1,
+                closed: 1,
+            }
+    });
+    assert!(client.request("read", "00000000000000aa").contains("s-a"));
+    assert_eq!(server.connections().accepted, 2);
+}
+
+/// Guards against tables full of idle connections: one that costs more than opening it again is closed.
+#[test]
+fn an_idle_connection_is_closed_once_it_costs_more_than_a_new_one() {
+    let server = CacheServer::start("s-a");
+    let discovery = Discovery::start(list(7, false, &[]));
+    let mut config = configuration(discovery.addr, &[server.entry("up")]);
+    config["settings"]["deductions"] = serde_json::json!({"connection": 0.08, "handshake": 0.001});
+    let router = RouterProcess::start(&config);
+    let mut client = router.client();
+    assert!(client.request("read", "00000000000000aa").contains("s-a"));
+    wait_until("the router closes it", || {
+        server.connections()
+            == ConnectionCounts {
+                accepted: 1,
+                closed: 1,
+            }
+    });
+}
+
+#[test]
+fn a_connection_that_ended_while_idle_is_not_written_to() {
+    let server = CacheServer::start("s-a");
+    let Fleet { router, .. } = start_router(&[&server]);
+    let mut client = router.client();
+    assert!(client.request("once", "00000000000000aa").contains("s-a"));
+    server.close_connections();
+    wait_until("it has ended", || {
+        server.connections()
+            == ConnectionCounts {
+                accepted: 1,
+                closed: 1,
+            }
+    });
+    // A request that must never run twice would fail on it.
+    assert!(client.request("once", "00000000000000aa").contains("s-a"));
+    assert_eq!(server.connections().accepted, 2);
+}
+
+/// Whatever a server does with the connections of one key, those that carry another key stay in use.
+fn closes_no_other_connection(does: Behavior) {
+    let server = CacheServer::start("s-a");
+    let Fleet { router, .. } = start_router(&[&server]);
+    let mut client = router.client();
+    server.set_behavior("00000000000000aa", does);
+    for _ in 0..2 {
+        // The connection that it comes on had been idle.
+        assert!(client.request("once", "00000000000000bb").contains("s-a"));
+        std::thread::sleep(std::time::Duration::from_millis(50));
+        assert!(
+            client
+                .request("once", "00000000000000aa")
+                .starts_with("-ERR")
+        );
+    }
+    let before = server.connections().accepted;
+    for _ in 0..10 {
+        assert!(client.request("once", "00000000000000bb").contains("s-a"));
+        std::thread::sleep(std::time::Duration::from_millis(50));
+    }
+    assert!(
+        server.connections().accepted <= before + 1,
+        "{} connections more",
+        server.connections().accepted - before
+    );
+}
+
+/// A malformed reply shows nothing about idle connections: the others stay open.
+#[test]
+fn a_malformed_reply_closes_no_other_connection() {
+    closes_no_other_connection(Behavior::Reply(b"what?\r\n".to_vec()));
+}
+
+/// A connection that is lost a moment after its last use was not closed for being idle: the others stay open.
+#[test]
+fn a_connection_lost_in_use_closes_no_other_connection() {
+    closes_no_other_connection(Behavior::ReplyAndClose(Vec::new()));
+}
+
+/// A handshake counts for the connection: servers whose new connections are slow, while they reply at once on those
+/// they have, are sent as much as before.
+#[test]
+fn slow_handshakes_do_not_reduce_a_servers_share() {
+    let server = CacheServer::start("s-a");
+    // Longer than half of the aim, which would be slow for an answer.
+    server.set_default_behavior(Behavior::ServeSlowlyOnNewConnection(300));
+    let Fleet { router, .. } = start_router(&[&server]);
+    let mut clients: Vec<Client> = (0..12).map(|_| router.client()).collect();
+    for round in 0..4 {
+        let sent = clients.iter_mut().enumerate();
+        sent.for_each(|(key, client)| client.send("read", &format!("{key:016x}"), 4_000));
+        for client in &mut clients {
+            let answer = client.read_reply().unwrap();
+            assert!(answer.contains("s-a"), "round {round}: {answer}");
+        }
+        server.close_connections();
+        let accepted = server.connections().accepted;
+        wait_until("all have ended", || {
+            server.connections()
+                == ConnectionCounts {
+                    accepted,
+                    closed: accepted,
+                }
+        });
+    }
+    assert_eq!(
+        server.connections().accepted,
+        48,
+        "each went out on a new connection"
+    );
+}
+
+/// A stale connection shows nothing about its server: the key stays there, on another connection, and however often
+/// that happens, no request is rejected for it.
+#[test]
+fn a_stale_connection_costs_a_key_neither_its_owner_nor_a_retry() {
+    let key = "7f3a9c21e0b4d655";
+    // One of many routers starts with few further attempts in hand.
+    let PairFleet {
+        owner,
+        other,
+        router,
+        ..
+    } = start_router_and_pair_with_settings(key, |settings| settings["peers_total"] = 12.into());
+    let mut client = router.client();
+    // The router learns how long the owner's answers take: what breaks much sooner did no work.
+    owner.set_default_behavior(Behavior::ReplyAfter(100, value_reply(&owner.name)));
+    let pause = || std::thread::sleep(std::time::Duration::from_millis(20));
+    for _ in 0..12 {
+        pause();
+        assert!(client.request("read", key).contains(&owner.name));
+    }
+    owner.set_default_behavior(Behavior::CloseOnReuse);
+    let before = owner.connections().accepted;
+    for round in 0..20 {
+        pause();
+        let answer = client.request("read", key);
+        assert!(answer.contains(&owner.name), "round {round}: {answer}");
+    }
+    assert!(
+        owner.connections().accepted >= before + 20,
+        "a new connection each time"
+    );
+    assert!(other.commands().is_empty(), "{:?}", other.commands());
+    // A request that must never run twice may have run.
+    pause();
+    assert!(client.request("once", key).starts_with("-ERR"));
+}
--- /dev/null
+++ b/crates/cache-router/tests/upstream_replies.rs
@@ -0,0 +1,196 @@
+//! Replies of cache servers that are late, malformed, too long or duplicate. The real binary against stand-ins on
+//! loopback sockets.
+
+use std::time::Instant;
+use test_support::*;
+
+/// Guards against replies to the wrong request: a connection with a late reply on it is not reused.
+#[test]
+fn a_late_reply_is_dropped() {
+    let server = CacheServer::start("s-a");
+    server.set_behavior("00000000000000aa", Behavior::ServeOnceGateOpens);
+    let Fleet { router, .. } = start_router(&[&server]);
+    let mut client = router.client();
+    client.send("once", "00000000000000aa", 200);
+    assert!(client.read_reply().unwrap().starts_with("-ERR"));
+    server.set_behavior("00000000000000bb", Behavior::Reply(value_reply("right")));
+    server.open_gate();
+    assert!(client.request("read", "00000000000000bb").contains("right"));
+    let double = [value_reply("right"), value_reply("stray")].concat();
+    server.set_behavior("00000000000000cc", Behavior::Reply(double));
+    assert!(client.request("read", "00000000000000cc").contains("right"));
+    assert!(client.request("read", "00000000000000dd").contains("s-a"));
+}
+
+/// A request with a malformed reply may have run, so that one that must never run twice fails. It fails soon although
+/// the cache server leaves the connection open, and nothing is written to that connection again.
+#[test]
+fn malformed_replies_fail_soon_and_close_their_connection() {
+    let says = |text: &str| Behavior::Reply(text.as_bytes().to_vec());
+    let kinds = [
+        ("a simple string", says("+x\r\n")),
+        ("an integer", says(":1\r\n")),
+        ("a bulk string", says("$3\r\nabc\r\n")),
+        ("a null array", says("*-1\r\n")),
+        ("an array of two", says("*2\r\n$1\r\nv\r\n$3\r\nhit\r\n")),
+        (
+            "an array of four",
+            says("*4\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n$-1\r\n"),
+        ),
+        ("a null value", says("*3\r\n$-1\r\n$3\r\nhit\r\n$-1\r\n")),
+        ("an integer value", says("*3\r\n:7\r\n$3\r\nhit\r\n$-1\r\n")),
+        (
+            "an array within",
+            says("*3\r\n*1\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n"),
+        ),
+        (
+            "noise on how it went",
+            says("*3\r\n$1\r\nv\r\n$3\r\n\u{1}\u{2}\u{3}\r\n$-1\r\n"),
+        ),
+        (
+            "a length that is short",
+            says("*3\r\n$2\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n"),
+        ),
+        (
+            "a length that is long",
+            says("*3\r\n$50\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n"),
+        ),
+        (
+            "a length with a sign",
+            says("*3\r\n$+1\r\nv\r\n$3\r\nhit\r\n$-1\r\n"),
+        ),
+        (
+            "a negative length",
+            says("*3\r\n$-2\r\nv\r\n$3\r\nhit\r\n$-1\r\n"),
+        ),
+        (
+            "a length past all bounds",
+            says("*3\r\n$99999999999999999999999\r\n"),
+        ),
+        ("another error", says("-SYNTAX no\r\n")),
+        ("an error with noise", says("-ERR \u{1}\u{2}\r\n")),
+        ("half an answer", says("*3\r\n$5\r\nva")),
+        ("half a header", says("*")),
+        ("noise", Behavior::Reply(vec![0xFF; 300])),
+        (
+            "a line without end",
+            Behavior::ReplyEndlessly(b"-ERR ".to_vec(), vec![b'x'; 1_000]),
+        ),
+        (
+            "3 GB",
+            Behavior::ReplyEndlessly(b"*3\r\n$3221225472\r\n".to_vec(), vec![b'v'; 65_536]),
+        ),
+    ];
+    let server = CacheServer::start("s-a");
+    let Fleet { router, .. } = start_router(&[&server]);
+    let mut client = router.client();
+    for (count, (what, does)) in kinds.into_iter().enumerate() {
+        server.set_behavior("00000000000000aa", does);
+        let start = Instant::now();
+        let answer = client.request("once", "00000000000000aa");
+        assert!(answer.starts_with("-ERR"), "{what}: {answer}");
+        assert!(
+            start.elapsed().as_millis() < 3_000,
+            "{what}: {:?}",
+            start.elapsed()
+        );
+        wait_until(what, || server.connections().closed == count + 1);
+        assert!(
+            client.request("once", "00000000000000bb").contains("s-a"),
+            "{what}: the next is served"
+        );
+    }
+}
+
+#[test]
+fn a_read_with_a_malformed_reply_is_served_elsewhere() {
+    let key = "7f3a9c21e0b4d655";
+    let PairFleet {
+        owner,
+        other,
+        router,
+        ..
+    } = start_router_and_pair(key);
+    owner.set_default_behavior(Behavior::Reply(b"what?\r\n".to_vec()));
+    assert!(router.client().request("read", key).contains(&other.name));
+}
+
+/// A complete value is served, whatever follows it; its connection is not reused.
+#[test]
+fn a_valid_reply_with_trailing_bytes_is_served() {
+    let good = "*3\r\n$5\r\nright\r\n$3\r\nhit\r\n";
+    let kinds = [
+        ("a second copy", format!("{good}$-1\r\n{good}$-1\r\n")),
+        ("noise behind", format!("{good}$-1\r\n\u{1}\u{2}\u{3}")),
+        ("a report of noise", format!("{good}\u{1}\u{2}\u{3}\r\n")),
+        (
+            "an unprintable report",
+            format!("{good}$3\r\n\u{1}\u{2}\u{3}\r\n"),
+        ),
+        ("an integer for a report", format!("{good}:7\r\n")),
+        ("a report past all bounds", format!("{good}$99999\r\n")),
+        (
+            "a report that is too long",
+            format!("{good}$3\r\nutil=0.61\r\n"),
+        ),
+        ("half a report", format!("{good}$30\r\nutil=0.61\r\n")),
+        ("no report", good.to_string()),
+    ];
+    let server = CacheServer::start("s-a");
+    let Fleet { router, .. } = start_router(&[&server]);
+    let mut client = router.client();
+    for (count, (what, bytes)) in kinds.into_iter().enumerate() {
+        server.set_behavior("00000000000000aa", Behavior::Reply(bytes.into_bytes()));
+        let answer = client.request("once", "00000000000000aa");
+        assert_eq!(answer, format!("{good}$-1\r\n"), "{what}");
+        wait_until(what, || server.connections().closed == count + 1);
+        assert!(
+            client.request("once", "00000000000000bb").contains("s-a"),
+            "{what}: the next is served"
+        );
+    }
+}
+
+/// Guards against a duplicate that arrives when the connection is back in the pool: the next request, which follows at
+/// once, must not get it.
+#[test]
+fn a_duplicate_reply_answers_nobody() {
+    let server = CacheServer::start("s-a");
+    server.set_behavior(
+        "00000000000000aa",
+        Behavior::ReplyInTwoParts(value_reply("first"), 3, value_reply("first")),
+    );
+    let Fleet { router, .. } = start_router(&[&server]);
+    let mut client = router.client();
+    // A fake that slept for longer than it should proves nothing either way.
+    let in_time = || {
+        server
+            .two_part_reply_durations()
+            .iter()
+            .filter(|gap| gap.as_millis() < 5)
+            .count()
+    };
+    wait_until("copies in time", || {
+        let before = (in_time(), server.two_part_reply_durations().len());
+        assert!(client.request("read", "00000000000000aa").contains("first"));
+        let next = client.request("read", "00000000000000bb");
+        wait_until("the copy is out", || {
+            server.two_part_reply_durations().len() > before.1
+        });
+        if in_time() == before.0 {
+            // Whatever is on its way on that connection goes with it.
+            let accepted = server.connections().accepted;
+            server.close_connections();
+            wait_until("all have ended", || {
+                server.connections()
+                    == ConnectionCounts {
+                        accepted,
+                        closed: accepted,
+                    }
+            });
+        } else {
+            assert!(next.contains("s-a"), "{next}");
+        }
+        in_time() >= 20
+    });
+}
