--- a/crates/cache-router/src/hand_over.rs
+++ b/crates/cache-router/src/hand_over.rs
@@ -100,12 +100,12 @@
     }
 
     fn state(&self) -> HandoverState {
-        let (discovery, endpoints) = self.runtime.list();
-        let endpoints = serde_json::to_vec(&endpoints).ok();
+        let watched = self.runtime.endpoint_list();
+        let endpoints = serde_json::to_vec(&watched.endpoints).ok();
         HandoverState {
             overrides: self.admin_state.stored_overrides(),
             drained: self.runtime.lifecycle().is_drained(),
-            endpoint_list: endpoints.map(|endpoints| (discovery, endpoints)),
+            endpoint_list: endpoints.map(|endpoints| (watched.discovery, endpoints)),
             warm_state: postcard::to_stdvec(&self.runtime.warm_state()).unwrap_or_default(),
         }
     }
--- a/crates/cache-router/src/process.rs
+++ b/crates/cache-router/src/process.rs
@@ -153,7 +153,7 @@
             None => (None, store.as_ref().map(load_state).unwrap_or_default()),
         };
         let endpoints = initial_endpoints(&mut configuration, state.endpoint_list.take());
-        let endpoint_count = endpoints.servers();
+        let endpoint_count = endpoints.endpoint_count();
         let runtime = build_runtime(&configuration, settings.router_rules, endpoints)?;
         restore(&runtime, state);
         let listener = open_listener(configuration.listen)?;
--- a/crates/cache-router/src/signals.rs
+++ b/crates/cache-router/src/signals.rs
@@ -72,13 +72,14 @@
 
 /// Logs what coalescing did so far, where it is on.
 pub fn log_coalescing_counters(runtime: &Runtime) {
-    let Some((counters, oldest_age)) = runtime.coalescing_counters() else {
+    let Some(report) = runtime.coalescing() else {
         return;
     };
     let usage = runtime.resource_usage();
     let waiters = usage.coalesced_waiters;
     let flights = usage.coalesced_flights;
-    let oldest_ms = oldest_age.map_or(0, |age| age.0 / 1_000);
+    let oldest_ms = report.oldest_flight_age.map_or(0, |age| age.0 / 1_000);
+    let counters = report.counters;
     eprintln!(
         "asterport: joining: {counters}; now {waiters} waiters on {flights} flights, the oldest {oldest_ms} ms old"
     );
--- a/crates/cache-router/src/summary.rs
+++ b/crates/cache-router/src/summary.rs
@@ -6,7 +6,7 @@
 
 use crate::Runtime;
 use load_balancer::{CandidateVerdict, Diagnostics};
-use router_runtime::{AttemptCounts, OUTCOMES};
+use router_runtime::{AttemptReport, OUTCOMES};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -32,9 +32,9 @@
     ticks.set_missed_tick_behavior(MissedTickBehavior::Skip);
     loop {
         ticks.tick().await;
-        let (attempts, diagnostics) = runtime.attempts();
-        let counters = counters(&runtime, &attempts, &diagnostics);
-        let gauges = gauges(&runtime, &diagnostics);
+        let report = runtime.attempts();
+        let counters = counters(&runtime, &report);
+        let gauges = gauges(&runtime, &report.diagnostics);
         eprintln!("{}", summary_line(&previous, &counters, &gauges));
         previous = counters;
     }
@@ -64,12 +64,9 @@
 }
 
 /// Counts that only grow, by name.
-fn counters(
-    runtime: &Runtime,
-    attempts: &AttemptCounts,
-    diagnostics: &Diagnostics,
-) -> BTreeMap<String, u64> {
+fn counters(runtime: &Runtime, report: &AttemptReport) -> BTreeMap<String, u64> {
     let metrics = runtime.metrics();
+    let attempts = &report.counts;
     let mut counters = BTreeMap::from([
         ("opened".to_string(), attempts.opened),
         ("unopened".to_string(), attempts.unopened),
@@ -81,7 +78,10 @@
     for ((_, name), count) in OUTCOMES.iter().zip(attempts.outcomes) {
         counters.insert(format!("end.{name}"), count);
     }
-    for (verdict, count) in CandidateVerdict::ALL.iter().zip(diagnostics.unplaced) {
+    for (verdict, count) in CandidateVerdict::ALL
+        .iter()
+        .zip(report.diagnostics.unplaced)
+    {
         counters.insert(format!("unplaced.{}", verdict_name(*verdict)), count);
     }
     for (class, counts) in &metrics.requests_by_class {
--- a/crates/process-lifecycle/src/lib.rs
+++ b/crates/process-lifecycle/src/lib.rs
@@ -23,7 +23,7 @@
 
 /// Time that a client which connects to a drained router has for its first command. The client was on its way before
 /// it saw a failed health check, which takes it at most 0.2 s.
-pub const NEWCOMER: Micros = Micros::from_millis(500);
+pub const FIRST_COMMAND_GRACE: Micros = Micros::from_millis(500);
 /// Time after the start of a drain in which commands are still read from a connection that is never idle. The platform
 /// wants connections closed after 4 s; a request that is read in the last 2 s of these may be answered too late.
 pub const DRAIN_READ_DURATION: Micros = Micros::from_millis(2_100);
@@ -58,7 +58,7 @@
 pub enum IdleConnectionPolicy {
     /// Keep it open.
     Keep,
-    /// Close it; one that has not sent a command yet only after [`NEWCOMER`].
+    /// Close it; one that has not sent a command yet only after [`FIRST_COMMAND_GRACE`].
     Close,
     /// Close it at once, whether it has sent a command or not.
     CloseNow,
--- a/crates/request-coalescing/benches/waiters.rs
+++ b/crates/request-coalescing/benches/waiters.rs
@@ -20,14 +20,14 @@
             class: ClassId(0),
             tenant: None,
             key: b"7f3a9c21e0b4d655",
-            what: b"",
+            variant: b"",
             expires: now.plus(Micros::from_millis(1_000 + u64::from(id % 7))),
         };
         coalescer.handle(now, Event::Read(read), actions);
     }
-    let served = Event::Ended {
+    let served = Event::FlightEnded {
         flight: FlightId(RequestId(first_id)),
-        how: FlightOutcome::Served,
+        outcome: FlightOutcome::Served,
     };
     coalescer.handle(now.plus(Micros::from_millis(5)), served, actions);
     black_box(&actions);
--- a/crates/request-coalescing/src/coalescer.rs
+++ b/crates/request-coalescing/src/coalescer.rs
@@ -4,7 +4,7 @@
 //! opens a flight; past a bound it bypasses coalescing. A write on a key closes the key's flights to newcomers. A
 //! served answer goes to the waiters of the flight and to those of earlier flights for the same read.
 
-use crate::counters::Counters;
+use crate::counters::{Counters, Usage};
 use crate::event::{Action, Event, FlightId, FlightOutcome, Read};
 use crate::flight_table::{Flight, FlightTable};
 use crate::latency_tracker::LatencyTracker;
@@ -61,7 +61,7 @@
     }
 
     /// Gives rejected waiters a Retry-After of at most `most`; `None`: none is given.
-    pub fn advising(self, most: Option<Micros>) -> Coalescer {
+    pub fn with_max_retry_after(self, most: Option<Micros>) -> Coalescer {
         Coalescer {
             retry_after: RetryAfter { maximum: most },
             ..self
@@ -75,13 +75,13 @@
             Event::Write { key } => self.on_write(key),
             Event::ClientDisconnected { id } => self.remove_waiter(now, id, actions),
             Event::Retried { flight } => self.on_retried(now, flight, actions),
-            Event::Ended { flight, how } => self.on_ended(now, flight, how, actions),
-            Event::Due => self.on_due(now, actions),
+            Event::FlightEnded { flight, outcome } => self.on_ended(now, flight, outcome, actions),
+            Event::DeadlineReached => self.on_due(now, actions),
         }
     }
 
-    /// The first deadline of all waiters: when [`Event::Due`] is expected.
-    pub fn next_due(&self) -> Option<Micros> {
+    /// The first deadline of all waiters: when [`Event::DeadlineReached`] is expected.
+    pub fn next_deadline(&self) -> Option<Micros> {
         self.table.next_deadline()
     }
 
@@ -91,12 +91,15 @@
     }
 
     /// Waiters and flights at the moment.
-    pub fn held(&self) -> (usize, usize) {
-        (self.table.waiter_count(), self.table.flight_count())
+    pub fn usage(&self) -> Usage {
+        Usage {
+            waiters: self.table.waiter_count(),
+            flights: self.table.flight_count(),
+        }
     }
 
     /// The age of the oldest flight, for operators who look for one that hangs.
-    pub fn oldest(&self, now: Micros) -> Option<Micros> {
+    pub fn oldest_flight_age(&self, now: Micros) -> Option<Micros> {
         let opened_at = self.table.oldest_opened_at()?;
         Some(now.since(opened_at))
     }
@@ -111,7 +114,7 @@
             }
             ReadDecision::Bypass => {
                 self.counters.bypassed += 1;
-                actions.push(Action::Alone { id: read.id });
+                actions.push(Action::Bypass { id: read.id });
             }
         }
     }
@@ -210,7 +213,7 @@
             let retry_after = self.retry_after.spread(id, self.typical_latency(id));
             actions.push(Action::Answer {
                 id,
-                how: FlightOutcome::Rejected(retry_after),
+                outcome: FlightOutcome::Rejected(retry_after),
             });
             self.remove_waiter(now, id, actions);
         }
@@ -235,7 +238,7 @@
             let retry_after = self.retry_after.spread(id, Some(minimum_retry_time));
             actions.push(Action::Answer {
                 id,
-                how: FlightOutcome::Rejected(retry_after),
+                outcome: FlightOutcome::Rejected(retry_after),
             });
             self.remove_waiter(now, id, actions);
         }
@@ -291,7 +294,7 @@
                 }
                 outcome => outcome,
             };
-            actions.push(Action::Answer { id, how: outcome });
+            actions.push(Action::Answer { id, outcome });
         }
     }
 
--- a/crates/request-coalescing/src/counters.rs
+++ b/crates/request-coalescing/src/counters.rs
@@ -2,6 +2,15 @@
 
 use std::fmt;
 
+/// How much the coalescer keeps state for at the moment.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Usage {
+    /// Reads that wait for a flight.
+    pub waiters: usize,
+    /// Flights that reads wait for.
+    pub flights: usize,
+}
+
 /// Counts since the start of the process. The text form is a stable line for operators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
--- a/crates/request-coalescing/src/event.rs
+++ b/crates/request-coalescing/src/event.rs
@@ -18,7 +18,7 @@
     /// The key, as writes name it too.
     pub key: &'a [u8],
     /// The variant: all other fields that change the answer, in a form that is equal for identical reads.
-    pub what: &'a [u8],
+    pub variant: &'a [u8],
     /// Its deadline: when its client stops waiting.
     pub expires: Micros,
 }
@@ -37,7 +37,7 @@
 /// What happens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event<'a> {
-    /// A read that may share a flight arrives. Exactly one [`Action::Open`], [`Action::Join`] or [`Action::Alone`]
+    /// A read that may share a flight arrives. Exactly one [`Action::Open`], [`Action::Join`] or [`Action::Bypass`]
     /// follows.
     Read(Read<'a>),
     /// A write on this key is accepted, or has ended with any outcome. Both moments are reported.
@@ -56,14 +56,14 @@
         flight: FlightId,
     },
     /// A flight has its final answer.
-    Ended {
+    FlightEnded {
         /// The flight.
         flight: FlightId,
         /// Its outcome.
-        how: FlightOutcome,
+        outcome: FlightOutcome,
     },
-    /// The time of [`Coalescer::next_due`](crate::Coalescer::next_due) is reached.
-    Due,
+    /// The time of [`Coalescer::next_deadline`](crate::Coalescer::next_deadline) is reached.
+    DeadlineReached,
 }
 
 /// What the caller has to do, in the order returned.
@@ -84,16 +84,16 @@
         expires: Micros,
     },
     /// The read of this event bypasses coalescing: it is forwarded as a request of its own.
-    Alone {
+    Bypass {
         /// The read.
         id: RequestId,
     },
-    /// Send a waiter its final answer; if it is served, the answer of the flight that [`Event::Ended`] names.
+    /// Send a waiter its final answer; if it is served, the answer of the flight that [`Event::FlightEnded`] names.
     Answer {
         /// The waiter.
         id: RequestId,
         /// Its outcome.
-        how: FlightOutcome,
+        outcome: FlightOutcome,
     },
     /// Bring the flight's deadline forward, as the waiter with the latest one has left. The decision library is
     /// notified.
@@ -103,7 +103,7 @@
         /// The flight's deadline from now on.
         expires: Micros,
     },
-    /// Cancel a flight without waiters, and its attempt. No [`Event::Ended`] follows for it.
+    /// Cancel a flight without waiters, and its attempt. No [`Event::FlightEnded`] follows for it.
     Withdraw {
         /// The flight.
         flight: FlightId,
--- a/crates/request-coalescing/src/flight_table.rs
+++ b/crates/request-coalescing/src/flight_table.rs
@@ -41,7 +41,7 @@
 
     /// Whether this read may wait for the flight. The keys are equal already.
     pub fn accepts(&self, read: &Read<'_>) -> bool {
-        self.is_open && self.class == read.class && *self.variant == *read.what
+        self.is_open && self.class == read.class && *self.variant == *read.variant
     }
 }
 
@@ -113,7 +113,7 @@
         self.opened += 1;
         let flight = Flight {
             key: read.key.into(),
-            variant: read.what.into(),
+            variant: read.variant.into(),
             class: read.class,
             sequence: self.opened,
             opened_at: now,
@@ -179,7 +179,7 @@
         Some(flight)
     }
 
-    /// Closes all flights of a key to newcomers; returns how many were open.
+    /// Closes all flights of a key to newcomers; returns outcome many were open.
     pub fn close_to_newcomers(&mut self, key: &[u8]) -> u64 {
         let mut closed = 0;
         for id in self.by_key.get(key).map_or(&[][..], Vec::as_slice) {
--- a/crates/request-coalescing/src/lib.rs
+++ b/crates/request-coalescing/src/lib.rs
@@ -6,7 +6,7 @@
 //! A *flight* is one request of the decision library that one or more *waiters* share. It is opened for its first
 //! waiter and ends with its answer or with its last waiter. No value is cached beyond that.
 //!
-//! A read *bypasses* coalescing ([`Action::Alone`]) where a bound is reached: it is forwarded as a request of its own.
+//! A read *bypasses* coalescing ([`Action::Bypass`]) where a bound is reached: it is forwarded as a request of its own.
 //!
 //! ```
 //! use request_coalescing::*;
@@ -22,7 +22,7 @@
 //!     class: ClassId(0),
 //!     tenant: None,
 //!     key: b"7f3a",
-//!     what: b"",
+//!     variant: b"",
 //!     expires: Micros::from_millis(1_000),
 //! });
 //! let now = Micros::from_millis(500);
@@ -33,7 +33,7 @@
 //! assert_eq!(actions[0], Action::Open { flight });
 //! assert!(matches!(actions[1], Action::Join { flight: f, .. } if f == flight));
 //! actions.clear();
-//! coalescer.handle(now, Event::Ended { flight, how: FlightOutcome::Served }, &mut actions);
+//! coalescer.handle(now, Event::FlightEnded { flight, outcome: FlightOutcome::Served }, &mut actions);
 //! assert_eq!(actions.len(), 2);
 //! ```
 
@@ -46,7 +46,7 @@
 mod settings;
 
 pub use coalescer::Coalescer;
-pub use counters::Counters;
+pub use counters::{Counters, Usage};
 pub use event::{Action, Event, FlightId, FlightOutcome, Read};
 pub use latency_tracker::LatencyTracker;
 pub use settings::{Bounds, ClassSettings, CoalescingFile, CoalescingRules, SettingsError};
--- a/crates/request-coalescing/src/settings.rs
+++ b/crates/request-coalescing/src/settings.rs
@@ -93,17 +93,17 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CoalescingRules {
     /// Whether a class's reads are coalesced, indexed by class id.
-    pub joined: Vec<bool>,
+    pub is_coalesced: Vec<bool>,
     /// Class settings, indexed by class id.
     pub classes: Vec<ClassSettings>,
     /// See [`CoalescingFile::ignore`].
-    pub ignore: Vec<String>,
+    pub ignored_fields: Vec<String>,
     /// See [`CoalescingFile::per_tenant`].
     pub per_tenant: bool,
     /// See [`Bounds`].
     pub bounds: Bounds,
     /// The longest Retry-After; `None` where the deployment allows none.
-    pub advice: Option<Micros>,
+    pub max_retry_after: Option<Micros>,
 }
 
 /// Why a `[joining]` table cannot be used.
@@ -151,26 +151,26 @@
     /// # Errors
     /// The first problem, in the order classes, bounds, ignored fields.
     pub fn rules(&self, deployment: &Deployment) -> Result<Option<CoalescingRules>, SettingsError> {
-        let joined = self.joined_classes(deployment)?;
+        let is_coalesced = self.coalesced_classes(deployment)?;
         self.bounds.check()?;
         self.check_ignored_fields()?;
-        if !joined.contains(&true) {
+        if !is_coalesced.contains(&true) {
             return Ok(None);
         }
         let classes = &deployment.settings.classes;
         let limits = &deployment.settings.limits;
         Ok(Some(CoalescingRules {
-            joined,
+            is_coalesced,
             classes: classes.iter().map(ClassSettings::of).collect(),
-            ignore: self.ignore.clone(),
+            ignored_fields: self.ignore.clone(),
             per_tenant: self.per_tenant,
             bounds: self.bounds,
-            advice: limits.retry_after.then_some(limits.max_retry_after),
+            max_retry_after: limits.retry_after.then_some(limits.max_retry_after),
         }))
     }
 
     /// Whether each class of the deployment is named; an error for a name that is unknown or not idempotent.
-    fn joined_classes(&self, deployment: &Deployment) -> Result<Vec<bool>, SettingsError> {
+    fn coalesced_classes(&self, deployment: &Deployment) -> Result<Vec<bool>, SettingsError> {
         let known = &deployment.names.classes;
         let classes = &deployment.settings.classes;
         let mut joined = vec![false; classes.len()];
--- a/crates/request-coalescing/tests/coalescer/any_event_order.rs
+++ b/crates/request-coalescing/tests/coalescer/any_event_order.rs
@@ -118,7 +118,7 @@
         for action in actions {
             self.check(id, step, ended, action)?;
         }
-        let (waiters, flights) = self.rig.coalescer.held();
+        let Usage { waiters, flights } = self.rig.coalescer.usage();
         prop_assert_eq!((waiters, flights), (self.waiting.len(), self.flights.len()));
         prop_assert!(flights <= waiters, "a flight without a waiter");
         Ok(())
@@ -141,7 +141,7 @@
             class: ClassId(0),
             tenant: None,
             key: &[key],
-            what: &[variant],
+            variant: &[variant],
             expires,
         }))
     }
@@ -150,10 +150,10 @@
     fn advance(&mut self, millis: u16) -> Result<Vec<Action>, TestCaseError> {
         let end = self.rig.now.plus(ms(u64::from(millis)));
         let mut actions = Vec::new();
-        while let Some(due) = self.rig.coalescer.next_due().filter(|&due| due <= end) {
+        while let Some(due) = self.rig.coalescer.next_deadline().filter(|&due| due <= end) {
             prop_assert!(due >= self.rig.now);
             self.rig.now = due;
-            let due_actions = self.rig.event(Event::Due);
+            let due_actions = self.rig.event(Event::DeadlineReached);
             for (id, _) in answers(&due_actions) {
                 prop_assert_eq!(self.reads[&id].expires, due);
             }
@@ -189,13 +189,13 @@
                 );
                 prop_assert!(expires >= read.expires);
             }
-            Action::Alone { id } => prop_assert_eq!(id.0, step_id),
-            Action::Answer { id, how } => {
+            Action::Bypass { id } => prop_assert_eq!(id.0, step_id),
+            Action::Answer { id, outcome } => {
                 prop_assert!(self.waiting.remove(&id.0), "answered twice, or unasked");
                 let read = &self.reads[&id.0];
                 let time_passes = matches!(step, Step::Advance { .. });
                 prop_assert!(time_passes || self.rig.now <= read.expires);
-                if how == FlightOutcome::Served {
+                if outcome == FlightOutcome::Served {
                     let first = &self.reads[&ended.expect("a flight")];
                     prop_assert_eq!((read.key, read.variant), (first.key, first.variant));
                 }
@@ -208,11 +208,11 @@
 
     /// Lets all deadlines pass; nothing is left then.
     fn finish(mut self) -> TestCaseResult {
-        while let Some(due) = self.rig.coalescer.next_due() {
+        while let Some(due) = self.rig.coalescer.next_deadline() {
             self.rig.now = due;
-            self.rig.event(Event::Due);
+            self.rig.event(Event::DeadlineReached);
         }
-        prop_assert_eq!(self.rig.coalescer.held(), (0, 0));
+        prop_assert_eq!(self.rig.coalescer.usage(), Usage::default());
         Ok(())
     }
 }
--- a/crates/request-coalescing/tests/coalescer/bounds.rs
+++ b/crates/request-coalescing/tests/coalescer/bounds.rs
@@ -13,7 +13,7 @@
         replacement_flights: 1,
     };
     let mut rig = Rig::with(bounds);
-    let alone = |id| Action::Alone { id: RequestId(id) };
+    let alone = |id| Action::Bypass { id: RequestId(id) };
     for id in 1..=3 {
         rig.read(id);
     }
--- a/crates/request-coalescing/tests/coalescer/flight_outcomes.rs
+++ b/crates/request-coalescing/tests/coalescer/flight_outcomes.rs
@@ -13,9 +13,9 @@
     assert_eq!(answers.len(), 500);
     let mut retry_after_us: Vec<u64> = answers
         .iter()
-        .map(|(_, how)| match how {
+        .map(|(_, outcome)| match outcome {
             FlightOutcome::Rejected(Some(after)) => after.0,
-            how => panic!("{how:?}"),
+            outcome => panic!("{outcome:?}"),
         })
         .collect();
     retry_after_us.sort_unstable();
--- a/crates/request-coalescing/tests/coalescer/flight_sharing.rs
+++ b/crates/request-coalescing/tests/coalescer/flight_sharing.rs
@@ -17,8 +17,8 @@
             .map(|id| (id, FlightOutcome::Served))
             .collect::<Vec<_>>()
     );
-    assert_eq!(rig.coalescer.held(), (0, 0));
-    assert_eq!(rig.coalescer.next_due(), None);
+    assert_eq!(rig.coalescer.usage(), Usage::default());
+    assert_eq!(rig.coalescer.next_deadline(), None);
     assert_eq!(
         rig.read(501),
         Action::Open {
--- a/crates/request-coalescing/tests/coalescer/rig.rs
+++ b/crates/request-coalescing/tests/coalescer/rig.rs
@@ -29,7 +29,7 @@
                 minimum_retry_time: ms(20),
             }],
         )
-        .advising(Some(ms(1_000)));
+        .with_max_retry_after(Some(ms(1_000)));
         Rig {
             coalescer,
             now: ms(10_000),
@@ -49,7 +49,7 @@
             class: ClassId(0),
             tenant: Some(TenantId(1)),
             key,
-            what: variant,
+            variant: variant,
             expires,
         };
         let actions = self.event(Event::Read(read));
@@ -66,10 +66,10 @@
         assert_eq!(self.event(Event::Write { key: b"key" }), []);
     }
 
-    pub fn ended(&mut self, id: u32, how: FlightOutcome) -> Vec<Action> {
-        self.event(Event::Ended {
+    pub fn ended(&mut self, id: u32, outcome: FlightOutcome) -> Vec<Action> {
+        self.event(Event::FlightEnded {
             flight: flight(id),
-            how,
+            outcome,
         })
     }
 
@@ -101,7 +101,7 @@
     actions
         .iter()
         .filter_map(|action| match action {
-            Action::Answer { id, how } => Some((id.0, *how)),
+            Action::Answer { id, outcome } => Some((id.0, *outcome)),
             _ => None,
         })
         .collect()
--- a/crates/request-coalescing/tests/coalescer/waiter_deadlines.rs
+++ b/crates/request-coalescing/tests/coalescer/waiter_deadlines.rs
@@ -12,11 +12,11 @@
         panic!("joined")
     };
     assert_eq!(expires, rig.now.plus(ms(1_000)), "not shortened");
-    assert_eq!(rig.coalescer.next_due(), Some(rig.now.plus(ms(50))));
+    assert_eq!(rig.coalescer.next_deadline(), Some(rig.now.plus(ms(50))));
     rig.advance(49);
-    assert_eq!(rig.event(Event::Due), []);
+    assert_eq!(rig.event(Event::DeadlineReached), []);
     rig.advance(1);
-    let actions = rig.event(Event::Due);
+    let actions = rig.event(Event::DeadlineReached);
     assert!(
         matches!(
             answers(&actions)[..],
@@ -64,7 +64,7 @@
         withdrawn(&rig.event(Event::ClientDisconnected { id: RequestId(4) })),
         [1]
     );
-    assert_eq!(rig.coalescer.held(), (0, 0));
+    assert_eq!(rig.coalescer.usage(), Usage::default());
     assert_eq!(
         rig.event(Event::ClientDisconnected { id: RequestId(4) }),
         [],
@@ -77,8 +77,8 @@
     let mut rig = Rig::new();
     rig.read(1);
     rig.advance(1_000);
-    assert_eq!(withdrawn(&rig.event(Event::Due)), [1]);
-    assert_eq!(rig.coalescer.held(), (0, 0));
+    assert_eq!(withdrawn(&rig.event(Event::DeadlineReached)), [1]);
+    assert_eq!(rig.coalescer.usage(), Usage::default());
 }
 
 #[test]
--- a/crates/request-coalescing/tests/coalescer/write_ordering.rs
+++ b/crates/request-coalescing/tests/coalescer/write_ordering.rs
@@ -42,7 +42,14 @@
         [(2, FlightOutcome::Served), (1, FlightOutcome::Served)]
     );
     assert_eq!(withdrawn(&actions), [1]);
-    assert_eq!(rig.coalescer.held(), (1, 1), "the flight of 3 goes on");
+    assert_eq!(
+        rig.coalescer.usage(),
+        Usage {
+            waiters: 1,
+            flights: 1
+        },
+        "the flight of 3 goes on"
+    );
     assert_eq!(
         answers(&rig.ended(1, FlightOutcome::Served)),
         [],
--- a/crates/router-runtime/src/coalescing_stage.rs
+++ b/crates/router-runtime/src/coalescing_stage.rs
@@ -139,7 +139,7 @@
             class: request.class,
             tenant: request.tenant,
             key: &key,
-            what: &variant,
+            variant: &variant,
             expires,
         };
         self.handle(coalescing, Event::Read(read), Subject::Request(request));
@@ -158,12 +158,14 @@
                 () = coalescing.deadline_moved.notified() => {}
                 () = self.environment.sleep_until(due.unwrap_or_else(|| self.environment.now())), if due.is_some() => {}
             }
-            hooks::expire_waiters(|| self.handle(coalescing, Event::Due, Subject::None));
+            hooks::expire_waiters(|| {
+                self.handle(coalescing, Event::DeadlineReached, Subject::None)
+            });
         }
     }
 
     fn next_waiter_deadline(&self, coalescing: &Coalescing) -> Option<Instant> {
-        let deadline = coalescing.state.borrow().coalescer.next_due();
+        let deadline = coalescing.state.borrow().coalescer.next_deadline();
         let deadline = hooks::next_waiter_deadline(deadline)?;
         Some(self.dispatcher.instant(deadline))
     }
@@ -181,9 +183,9 @@
                     self.handle(coalescing, Event::Retried { flight }, Subject::None);
                 }
                 StageEvent::Responded(id, response) => {
-                    let event = Event::Ended {
+                    let event = Event::FlightEnded {
                         flight: FlightId(id),
-                        how: flight_outcome(&response),
+                        outcome: flight_outcome(&response),
                     };
                     self.handle(coalescing, event, Subject::Response(response));
                 }
@@ -200,7 +202,7 @@
     fn handle(&self, coalescing: &Coalescing, event: Event<'_>, mut subject: Subject) {
         let now = self.dispatcher.now();
         let mut actions = std::mem::take(&mut coalescing.state.borrow_mut().actions);
-        let deadline_before = coalescing.state.borrow().coalescer.next_due();
+        let deadline_before = coalescing.state.borrow().coalescer.next_deadline();
         coalescing
             .state
             .borrow_mut()
@@ -225,14 +227,14 @@
                 tenant,
                 expires,
             } => self.dispatcher.join_shared(flight.0, tenant, expires),
-            Action::Alone { id } => {
+            Action::Bypass { id } => {
                 let waiter = coalescing.remove_waiter(id);
                 if let (Some(waiter), Some(request)) = (waiter, subject.take_request()) {
                     self.dispatcher.submit_claimed(id, request, waiter.response);
                 }
             }
-            Action::Answer { id, how } => {
-                self.answer_waiter(coalescing, id, how, subject.response());
+            Action::Answer { id, outcome } => {
+                self.answer_waiter(coalescing, id, outcome, subject.response());
             }
             Action::Shorten { flight, expires } => {
                 self.dispatcher.shorten_shared(flight.0, expires);
@@ -275,21 +277,21 @@
         let _ = waiter.response.send(response);
     }
 
-    /// What coalescing has done and how many wait now; `None` where it is off.
+    /// What coalescing has done and outcome many wait now; `None` where it is off.
     pub fn usage(&self) -> Option<CoalescingUsage> {
         let state = self.coalescing.as_ref()?.state.borrow();
-        let (waiters, flights) = state.coalescer.held();
+        let usage = state.coalescer.usage();
         Some(CoalescingUsage {
             counters: state.coalescer.counters(),
-            waiters,
-            flights,
+            waiters: usage.waiters,
+            flights: usage.flights,
         })
     }
 
     /// The age of the oldest flight.
     pub fn oldest_flight_age(&self) -> Option<Micros> {
         let state = self.coalescing.as_ref()?.state.borrow();
-        state.coalescer.oldest(self.dispatcher.now())
+        state.coalescer.oldest_flight_age(self.dispatcher.now())
     }
 }
 
@@ -327,7 +329,8 @@
 
 impl Coalescing {
     fn new(rules: CoalescingRules, may_cancel: bool) -> Self {
-        let coalescer = Coalescer::new(rules.bounds, &rules.classes).advising(rules.advice);
+        let coalescer = Coalescer::new(rules.bounds, &rules.classes)
+            .with_max_retry_after(rules.max_retry_after);
         let state = State {
             coalescer,
             waiters: FxHashMap::default(),
@@ -343,7 +346,7 @@
 
     /// Whether reads of this request's class are coalesced.
     fn is_coalesced(&self, request: &ClientRequest) -> bool {
-        let is_coalesced = self.rules.joined.get(request.class.0).copied();
+        let is_coalesced = self.rules.is_coalesced.get(request.class.0).copied();
         hooks::is_coalesced(is_coalesced.unwrap_or(false))
     }
 
@@ -352,7 +355,11 @@
         request.command.variant(|field| {
             let by_tenant = field == TENANT_FIELD && self.rules.per_tenant;
             (IGNORED_FIELDS.contains(&field) && !by_tenant)
-                || self.rules.ignore.iter().any(|ignored| ignored == field)
+                || self
+                    .rules
+                    .ignored_fields
+                    .iter()
+                    .any(|ignored| ignored == field)
         })
     }
 
@@ -362,7 +369,7 @@
 
     /// Wakes the task that waits for the earliest deadline of a waiter, if that is earlier now.
     fn wake_if_earlier_than(&self, deadline_before: Option<Micros>) {
-        let deadline = self.state.borrow().coalescer.next_due();
+        let deadline = self.state.borrow().coalescer.next_deadline();
         if deadline.is_some_and(|deadline| deadline_before.is_none_or(|before| deadline < before)) {
             self.deadline_moved.notify_one();
         }
--- a/crates/router-runtime/src/discovery.rs
+++ b/crates/router-runtime/src/discovery.rs
@@ -135,9 +135,14 @@
         self.endpoints.restore(list);
     }
 
-    /// The discovery server, and the list of servers as it stands.
-    pub fn list(&self) -> (SocketAddr, EndpointList) {
-        (self.addr.get(), self.endpoints.list())
+    /// The discovery server.
+    pub fn addr(&self) -> SocketAddr {
+        self.addr.get()
+    }
+
+    /// The list of servers as it stands.
+    pub fn list(&self) -> EndpointList {
+        self.endpoints.list()
     }
 
     /// Leaves the watch for a new one at this address, at once.
--- a/crates/router-runtime/src/downstream/read_plan.rs
+++ b/crates/router-runtime/src/downstream/read_plan.rs
@@ -8,7 +8,7 @@
 use crate::resp::{CommandReader, READ_SIZE};
 use crate::write_memory_budget::WriteReservation;
 use bytes::BytesMut;
-use process_lifecycle::{IdleConnectionPolicy, NEWCOMER};
+use process_lifecycle::{FIRST_COMMAND_GRACE, IdleConnectionPolicy};
 use std::ops::ControlFlow;
 use std::time::{Duration, Instant};
 
@@ -161,7 +161,7 @@
             return Some(value_deadline.unwrap_or(began_at + HEAD_LIMIT));
         }
         if is_newcomer(policy, client) {
-            return Some(last_used_at + duration(NEWCOMER));
+            return Some(last_used_at + duration(FIRST_COMMAND_GRACE));
         }
         if !client.has_sent_command.get() {
             return Some(last_used_at + COMMAND_LIMIT);
--- a/crates/router-runtime/src/endpoint_list.rs
+++ b/crates/router-runtime/src/endpoint_list.rs
@@ -25,7 +25,7 @@
 
 impl EndpointList {
     /// How many entries it has.
-    pub fn servers(&self) -> usize {
+    pub fn endpoint_count(&self) -> usize {
         self.hosts.len()
     }
 }
--- a/crates/router-runtime/src/lib.rs
+++ b/crates/router-runtime/src/lib.rs
@@ -26,4 +26,7 @@
 pub use downstream::IdleConnection;
 pub use endpoint_list::EndpointList;
 pub use metrics::{AttemptCounts, ClassCounts, Metrics, OUTCOMES, ResourceUsage};
-pub use runtime::{ConfigError, RouterConfig, RouterRuntime, ShutdownReport};
+pub use runtime::{
+    AttemptReport, CoalescingReport, ConfigError, RouterConfig, RouterRuntime, ShutdownReport,
+    WatchedEndpoints,
+};
--- a/crates/router-runtime/src/runtime.rs
+++ b/crates/router-runtime/src/runtime.rs
@@ -1,22 +1,21 @@
 //! One router: its parts put together, and what the program and operators ask of it.
 
 mod config;
+mod reports;
 mod shutdown;
 
 use crate::coalescing_stage::CoalescingStage;
 use crate::discovery::Discovery;
 use crate::dispatcher::Dispatcher;
 use crate::downstream::{ClientConnections, DownstreamConfig, IdleConnection};
-use crate::endpoint_list::EndpointList;
 use crate::environment::Environment;
-use crate::metrics::{AttemptCounts, Metrics, ResourceUsage, RouterMetrics};
+use crate::metrics::{Metrics, ResourceUsage, RouterMetrics};
 use crate::mutation::hooks;
 use crate::upstream::UpstreamPools;
 use crate::write_memory_budget::WriteMemoryBudget;
 use config::RouterSetup;
-use load_balancer::{AdminOverride, Availability, Diagnostics, Micros, ServerId, WarmState};
+use load_balancer::{AdminOverride, Availability, ServerId, WarmState};
 use process_lifecycle::{Lifecycle, LifecycleEvent};
-use request_coalescing::Counters;
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -24,6 +23,7 @@
 use tokio::sync::{Notify, mpsc};
 
 pub use config::{ConfigError, RouterConfig};
+pub use reports::{AttemptReport, CoalescingReport, WatchedEndpoints};
 pub use shutdown::ShutdownReport;
 
 /// One router. It relies on one thread: its tasks share their state without locks.
@@ -179,9 +179,12 @@
         self.dispatcher.restore_warm_state(warm_state);
     }
 
-    /// The discovery server, and the list of servers as it stands.
-    pub fn list(&self) -> (SocketAddr, EndpointList) {
-        self.discovery.list()
+    /// The endpoint list as it stands, and where it comes from.
+    pub fn endpoint_list(&self) -> WatchedEndpoints {
+        WatchedEndpoints {
+            discovery: self.discovery.addr(),
+            endpoints: self.discovery.list(),
+        }
     }
 
     /// What operators are shown.
@@ -198,11 +201,11 @@
     }
 
     /// Counts of attempts since the start, and the decision library's present estimates.
-    pub fn attempts(&self) -> (AttemptCounts, Diagnostics) {
-        (
-            self.upstream.metrics().attempts(),
-            self.dispatcher.diagnostics(),
-        )
+    pub fn attempts(&self) -> AttemptReport {
+        AttemptReport {
+            counts: self.upstream.metrics().attempts(),
+            diagnostics: self.dispatcher.diagnostics(),
+        }
     }
 
     /// Leaves half of the slots for connections to cache servers to another process of this router, or takes them back.
@@ -249,8 +252,11 @@
     }
 
     /// Counts of coalescing so far, and the age of the oldest flight; `None` where coalescing is off.
-    pub fn coalescing_counters(&self) -> Option<(Counters, Option<Micros>)> {
+    pub fn coalescing(&self) -> Option<CoalescingReport> {
         let usage = self.coalescing.usage()?;
-        Some((usage.counters, self.coalescing.oldest_flight_age()))
+        Some(CoalescingReport {
+            counters: usage.counters,
+            oldest_flight_age: self.coalescing.oldest_flight_age(),
+        })
     }
 }
--- a/crates/router-runtime/src/runtime/config.rs
+++ b/crates/router-runtime/src/runtime/config.rs
@@ -49,13 +49,6 @@
     Settings(#[from] load_balancer::SettingsError),
 }
 
-/// For callers whose errors are texts.
-impl From<ConfigError> for String {
-    fn from(error: ConfigError) -> String {
-        error.to_string()
-    }
-}
-
 /// What the parts of a router are made of.
 pub(super) struct RouterSetup {
     /// The decision library.
