--- a/crates/load-balancer/src/placement.rs
+++ b/crates/load-balancer/src/placement.rs
@@ -177,14 +177,16 @@
     pub servers: &'a ServerTable,
     pub key_locations: &'a KeyLocations,
     pub now: Micros,
+    /// What the weights of servers tell.
     pub weights: Weights,
+    /// The tightest latency objective of all classes.
     pub shortest_objective: Micros,
     pub slow_start: SlowStart<'a>,
     pub limits: ServerLimits<'a>,
     pub priority: Priority,
-    /// Whether it may be an origin fetch.
+    /// Whether the request may be an origin fetch.
     pub fetch: FetchPermission,
-    /// A fetch away from the owner can be paid for.
+    /// Whether a fetch away from the owner can be paid for.
     pub has_retry_token: bool,
     pub fleet: FleetUsage,
     /// Servers on the ring.
@@ -379,8 +381,8 @@
     }
 
     /// Whether keys may leave a server at capacity: while the rest of the fleet has capacity to spare, or if the
-    /// server itself is in trouble. In a fleet at capacity each move would be a fetch that adds to the overload. A limit on
-    /// few observations moves nothing but writes: many routers would scatter the keys.
+    /// server itself is in trouble. In a fleet at capacity each move would be a fetch that adds to the overload. A
+    /// limit on few observations moves nothing but writes: many routers would scatter the keys.
     fn may_give_keys_away(&self, server: &Server) -> bool {
         let is_trusted = self.pending.request.write || server.limit.is_well_founded(self.now);
         if !is_trusted {
--- a/crates/load-balancer/src/settings.rs
+++ b/crates/load-balancer/src/settings.rs
@@ -166,14 +166,36 @@
     pub handshake: f64,
 }
 
-/// A setting that cannot be used.
+/// A setting that cannot be used, with its path, such as `classes.0.aim`.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("setting {setting}: {problem}")]
-pub struct SettingsError {
-    /// The setting's path, such as `classes.0.aim`.
-    pub setting: String,
-    /// What is wrong with it.
-    pub problem: &'static str,
+pub enum SettingsError {
+    /// A count is zero.
+    #[error("setting {setting}: must be at least 1")]
+    ZeroCount {
+        /// Its path.
+        setting: String,
+    },
+    /// There is no class of requests.
+    #[error("setting classes: at least one class is needed")]
+    NoClasses,
+    /// A time is zero.
+    #[error("setting {setting}: must be above zero")]
+    ZeroTime {
+        /// Its path.
+        setting: String,
+    },
+    /// A number is negative, infinite or none.
+    #[error("setting {setting}: must be a number of at least zero")]
+    NotANumber {
+        /// Its path.
+        setting: String,
+    },
+    /// A ratio is not between 0 and 1.
+    #[error("setting {setting}: must lie between 0 and 1")]
+    NotARatio {
+        /// Its path.
+        setting: String,
+    },
 }
 
 impl Class {
@@ -210,11 +232,9 @@
     ///
     /// The first setting that cannot be used.
     pub fn validate(&self) -> Result<(), SettingsError> {
-        if self.routers == 0 {
-            return Err(unusable("routers".into(), "must be at least 1"));
-        }
+        require_count(self.routers, "routers")?;
         if self.classes.is_empty() {
-            return Err(unusable("classes".into(), "at least one class is needed"));
+            return Err(SettingsError::NoClasses);
         }
         for (index, class) in self.classes.iter().enumerate() {
             class.validate(index)?;
@@ -224,26 +244,27 @@
         }
         require_number(self.over_quota_weight, || "over_quota_worth".into())?;
         if !(0.0..=1.0).contains(&self.rules.initial_capacity_ratio) {
-            let problem = "must lie between 0 and 1";
-            return Err(unusable("rules.cold_share".into(), problem));
-        }
-        require_number(self.rules.overload_multiple, || {
-            "rules.fall_multiple".into()
-        })?;
-        if self.limits.max_attempts == 0 {
-            return Err(unusable("limits.max_attempts".into(), "must be at least 1"));
+            let setting = "rules.cold_share".into();
+            return Err(SettingsError::NotARatio { setting });
         }
-        Ok(())
+        let overload_multiple = self.rules.overload_multiple;
+        require_number(overload_multiple, || "rules.fall_multiple".into())?;
+        require_count(self.limits.max_attempts, "limits.max_attempts")
     }
 }
 
-fn unusable(setting: String, problem: &'static str) -> SettingsError {
-    SettingsError { setting, problem }
+fn require_count(count: u32, setting: &str) -> Result<(), SettingsError> {
+    if count == 0 {
+        let setting = setting.into();
+        return Err(SettingsError::ZeroCount { setting });
+    }
+    Ok(())
 }
 
 fn require_positive(time: Micros, setting: impl FnOnce() -> String) -> Result<(), SettingsError> {
     if time == Micros(0) {
-        return Err(unusable(setting(), "must be above zero"));
+        let setting = setting();
+        return Err(SettingsError::ZeroTime { setting });
     }
     Ok(())
 }
@@ -252,7 +273,8 @@
     if value.is_finite() && value >= 0.0 {
         return Ok(());
     }
-    Err(unusable(setting(), "must be a number of at least zero"))
+    let setting = setting();
+    Err(SettingsError::NotANumber { setting })
 }
 
 impl Default for Settings {
--- a/crates/load-balancer/tests/embedding.rs
+++ b/crates/load-balancer/tests/embedding.rs
@@ -128,12 +128,12 @@
         routers[0].tell(now, request(id, 0, now));
         let (server, attempt) = routers[0].sent[&RequestId(id)].clone();
         if server == owner {
-            let (id, attempt, elapsed) = (
+            let end = AttemptEnd::new(
                 RequestId(id),
                 AttemptNumber(attempt),
+                Outcome::Overloaded,
                 Micros::from_millis(2),
             );
-            let end = AttemptEnd::new(id, attempt, Outcome::Overloaded, elapsed);
             routers[0].tell(now, Event::AttemptEnded(end));
         }
         if routers[0].sent[&RequestId(id)].0 != owner {
