--- a/crates/simulator-adapter/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_request_is_sent_and_its_outcome_taken() {
+fn a_request_is_sent_and_its_outcome_read() {
     let input = format!(
         "sync\t8\ncommit\nsync\t100.5\n{}commit\nsync\t101\n\
          arrival\t3\t77\tread\tacme\t2\t101.8\t0.012\t1.25\t0\t0\tnew field\ncommit\n\
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn refusals_failures_and_timers_are_written() {
+fn rejections_failures_and_timers_are_written() {
     let input = format!(
         "sync\t100\n{}commit\nsync\t101\narrival\t3\t1\tread\t-\t2\t101.5\t-\t-\t0\t0\n\
          arrival\t3\t2\twrite\t-\t2\t101.5\t-\t-\t0\t1\ncommit\nsync\t101.5\ndue\t3\t4\ndue\t3\t8\ncommit\n",
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn every_event_is_taken_and_unknown_ones_are_passed_over() {
+fn every_event_is_read_and_unknown_ones_are_ignored() {
     let input = format!(
         "sync\t100\n{}commit\nsync\t101\nheaders\t3\t5\t0\t10.0.0.1:80\t0.1\nlapsed\t3\t6\ndue\t3\t9\n\
          checked\t3\tsuccess\t10.0.0.1:80\t0.001\t-\nwhisper\t3\t1\t6869\nsomething_new\t3\tx\n\
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn instances_are_apart_and_start_anew() {
+fn instances_are_separate_and_restart_afresh() {
     let arrivals: String = (0..3)
         .map(|r| format!("arrival\t{r}\t9\tread\tacme\t2\t101.5\t-\t-\t0\t0\n"))
         .collect();
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn long_batches_are_answered_whole() {
+fn long_batches_are_answered_completely() {
     let arrivals: String = (0..20_000)
         .map(|id| format!("arrival\t3\t{id}\tread\tacme\t{id}\t101.5\t-\t-\t0\t0\n"))
         .collect();
@@ -157,7 +157,7 @@
     assert!(run("sync\t1\ncommit\n").status.success());
 }
 
-/// Each bad line ends the adapter with one plain message that has its number and cause.
+/// Each malformed line ends the adapter with one message that has its number and cause.
 #[test]
 fn malformed_lines_are_named() {
     let setup = format!("sync\t100\n{}commit\nsync\t101\n", up(3));
@@ -194,7 +194,7 @@
     ] {
         let output = run(&format!("{setup}{bad}commit\n"));
         let stderr = String::from_utf8_lossy(&output.stderr).to_string();
-        assert_eq!(output.status.code(), Some(2), "{bad:?} was taken");
+        assert_eq!(output.status.code(), Some(2), "{bad:?} was accepted");
         assert_eq!(stderr.lines().count(), 1, "{stderr}");
         let second_line = bad.contains("items") || cause == "expected item";
         let number = if second_line && cause == "expected item" {
@@ -252,26 +252,29 @@
         let input = format!("sync\t100\n{}commit\n", up(3)).replace(from, to);
         let output = run(&input);
         let stderr = String::from_utf8_lossy(&output.stderr).to_string();
-        assert_eq!(output.status.code(), Some(2), "{to} was taken");
+        assert_eq!(output.status.code(), Some(2), "{to} was accepted");
         assert!(stderr.contains(cause), "{to}: {stderr}");
     }
 }
 
-/// Settings that a decision rests on arrive: a time-out is written where late answers are worthless, idle
-/// connections to a draining server are closed where that is a rule, and sizes move keys off a small server.
+/// Settings that decisions use arrive: a timeout is written where late answers have no weight, idle connections to a
+/// draining server are closed where that is a rule, and weights move keys off a small server.
 #[test]
-fn settings_that_decide_are_carried() {
+fn settings_that_decisions_use_are_passed_on() {
     let list = |params: &str| {
         format!(
             "sync\t100\nup\t3\t5\t{PARAMS}{params}\nmembership\t3\ttotal\t1\t2\n\
              item\t0\t10.0.0.1:80\tRunning\teast\tbox\t-\t4\nitem\t0\t10.0.0.2:80\tRunning\teast\tbox\t-\t0.1\ncommit\n"
         )
     };
-    let asks: String = (0..8)
+    let arrivals: String = (0..8)
         .map(|id| format!("arrival\t3\t{id}\tread\tacme\t{id}\t101.8\t-\t-\t0\t0\n"))
         .collect();
     let small = |params: &str| {
-        let output = stdout(&run(&format!("{}sync\t101\n{asks}commit\n", list(params))));
+        let output = stdout(&run(&format!(
+            "{}sync\t101\n{arrivals}commit\n",
+            list(params)
+        )));
         output
             .iter()
             .filter(|l| l.starts_with("send\t") && l.contains("10.0.0.2:80"))
@@ -280,7 +283,7 @@
     assert!(small("") > 2);
     assert!(
         small("\tweight_kind=live") > 2,
-        "weights that vary are no sizes"
+        "weights that vary tell nothing"
     );
     assert!(small("\tweight_kind=nominal") <= 1);
     let input = list(
@@ -303,14 +306,14 @@
     );
 }
 
-/// A trace leaves the replies as they are; what it cannot write is said before anything is read.
+/// A trace leaves the replies as they are; a file that cannot be written is reported before anything is read.
 #[test]
 fn a_trace_has_a_line_a_second_and_changes_no_reply() {
     let input = format!(
         "sync\t100.5\n{}commit\nsync\t100.7\ncommit\nsync\t102\ncommit\n",
         up(3)
     );
-    let path = std::env::temp_dir().join(format!("benchlink-trace-{}", std::process::id()));
+    let path = std::env::temp_dir().join(format!("simulator-adapter-trace-{}", std::process::id()));
     let traced = run_with(&["--trace", path.to_str().expect("a plain path")], &input);
     assert_eq!(stdout(&traced), stdout(&run(&input)));
     let text = std::fs::read_to_string(&path).expect("the trace");
@@ -325,10 +328,10 @@
         &["--trace", "/nowhere/at/all"],
         &["--other", "x"],
     ] {
-        let refused = run_with(arguments, "");
-        assert_eq!(refused.status.code(), Some(2), "{arguments:?}");
+        let failed = run_with(arguments, "");
+        assert_eq!(failed.status.code(), Some(2), "{arguments:?}");
         assert_eq!(
-            String::from_utf8_lossy(&refused.stderr).lines().count(),
+            String::from_utf8_lossy(&failed.stderr).lines().count(),
             1,
             "{arguments:?}"
         );
