--- a/crates/router-simulation/src/main.rs
+++ b/crates/router-simulation/src/main.rs
@@ -112,15 +112,15 @@
     /// The drawn plan, reduced to what is to be kept.
     fn plan(&self) -> RunPlan {
         let mut plan = self.drawing.plan(self.seed);
-        if let Some(kept) = &self.keep_faults {
-            kept.retain(&mut plan.faults);
+        if let Some(selected) = &self.keep_faults {
+            selected.retain(&mut plan.faults);
         }
-        if let Some(kept) = &self.keep_crowds {
-            kept.retain(&mut plan.crowds);
+        if let Some(selected) = &self.keep_crowds {
+            selected.retain(&mut plan.crowds);
         }
-        if let Some(kept) = &self.keep_requests {
+        if let Some(selected) = &self.keep_requests {
             plan.requests
-                .retain(|request| kept.contains(request.number as usize));
+                .retain(|request| selected.contains(request.number as usize));
         }
         plan
     }
@@ -287,12 +287,12 @@
 /// The command that replays a shrunk plan.
 fn replay_command(plan: &RunPlan, least: &RunPlan) -> String {
     let coalescing = if plan.coalescing {
-        let crowds = kept_indices(&plan.crowds, &least.crowds);
+        let crowds = remaining_indices(&plan.crowds, &least.crowds);
         format!(" --joining --keep-crowds={crowds}")
     } else {
         String::new()
     };
-    let faults = kept_indices(&plan.faults, &least.faults);
+    let faults = remaining_indices(&plan.faults, &least.faults);
     let requests = least.requests.iter();
     let requests: Vec<String> = requests.map(|request| request.number.to_string()).collect();
     format!(
@@ -302,9 +302,9 @@
     )
 }
 
-/// The indices of what was kept of a list, set apart by commas.
-fn kept_indices<T: PartialEq>(all: &[T], kept: &[T]) -> String {
-    let indices = (0..all.len()).filter(|&index| kept.contains(&all[index]));
+/// The indices of what remains of a list, set apart by commas.
+fn remaining_indices<T: PartialEq>(all: &[T], remaining: &[T]) -> String {
+    let indices = (0..all.len()).filter(|&index| remaining.contains(&all[index]));
     let indices: Vec<String> = indices.map(|index| index.to_string()).collect();
     indices.join(",")
 }
--- a/crates/router-simulation/tests/coalescing_scenarios.rs
+++ b/crates/router-simulation/tests/coalescing_scenarios.rs
@@ -1,4 +1,4 @@
-//! Joining's hard cases at an exact microsecond, with the real runtime in between and the invariant checker throughout.
+//! Coalescing at an exact microsecond, with the real runtime in between and the invariant checker throughout.
 
 use router_simulation::executor::Time;
 use router_simulation::fault_plan::{MILLI, SECOND};
--- a/crates/router-simulation/tests/slow_origin.rs
+++ b/crates/router-simulation/tests/slow_origin.rs
@@ -118,7 +118,7 @@
     }
 }
 
-/// The invariant checker counts what all routers together send a cold server.
+/// The invariant checker counts what all routers together send a server in slow start.
 #[test]
 fn cold_servers_stay_within_their_budget_at_30_routers() {
     for seed in 0..4 {
