--- a/crates/cache-router/src/summary.rs
+++ b/crates/cache-router/src/summary.rs
@@ -82,7 +82,7 @@
         .iter()
         .zip(report.diagnostics.unplaced)
     {
-        counters.insert(format!("unplaced.{}", verdict_name(*verdict)), count);
+        counters.insert(format!("unplaced.{}", verdict.label()), count);
     }
     for (class, counts) in &metrics.requests_by_class {
         counters.insert(format!("passed.{class}"), counts.served);
@@ -109,20 +109,3 @@
         ("usual_us", diagnostics.typical_hit_latency.0),
     ]
 }
-
-/// The name of a verdict in a summary line.
-fn verdict_name(verdict: CandidateVerdict) -> &'static str {
-    match verdict {
-        CandidateVerdict::Owner => "Home",
-        CandidateVerdict::Diverted => "Moved",
-        CandidateVerdict::DivertedWithRetryToken => "MovedPaid",
-        CandidateVerdict::AlreadyAttempted => "Tried",
-        CandidateVerdict::OutsidePartialArc => "InPart",
-        CandidateVerdict::SlowStartLimited => "Cold",
-        CandidateVerdict::Unresponsive => "Silent",
-        CandidateVerdict::HotKeyReplicaElsewhere => "Hot",
-        CandidateVerdict::AtCapacity => "Full",
-        CandidateVerdict::FetchLimited => "NoFetch",
-        CandidateVerdict::RetainedByOwner => "Stays",
-    }
-}
--- a/crates/load-balancer/src/placement.rs
+++ b/crates/load-balancer/src/placement.rs
@@ -73,6 +73,23 @@
         CandidateVerdict::RetainedByOwner,
     ];
 
+    /// The name in summary lines and traces. Operators' scripts read these names: they do not change.
+    pub fn label(self) -> &'static str {
+        match self {
+            CandidateVerdict::Owner => "Home",
+            CandidateVerdict::Diverted => "Moved",
+            CandidateVerdict::DivertedWithRetryToken => "MovedPaid",
+            CandidateVerdict::AlreadyAttempted => "Tried",
+            CandidateVerdict::OutsidePartialArc => "InPart",
+            CandidateVerdict::SlowStartLimited => "Cold",
+            CandidateVerdict::Unresponsive => "Silent",
+            CandidateVerdict::HotKeyReplicaElsewhere => "Hot",
+            CandidateVerdict::AtCapacity => "Full",
+            CandidateVerdict::FetchLimited => "NoFetch",
+            CandidateVerdict::RetainedByOwner => "Stays",
+        }
+    }
+
     /// Whether the request went there.
     pub fn is_taken(self) -> bool {
         matches!(
--- a/crates/request-coalescing/tests/coalescer/rig.rs
+++ b/crates/request-coalescing/tests/coalescer/rig.rs
@@ -49,7 +49,7 @@
             class: ClassId(0),
             tenant: Some(TenantId(1)),
             key,
-            variant: variant,
+            variant,
             expires,
         };
         let actions = self.event(Event::Read(read));
--- a/crates/simulator-adapter/src/trace.rs
+++ b/crates/simulator-adapter/src/trace.rs
@@ -39,9 +39,7 @@
     /// Creates the file and writes the names of the columns.
     pub fn create(path: &str) -> io::Result<Trace> {
         let mut file = BufWriter::new(File::create(path)?);
-        let verdicts = CandidateVerdict::ALL
-            .map(|verdict| format!("{verdict:?}"))
-            .join(" ");
+        let verdicts = CandidateVerdict::ALL.map(CandidateVerdict::label).join(" ");
         writeln!(
             file,
             "second asked again sent served missed errors full late refused | held fetches limit misses latefail \
