--- a/crates/admin-api/src/command.rs
+++ b/crates/admin-api/src/command.rs
@@ -52,7 +52,7 @@
     /// The body is not what the path takes.
     #[error(transparent)]
     Body(#[from] BodyError),
-    /// No list has named a cache server of this id.
+    /// A cache server of this id is neither on the endpoint list nor overridden.
     #[error("nobody has told of a cache server '{0}'")]
     UnknownServer(String),
     /// The process cannot serve yet, or another one has taken over.
--- a/crates/cache-router/src/hand_over.rs
+++ b/crates/cache-router/src/hand_over.rs
@@ -47,7 +47,7 @@
     /// Accepts new processes for as long as this one runs; returns once one of them has all connections and the
     /// runtime has ended.
     pub async fn run(self) {
-        // Until then new processes have to find the predecessor: this one may die before it serves.
+        // Until this process has taken over, new processes have to find its predecessor: this one may die before it serves.
         while !self.admin_state.has_taken_over() {
             sleep(READINESS_POLL_INTERVAL).await;
         }
--- a/crates/cache-router/tests/upstream_attempts.rs
+++ b/crates/cache-router/tests/upstream_attempts.rs
@@ -63,10 +63,10 @@
     );
 }
 
-/// Each row of the outcome table, with a request that must never run twice: it is declined only where nothing can have
+/// Each row of the outcome table, with a request that must never run twice: it is rejected only where it cannot have
 /// run.
 #[test]
-fn every_row_of_the_outcome_table() {
+fn a_request_is_rejected_only_where_it_cannot_have_run() {
     let null = b"*3\r\n$-1\r\n$3\r\nhit\r\n$-1\r\n".to_vec();
     let rows = [
         ("a value", Behavior::Serve, "*3"),
--- a/crates/hot-restart/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -15,9 +15,9 @@
 /// Bytes of a router's name that its files' names show; a file name has at most 255 bytes.
 const MAX_NAME_BYTES: usize = 60;
 
-/// The name of a router's file. Bytes other than ASCII letters, digits and dashes are written as hex numbers, so that
+/// The name of a router's state file or rendezvous socket. Bytes other than ASCII letters, digits and dashes are written as hex numbers, so that
 /// the name contains no path separator.
-fn state_file_name(router: &str, extension: &str) -> String {
+fn router_file_name(router: &str, extension: &str) -> String {
     let mut name = String::from("asterport-");
     for byte in router.bytes().take(MAX_NAME_BYTES) {
         match byte {
--- a/crates/hot-restart/src/rendezvous.rs
+++ b/crates/hot-restart/src/rendezvous.rs
@@ -4,7 +4,7 @@
 //! that starts always finds the newest.
 
 use crate::channel::HandoverChannel;
-use crate::state_file_name;
+use crate::router_file_name;
 use std::fs::File;
 use std::io;
 use std::os::fd::AsRawFd;
@@ -31,7 +31,7 @@
     pub fn new(folder: &Path, router: &str) -> RendezvousSocket {
         RendezvousSocket {
             folder: folder.to_path_buf(),
-            file_name: state_file_name(router, "sock"),
+            file_name: router_file_name(router, "sock"),
         }
     }
 
--- a/crates/hot-restart/src/store.rs
+++ b/crates/hot-restart/src/store.rs
@@ -4,7 +4,7 @@
 //! or the new.
 
 use crate::message::{HandoverState, Message, MessageError, VERSION};
-use crate::state_file_name;
+use crate::router_file_name;
 use std::fs::File;
 use std::io::{self, Read};
 use std::path::{Path, PathBuf};
@@ -35,7 +35,7 @@
     /// In `folder`, for the router of this name. Nothing is created yet.
     pub fn new(folder: &Path, router: &str) -> StateStore {
         StateStore {
-            path: folder.join(state_file_name(router, "state")),
+            path: folder.join(router_file_name(router, "state")),
             router: router.to_string(),
         }
     }
--- a/crates/load-balancer/src/action.rs
+++ b/crates/load-balancer/src/action.rs
@@ -17,7 +17,7 @@
         /// The last byte must be written within this time, else nothing may be sent
         /// ([`Outcome::NotSent`](crate::Outcome::NotSent)): a repeat that waits for its connection may outlast the
         /// deduplication window. `None` for no limit.
-        start_within: Option<Micros>,
+        write_within: Option<Micros>,
     },
     /// Stop waiting for an attempt.
     Cancel {
--- a/crates/load-balancer/src/admission.rs
+++ b/crates/load-balancer/src/admission.rs
@@ -5,8 +5,8 @@
 //! overload the requests that weigh most come first, a tenant over its share comes last, and the order is the same
 //! at any size of fleet.
 
-use crate::endpoints::Server;
 use crate::pending::PendingRequest;
+use crate::server_table::Server;
 use crate::settings::{Class, Rules, Settings};
 use crate::time::Micros;
 use crate::traffic_estimate::TrafficEstimate;
--- a/crates/load-balancer/src/attempt_feedback.rs
+++ b/crates/load-balancer/src/attempt_feedback.rs
@@ -6,10 +6,10 @@
 //! origin. One must not be punished for the other.
 
 use crate::concurrency_limit::{INITIAL_TOTAL_COUNT, LIMIT_DECREASE_RATIO, SLOW_RATIO};
-use crate::endpoints::Server;
 use crate::origin_fetch_limit::OriginFetchLimit;
 use crate::pending::Attempt;
 use crate::request::{AttemptEnd, CacheStatus, ConnectionUse, Outcome};
+use crate::server_table::Server;
 use crate::time::Micros;
 
 /// A server that fails or rejects everything keeps this limit: a trickle that finds out when it recovers.
--- a/crates/load-balancer/src/deployment.rs
+++ b/crates/load-balancer/src/deployment.rs
@@ -12,8 +12,8 @@
 use crate::ids::{KindId, ZoneId};
 use crate::load_report::LoadReportFormat;
 use crate::settings::{
-    CacheMode, Class, ConnectionCosts, DeduplicationScope, Discovery, Idempotency, Limits, Rules,
-    Settings, Tenant, Weights,
+    CacheMode, Class, ConnectionCosts, DeduplicationScope, DiscoveryMode, Idempotency, Limits,
+    Rules, Settings, Tenant, Weights,
 };
 use crate::time::Micros;
 use std::collections::HashMap;
@@ -343,10 +343,10 @@
     LoadReportFormat::new(&names, own_meanings)
 }
 
-fn discovery(params: &Params<'_>) -> Result<Discovery, DeploymentError> {
+fn discovery(params: &Params<'_>) -> Result<DiscoveryMode, DeploymentError> {
     match params.optional("discovery") {
-        None | Some("automatic") => Ok(Discovery::Push),
-        Some("subscribe") => Ok(Discovery::Subscribe {
+        None | Some("automatic") => Ok(DiscoveryMode::Push),
+        Some("subscribe") => Ok(DiscoveryMode::Subscribe {
             poll_within: params.time("invariants.ask_within")?,
         }),
         Some(other) => Err(unknown_word("discovery", other)),
--- a/crates/load-balancer/src/diagnostics.rs
+++ b/crates/load-balancer/src/diagnostics.rs
@@ -2,11 +2,11 @@
 
 use crate::admin_overrides::AdminOverride;
 use crate::availability::Availability;
-use crate::endpoints::Server;
 use crate::idle_connection_lifetime::FleetTraffic;
 use crate::ids::ServerId;
 use crate::placement::CandidateVerdict;
 use crate::router::Router;
+use crate::server_table::Server;
 use crate::time::Micros;
 
 /// The figures that decide how much a router sends, and where.
--- a/crates/load-balancer/src/lib.rs
+++ b/crates/load-balancer/src/lib.rs
@@ -55,7 +55,6 @@
 pub mod deployment;
 mod diagnostics;
 mod endpoint;
-mod endpoints;
 mod event;
 mod failure_attribution;
 mod idle_connection_lifetime;
@@ -76,6 +75,7 @@
 mod retry;
 mod ring;
 mod router;
+mod server_table;
 mod settings;
 mod slow_start;
 mod stale_connections;
@@ -97,8 +97,8 @@
 pub use request::{AttemptEnd, CacheStatus, ConnectionUse, Outcome, Request};
 pub use router::Router;
 pub use settings::{
-    CacheMode, Class, ConnectionCosts, DeduplicationScope, Discovery, Idempotency, Limits, Rules,
-    Settings, SettingsError, Tenant, Weights,
+    CacheMode, Class, ConnectionCosts, DeduplicationScope, DiscoveryMode, Idempotency, Limits,
+    Rules, Settings, SettingsError, Tenant, Weights,
 };
 pub use time::Micros;
 pub use warm_state::WarmState;
--- a/crates/load-balancer/src/origin_fetch_limit.rs
+++ b/crates/load-balancer/src/origin_fetch_limit.rs
@@ -49,7 +49,7 @@
 const MAX_FETCH_TIME: Micros = Micros::from_millis(5_000);
 /// While the origin has a queue, a fetch that moves a key away from its owner may use this ratio of the limit: it
 /// evicts another key, which is fetched again too, and is served last.
-const MIGRATION_LIMIT_RATIO: f64 = 0.3;
+const QUEUED_MIGRATION_RATIO: f64 = 0.3;
 /// Abandoned fetches that are remembered (2 KiB).
 const ABANDONED_COUNT: usize = 256;
 
@@ -146,7 +146,7 @@
     ) -> FetchPermission {
         let at_owner = self.has_capacity(now, undecided, request);
         let migration_ratio = if self.has_queue() {
-            MIGRATION_LIMIT_RATIO
+            QUEUED_MIGRATION_RATIO
         } else {
             1.0
         };
--- a/crates/load-balancer/src/outlier.rs
+++ b/crates/load-balancer/src/outlier.rs
@@ -1,4 +1,4 @@
-//! Does a server respond at all?
+//! Is a server an outlier that does not respond at all?
 //!
 //! Inputs: how its attempts ended, since when it owes an answer that needs no origin fetch (µs), the shortest
 //! latency objective (µs). Answer: responsive or not, and when an unresponsive one gets its next health check.
--- a/crates/load-balancer/src/pending.rs
+++ b/crates/load-balancer/src/pending.rs
@@ -1,9 +1,9 @@
 //! Requests in progress and their attempts, as plain data.
 
-use crate::endpoints::ServerTable;
 use crate::ids::{AttemptNumber, RequestId};
 use crate::origin_fetch_limit::POPULARITY_LEVEL_COUNT;
 use crate::request::Request;
+use crate::server_table::ServerTable;
 use crate::time::Micros;
 use std::collections::HashMap;
 
--- a/crates/load-balancer/src/placement.rs
+++ b/crates/load-balancer/src/placement.rs
@@ -7,12 +7,12 @@
 //! which each router uses one.
 
 use crate::admission::{Priority, ServerLimits};
-use crate::endpoints::{Server, ServerTable};
 use crate::key_locations::KeyLocations;
 use crate::origin_fetch_limit::FetchPermission;
 use crate::outlier::is_health_check_due;
 use crate::pending::PendingRequest;
 use crate::ring::Ring;
+use crate::server_table::{Server, ServerTable};
 use crate::settings::{Rules, Weights};
 use crate::slow_start::SlowStart;
 use crate::time::Micros;
@@ -156,7 +156,7 @@
     }
 }
 
-/// How many mean servers this router passes over before it uses one: its own replica of a hot key, and for a
+/// How much server weight this router passes over before it uses a server, in mean servers (servers of mean weight): its own replica of a hot key, and for a
 /// further attempt one of a few, so that all routers do not crowd the next server. `replica_offset` in [0, 1) is
 /// the router's own.
 pub(crate) fn replicas_to_pass(
@@ -226,7 +226,7 @@
     is_at_owner: bool,
     /// None was offered yet that is not left out.
     is_before_first_fit: bool,
-    /// Mean servers that are still to be passed over.
+    /// Weight that is still to be passed over, in mean servers.
     replicas_left_to_pass: f64,
     /// The owner is left out, or may give keys away.
     may_move: bool,
@@ -331,7 +331,7 @@
     }
 
     /// Past the first fit server a fetch is paid for, unless the key is known to be cached there. A write is a
-    /// fetch at any server.
+    /// fetch at any server, so it is never an extra one.
     fn verdict_for_successor(&self, server: &Server, is_cached: bool) -> CandidateVerdict {
         let is_extra_fetch = !is_cached && !self.inputs.pending.request.write;
         let limit_ratio = if is_extra_fetch {
--- a/crates/load-balancer/src/rejected_requests.rs
+++ b/crates/load-balancer/src/rejected_requests.rs
@@ -1,20 +1,20 @@
 //! When did the client of a retry first ask?
 //!
-//! Inputs: rejected requests (ring position of the key, class, tenant) and when each first arrived (µs). Answer:
+//! Inputs: requests that no server served (rejected, failed, or left by their client; ring position of the key, class, tenant) and when each first arrived (µs). Answer:
 //! the arrival of the oldest that fits the retry. Reason: a retry names no earlier try, and in overload most of what
 //! is served would be past its latency objective if each try counted anew.
 
 use crate::request::Request;
 use crate::time::Micros;
 
-/// Rejected requests that are remembered (128 KiB); a full table forgets the oldest.
+/// Requests that are remembered (128 KiB); a full table forgets the oldest.
 const ENTRY_COUNT: usize = 8192;
 /// Entries that one key, class and tenant may have: so many of its clients at a time.
 const ENTRIES_PER_SIGNATURE: usize = 16;
 /// Spreads the classes of one key over the table (golden ratio, as in Fibonacci hashing).
 const CLASS_STRIDE: usize = 0x9E37_79B1;
 
-/// A rejected request.
+/// A request that no server served.
 #[derive(Clone, Copy, Debug, Default)]
 struct RejectedRequest {
     /// Key, class and tenant: what the tries of one client have in common.
@@ -22,7 +22,7 @@
     first_arrived_at: Micros,
 }
 
-/// Rejected requests whose clients' retries are recognized: a table of fixed size.
+/// Requests that no server served and whose clients' retries are recognized: a table of fixed size.
 #[derive(Debug)]
 pub(crate) struct RejectedRequests(Vec<RejectedRequest>);
 
--- a/crates/load-balancer/src/request.rs
+++ b/crates/load-balancer/src/request.rs
@@ -36,7 +36,7 @@
     Overloaded,
     /// No answer in time; it may have run or run still.
     TimedOut,
-    /// No connection; it never ran.
+    /// No connection, or the command was not written whole; it never ran.
     Unreachable,
     /// The connection broke; it may have run.
     ConnectionLost,
--- a/crates/load-balancer/src/retry.rs
+++ b/crates/load-balancer/src/retry.rs
@@ -190,9 +190,9 @@
             .plus(self.class.latency_objective);
         let left = due_at.since(self.now);
         let timeout = left.scaled(ATTEMPT_TIME_RATIO);
-        let is_overdue = timeout >= target.typical_latency.scaled(OVERDUE_RATIO);
-        let is_overdue_in_vain = self.class.late_weight == 0.0 && is_overdue;
-        let is_worth_giving_up = is_overdue_in_vain || target.is_unresponsive;
+        let would_be_overdue = timeout >= target.typical_latency.scaled(OVERDUE_RATIO);
+        let is_late_answer_worthless = self.class.late_weight == 0.0 && would_be_overdue;
+        let is_worth_giving_up = is_late_answer_worthless || target.is_unresponsive;
         let is_of_use = left > self.class.minimum_retry_time()
             && self.now.plus(left) <= self.pending.request.expires;
         (is_worth_giving_up && self.may_retry() && !target.is_origin && is_of_use)
--- a/crates/load-balancer/src/router.rs
+++ b/crates/load-balancer/src/router.rs
@@ -11,7 +11,6 @@
 use crate::admission::{PriorityContext, ServerLimits};
 use crate::concurrency_limit::{INITIAL_TOTAL_COUNT, SLOW_RATIO};
 use crate::deadline::{DeadlineStep, deadline_step};
-use crate::endpoints::ServerTable;
 use crate::event::Event;
 use crate::failure_attribution::FailureAttribution;
 use crate::idle_connection_lifetime::IdleConnectionLifetime;
@@ -26,6 +25,7 @@
 use crate::request::Request;
 use crate::retry::RetryBudget;
 use crate::ring::{Ring, digest_positions};
+use crate::server_table::ServerTable;
 use crate::settings::{Class, Settings, SettingsError};
 use crate::stale_connections::StaleConnections;
 use crate::subscription::Subscription;
@@ -285,6 +285,7 @@
         match self.choose_server(pending) {
             Some(server) if self.send(pending, server) => {}
             None if self.ring.is_empty() && pending.request.expires > self.now => {
+                // Looked for as often as an attempt would still be of use.
                 let after = self.class(pending).minimum_retry_time();
                 self.set_timer(after, pending.request.id, TimerPurpose::Placement);
             }
--- a/crates/load-balancer/src/router/attempts.rs
+++ b/crates/load-balancer/src/router/attempts.rs
@@ -17,7 +17,8 @@
 use crate::time::Micros;
 
 impl Router {
-    /// The index of the server for the next attempt of a request.
+    /// Chooses the server for the next attempt of a request, by its index. An extra fetch elsewhere spends its retry token
+    /// here, also if [`Router::send`] then finds that nothing may be sent.
     pub(super) fn choose_server(&mut self, pending: &PendingRequest) -> Option<usize> {
         let limit_multiplier = self.priority_context().limit_multiplier(pending);
         let chance = self.random.next_fraction();
@@ -115,7 +116,7 @@
         let is_fetch = self.is_likely_fetch(pending, index);
         let idle = self.take_idle_connection(index);
         let class = self.class(pending);
-        let start_within = retry::deduplication_window_left(pending, class, self.now);
+        let write_within = retry::deduplication_window_left(pending, class, self.now);
         pending.attempts.push(Attempt {
             server: index,
             sent_at: self.now,
@@ -131,7 +132,7 @@
             id: pending.request.id,
             server: self.servers[index].endpoint.server.clone(),
             timeout,
-            start_within,
+            write_within,
         });
         true
     }
--- a/crates/load-balancer/src/router/fleet.rs
+++ b/crates/load-balancer/src/router/fleet.rs
@@ -4,10 +4,10 @@
 use crate::action::Action;
 use crate::concurrency_limit::ConcurrencyLimit;
 use crate::endpoint::{Endpoint, EndpointUpdate};
-use crate::endpoints::Server;
 use crate::ids::{RequestId, ServerId};
 use crate::ring::{RingPoint, server_positions};
-use crate::settings::{CacheMode, Discovery};
+use crate::server_table::Server;
+use crate::settings::{CacheMode, DiscoveryMode};
 use crate::subscription::SubscriptionStep;
 use crate::time::Micros;
 use crate::timer::TimerPurpose;
@@ -25,7 +25,7 @@
             self.on_endpoint(endpoint);
         }
         self.on_availability_changed();
-        if let Discovery::Subscribe { poll_within } = self.settings.discovery {
+        if let DiscoveryMode::Subscribe { poll_within } = self.settings.discovery {
             self.on_subscription_update(update, poll_within);
         }
     }
--- a/crates/load-balancer/src/settings.rs
+++ b/crates/load-balancer/src/settings.rs
@@ -80,7 +80,7 @@
 
 /// How the endpoint list arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Discovery {
+pub enum DiscoveryMode {
     /// Updates are pushed without a subscription.
     Push,
     /// Updates come while subscribed; a router that is not subscribed and has not polled for `poll_within` (four
@@ -142,7 +142,7 @@
     /// Which side fetches from the origin.
     pub mode: CacheMode,
     /// How the endpoint list arrives.
-    pub discovery: Discovery,
+    pub discovery: DiscoveryMode,
     /// What the weights on it tell.
     pub weights: Weights,
     /// The rules of the deployment.
@@ -287,7 +287,7 @@
             tenants: Vec::new(),
             over_quota_weight: 1.0,
             mode: CacheMode::Through,
-            discovery: Discovery::Push,
+            discovery: DiscoveryMode::Push,
             weights: Weights::Unknown,
             rules: Rules {
                 answer_grace: Micros::from_millis(20),
--- a/crates/load-balancer/src/slow_start.rs
+++ b/crates/load-balancer/src/slow_start.rs
@@ -6,7 +6,7 @@
 //! before any of them hears that it is slow.
 
 use crate::concurrency_limit::INITIAL_TOTAL_COUNT;
-use crate::endpoints::Server;
+use crate::server_table::Server;
 use crate::settings::Rules;
 use crate::time::Micros;
 
@@ -17,9 +17,13 @@
     /// How much of its slow start is over: 1 once `slow_start_duration` has passed since its start.
     pub fn slow_start_progress(&self, at: Micros, rules: &Rules) -> f64 {
         let started = self.endpoint.started.max(self.possible_restart_at);
+        if started == Micros(0) {
+            return 1.0;
+        }
         let elapsed = at.since(started).as_secs_f64();
         let progress = elapsed / rules.slow_start_duration.as_secs_f64();
-        if started == Micros(0) || progress.is_nan() {
+        // Without a duration a server that has just started is warm: 0 / 0.
+        if progress.is_nan() {
             1.0
         } else {
             progress.min(1.0)
@@ -53,6 +57,7 @@
     /// they let through at once is more than it can stand. Otherwise the allowance since the last request must
     /// cover one more.
     fn has_allowance(&self, server: &Server, cost: Option<Micros>) -> bool {
+        // Capacity grows linearly: its mean over the pause is that of the pause's middle.
         let halfway = server.last_sent_at.plus(self.now).scaled(0.5);
         let capacity = server.capacity_fraction(halfway, self.rules);
         let safe_work = SAFE_WORK_RATIO * self.rules.overload_multiple * capacity;
--- a/crates/load-balancer/src/warm_state.rs
+++ b/crates/load-balancer/src/warm_state.rs
@@ -4,8 +4,8 @@
 //! A measure only. Guards against a process that starts as if the fleet were new to it while its clients are the same:
 //! it takes known keys for fetches. A part that does not fit the present endpoint list is left out.
 
-use crate::endpoints::Server;
 use crate::router::Router;
+use crate::server_table::Server;
 use crate::time::Micros;
 use crate::traffic_estimate::KeyCount;
 use serde::{Deserialize, Serialize};
--- a/crates/load-balancer/tests/endpoints.rs
+++ b/crates/load-balancer/tests/endpoints.rs
@@ -15,7 +15,7 @@
 fn a_lost_watch_is_renewed_with_growing_delay() {
     let poll_within = ms(10_000);
     let mut settings = settings();
-    settings.discovery = Discovery::Subscribe { poll_within };
+    settings.discovery = DiscoveryMode::Subscribe { poll_within };
     let mut router = Router::new(settings, 3).expect("usable settings");
     let mut actions = Vec::new();
     let list = |update, endpoints| Event::EndpointsChanged { update, endpoints };
--- a/crates/load-balancer/tests/random_events.rs
+++ b/crates/load-balancer/tests/random_events.rs
@@ -412,7 +412,7 @@
         settings.mode = CacheMode::Aside { origin: KindId(9) };
     }
     if mode & 2 == 2 {
-        settings.discovery = Discovery::Subscribe {
+        settings.discovery = DiscoveryMode::Subscribe {
             poll_within: ms(10_000),
         };
         settings.tenants = vec![
--- a/crates/load-balancer/tests/retries.rs
+++ b/crates/load-balancer/tests/retries.rs
@@ -52,7 +52,7 @@
     let (id, actions) = rig.request(2, 7);
     let within = |actions: &[Action]| {
         actions.iter().find_map(|a| match a {
-            Action::Send { start_within, .. } => Some(*start_within),
+            Action::Send { write_within, .. } => Some(*write_within),
             _ => None,
         })
     };
--- a/crates/request-coalescing/src/flight_table.rs
+++ b/crates/request-coalescing/src/flight_table.rs
@@ -179,7 +179,7 @@
         Some(flight)
     }
 
-    /// Closes all flights of a key to newcomers; returns outcome many were open.
+    /// Closes all flights of a key to newcomers; returns how many were open.
     pub fn close_to_newcomers(&mut self, key: &[u8]) -> u64 {
         let mut closed = 0;
         for id in self.by_key.get(key).map_or(&[][..], Vec::as_slice) {
--- a/crates/router-runtime/src/coalescing_stage.rs
+++ b/crates/router-runtime/src/coalescing_stage.rs
@@ -112,7 +112,7 @@
         });
         if stage.coalescing.is_some() {
             let listener = Rc::downgrade(&stage);
-            stage.dispatcher.listen(move || {
+            stage.dispatcher.on_stage_events(move || {
                 if let Some(stage) = listener.upgrade() {
                     stage.take_stage_events();
                 }
@@ -257,6 +257,7 @@
         let Some(waiter) = coalescing.remove_waiter(id) else {
             return;
         };
+        // Always `None` in service: see `mutation::hooks`.
         if response.is_some()
             && outcome != FlightOutcome::Served
             && let Some(request) = waiter.request.after_failed_flight(self.dispatcher.now())
@@ -277,7 +278,7 @@
         let _ = waiter.response.send(response);
     }
 
-    /// What coalescing has done and outcome many wait now; `None` where it is off.
+    /// What coalescing has done and how many reads wait now; `None` where it is off.
     pub fn usage(&self) -> Option<CoalescingUsage> {
         let state = self.coalescing.as_ref()?.state.borrow();
         let usage = state.coalescer.usage();
--- a/crates/router-runtime/src/discovery/endpoint_table.rs
+++ b/crates/router-runtime/src/discovery/endpoint_table.rs
@@ -1,8 +1,8 @@
-//! The list of servers as this router has it: applied to the upstream pools and to the decision library, and kept for a
-//! successor.
+//! The endpoint list as discovery wrote it: applied to the upstream pools and to the decision library, and kept for a
+//! successor process. What the decision library makes of it is its own `ServerTable`.
 
 use crate::dispatcher::Dispatcher;
-use crate::endpoint_list::{EndpointList, Health, Host};
+use crate::endpoint_list::{EndpointList, Health, ListedEndpoint};
 use crate::environment::Environment;
 use crate::mutation::hooks;
 use crate::upstream::UpstreamPools;
@@ -27,7 +27,7 @@
     /// The version of the list, as the present discovery server counts.
     version: Cell<u64>,
     /// By name.
-    hosts: RefCell<BTreeMap<String, Host>>,
+    hosts: RefCell<BTreeMap<String, ListedEndpoint>>,
 }
 
 impl<E: Environment> EndpointTable<E> {
@@ -94,7 +94,7 @@
     }
 
     /// First the addresses, so that the decision library's actions find them; then the event.
-    fn apply_hosts(&self, hosts: Vec<Host>, update: EndpointUpdate) {
+    fn apply_hosts(&self, hosts: Vec<ListedEndpoint>, update: EndpointUpdate) {
         let mut endpoints = Vec::with_capacity(hosts.len());
         for host in hosts {
             let endpoint = self.endpoint(&host);
@@ -116,7 +116,7 @@
     }
 
     /// A host of the list in the decision library's terms.
-    fn endpoint(&self, host: &Host) -> Endpoint {
+    fn endpoint(&self, host: &ListedEndpoint) -> Endpoint {
         let state = match host.health {
             Health::Up => EndpointState::Ready,
             Health::Draining => EndpointState::Draining,
@@ -140,7 +140,7 @@
     }
 
     /// Keeps the list as it stands, for a successor.
-    fn remember(&self, is_whole: bool, changed: &[Host]) {
+    fn remember(&self, is_whole: bool, changed: &[ListedEndpoint]) {
         let mut hosts = self.hosts.borrow_mut();
         if is_whole {
             hosts.clear();
--- a/crates/router-runtime/src/dispatcher.rs
+++ b/crates/router-runtime/src/dispatcher.rs
@@ -253,13 +253,13 @@
                 id,
                 server,
                 timeout,
-                start_within,
+                write_within,
             } => {
                 let order = AttemptOrder {
                     id,
                     server,
                     timeout,
-                    start_within,
+                    write_within,
                 };
                 self.send(state, order);
             }
--- a/crates/router-runtime/src/dispatcher/attempts.rs
+++ b/crates/router-runtime/src/dispatcher/attempts.rs
@@ -22,8 +22,8 @@
     pub server: ServerId,
     /// How long the attempt may take; `None`: until the request's deadline.
     pub timeout: Option<Micros>,
-    /// How long until its last byte is written, or none of it counts.
-    pub start_within: Option<Micros>,
+    /// How long writing it may take until the last byte; past that nothing is sent.
+    pub write_within: Option<Micros>,
 }
 
 /// An attempt that is in flight.
@@ -49,8 +49,8 @@
             return;
         }
         let limit = AttemptLimit {
-            start_by: order
-                .start_within
+            write_by: order
+                .write_within
                 .map(|within| self.clock.instant(started.plus(within))),
             until: self.clock.instant(end),
             extended_until: match order.timeout {
@@ -98,7 +98,7 @@
             let result = tokio::select! {
                 biased;
                 result = attempt => result,
-                // An attempt whose client stalls has ended before, and goes on.
+                // After `client_stalled` the attempt is recorded as ended; the task only forwards the rest.
                 Ok(()) = in_flight.cancelled => match in_flight.is_sent.get() {
                     true => Outcome::Cancelled.into(),
                     false => Outcome::NotSent.into(),
@@ -163,7 +163,7 @@
 }
 
 impl<E: Environment> AttemptOwner for Dispatcher<E> {
-    fn may_send(&self, server: &ServerId) -> bool {
+    fn is_accepting(&self, server: &ServerId) -> bool {
         self.availability(server) == Some(Availability::Accepting)
     }
 
--- a/crates/router-runtime/src/dispatcher/stage_requests.rs
+++ b/crates/router-runtime/src/dispatcher/stage_requests.rs
@@ -86,7 +86,7 @@
     }
 
     /// Sets who is called when there are [`StageEvent`]s.
-    pub fn listen(&self, listener: impl Fn() + 'static) {
+    pub fn on_stage_events(&self, listener: impl Fn() + 'static) {
         *self.stage_listener.borrow_mut() = Some(Rc::new(listener));
     }
 
--- a/crates/router-runtime/src/downstream/close.rs
+++ b/crates/router-runtime/src/downstream/close.rs
@@ -10,10 +10,10 @@
 
 /// How often a client that is not being read is checked for its disconnect.
 const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(40);
-/// How much is read after an error that ends a connection, so that the error is not lost with unread bytes.
-const MAX_DRAIN_BYTES: usize = 256 * 1024;
+/// How much is read and discarded after the last response that ends a connection, so that the error is not lost with unread bytes.
+const MAX_DISCARD_BYTES: usize = 256 * 1024;
 /// How long a client has to read the last response before its connection is closed.
-const DRAIN_LIMIT: Duration = Duration::from_millis(500);
+const DISCARD_LIMIT: Duration = Duration::from_millis(500);
 
 impl<E: Environment> ClientConnections<E> {
     /// Returns once a client that is not being read has disconnected. Guards against requests for nobody: the end of
@@ -31,16 +31,16 @@
             // However it ends, the connection is closed now.
             let _ = self
                 .environment
-                .timeout(DRAIN_LIMIT, self.disconnected(&stream.split().0))
+                .timeout(DISCARD_LIMIT, self.disconnected(&stream.split().0))
                 .await;
         }
     }
 
     /// Ends sending and reads on for a moment. A connection that is closed with bytes unread is reset, and what was
     /// last written to it may be lost with that.
-    pub(super) async fn close_after_drain(&self, mut stream: E::Stream) {
-        let drain = async {
-            let mut left = MAX_DRAIN_BYTES;
+    pub(super) async fn close_after_discard(&self, mut stream: E::Stream) {
+        let discard = async {
+            let mut left = MAX_DISCARD_BYTES;
             let mut bytes = [0; READ_SIZE];
             stream.shutdown().await?;
             while let count @ 1.. = stream.read(&mut bytes).await? {
@@ -52,6 +52,6 @@
             io::Result::Ok(())
         };
         // However it ends, the connection is closed now.
-        let _ = self.environment.timeout(DRAIN_LIMIT, drain).await;
+        let _ = self.environment.timeout(DISCARD_LIMIT, discard).await;
     }
 }
--- a/crates/router-runtime/src/downstream/connection.rs
+++ b/crates/router-runtime/src/downstream/connection.rs
@@ -36,7 +36,7 @@
             let Served { stream, end } = self.serve_until_idle(stream, unread, client).await;
             let unread = match end {
                 ReadEnd::Disconnected | ReadEnd::Done => return,
-                ReadEnd::Error => return self.close_after_drain(stream).await,
+                ReadEnd::DoneUnread => return self.close_after_discard(stream).await,
                 ReadEnd::Finished => return self.close_unread(stream).await,
                 ReadEnd::HandOver(unread) => unread,
             };
@@ -149,7 +149,7 @@
             }
             if is_last {
                 client.is_closing.set(true);
-                return ControlFlow::Break(ReadEnd::Error);
+                return ControlFlow::Break(ReadEnd::DoneUnread);
             }
         }
         ControlFlow::Continue(())
--- a/crates/router-runtime/src/downstream/read_plan.rs
+++ b/crates/router-runtime/src/downstream/read_plan.rs
@@ -25,8 +25,8 @@
     Disconnected,
     /// Pending responses are written, and then the connection is closed.
     Done,
-    /// The same, and the client may still be sending what will not be read.
-    Error,
+    /// The same, and the client may still be sending what will not be read: after an error, or while the router is drained.
+    DoneUnread,
     /// The same, and the process ends.
     Finished,
     /// It is idle, with what was read of a command that is not whole yet: for the successor.
@@ -88,8 +88,8 @@
             client.is_stopped.set(false);
             return !lifecycle.is_handed_over();
         }
-        let is_idle = !client.has_pending_responses() || client.has_begun_command();
-        let stops = !is_idle && !lifecycle.may_read_more(self.config.requests.now());
+        let may_finish = !client.has_pending_responses() || client.has_begun_command();
+        let stops = !may_finish && !lifecycle.may_read_more(self.config.requests.now());
         client.is_stopped.set(client.is_stopped.get() || stops);
         !client.is_stopped.get()
     }
@@ -118,7 +118,7 @@
         }
         if client.is_stopped.get() && !has_pending {
             // Its client sends the rest of the pipeline again.
-            return ControlFlow::Break(ReadEnd::Error);
+            return ControlFlow::Break(ReadEnd::DoneUnread);
         }
         self.reserve(input);
         let has_memory = input.has_memory();
--- a/crates/router-runtime/src/endpoint_list.rs
+++ b/crates/router-runtime/src/endpoint_list.rs
@@ -20,7 +20,7 @@
     #[serde(default, rename = "whole")]
     pub(crate) is_snapshot: bool,
     #[serde(default)]
-    pub(crate) hosts: Vec<Host>,
+    pub(crate) hosts: Vec<ListedEndpoint>,
 }
 
 impl EndpointList {
@@ -32,7 +32,7 @@
 
 /// One server of a list.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub(crate) struct Host {
+pub(crate) struct ListedEndpoint {
     #[serde(rename = "host")]
     pub(crate) name: String,
     #[serde(rename = "dial")]
--- a/crates/router-runtime/src/mutation.rs
+++ b/crates/router-runtime/src/mutation.rs
@@ -17,31 +17,31 @@
     /// Each attempt is followed by an unrequested copy.
     SendsAfterAnswer,
     /// An attempt that waited for its connection is sent although its client has disconnected.
-    SendsAfterDeparture,
+    SendsAfterDisconnect,
     /// A connection to the previous process of a server is kept for the process that the list names now.
     KeepsOldConnections,
     /// A connection whose response is still to come is used for the next request.
     ReusesTimedOut,
     /// A reset after the last byte counts as proof that the request did not run.
-    RepeatsUnsafe,
+    RetriesNotIdempotent,
     /// A request that may have run is rejected instead of failed.
-    RefusesWhatRan,
+    RejectsWhatMayHaveRun,
     /// Keyed requests are retried as if their deduplication window never ended.
-    RepeatsPastMemory,
+    RetriesPastDeduplicationWindow,
     /// Keyed requests of a zone are retried in other zones.
-    LeavesTheGroup,
+    LeavesDeduplicationScope,
     /// Drains and removals reach the decision library 251 ms late.
     DrainsLate,
     /// Disconnects of clients that are not being read are not noticed.
-    OverlooksDepartures,
+    OverlooksDisconnects,
     /// Requests that are pending when the process has to end get no response.
-    DropsOwedAtTheEnd,
+    DropsPendingAtShutdown,
     /// A silent watch in push mode is kept.
     KeepsSilentPush,
     /// Servers that the list removes are kept.
     KeepsRemoved,
     /// All servers count as started long ago: none is warmed up.
-    ForgetsColdness,
+    SkipsSlowStart,
     /// A restarted server counts as the same process.
     MissesRestart,
     /// Fired timers are set once more, for an hour later.
@@ -51,13 +51,13 @@
     /// Finished requests are kept in memory.
     LeaksRequests,
     /// A list that names a server as up lifts the operators' override.
-    ListLiftsBans,
+    ListLiftsOverrides,
     /// A restarted process ignores the operators' overrides.
-    ForgetsBans,
+    ForgetsOverrides,
     /// Writes of any class are coalesced like reads.
-    JoinsWrites,
+    CoalescesWrites,
     /// A write does not end coalescing on its key.
-    JoinsAcrossWrites,
+    CoalescesAcrossWrites,
     /// Waiters of a flight wait for its end, also past their own deadlines.
     HoldsWaiters,
     /// After a failed flight each of its waiters sends a request of its own.
@@ -66,40 +66,40 @@
 
 impl Mutation {
     /// The mutations that randomly drawn runs catch. Scenarios catch the others, whose faults are too rare in drawn
-    /// runs: [`Mutation::KeepsSilentPush`], [`Mutation::DropsOwedAtTheEnd`], [`Mutation::KeepsOldConnections`] and
-    /// [`Mutation::OverlooksDepartures`].
-    pub const ALL: [Mutation; 23] = [
+    /// runs: [`Mutation::KeepsSilentPush`], [`Mutation::DropsPendingAtShutdown`], [`Mutation::KeepsOldConnections`] and
+    /// [`Mutation::OverlooksDisconnects`].
+    pub const DRAWN: [Mutation; 23] = [
         Mutation::AnswersTwice,
         Mutation::DropsPipelined,
         Mutation::DeadlinesLate,
         Mutation::SendsAfterAnswer,
-        Mutation::SendsAfterDeparture,
+        Mutation::SendsAfterDisconnect,
         Mutation::ReusesTimedOut,
-        Mutation::RepeatsUnsafe,
-        Mutation::RefusesWhatRan,
-        Mutation::RepeatsPastMemory,
-        Mutation::LeavesTheGroup,
+        Mutation::RetriesNotIdempotent,
+        Mutation::RejectsWhatMayHaveRun,
+        Mutation::RetriesPastDeduplicationWindow,
+        Mutation::LeavesDeduplicationScope,
         Mutation::DrainsLate,
         Mutation::KeepsRemoved,
-        Mutation::ForgetsColdness,
+        Mutation::SkipsSlowStart,
         Mutation::MissesRestart,
         Mutation::LeaksTimers,
         Mutation::LeaksConnections,
         Mutation::LeaksRequests,
-        Mutation::ListLiftsBans,
-        Mutation::ForgetsBans,
-        Mutation::JoinsWrites,
-        Mutation::JoinsAcrossWrites,
+        Mutation::ListLiftsOverrides,
+        Mutation::ForgetsOverrides,
+        Mutation::CoalescesWrites,
+        Mutation::CoalescesAcrossWrites,
         Mutation::HoldsWaiters,
         Mutation::Stampedes,
     ];
 
     /// Whether the defect shows only where reads are coalesced.
-    pub fn is_of_joining(self) -> bool {
-        use Mutation::{HoldsWaiters, JoinsAcrossWrites, JoinsWrites, Stampedes};
+    pub fn is_of_coalescing(self) -> bool {
+        use Mutation::{CoalescesAcrossWrites, CoalescesWrites, HoldsWaiters, Stampedes};
         matches!(
             self,
-            JoinsWrites | JoinsAcrossWrites | HoldsWaiters | Stampedes
+            CoalescesWrites | CoalescesAcrossWrites | HoldsWaiters | Stampedes
         )
     }
 }
--- a/crates/router-runtime/src/mutation/hooks.rs
+++ b/crates/router-runtime/src/mutation/hooks.rs
@@ -2,7 +2,7 @@
 //! gives back what it is given.
 
 use super::{Mutation, is_active};
-use crate::endpoint_list::{Health, Host};
+use crate::endpoint_list::{Health, ListedEndpoint};
 use crate::environment::Environment;
 use crate::request::ClientRequest;
 use bytes::Bytes;
@@ -25,10 +25,10 @@
         else {
             continue;
         };
-        if is_active(Mutation::RepeatsPastMemory) {
+        if is_active(Mutation::RetriesPastDeduplicationWindow) {
             *deduplication_window = deduplication_window.scaled(1_000.0);
         }
-        if is_active(Mutation::LeavesTheGroup) {
+        if is_active(Mutation::LeavesDeduplicationScope) {
             *scope = DeduplicationScope::All;
         }
     }
@@ -37,7 +37,7 @@
 
 /// An event on its way to the decision library.
 pub(crate) fn event(mut event: Event) -> Event {
-    if is_active(Mutation::RepeatsUnsafe)
+    if is_active(Mutation::RetriesNotIdempotent)
         && let Event::AttemptEnded(end) = &mut event
         && end.outcome == Outcome::ConnectionLost
     {
@@ -49,7 +49,7 @@
 /// An action on its way from the decision library.
 pub(crate) fn action(action: Action) -> Action {
     match action {
-        Action::Fail { id } if is_active(Mutation::RefusesWhatRan) => Action::Reject {
+        Action::Fail { id } if is_active(Mutation::RejectsWhatMayHaveRun) => Action::Reject {
             id,
             retry_after: None,
         },
@@ -78,7 +78,7 @@
 
 /// Whether an attempt that has not begun is still wanted.
 pub(crate) fn is_wanted(is_wanted: bool) -> bool {
-    is_wanted || is_active(Mutation::SendsAfterAnswer) || is_active(Mutation::SendsAfterDeparture)
+    is_wanted || is_active(Mutation::SendsAfterAnswer) || is_active(Mutation::SendsAfterDisconnect)
 }
 
 /// An attempt goes out, once.
@@ -111,11 +111,11 @@
 pub(crate) fn hosts<E: Environment>(
     environment: &E,
     update: EndpointUpdate,
-    mut hosts: Vec<Host>,
-    apply_later: impl FnOnce(Vec<Host>) + 'static,
-) -> Vec<Host> {
+    mut hosts: Vec<ListedEndpoint>,
+    apply_later: impl FnOnce(Vec<ListedEndpoint>) + 'static,
+) -> Vec<ListedEndpoint> {
     if is_active(Mutation::DrainsLate) && update != EndpointUpdate::Restored {
-        let (up, late): (Vec<Host>, Vec<Host>) = hosts
+        let (up, late): (Vec<ListedEndpoint>, Vec<ListedEndpoint>) = hosts
             .into_iter()
             .partition(|host| host.health == Health::Up);
         if !late.is_empty() {
@@ -131,7 +131,7 @@
         hosts.retain(|host| host.health != Health::Removed);
     }
     for host in &mut hosts {
-        if is_active(Mutation::ForgetsColdness) {
+        if is_active(Mutation::SkipsSlowStart) {
             host.started_ms = 0;
         }
         if is_active(Mutation::MissesRestart) {
@@ -143,7 +143,7 @@
 
 /// Servers that a list names.
 pub(crate) fn endpoints_listed(endpoints: &[Endpoint], mut enable: impl FnMut(&ServerId)) {
-    if !is_active(Mutation::ListLiftsBans) {
+    if !is_active(Mutation::ListLiftsOverrides) {
         return;
     }
     for endpoint in endpoints {
@@ -159,12 +159,12 @@
 ) -> impl Iterator<Item = (ServerId, AdminOverride)> {
     overrides
         .into_iter()
-        .filter(|_| !is_active(Mutation::ForgetsBans))
+        .filter(|_| !is_active(Mutation::ForgetsOverrides))
 }
 
 /// Answers what is pending when the process has to end.
 pub(crate) fn fail_pending(fail: impl FnOnce()) {
-    if !is_active(Mutation::DropsOwedAtTheEnd) {
+    if !is_active(Mutation::DropsPendingAtShutdown) {
         fail();
     }
 }
@@ -214,17 +214,17 @@
 
 /// Whether a command counts as a write for coalescing.
 pub(crate) fn is_write(is_write: bool) -> bool {
-    is_write && !is_active(Mutation::JoinsWrites)
+    is_write && !is_active(Mutation::CoalescesWrites)
 }
 
 /// Whether requests of a class are coalesced.
 pub(crate) fn is_coalesced(is_coalesced: bool) -> bool {
-    is_coalesced || is_active(Mutation::JoinsWrites)
+    is_coalesced || is_active(Mutation::CoalescesWrites)
 }
 
 /// A write separates the reads before it from those after it.
 pub(crate) fn separate_reads(separate: impl FnOnce()) {
-    if !is_active(Mutation::JoinsAcrossWrites) {
+    if !is_active(Mutation::CoalescesAcrossWrites) {
         separate();
     }
 }
@@ -290,7 +290,7 @@
 
 /// Whether a client that is not being read has disconnected.
 pub(crate) fn has_disconnected(has_disconnected: bool) -> bool {
-    has_disconnected && !is_active(Mutation::OverlooksDepartures)
+    has_disconnected && !is_active(Mutation::OverlooksDisconnects)
 }
 
 /// The bytes of a response as they are written.
--- a/crates/router-runtime/src/request.rs
+++ b/crates/router-runtime/src/request.rs
@@ -31,7 +31,7 @@
     Served(Bytes),
     /// A long answer, passed on as it arrives. Only where a single client waits for it.
     Streamed(mpsc::Receiver<BodyPiece>),
-    /// Rejected without having run; the client may try again after this time.
+    /// Rejected: a retry does no harm, and the client may send it after this time.
     Rejected(Option<Micros>),
     /// Failed: it may have run.
     Failed,
--- a/crates/router-runtime/src/runtime/config.rs
+++ b/crates/router-runtime/src/runtime/config.rs
@@ -6,7 +6,7 @@
 use crate::mutation::hooks;
 use crate::upstream::UpstreamLimits;
 use load_balancer::deployment::{Deployment, Names};
-use load_balancer::{Class, Discovery as DiscoveryMode, LoadReportFormat, Micros, Router};
+use load_balancer::{Class, DiscoveryMode, LoadReportFormat, Micros, Router};
 use request_coalescing::CoalescingRules;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/router-runtime/src/runtime/shutdown.rs
+++ b/crates/router-runtime/src/runtime/shutdown.rs
@@ -7,7 +7,7 @@
 use std::future::Future;
 use std::time::{Duration, Instant};
 
-/// Clients connect for up to 0.4 s after SIGTERM.
+/// The front hears of SIGTERM late: clients connect for up to 0.4 s after it, and what they send takes some time more.
 const ACCEPT_AFTER_STOP: Duration = Duration::from_millis(550);
 /// SIGKILL comes no sooner than the longest deadline and this much after SIGTERM ...
 const KILL_MARGIN: Duration = Duration::from_millis(700);
--- a/crates/router-runtime/src/upstream/attempt.rs
+++ b/crates/router-runtime/src/upstream/attempt.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug)]
 pub struct AttemptLimit {
     /// Its last byte is written by then, or none of it counts.
-    pub start_by: Option<Instant>,
+    pub write_by: Option<Instant>,
     /// It has ended by then ...
     pub until: Instant,
     /// ... or by then, if that is later: it may move while the attempt is in flight.
@@ -37,9 +37,9 @@
             .map_or(self.until, |extended| extended.get().max(self.until))
     }
 
-    fn start_by(&self) -> Instant {
+    fn write_by(&self) -> Instant {
         let until = self.until();
-        self.start_by.map_or(until, |start_by| start_by.min(until))
+        self.write_by.map_or(until, |write_by| write_by.min(until))
     }
 }
 
@@ -88,7 +88,7 @@
 /// Whom an attempt is made for, and who knows whether it is still wanted.
 pub trait AttemptOwner {
     /// Whether new attempts may go to a server now.
-    fn may_send(&self, server: &ServerId) -> bool;
+    fn is_accepting(&self, server: &ServerId) -> bool;
 
     /// Whether an attempt is still wanted: its request waits for a response, and it was not cancelled.
     fn is_wanted(&self, id: RequestId, attempt: AttemptNumber) -> bool;
@@ -179,9 +179,9 @@
         context: &AttemptContext,
     ) -> bool {
         self.is_current(server, connection)
-            && context.owner.may_send(server)
+            && context.owner.is_accepting(server)
             && context.is_wanted()
-            && self.environment.now() <= context.limit.start_by()
+            && self.environment.now() <= context.limit.write_by()
     }
 
     /// One command and its response on a connection.
@@ -240,8 +240,8 @@
                     .map(Some),
                 false => Poll::Ready(None),
             });
-            let start_by = context.limit.start_by();
-            match self.environment.timeout_at(start_by, write).await {
+            let write_by = context.limit.write_by();
+            match self.environment.timeout_at(write_by, write).await {
                 Ok(Some(Ok(count))) if count > 0 => written += count,
                 Ok(None) => return Err(Outcome::NotSent),
                 _ => return Err(Outcome::Unreachable),
--- a/crates/router-simulation/src/campaign/mutations.rs
+++ b/crates/router-simulation/src/campaign/mutations.rs
@@ -33,8 +33,8 @@
     use std::sync::{Mutex, PoisonError};
 
     let results: Mutex<BTreeMap<u64, MutationResult>> = Mutex::default();
-    for_each_parallel(0..Mutation::ALL.len() as u64, thread_count, |index| {
-        let mutation = Mutation::ALL[index as usize];
+    for_each_parallel(0..Mutation::DRAWN.len() as u64, thread_count, |index| {
+        let mutation = Mutation::DRAWN[index as usize];
         let result = MutationResult {
             mutation: format!("{mutation:?}"),
             detected: detect(mutation, seeds.clone()),
@@ -57,7 +57,7 @@
     use crate::run::{Recording, simulate};
     use router_runtime::mutation::activate;
 
-    let draw = if mutation.is_of_joining() {
+    let draw = if mutation.is_of_coalescing() {
         RunPlan::draw_coalescing
     } else {
         RunPlan::draw
--- a/crates/router-simulation/src/clients.rs
+++ b/crates/router-simulation/src/clients.rs
@@ -35,8 +35,7 @@
 }
 
 impl TryOutcome {
-    /// How long to wait before a request is sent once more that has no effect or whose repeats are dropped; none if it
-    /// is not to be. `is_repeatable` tells whether a failed one may run again.
+    /// How long a client waits before it retries; `None` if it does not. `is_repeatable` tells whether a failed one may run again.
     fn retry_delay(self, is_repeatable: bool) -> Option<Time> {
         match self {
             TryOutcome::Served | TryOutcome::Departed => None,
--- a/crates/router-simulation/src/deployment.rs
+++ b/crates/router-simulation/src/deployment.rs
@@ -8,7 +8,7 @@
 };
 use load_balancer::deployment::{Deployment, Names};
 use load_balancer::{
-    Class, DeduplicationScope, Discovery, Idempotency, Limits, LoadReportFormat, Micros, Rules,
+    Class, DeduplicationScope, DiscoveryMode, Idempotency, Limits, LoadReportFormat, Micros, Rules,
     Settings, Tenant,
 };
 use request_coalescing::{CoalescingFile, CoalescingRules};
@@ -74,7 +74,7 @@
         Settings {
             classes: self.classes(),
             tenants: vec![tenant; 2],
-            discovery: Discovery::Subscribe {
+            discovery: DiscoveryMode::Subscribe {
                 poll_within: Micros(10 * SECOND),
             },
             rules: self.rules(),
--- a/crates/router-simulation/src/scenario.rs
+++ b/crates/router-simulation/src/scenario.rs
@@ -23,7 +23,7 @@
 use crate::simulation::{Simulation, Subnet, address};
 use cache_server::ScriptedServer;
 use discovery::ScriptedDiscovery;
-use load_balancer::Discovery;
+use load_balancer::DiscoveryMode;
 use router_runtime::{RouterConfig, RouterRuntime};
 use std::cell::{Cell, RefCell, RefMut};
 use std::net::SocketAddr;
@@ -302,7 +302,7 @@
 fn router_config(seed: u64, options: Options, list: &str) -> RouterConfig {
     let mut deployment = deployment_parameters().deployment();
     if options.is_pushed {
-        deployment.settings.discovery = Discovery::Push;
+        deployment.settings.discovery = DiscoveryMode::Push;
     }
     RouterConfig {
         coalescing: options
--- a/crates/router-simulation/tests/drawn_runs.rs
+++ b/crates/router-simulation/tests/drawn_runs.rs
@@ -214,7 +214,7 @@
 #[test]
 fn a_failing_run_shrinks_and_replays_alike() {
     use router_runtime::mutation::{Mutation, activate};
-    activate(Some(Mutation::RepeatsUnsafe));
+    activate(Some(Mutation::RetriesNotIdempotent));
     let failing = (0..200)
         .map(|seed| RunPlan::draw(seed, &[]))
         .find(|plan| {
--- a/crates/router-simulation/tests/rare_fault_scenarios.rs
+++ b/crates/router-simulation/tests/rare_fault_scenarios.rs
@@ -149,10 +149,10 @@
 fn each_rare_mutation_is_caught() {
     use router_runtime::mutation::{Mutation, activate};
     let mutations = [
-        Mutation::SendsAfterDeparture,
-        Mutation::OverlooksDepartures,
+        Mutation::SendsAfterDisconnect,
+        Mutation::OverlooksDisconnects,
         Mutation::KeepsSilentPush,
-        Mutation::DropsOwedAtTheEnd,
+        Mutation::DropsPendingAtShutdown,
     ];
     for ((run_scenario, rule), mutation) in SCENARIOS.into_iter().zip(mutations) {
         activate(Some(mutation));
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -192,12 +192,12 @@
 /// Writes one action of a router.
 pub fn write_action(output: &mut impl Write, router: u64, action: &Action) -> io::Result<()> {
     match action {
-        // The simulator writes a command the moment it is sent: `start_within` always holds.
+        // The simulator writes a command the moment it is sent: `write_within` always holds.
         Action::Send {
             id,
             server,
             timeout,
-            start_within: _,
+            write_within: _,
         } => {
             let timeout = timeout.map_or(0.0, Micros::as_secs_f64);
             writeln!(output, "send\t{router}\t{}\t{server}\t{timeout}", id.0)
