--- a/crates/hot-restart/tests/message.rs
+++ b/crates/hot-restart/tests/message.rs
@@ -1,26 +1,13 @@
 //! A message is decoded as it was encoded, or refused with the cause.
 
+mod support;
+
 use hot_restart::message::{
-    FRAME_HEADER_BYTES, FrameHeader, HandoverState, MAX_BODY_BYTES, Message, MessageError,
-    StoredOverride, VERSION,
+    FRAME_HEADER_BYTES, FrameHeader, MAX_BODY_BYTES, Message, MessageError, VERSION,
 };
 use proptest::collection::vec;
 use proptest::prelude::*;
-
-fn state() -> HandoverState {
-    HandoverState {
-        overrides: vec![
-            ("s-a".into(), StoredOverride::Disabled),
-            (
-                "s-b".into(),
-                StoredOverride::EnabledAt(1_700_000_000_000_000),
-            ),
-        ],
-        drained: true,
-        endpoint_list: Some((([127, 0, 0, 1], 8500).into(), br#"{"seq":41}"#.to_vec())),
-        warm_state: vec![7; 100],
-    }
-}
+use support::state;
 
 fn message() -> Message {
     Message::State {
--- a/crates/hot-restart/tests/state_store.rs
+++ b/crates/hot-restart/tests/state_store.rs
@@ -1,22 +1,10 @@
 //! The state file of a router: read as it was saved, in the folder that was given, and of this router only.
 
-use hot_restart::message::{HandoverState, MessageError, StoredOverride};
-use hot_restart::store::{StateStore, StoreError};
+mod support;
 
-fn state() -> HandoverState {
-    HandoverState {
-        overrides: vec![
-            ("s-a".into(), StoredOverride::Disabled),
-            (
-                "s-b".into(),
-                StoredOverride::EnabledAt(1_700_000_000_000_000),
-            ),
-        ],
-        drained: true,
-        endpoint_list: Some((([127, 0, 0, 1], 8500).into(), br#"{"seq":41}"#.to_vec())),
-        warm_state: vec![7; 100],
-    }
-}
+use hot_restart::message::MessageError;
+use hot_restart::store::{StateStore, StoreError};
+use support::state;
 
 #[test]
 fn a_state_file_is_read_as_saved_and_another_routers_is_refused() {
--- /dev/null
+++ b/crates/hot-restart/tests/support/mod.rs
@@ -0,0 +1,19 @@
+//! What several tests of hot restart use.
+
+use hot_restart::message::{HandoverState, StoredOverride};
+
+/// A state with something in each of its fields.
+pub fn state() -> HandoverState {
+    HandoverState {
+        overrides: vec![
+            ("s-a".into(), StoredOverride::Disabled),
+            (
+                "s-b".into(),
+                StoredOverride::EnabledAt(1_700_000_000_000_000),
+            ),
+        ],
+        drained: true,
+        endpoint_list: Some((([127, 0, 0, 1], 8500).into(), br#"{"seq":41}"#.to_vec())),
+        warm_state: vec![7; 100],
+    }
+}
