--- a/crates/load-balancer/src/admission.rs
+++ b/crates/load-balancer/src/admission.rs
@@ -24,7 +24,7 @@
 /// The rank of a write: it can run anywhere and need not press into a server at capacity.
 const WRITE_RANK: f64 = 0.5;
 /// The least share, odds or ratio that is divided by.
-const MIN_DIVISOR: f64 = 1e-3;
+const MIN_DENOMINATOR: f64 = 1e-3;
 
 /// The priority of a request among others.
 #[derive(Clone, Copy, Debug)]
@@ -64,7 +64,7 @@
             multiplier *= class.late_weight.max(LATE_LIMIT_RATIO);
         }
         match self.over_share_ratio(pending) {
-            Some(ratio) => multiplier * (OVER_SHARE_RATIO / ratio.max(MIN_DIVISOR)).min(1.0),
+            Some(ratio) => multiplier * (OVER_SHARE_RATIO / ratio.max(MIN_DENOMINATOR)).min(1.0),
             None => multiplier,
         }
     }
@@ -73,9 +73,9 @@
     fn over_share_ratio(&self, pending: &PendingRequest) -> Option<f64> {
         let tenant = pending.request.tenant?;
         let sent_share = self.traffic.tenant_share(tenant)?;
-        let odds = |share: f64| share / (1.0 - share).max(MIN_DIVISOR);
+        let odds = |share: f64| share / (1.0 - share).max(MIN_DENOMINATOR);
         let entitled_share = self.settings.tenants[tenant.0].share;
-        Some(odds(sent_share) / odds(entitled_share).max(MIN_DIVISOR))
+        Some(odds(sent_share) / odds(entitled_share).max(MIN_DENOMINATOR))
     }
 
     /// The priority of a request that has this limit multiplier.
@@ -121,16 +121,22 @@
 impl ServerLimits<'_> {
     /// Whether one more request of this priority may be sent to a server, of whose limit `limit_ratio` may be used.
     /// Below one the limit is a pace, so that many routers together do not crowd the server.
-    pub fn admit(&self, server: &Server, limit_ratio: f64, priority: &Priority) -> bool {
-        let current = self.current(server);
-        let usable = current * limit_ratio * server.capacity_fraction(self.now, self.rules);
+    pub fn admits(&self, server: &Server, limit_ratio: f64, priority: &Priority) -> bool {
+        let current_limit = self.current_limit(server);
+        let usable = current_limit * limit_ratio * server.capacity_fraction(self.now, self.rules);
         let in_flight = f64::from(server.limit.in_flight);
         let has_slot = in_flight < usable * priority.limit_multiplier;
-        has_slot && (usable >= 1.0 || self.is_on_pace(server, current, usable, priority))
+        has_slot && (usable >= 1.0 || self.is_on_pace(server, current_limit, usable, priority))
     }
 
-    fn is_on_pace(&self, server: &Server, current: f64, usable: f64, priority: &Priority) -> bool {
-        let interval = self.send_interval(server, current, usable);
+    fn is_on_pace(
+        &self,
+        server: &Server,
+        current_limit: f64,
+        usable: f64,
+        priority: &Priority,
+    ) -> bool {
+        let interval = self.send_interval(server, current_limit, usable);
         server
             .limit
             .may_send_at_pace(self.now, interval, priority.rank)
@@ -138,10 +144,10 @@
 
     /// The time that a request takes up of the pace of a server; 0 where none holds.
     pub fn paced_interval(&self, server: &Server) -> Micros {
-        let current = self.current(server);
-        let usable = current * server.capacity_fraction(self.now, self.rules);
+        let current_limit = self.current_limit(server);
+        let usable = current_limit * server.capacity_fraction(self.now, self.rules);
         if usable < 1.0 {
-            self.send_interval(server, current, usable)
+            self.send_interval(server, current_limit, usable)
         } else {
             Micros(0)
         }
@@ -149,7 +155,7 @@
 
     /// The limit of a server, in requests: at least one while it reports spare capacity, since a lower one is then
     /// out of date.
-    fn current(&self, server: &Server) -> f64 {
+    fn current_limit(&self, server: &Server) -> f64 {
         let limit = server.limit.current(self.now);
         if server.queue.reports_spare_capacity(self.now) {
             limit.max(1.0)
@@ -160,8 +166,8 @@
 
     /// The time between requests where `usable` is below one: a share of one at a time, or of what this router
     /// would send there if the server lacks capacity.
-    fn send_interval(&self, server: &Server, current: f64, usable: f64) -> Micros {
-        let own_interval = if current < 1.0 {
+    fn send_interval(&self, server: &Server, current_limit: f64, usable: f64) -> Micros {
+        let own_interval = if current_limit < 1.0 {
             self.interarrival_per_server
         } else {
             Micros(0)
--- a/crates/load-balancer/src/attempt_feedback.rs
+++ b/crates/load-balancer/src/attempt_feedback.rs
@@ -5,7 +5,7 @@
 //! on fetches. Reason: how long hits take tells of the server; what fetches take beyond that, or fail, tells of the
 //! origin. One must not be punished for the other.
 
-use crate::concurrency_limit::{INITIAL_TOTAL_COUNT, LIMIT_DECREASE_RATIO, SLOW_RATIO};
+use crate::concurrency_limit::{INITIAL_TOTAL_IN_FLIGHT, LIMIT_DECREASE_RATIO, SLOW_RATIO};
 use crate::origin_fetch_limit::OriginFetchLimit;
 use crate::pending::Attempt;
 use crate::request::{AttemptEnd, CacheStatus, ConnectionUse, Outcome};
@@ -13,9 +13,9 @@
 use crate::time::Micros;
 
 /// A server that fails or rejects everything keeps this limit: a trickle that finds out when it recovers.
-const TRICKLE_LIMIT: f64 = 0.05;
+const PROBE_LIMIT: f64 = 0.05;
 /// An overloaded server is still sent this many requests at a time by all routers together, and one by each at most.
-const MIN_TOTAL_COUNT: f64 = 4.0;
+const MIN_TOTAL_IN_FLIGHT: f64 = 4.0;
 /// Answers over which the typical latency is averaged.
 const LATENCY_SPAN: u64 = 8;
 /// The same where routers are many: each sees too little of a server to average.
@@ -55,11 +55,11 @@
 impl FeedbackContext {
     /// Whether routers are so many that each sees too little of a server to learn in time.
     fn has_many_routers(&self) -> bool {
-        self.router_count > INITIAL_TOTAL_COUNT
+        self.router_count > INITIAL_TOTAL_IN_FLIGHT
     }
 
     fn min_limit(&self) -> f64 {
-        (MIN_TOTAL_COUNT / self.router_count).min(1.0)
+        (MIN_TOTAL_IN_FLIGHT / self.router_count).min(1.0)
     }
 
     /// An answer that takes longer is slow.
@@ -70,9 +70,9 @@
 
 /// The one cause for which a server's limit is adjusted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum ServerLesson {
+enum ServerSignal {
     /// The end tells nothing of the server.
-    Nothing,
+    NoSignal,
     /// An origin answered a router that fetches for itself.
     OriginLatency,
     /// The time of the answer tells whether requests wait at the server.
@@ -88,7 +88,7 @@
     is_fetch: bool,
     popularity: usize,
     /// The time beyond a hit at that server.
-    beyond_hit: Micros,
+    latency_beyond_hit: Micros,
     is_served: bool,
     is_timed_out: bool,
     /// It lacked the object, as far as it told.
@@ -101,7 +101,7 @@
     /// The server failed to respond several times in a row.
     has_failed_repeatedly: bool,
     /// If it hangs, the origin is at fault.
-    is_blamed_on_origin: bool,
+    is_attributed_to_origin: bool,
 }
 
 impl<'a> AttemptFeedback<'a> {
@@ -125,7 +125,7 @@
             context,
             is_fetch: attempt.is_fetch,
             popularity: attempt.popularity,
-            beyond_hit: end.elapsed.since(server.typical_latency),
+            latency_beyond_hit: end.elapsed.since(server.typical_latency),
             is_served,
             is_timed_out: end.outcome == Outcome::TimedOut,
             is_miss,
@@ -134,37 +134,37 @@
             is_quick: is_in_time && (is_served || end.outcome == Outcome::Miss),
             has_handshake: end.connection_use == ConnectionUse::New && is_served,
             has_failed_repeatedly,
-            is_blamed_on_origin: !has_failed_repeatedly
+            is_attributed_to_origin: !has_failed_repeatedly
                 && is_origin_suspected(attempt.is_fetch, origin_fetches, &context),
         }
     }
 
     /// Adjusts the server's limit for the one cause that the end shows.
     pub fn apply_to_server(&self, server: &mut Server) {
-        match self.server_lesson(server) {
-            ServerLesson::Nothing => {}
-            ServerLesson::OriginLatency => self.apply_origin_latency(server),
-            ServerLesson::Latency => self.apply_latency(server),
-            ServerLesson::Unavailable => self.apply_unavailable(server),
+        match self.server_signal(server) {
+            ServerSignal::NoSignal => {}
+            ServerSignal::OriginLatency => self.apply_origin_latency(server),
+            ServerSignal::Latency => self.apply_latency(server),
+            ServerSignal::Unavailable => self.apply_unavailable(server),
         }
     }
 
-    fn server_lesson(&self, server: &Server) -> ServerLesson {
+    fn server_signal(&self, server: &Server) -> ServerSignal {
         let is_below_initial = server.limit.limit < server.limit.initial;
         let is_recovering = self.is_quick && is_below_initial;
-        let is_late_at_server = self.is_timed_out && !self.is_blamed_on_origin;
+        let is_late_at_server = self.is_timed_out && !self.is_attributed_to_origin;
         match self.end.outcome {
-            Outcome::Cancelled | Outcome::NotSent => ServerLesson::Nothing,
-            Outcome::Overloaded if self.lacks_connection_slot() => ServerLesson::Nothing,
-            _ if server.is_origin => ServerLesson::OriginLatency,
+            Outcome::Cancelled | Outcome::NotSent => ServerSignal::NoSignal,
+            Outcome::Overloaded if self.lacks_connection_slot() => ServerSignal::NoSignal,
+            _ if server.is_origin => ServerSignal::OriginLatency,
             // Guards against taking a handshake (TLS, a long way, a busy listener) for the server's slowness. A
             // server that ends each connection after one answer is judged by time-outs and rejections alone.
-            _ if self.has_handshake && !self.is_quick => ServerLesson::Nothing,
-            _ if self.is_hit || is_recovering || is_late_at_server => ServerLesson::Latency,
+            _ if self.has_handshake && !self.is_quick => ServerSignal::NoSignal,
+            _ if self.is_hit || is_recovering || is_late_at_server => ServerSignal::Latency,
             // One connection may be reset anywhere; the next tells whether the server is down.
-            Outcome::Unreachable if !self.has_failed_repeatedly => ServerLesson::Nothing,
-            Outcome::Overloaded | Outcome::Unreachable => ServerLesson::Unavailable,
-            _ => ServerLesson::Nothing,
+            Outcome::Unreachable if !self.has_failed_repeatedly => ServerSignal::NoSignal,
+            Outcome::Overloaded | Outcome::Unreachable => ServerSignal::Unavailable,
+            _ => ServerSignal::NoSignal,
         }
     }
 
@@ -178,7 +178,7 @@
         let is_late = self.end.elapsed > self.context.shortest_objective || !self.is_served;
         server
             .limit
-            .record_answer(self.context.now, is_late, TRICKLE_LIMIT);
+            .record_answer(self.context.now, is_late, PROBE_LIMIT);
     }
 
     /// An answer past the objective counts whatever the server reports: it may be slow by itself.
@@ -209,7 +209,7 @@
     }
 
     fn apply_unavailable(&self, server: &mut Server) {
-        let min_limit = TRICKLE_LIMIT * self.context.min_limit();
+        let min_limit = PROBE_LIMIT * self.context.min_limit();
         server.limit.record_rejection(self.context.now, min_limit);
         server.typical_latency = server.typical_latency.max(self.context.typical_latency);
         if self.end.outcome == Outcome::Unreachable {
@@ -249,31 +249,31 @@
 
     /// A late answer on a new connection may be late by its handshake.
     fn apply_served_fetch(&self, origin_fetches: &mut OriginFetchLimit) {
-        let is_in_time = self.beyond_hit <= self.context.latency_objective;
+        let is_in_time = self.latency_beyond_hit <= self.context.latency_objective;
         let is_known_hit = self.end.cache_status == Some(CacheStatus::Hit);
         let is_late_by_handshake = self.has_handshake && !is_in_time;
         if !is_known_hit && !is_late_by_handshake {
-            origin_fetches.record_served(self.sent_at(), self.beyond_hit, is_in_time);
+            origin_fetches.record_served(self.sent_at(), self.latency_beyond_hit, is_in_time);
         }
     }
 
     fn apply_late_fetch(&self, origin_fetches: &mut OriginFetchLimit) {
-        if self.is_blamed_on_origin {
-            let is_in_time = self.beyond_hit <= self.context.slow_latency();
+        if self.is_attributed_to_origin {
+            let is_in_time = self.latency_beyond_hit <= self.context.slow_latency();
             origin_fetches.record_abandoned(
                 self.context.now,
                 self.end.elapsed,
-                self.beyond_hit,
+                self.latency_beyond_hit,
                 is_in_time,
             );
         } else if !self.has_failed_repeatedly {
-            origin_fetches.record_late();
+            origin_fetches.record_late_at_server();
         }
     }
 
     /// A quick error cost the origin nothing, unless too many of them stop it.
     fn apply_failed_fetch(&self, origin_fetches: &mut OriginFetchLimit) {
-        let is_slow = self.beyond_hit > self.context.slow_latency();
+        let is_slow = self.latency_beyond_hit > self.context.slow_latency();
         if self.is_miss && (is_slow || self.context.origin_collapses_under_overload) {
             origin_fetches.record_failed(self.sent_at());
         }
@@ -288,11 +288,11 @@
     context: &FeedbackContext,
 ) -> bool {
     let has_many_routers = context.has_many_routers();
-    let trusted_limit = if has_many_routers {
+    let healthy_limit = if has_many_routers {
         1.0 - LIMIT_DECREASE_RATIO
     } else {
         origin_fetches.initial
     };
-    let is_limit_reduced = origin_fetches.limit < trusted_limit;
+    let is_limit_reduced = origin_fetches.limit < healthy_limit;
     is_limit_reduced || (is_fetch && (!has_many_routers || origin_fetches.is_slow()))
 }
--- a/crates/load-balancer/src/availability.rs
+++ b/crates/load-balancer/src/availability.rs
@@ -22,7 +22,7 @@
 
 impl Availability {
     /// Of a server in this state on the list.
-    pub(crate) fn of(state: EndpointState, is_disabled: bool) -> Availability {
+    pub(crate) fn new(state: EndpointState, is_disabled: bool) -> Availability {
         match state {
             EndpointState::Removed => Availability::Removed,
             _ if is_disabled => Availability::Disabled,
--- a/crates/load-balancer/src/concurrency_limit.rs
+++ b/crates/load-balancer/src/concurrency_limit.rs
@@ -13,13 +13,13 @@
 /// Ratio of slow answers at which a limit rests: some requests are heavy without any fault of the server.
 const TOLERATED_SLOW_RATIO: f64 = 0.1;
 /// Time constant with which observations fade.
-const OBSERVATION_DECAY: Micros = Micros::from_millis(30_000);
+const OBSERVATION_DECAY_TIME: Micros = Micros::from_millis(30_000);
 /// Observations, less what their age takes off, that make the limit well founded.
-const WELL_FOUNDED_COUNT: f64 = 3.0;
+const RELIABLE_OBSERVATION_COUNT: f64 = 3.0;
 /// Requests that a pace may save up, and that the highest priority may draw ahead.
-const SAVED_COUNT: f64 = 3.0;
+const PACE_BURST_COUNT: f64 = 3.0;
 /// Requests in flight to one server that all routers together start with.
-pub(crate) const INITIAL_TOTAL_COUNT: f64 = 16.0;
+pub(crate) const INITIAL_TOTAL_IN_FLIGHT: f64 = 16.0;
 /// An answer that takes longer than this ratio of the latency objective is slow: what waits longer is late.
 pub(crate) const SLOW_RATIO: f64 = 0.5;
 
@@ -32,12 +32,12 @@
     /// Where the limit starts, and drifts back to as observations age.
     pub initial: f64,
     /// Observations, each less what its age took off, as of `observed_at`.
-    weight: f64,
+    decayed_observations: f64,
     observed_at: Micros,
     /// The server itself rejected requests: that holds until it answers otherwise.
-    reported_by_server: bool,
+    was_rejected_by_server: bool,
     /// Up to when the allowance of a pace is used.
-    paid_until: Micros,
+    pace_used_until: Micros,
     /// When the last request was sent.
     last_sent_at: Micros,
 }
@@ -53,55 +53,55 @@
         }
     }
 
-    /// Whether one more request fits now. `chance` in [0, 1) lets a part of them through while the limit is below
+    /// Whether one more request fits now. `random_fraction` in [0, 1) lets a part of them through while the limit is below
     /// one.
-    pub fn has_capacity(&self, multiplier: f64, chance: f64) -> bool {
+    pub fn has_capacity(&self, multiplier: f64, random_fraction: f64) -> bool {
         let limit = self.limit * multiplier;
-        let at_once = if self.limit < 1.0 {
+        let max_in_flight = if self.limit < 1.0 {
             self.initial
         } else {
             limit
         };
-        f64::from(self.in_flight) < at_once && chance < limit
+        f64::from(self.in_flight) < max_in_flight && random_fraction < limit
     }
 
     /// What age has left of the observations, 0 to 1.
-    fn remaining_weight(&self, now: Micros) -> f64 {
-        if self.reported_by_server {
+    fn decay_factor(&self, now: Micros) -> f64 {
+        if self.was_rejected_by_server {
             return 1.0;
         }
         let age = now.since(self.observed_at);
-        (-age.as_secs_f64() / OBSERVATION_DECAY.as_secs_f64()).exp()
+        (-age.as_secs_f64() / OBSERVATION_DECAY_TIME.as_secs_f64()).exp()
     }
 
     /// The limit now: observed by the weight that is left, initial for the rest.
     pub fn current(&self, now: Micros) -> f64 {
-        self.initial * (self.limit / self.initial).powf(self.remaining_weight(now))
+        self.initial * (self.limit / self.initial).powf(self.decay_factor(now))
     }
 
     /// Whether the limit rests on enough observations. Requests in flight count as such, and so does the server's
     /// own rejection.
-    pub fn is_well_founded(&self, now: Micros) -> bool {
-        if self.reported_by_server {
+    pub fn is_reliable(&self, now: Micros) -> bool {
+        if self.was_rejected_by_server {
             return true;
         }
-        let observations = self.weight * self.remaining_weight(now);
-        observations + f64::from(self.in_flight) >= WELL_FOUNDED_COUNT
+        let observations = self.decayed_observations * self.decay_factor(now);
+        observations + f64::from(self.in_flight) >= RELIABLE_OBSERVATION_COUNT
     }
 
     /// Takes over the limit of a previous process as if it had been observed now.
     pub fn restore(&mut self, now: Micros, limit: f64) {
         self.limit = limit;
-        self.weight = 1.0;
+        self.decayed_observations = 1.0;
         self.observed_at = now;
-        self.reported_by_server = false;
+        self.was_rejected_by_server = false;
     }
 
     /// Adjusts the limit to an answer, slow or not; it falls no lower than `minimum`.
     pub fn record_answer(&mut self, now: Micros, is_slow: bool, minimum: f64) {
         self.limit = self.current(now);
-        self.weight = self.weight * self.remaining_weight(now) + 1.0;
-        self.reported_by_server = false;
+        self.decayed_observations = self.decayed_observations * self.decay_factor(now) + 1.0;
+        self.was_rejected_by_server = false;
         self.observed_at = now;
         if is_slow {
             self.decrease(minimum);
@@ -117,33 +117,36 @@
         let decreased = self.limit - LIMIT_DECREASE_RATIO * self.limit.min(1.0);
         self.limit = decreased.max(minimum.min(self.limit));
         // The allowance was saved up for a server that was well.
-        self.paid_until = self.paid_until.max(self.last_sent_at);
+        self.pace_used_until = self.pace_used_until.max(self.last_sent_at);
     }
 
     /// Adjusts the limit to a rejection by the server.
     pub fn record_rejection(&mut self, now: Micros, minimum: f64) {
         self.record_answer(now, true, minimum);
-        self.reported_by_server = true;
+        self.was_rejected_by_server = true;
     }
 
     /// Whether one more request may be sent at a pace of one every `interval`. `rank` is its priority among recent
     /// requests, 0 (lowest) to 1: a high one draws ahead of the pace, a low one waits for saved allowance.
     pub fn may_send_at_pace(&self, now: Micros, interval: Micros, rank: f64) -> bool {
-        let ahead = SAVED_COUNT * (2.0 * rank - 1.0);
-        let needed = interval.scaled((1.0 - ahead).max(0.0));
-        let drawn_ahead = interval.scaled((ahead - 1.0).max(0.0));
-        self.paid_until.plus(needed) <= now.plus(drawn_ahead)
+        let burst_allowance = PACE_BURST_COUNT * (2.0 * rank - 1.0);
+        let needed = interval.scaled((1.0 - burst_allowance).max(0.0));
+        let borrowed = interval.scaled((burst_allowance - 1.0).max(0.0));
+        self.pace_used_until.plus(needed) <= now.plus(borrowed)
     }
 
     /// Records a request sent at a pace of one every `interval`; 0 where no pace holds.
     pub fn record_send(&mut self, now: Micros, interval: Micros) {
         self.in_flight += 1;
         self.last_sent_at = now;
-        self.paid_until = if interval == Micros(0) {
+        self.pace_used_until = if interval == Micros(0) {
             now
         } else {
-            let earliest = Micros(now.0.saturating_sub(interval.scaled(SAVED_COUNT + 1.0).0));
-            self.paid_until.max(earliest).plus(interval)
+            let earliest = Micros(
+                now.0
+                    .saturating_sub(interval.scaled(PACE_BURST_COUNT + 1.0).0),
+            );
+            self.pace_used_until.max(earliest).plus(interval)
         };
     }
 
--- a/crates/load-balancer/src/failure_attribution.rs
+++ b/crates/load-balancer/src/failure_attribution.rs
@@ -13,7 +13,7 @@
 /// Unexplained failures over which the ratio of late ones is averaged.
 const LATE_FAILURE_SPAN: f64 = 16.0;
 /// The ratio of late failures above which the origin fails: servers' own are seldom late.
-const ORIGIN_FAILURE_RATIO: f64 = 0.2;
+const ORIGIN_LATE_FAILURE_RATIO: f64 = 0.2;
 
 /// The ratio of late ones among the unexplained failures.
 #[derive(Debug)]
@@ -47,7 +47,7 @@
         }
         let is_late = end.elapsed > typical_latency;
         self.late_failures.observe_event(is_late);
-        let is_fetch = is_late || self.late_failures.value() > ORIGIN_FAILURE_RATIO;
+        let is_fetch = is_late || self.late_failures.value() > ORIGIN_LATE_FAILURE_RATIO;
         AttemptEnd {
             cache_status: is_fetch.then_some(CacheStatus::Miss),
             ..end
--- a/crates/load-balancer/src/key_locations.rs
+++ b/crates/load-balancer/src/key_locations.rs
@@ -19,7 +19,7 @@
 }
 
 /// An entry that holds nothing.
-const EMPTY: KeyLocation = KeyLocation {
+const EMPTY_ENTRY: KeyLocation = KeyLocation {
     ring_position: 0,
     server: NO_SERVER,
 };
@@ -31,7 +31,7 @@
 impl KeyLocations {
     /// An empty table.
     pub fn new() -> KeyLocations {
-        KeyLocations(vec![EMPTY; ENTRY_COUNT])
+        KeyLocations(vec![EMPTY_ENTRY; ENTRY_COUNT])
     }
 
     fn entry_index(ring_position: u32, server: usize) -> usize {
@@ -60,20 +60,20 @@
 
     /// Records that a server lacks a key.
     fn record_missing(&mut self, ring_position: u32, server: usize) {
-        if self.is_at(ring_position, server) {
-            self.0[KeyLocations::entry_index(ring_position, server)] = EMPTY;
+        if self.contains(ring_position, server) {
+            self.0[KeyLocations::entry_index(ring_position, server)] = EMPTY_ENTRY;
         }
     }
 
     /// Forgets the keys of a server: another process takes its index and holds nothing.
-    pub fn forget_server(&mut self, server: usize) {
+    pub fn remove_server(&mut self, server: usize) {
         for location in self.0.iter_mut().filter(|known| known.server == server) {
             location.server = NO_SERVER;
         }
     }
 
     /// Whether a server served a key, and was not found to lack it since.
-    pub fn is_at(&self, ring_position: u32, server: usize) -> bool {
+    pub fn contains(&self, ring_position: u32, server: usize) -> bool {
         let location = KeyLocation {
             ring_position,
             server,
--- a/crates/load-balancer/src/latency_baseline.rs
+++ b/crates/load-balancer/src/latency_baseline.rs
@@ -31,8 +31,8 @@
             self.minimum = latency;
         }
         self.average = self.average.toward(latency, self.average_span);
-        let risen = self.minimum.toward(self.average, self.minimum_span);
-        self.minimum = risen.min(self.average);
+        let raised_minimum = self.minimum.toward(self.average, self.minimum_span);
+        self.minimum = raised_minimum.min(self.average);
     }
 
     /// The average.
@@ -41,7 +41,7 @@
     }
 
     /// A multiple of the minimum.
-    pub fn minimum_times(&self, ratio: f64) -> Micros {
+    pub fn scaled_minimum(&self, ratio: f64) -> Micros {
         self.minimum.scaled(ratio)
     }
 }
--- a/crates/load-balancer/src/origin_fetch_limit.rs
+++ b/crates/load-balancer/src/origin_fetch_limit.rs
@@ -15,7 +15,7 @@
 /// Recent requests for a key above which it belongs to the next level.
 const POPULARITY_THRESHOLDS: [f64; POPULARITY_LEVEL_COUNT - 1] = [1.5, 2.5, 4.5];
 /// Fetches for each server that all routers without observations may have in flight.
-const INITIAL_COUNT_PER_SERVER: f64 = 8.0;
+const INITIAL_FETCHES_PER_SERVER: f64 = 8.0;
 /// How much one late fetch takes off the limit, in fetches; below one, as a ratio of the limit.
 const DECREASE_RATIO: f64 = 0.5;
 /// Ratio of late fetches at which the limit rests while the origin has a queue.
@@ -27,7 +27,7 @@
 /// A fetch in time multiplies a limit below one by this: such a limit is left over from a collapse.
 const RECOVERY_RATIO: f64 = 2.0;
 /// What each decrease takes off the remembered limit: an origin that stays slow is the new normal.
-const FORGET_RATIO: f64 = 1.0 / 64.0;
+const REMEMBERED_LIMIT_DECAY_RATIO: f64 = 1.0 / 64.0;
 /// Ratio of late fetches above which the origin is at fault, not a server: one of a few may hang.
 const SLOW_ORIGIN_LATE_RATIO: f64 = 0.3;
 /// Ratio of failed fetches above which they decrease the limit: servers fail some by themselves.
@@ -46,12 +46,12 @@
 /// Fetches over which the minimum of that rises.
 const MIN_LATENCY_SPAN: u64 = 512;
 /// The longest that an abandoned fetch is taken to go on: a stopped origin drops what it holds.
-const MAX_FETCH_TIME: Micros = Micros::from_millis(5_000);
+const MAX_ABANDONED_FETCH_TIME: Micros = Micros::from_millis(5_000);
 /// While the origin has a queue, a fetch that moves a key away from its owner may use this ratio of the limit: it
 /// evicts another key, which is fetched again too, and is served last.
 const QUEUED_MIGRATION_RATIO: f64 = 0.3;
 /// Abandoned fetches that are remembered (2 KiB).
-const ABANDONED_COUNT: usize = 256;
+const MAX_ABANDONED_COUNT: usize = 256;
 
 /// The popularity level of a key with so many recent requests.
 pub(crate) fn popularity_level(recent_requests: f64) -> usize {
@@ -67,7 +67,7 @@
     /// How much of the limit it may use, as a multiple.
     pub limit_multiplier: f64,
     /// The time in which the servers can serve one hit for each router.
-    pub hit_round: Micros,
+    pub hit_time_per_router: Micros,
 }
 
 /// Whether a request may be an origin fetch.
@@ -103,7 +103,7 @@
     /// How long fetches take beyond hits; an abandoned one counts twice its time.
     latency: LatencyBaseline,
     /// Half the shortest time in which an answer is of use.
-    useful_latency: Micros,
+    overload_latency: Micros,
     failure_ratio: MovingAverage,
     late_ratio: MovingAverage,
     /// When the latest attempt was sent that was a fetch for sure.
@@ -113,8 +113,8 @@
 }
 
 impl OriginFetchLimit {
-    /// A limit without observations. At an origin that takes twice `useful_latency` for a fetch, none is of use.
-    pub fn new(initial: f64, useful_latency: Micros) -> OriginFetchLimit {
+    /// A limit without observations. At an origin that takes twice `overload_latency` for a fetch, none is of use.
+    pub fn new(initial: f64, overload_latency: Micros) -> OriginFetchLimit {
         OriginFetchLimit {
             in_flight: 0,
             limit: initial,
@@ -122,7 +122,7 @@
             initial,
             miss_ratios: [MovingAverage::new(1.0, RATIO_SPAN); POPULARITY_LEVEL_COUNT],
             latency: LatencyBaseline::new(LATENCY_SPAN, MIN_LATENCY_SPAN),
-            useful_latency,
+            overload_latency,
             failure_ratio: MovingAverage::new(0.0, RATIO_SPAN),
             late_ratio: MovingAverage::new(0.0, LATE_SPAN),
             last_fetch_at: Micros(0),
@@ -131,8 +131,8 @@
     }
 
     /// Starts the limit anew, once the first servers are known.
-    pub fn start(&mut self, ready_servers: usize, router_count: f64) {
-        let share = INITIAL_COUNT_PER_SERVER * ready_servers as f64 / router_count;
+    pub fn initialize(&mut self, ready_servers: usize, router_count: f64) {
+        let share = INITIAL_FETCHES_PER_SERVER * ready_servers as f64 / router_count;
         self.limit = self.initial.max(share);
     }
 
@@ -180,8 +180,8 @@
             return f64::from(certain_fetches) + abandoned + expected_fetches < limit;
         }
         let expected_with_this = expected_fetches + self.miss_ratios[request.popularity].value();
-        let is_alone = undecided_count == 0 || expected_with_this <= 1.0;
-        certain_fetches == 0 && is_alone && self.may_fetch_at_pace(now, request)
+        let is_only_expected_fetch = undecided_count == 0 || expected_with_this <= 1.0;
+        certain_fetches == 0 && is_only_expected_fetch && self.may_fetch_at_pace(now, request)
     }
 
     /// Below one, the limit spaces fetches out, so that many routers together do not crowd the origin.
@@ -190,9 +190,11 @@
         let interval = self
             .latency
             .average()
-            .max(self.useful_latency)
+            .max(self.overload_latency)
             .scaled(1.0 / (self.limit * multiplier));
-        let max_interval = request.hit_round.scaled(1.0 / (PROBE_RATIO * multiplier));
+        let max_interval = request
+            .hit_time_per_router
+            .scaled(1.0 / (PROBE_RATIO * multiplier));
         now.since(self.last_fetch_at) >= interval.min(max_interval)
     }
 
@@ -216,12 +218,12 @@
         self.miss_ratios[popularity].observe_event(is_miss);
     }
 
-    /// Records a fetch that was served, `beyond_hit` more than the time of a hit.
-    pub fn record_served(&mut self, sent_at: Micros, beyond_hit: Micros, is_in_time: bool) {
+    /// Records a fetch that was served, `latency_beyond_hit` more than the time of a hit.
+    pub fn record_served(&mut self, sent_at: Micros, latency_beyond_hit: Micros, is_in_time: bool) {
         self.failure_ratio.observe_event(false);
         self.last_fetch_at = self.last_fetch_at.max(sent_at);
-        self.latency.observe(beyond_hit);
-        self.adjust(is_in_time, beyond_hit);
+        self.latency.observe(latency_beyond_hit);
+        self.adjust(is_in_time, latency_beyond_hit);
     }
 
     /// Records a fetch that was abandoned `elapsed` after it was sent; it most likely takes as long again.
@@ -229,22 +231,22 @@
         &mut self,
         now: Micros,
         elapsed: Micros,
-        beyond_hit: Micros,
+        latency_beyond_hit: Micros,
         is_in_time: bool,
     ) {
         let sent_at = Micros(now.0.saturating_sub(elapsed.0));
         self.last_fetch_at = self.last_fetch_at.max(sent_at);
         self.latency
-            .observe(beyond_hit.scaled(2.0).min(MAX_FETCH_TIME));
-        if self.abandoned_fetches.len() < ABANDONED_COUNT {
-            let end = now.plus(elapsed.min(MAX_FETCH_TIME));
+            .observe(latency_beyond_hit.scaled(2.0).min(MAX_ABANDONED_FETCH_TIME));
+        if self.abandoned_fetches.len() < MAX_ABANDONED_COUNT {
+            let end = now.plus(elapsed.min(MAX_ABANDONED_FETCH_TIME));
             self.abandoned_fetches.push(end);
         }
         self.adjust(is_in_time, Micros::MAX);
     }
 
     /// Records a late fetch that is laid to its server.
-    pub fn record_late(&mut self) {
+    pub fn record_late_at_server(&mut self) {
         self.late_ratio.observe_event(true);
     }
 
@@ -264,23 +266,23 @@
 
     /// Whether fetches take longer on the whole than at an origin that is well.
     fn has_queue(&self) -> bool {
-        let queue_latency = self.latency.minimum_times(QUEUE_LATENCY_RATIO);
-        self.latency.average() > queue_latency.min(self.useful_latency.scaled(2.0))
+        let queue_latency = self.latency.scaled_minimum(QUEUE_LATENCY_RATIO);
+        self.latency.average() > queue_latency.min(self.overload_latency.scaled(2.0))
     }
 
     /// Whether the queue at the origin takes up much of the time in which an answer is of use. Where the minimum is
     /// short, slow servers alone lift the average to a multiple of it, and late fetches are then theirs.
     fn is_overloaded(&self) -> bool {
-        self.has_queue() && self.latency.average() > self.useful_latency
+        self.has_queue() && self.latency.average() > self.overload_latency
     }
 
-    fn adjust(&mut self, is_in_time: bool, beyond_hit: Micros) {
+    fn adjust(&mut self, is_in_time: bool, latency_beyond_hit: Micros) {
         self.late_ratio.observe_event(!is_in_time);
         let is_overloaded = self.is_overloaded();
         if is_overloaded && !is_in_time {
             self.decrease();
         } else if self.limit < 1.0 {
-            self.recover(beyond_hit);
+            self.recover(latency_beyond_hit);
         } else if !is_overloaded && self.limit < self.remembered_limit * DECREASE_RATIO {
             self.limit += DECREASE_RATIO;
         } else if f64::from(self.in_flight + 1) * 2.0 >= self.limit {
@@ -294,8 +296,8 @@
 
     /// Raises a limit below one: to one after a fetch that met no queue, since where routers are many each sees
     /// too few fetches to wait for several.
-    fn recover(&mut self, beyond_hit: Micros) {
-        let met_no_queue = beyond_hit <= self.latency.minimum_times(QUEUE_LATENCY_RATIO);
+    fn recover(&mut self, latency_beyond_hit: Micros) {
+        let met_no_queue = latency_beyond_hit <= self.latency.scaled_minimum(QUEUE_LATENCY_RATIO);
         self.limit = if met_no_queue {
             1.0
         } else {
@@ -306,7 +308,8 @@
     /// Decreases the limit, first to near what is in use: a limit far above that protects nothing. An initial
     /// limit is hardly in use and stays.
     fn decrease(&mut self) {
-        self.remembered_limit = self.remembered_limit.max(self.limit) * (1.0 - FORGET_RATIO);
+        self.remembered_limit =
+            self.remembered_limit.max(self.limit) * (1.0 - REMEMBERED_LIMIT_DECAY_RATIO);
         let in_use = f64::from(self.in_flight + 1) * 2.0;
         let limit = self.limit.min(in_use.max(self.initial));
         let decreased = limit - DECREASE_RATIO * limit.min(1.0);
--- a/crates/load-balancer/src/outlier.rs
+++ b/crates/load-balancer/src/outlier.rs
@@ -11,14 +11,14 @@
 use crate::time::Micros;
 
 /// Attempts in a row without a response that make a server unresponsive: a single one may be lost anywhere.
-const UNRESPONSIVE_COUNT: u32 = 2;
+const UNRESPONSIVE_ATTEMPT_COUNT: u32 = 2;
 /// Time between health checks of an unresponsive server, as a multiple of the shortest latency objective.
 const HEALTH_CHECK_INTERVAL_RATIO: f64 = 4.0;
 
 /// Whether one server responds.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Responsiveness {
-    consecutive_failures_to_respond: u32,
+    consecutive_unanswered_attempts: u32,
     /// Since the last response: when the first attempt was sent that needed no origin fetch.
     first_unanswered_at: Option<Micros>,
 }
@@ -36,22 +36,22 @@
             Outcome::Cancelled | Outcome::NotSent => {}
             Outcome::TimedOut if !end.response_started => {
                 if end.elapsed >= shortest_objective.scaled(SLOW_RATIO) {
-                    self.record_failure();
+                    self.record_unanswered();
                 }
             }
-            Outcome::Unreachable => self.record_failure(),
+            Outcome::Unreachable => self.record_unanswered(),
             _ => *self = Responsiveness::default(),
         }
     }
 
-    fn record_failure(&mut self) {
-        self.consecutive_failures_to_respond =
-            self.consecutive_failures_to_respond.saturating_add(1);
+    fn record_unanswered(&mut self) {
+        self.consecutive_unanswered_attempts =
+            self.consecutive_unanswered_attempts.saturating_add(1);
     }
 
     /// Whether enough attempts in a row ended without a response.
     pub fn has_failed_repeatedly(&self) -> bool {
-        self.consecutive_failures_to_respond >= UNRESPONSIVE_COUNT
+        self.consecutive_unanswered_attempts >= UNRESPONSIVE_ATTEMPT_COUNT
     }
 
     /// Whether the server does not respond: attempts in a row failed, or one that needs no fetch is overdue.
--- a/crates/load-balancer/src/placement.rs
+++ b/crates/load-balancer/src/placement.rs
@@ -24,11 +24,11 @@
 const FLEET_SPARE_RATIO: f64 = 0.5;
 /// A server whose limit is below this ratio of the mean is in trouble itself: its keys may move even while the fleet
 /// as a whole is in use.
-const TROUBLED_LIMIT_RATIO: f64 = 0.6;
+const DEGRADED_LIMIT_RATIO: f64 = 0.6;
 /// A hot key is spread over this multiple of the capacity that it needs: its replicas have their usual load too.
-const HOT_KEY_SPARE_RATIO: f64 = 1.5;
+const HOT_KEY_HEADROOM_RATIO: f64 = 1.5;
 /// Further attempts of all routers are spread over this many mean servers for each attempt before.
-const RETRY_SPREAD_COUNT: f64 = 3.0;
+const RETRY_SPREAD_SERVER_COUNT: f64 = 3.0;
 
 /// What one candidate server was to a request: it took the request, or the reason why it was left out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -114,7 +114,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FleetUsage {
     /// The largest part of its arcs that a server takes.
-    pub largest_arc_part: f64,
+    pub largest_arc_fraction: f64,
     /// Requests in flight.
     pub in_flight: f64,
     /// All concurrency limits together.
@@ -123,16 +123,21 @@
 
 impl FleetUsage {
     /// Of the fleet now.
-    pub fn of(servers: &ServerTable, now: Micros, rules: &Rules, weights: Weights) -> FleetUsage {
+    pub fn measure(
+        servers: &ServerTable,
+        now: Micros,
+        rules: &Rules,
+        weights: Weights,
+    ) -> FleetUsage {
         let mut usage = FleetUsage {
-            largest_arc_part: 0.0,
+            largest_arc_fraction: 0.0,
             in_flight: 0.0,
             total_limit: 0.0,
         };
         for server in servers.accepting() {
             let relative_weight = servers.relative_weight(server, weights);
-            let arc_part = arc_part(server, relative_weight, now, rules);
-            usage.largest_arc_part = usage.largest_arc_part.max(arc_part);
+            let served_arc_fraction = served_arc_fraction(server, relative_weight, now, rules);
+            usage.largest_arc_fraction = usage.largest_arc_fraction.max(served_arc_fraction);
             usage.in_flight += f64::from(server.limit.in_flight);
             usage.total_limit += server.limit.limit;
         }
@@ -141,27 +146,27 @@
 }
 
 /// The part of its arcs that a server takes, before it is held against the largest.
-fn arc_part(server: &Server, relative_weight: f64, now: Micros, rules: &Rules) -> f64 {
+fn served_arc_fraction(server: &Server, relative_weight: f64, now: Micros, rules: &Rules) -> f64 {
     server.slow_start_progress(now, rules) * relative_weight.min(1.0)
 }
 
 /// Over how many mean servers a key with this share of all requests is spread; 0 if its owner can serve it alone.
 /// Only whole doublings count: replicas that follow a small sample move, and each move is a fetch.
-pub(crate) fn hot_key_replicas(key_share: f64, ready_servers: usize) -> f64 {
-    let heat = HOT_KEY_SPARE_RATIO * key_share * ready_servers as f64;
-    if heat < 1.0 {
+pub(crate) fn hot_key_replica_count(key_share: f64, ready_servers: usize) -> f64 {
+    let servers_needed = HOT_KEY_HEADROOM_RATIO * key_share * ready_servers as f64;
+    if servers_needed < 1.0 {
         0.0
     } else {
-        heat.log2().floor().exp2()
+        servers_needed.log2().floor().exp2()
     }
 }
 
 /// How much server weight this router passes over before it uses a server, in mean servers (servers of mean weight): its own replica of a hot key, and for a
 /// further attempt one of a few, so that all routers do not crowd the next server. `replica_offset` in [0, 1) is
 /// the router's own.
-pub(crate) fn replicas_to_pass(
+pub(crate) fn replica_weight_to_skip(
     pending: &PendingRequest,
-    replicas: f64,
+    replica_count: f64,
     replica_offset: f64,
     ready_servers: usize,
 ) -> f64 {
@@ -169,22 +174,22 @@
         return 0.0;
     }
     let delivered = pending.attempts_delivered();
-    let spread = replicas.max(RETRY_SPREAD_COUNT * delivered as f64);
-    let others = (ready_servers - delivered.min(ready_servers)) as f64;
-    replica_offset * spread.min(others)
+    let spread = replica_count.max(RETRY_SPREAD_SERVER_COUNT * delivered as f64);
+    let other_servers = (ready_servers - delivered.min(ready_servers)) as f64;
+    replica_offset * spread.min(other_servers)
 }
 
-/// The index of an origin that takes a request; for a router that fetches for itself. `chance` in [0, 1) lets a part
+/// The index of an origin that takes a request; for a router that fetches for itself. `random_fraction` in [0, 1) lets a part
 /// of the requests through while the limit of the origin is below one.
 pub(crate) fn choose_origin(
     servers: &ServerTable,
     limit_multiplier: f64,
-    chance: f64,
+    random_fraction: f64,
 ) -> Option<usize> {
     servers.iter().position(|server| {
         server.is_origin
             && server.is_accepting()
-            && server.limit.has_capacity(limit_multiplier, chance)
+            && server.limit.has_capacity(limit_multiplier, random_fraction)
     })
 }
 
@@ -223,26 +228,26 @@
 pub(crate) struct CandidateWalk<'a> {
     inputs: PlacementInputs<'a>,
     /// No candidate was offered yet.
-    is_at_owner: bool,
+    is_first_candidate: bool,
     /// None was offered yet that is not left out.
-    is_before_first_fit: bool,
+    is_before_first_eligible: bool,
     /// Weight that is still to be passed over, in mean servers.
-    replicas_left_to_pass: f64,
+    replica_weight_left_to_skip: f64,
     /// The owner is left out, or may give keys away.
-    may_move: bool,
+    may_migrate: bool,
     /// The first server passed over that was fit: better than none.
     fallback: Option<usize>,
 }
 
 impl<'a> CandidateWalk<'a> {
-    /// A walk that passes over `replicas_to_pass` mean servers first.
-    pub fn new(inputs: PlacementInputs<'a>, replicas_to_pass: f64) -> CandidateWalk<'a> {
+    /// A walk that passes over `replica_weight_to_skip` mean servers first.
+    pub fn new(inputs: PlacementInputs<'a>, replica_weight_to_skip: f64) -> CandidateWalk<'a> {
         CandidateWalk {
             inputs,
-            is_at_owner: true,
-            is_before_first_fit: true,
-            replicas_left_to_pass: replicas_to_pass,
-            may_move: false,
+            is_first_candidate: true,
+            is_before_first_eligible: true,
+            replica_weight_left_to_skip: replica_weight_to_skip,
+            may_migrate: false,
             fallback: None,
         }
     }
@@ -281,24 +286,24 @@
     /// What one candidate is to the request; the first that is fit takes it.
     fn verdict(&mut self, index: usize) -> CandidateVerdict {
         let server = &self.inputs.servers[index];
-        let is_owner = std::mem::take(&mut self.is_at_owner);
+        let is_owner = std::mem::take(&mut self.is_first_candidate);
         let relative_weight = self
             .inputs
             .servers
             .relative_weight(server, self.inputs.weights);
-        if let Some(verdict) = self.inputs.left_out(index, relative_weight) {
-            self.may_move |= self.is_before_first_fit;
+        if let Some(verdict) = self.inputs.exclusion_verdict(index, relative_weight) {
+            self.may_migrate |= self.is_before_first_eligible;
             return verdict;
         }
         let is_cached = self.inputs.is_cached_at(index);
-        if self.is_before_first_fit && self.replicas_left_to_pass >= relative_weight {
-            self.replicas_left_to_pass -= relative_weight;
+        if self.is_before_first_eligible && self.replica_weight_left_to_skip >= relative_weight {
+            self.replica_weight_left_to_skip -= relative_weight;
             self.consider_fallback(index, is_cached);
             return CandidateVerdict::HotKeyReplicaElsewhere;
         }
-        if std::mem::take(&mut self.is_before_first_fit) {
-            self.may_move |= self.inputs.may_give_keys_away(server);
-            self.verdict_for_first_fit(server, is_owner, is_cached)
+        if std::mem::take(&mut self.is_before_first_eligible) {
+            self.may_migrate |= self.inputs.may_migrate_keys_from(server);
+            self.verdict_for_first_eligible(server, is_owner, is_cached)
         } else {
             self.verdict_for_successor(server, is_cached)
         }
@@ -306,20 +311,20 @@
 
     fn consider_fallback(&mut self, index: usize, is_cached: bool) {
         let may_serve = is_cached || self.inputs.fetch.at_owner;
-        let is_fit = self.inputs.admit(&self.inputs.servers[index], 1.0) && may_serve;
-        if is_fit && self.fallback.is_none() {
+        let is_eligible = self.inputs.admits(&self.inputs.servers[index], 1.0) && may_serve;
+        if is_eligible && self.fallback.is_none() {
             self.fallback = Some(index);
         }
     }
 
     /// The first fit server keeps the key.
-    fn verdict_for_first_fit(
+    fn verdict_for_first_eligible(
         &self,
         server: &Server,
         is_owner: bool,
         is_cached: bool,
     ) -> CandidateVerdict {
-        if !self.inputs.admit(server, 1.0) {
+        if !self.inputs.admits(server, 1.0) {
             CandidateVerdict::AtCapacity
         } else if !is_cached && !self.inputs.fetch.at_owner {
             CandidateVerdict::FetchLimited
@@ -339,11 +344,11 @@
         } else {
             1.0
         };
-        if !self.inputs.admit(server, limit_ratio) {
+        if !self.inputs.admits(server, limit_ratio) {
             CandidateVerdict::AtCapacity
         } else if is_cached {
             CandidateVerdict::Diverted
-        } else if !self.may_move {
+        } else if !self.may_migrate {
             CandidateVerdict::RetainedByOwner
         } else if !self.inputs.may_fetch_elsewhere() {
             CandidateVerdict::FetchLimited
@@ -358,13 +363,13 @@
 impl PlacementInputs<'_> {
     /// Why a candidate is left out before its limit is looked at. A server slower or colder than the best takes
     /// part of its arcs, and one that warms up stays within its allowance.
-    fn left_out(&self, index: usize, relative_weight: f64) -> Option<CandidateVerdict> {
+    fn exclusion_verdict(&self, index: usize, relative_weight: f64) -> Option<CandidateVerdict> {
         let server = &self.servers[index];
         let rules = self.limits.rules;
-        let threshold = self.pending.arc_fraction * self.fleet.largest_arc_part;
+        let threshold = self.pending.arc_fraction * self.fleet.largest_arc_fraction;
         if self.pending.was_delivered_to(index) {
             Some(CandidateVerdict::AlreadyAttempted)
-        } else if threshold > arc_part(server, relative_weight, self.now, rules) {
+        } else if threshold > served_arc_fraction(server, relative_weight, self.now, rules) {
             Some(CandidateVerdict::OutsidePartialArc)
         } else if !self
             .slow_start
@@ -385,7 +390,7 @@
 
     fn is_cached_at(&self, index: usize) -> bool {
         let position = self.pending.ring_position;
-        !self.pending.request.write && self.key_locations.is_at(position, index)
+        !self.pending.request.write && self.key_locations.contains(position, index)
     }
 
     /// Whether the key may be fetched away from its owner: a write is fetched anyway, a read costs a retry token.
@@ -393,24 +398,24 @@
         self.fetch.elsewhere && (self.pending.request.write || self.has_retry_token)
     }
 
-    fn admit(&self, server: &Server, limit_ratio: f64) -> bool {
-        self.limits.admit(server, limit_ratio, &self.priority)
+    fn admits(&self, server: &Server, limit_ratio: f64) -> bool {
+        self.limits.admits(server, limit_ratio, &self.priority)
     }
 
     /// Whether keys may leave a server at capacity: while the rest of the fleet has capacity to spare, or if the
     /// server itself is in trouble. In a fleet at capacity each move would be a fetch that adds to the overload. A
     /// limit on few observations moves nothing but writes: many routers would scatter the keys.
-    fn may_give_keys_away(&self, server: &Server) -> bool {
-        let is_trusted = self.pending.request.write || server.limit.is_well_founded(self.now);
-        if !is_trusted {
+    fn may_migrate_keys_from(&self, server: &Server) -> bool {
+        let may_act_on_limit = self.pending.request.write || server.limit.is_reliable(self.now);
+        if !may_act_on_limit {
             return false;
         }
         let limit = server.limit.limit;
         let in_flight = f64::from(server.limit.in_flight);
         let ready_servers = (self.ready_servers as f64).max(1.0);
-        let is_troubled = limit < TROUBLED_LIMIT_RATIO * self.fleet.total_limit / ready_servers;
+        let is_degraded = limit < DEGRADED_LIMIT_RATIO * self.fleet.total_limit / ready_servers;
         let others_in_flight = self.fleet.in_flight - in_flight;
         let others_limit = self.fleet.total_limit - limit;
-        is_troubled || others_in_flight < FLEET_SPARE_RATIO * others_limit
+        is_degraded || others_in_flight < FLEET_SPARE_RATIO * others_limit
     }
 }
--- a/crates/load-balancer/src/queue_estimate.rs
+++ b/crates/load-balancer/src/queue_estimate.rs
@@ -12,13 +12,13 @@
 /// How long a load report counts after the answer that brought it: servers refresh it about once a second.
 const REPORT_LIFETIME: Micros = Micros::from_millis(2_000);
 /// Fewer waiting requests than this are no queue: reports are noisy.
-const MIN_QUEUE_COUNT: f64 = 0.5;
+const MIN_QUEUE_LENGTH: f64 = 0.5;
 /// A server busier than this share of its cores has no spare capacity, even if nothing waits.
-const BUSY_RATIO: f64 = 0.9;
+const BUSY_CPU_RATIO: f64 = 0.9;
 /// Answers that take this multiple of their minimum show a queue, where there is no report.
 const QUEUE_LATENCY_RATIO: f64 = 1.4;
 /// Answers that take this multiple of their minimum disprove a report of spare capacity: it is frozen or wrong.
-const DISPROOF_LATENCY_RATIO: f64 = 3.0;
+const CONTRADICTING_LATENCY_RATIO: f64 = 3.0;
 /// Answers over which their time is averaged.
 const LATENCY_SPAN: u64 = 8;
 /// Answers over which the minimum of that rises.
@@ -68,7 +68,7 @@
         match self.reported_spare_capacity(now) {
             Some(has_spare_capacity) => !has_spare_capacity,
             None => {
-                self.exceeds_minimum(QUEUE_LATENCY_RATIO)
+                self.latency_exceeds_minimum(QUEUE_LATENCY_RATIO)
                     || self.latency.average() > latency_objective
             }
         }
@@ -83,14 +83,17 @@
         report.queue_length.or(report.cpu_utilization)?;
         let has_no_queue = report
             .queue_length
-            .is_none_or(|queue| queue < MIN_QUEUE_COUNT);
-        let is_not_busy = report.cpu_utilization.is_none_or(|busy| busy < BUSY_RATIO);
+            .is_none_or(|queue| queue < MIN_QUEUE_LENGTH);
+        let is_not_busy = report
+            .cpu_utilization
+            .is_none_or(|busy| busy < BUSY_CPU_RATIO);
         let has_spare_capacity = has_no_queue && is_not_busy;
-        let is_disproved = has_spare_capacity && self.exceeds_minimum(DISPROOF_LATENCY_RATIO);
-        (!is_disproved).then_some(has_spare_capacity)
+        let is_contradicted =
+            has_spare_capacity && self.latency_exceeds_minimum(CONTRADICTING_LATENCY_RATIO);
+        (!is_contradicted).then_some(has_spare_capacity)
     }
 
-    fn exceeds_minimum(&self, ratio: f64) -> bool {
-        self.latency.average() > self.latency.minimum_times(ratio)
+    fn latency_exceeds_minimum(&self, ratio: f64) -> bool {
+        self.latency.average() > self.latency.scaled_minimum(ratio)
     }
 }
--- a/crates/load-balancer/src/ring.rs
+++ b/crates/load-balancer/src/ring.rs
@@ -9,7 +9,7 @@
 use std::cmp::Ordering;
 
 /// Digests that place one server on the ring, as in ketama.
-pub(crate) const DIGEST_COUNT: usize = 40;
+pub(crate) const DIGESTS_PER_SERVER: usize = 40;
 /// Ring positions of one digest.
 const POSITIONS_PER_DIGEST: usize = 4;
 
@@ -21,7 +21,7 @@
 
 /// The ring positions of a server.
 pub(crate) fn server_positions(name: &ServerId) -> Vec<u32> {
-    (0..DIGEST_COUNT)
+    (0..DIGESTS_PER_SERVER)
         .flat_map(|number| digest_positions(format!("{name}{number}").as_bytes()))
         .collect()
 }
@@ -53,12 +53,12 @@
         self.server_count
     }
 
-    /// Removes the points of servers for which `stays` is false and adds others. Points at one position are in the
+    /// Removes the points of servers for which `is_retained` is false and adds others. Points at one position are in the
     /// order of their servers' names, whatever the order of the list.
     pub fn update<'a>(
         &mut self,
         mut added: Vec<RingPoint>,
-        stays: impl Fn(usize) -> bool,
+        is_retained: impl Fn(usize) -> bool,
         name: impl Fn(usize) -> &'a ServerId,
     ) {
         let order = |a: &RingPoint, b: &RingPoint| -> Ordering {
@@ -66,10 +66,10 @@
             by_position.then_with(|| name(a.server).cmp(name(b.server)))
         };
         added.sort_unstable_by(order);
-        self.points.retain(|point| stays(point.server));
+        self.points.retain(|point| is_retained(point.server));
         self.points.append(&mut added);
         self.points.sort_by(order);
-        self.server_count = self.points.len() / (POSITIONS_PER_DIGEST * DIGEST_COUNT);
+        self.server_count = self.points.len() / (POSITIONS_PER_DIGEST * DIGESTS_PER_SERVER);
     }
 
     /// Offers the owner of a position, then its distinct successors clockwise, until `accept` returns something.
@@ -82,14 +82,14 @@
     ) -> Option<T> {
         let start = self.points.partition_point(|p| p.position < position);
         let mut offered = vec![false; table_len];
-        let mut left = self.server_count;
+        let mut remaining = self.server_count;
         for point in self.points[start..].iter().chain(&self.points[..start]) {
             if std::mem::replace(&mut offered[point.server], true) {
                 continue;
             }
-            left -= 1;
+            remaining -= 1;
             let found = accept(point.server);
-            if found.is_some() || left == 0 {
+            if found.is_some() || remaining == 0 {
                 return found;
             }
         }
--- a/crates/load-balancer/src/router.rs
+++ b/crates/load-balancer/src/router.rs
@@ -9,7 +9,7 @@
 use crate::action::Action;
 use crate::admin_overrides::AdminOverrides;
 use crate::admission::{PriorityContext, ServerLimits};
-use crate::concurrency_limit::{INITIAL_TOTAL_COUNT, SLOW_RATIO};
+use crate::concurrency_limit::{INITIAL_TOTAL_IN_FLIGHT, SLOW_RATIO};
 use crate::deadline::{DeadlineStep, deadline_step};
 use crate::event::Event;
 use crate::failure_attribution::FailureAttribution;
@@ -78,7 +78,7 @@
         let mut random = Random::new(seed);
         let replica_offset = random.next_fraction();
         // However many routers there are, the first request always goes.
-        let initial_limit = (INITIAL_TOTAL_COUNT / f64::from(settings.routers)).max(1.0);
+        let initial_limit = (INITIAL_TOTAL_IN_FLIGHT / f64::from(settings.routers)).max(1.0);
         let shortest_objective = shortest(&settings.classes, |class| class.latency_objective);
         let shortest_useful = shortest(&settings.classes, Class::longest_useful_latency);
         Ok(Router {
--- a/crates/load-balancer/src/router/attempts.rs
+++ b/crates/load-balancer/src/router/attempts.rs
@@ -6,8 +6,8 @@
 use crate::origin_fetch_limit::{FetchPermission, FetchRequest};
 use crate::pending::{Attempt, AttemptState, PendingRequest};
 use crate::placement::{
-    CandidateWalk, FleetUsage, Placement, PlacementInputs, choose_origin, hot_key_replicas,
-    replicas_to_pass,
+    CandidateWalk, FleetUsage, Placement, PlacementInputs, choose_origin, hot_key_replica_count,
+    replica_weight_to_skip,
 };
 use crate::request::{AttemptEnd, Outcome};
 use crate::retry::{self, AttemptTarget, AttemptTimeout};
@@ -47,13 +47,13 @@
             .pending
             .undecided_fetches(self.now, self.typical_latency);
         let ready_servers = self.ring.server_count().max(1) as f64;
-        let hit_round = self
+        let hit_time_per_router = self
             .typical_latency
             .scaled(self.router_count() / ready_servers);
         let request = FetchRequest {
             popularity: pending.popularity,
             limit_multiplier,
-            hit_round,
+            hit_time_per_router,
         };
         self.origin_fetches
             .permission(self.now, &undecided, &request)
@@ -68,8 +68,8 @@
     ) -> Option<Placement> {
         let ready_servers = self.ring.server_count();
         let key_share = self.traffic.key_share(pending.ring_position);
-        let replicas = hot_key_replicas(key_share, ready_servers);
-        let to_pass = replicas_to_pass(pending, replicas, self.replica_offset, ready_servers);
+        let replicas = hot_key_replica_count(key_share, ready_servers);
+        let to_pass = replica_weight_to_skip(pending, replicas, self.replica_offset, ready_servers);
         let mut counts = std::mem::take(&mut self.verdict_counts);
         let inputs = self.placement_inputs(pending, limit_multiplier, fetch);
         let placement = CandidateWalk::new(inputs, to_pass).run(&self.ring, &mut counts);
@@ -102,7 +102,7 @@
             priority: self.priority_context().priority(pending, limit_multiplier),
             fetch,
             has_retry_token: self.retry_budget.has_token(),
-            fleet: FleetUsage::of(&self.servers, self.now, rules, weights),
+            fleet: FleetUsage::measure(&self.servers, self.now, rules, weights),
             ready_servers: self.ring.server_count(),
         }
     }
@@ -157,7 +157,7 @@
     }
 
     fn is_likely_fetch(&self, pending: &PendingRequest, index: usize) -> bool {
-        let is_cached = self.key_locations.is_at(pending.ring_position, index);
+        let is_cached = self.key_locations.contains(pending.ring_position, index);
         self.settings.mode == CacheMode::Through && (pending.request.write || !is_cached)
     }
 
--- a/crates/load-balancer/src/router/fleet.rs
+++ b/crates/load-balancer/src/router/fleet.rs
@@ -8,7 +8,7 @@
 use crate::ring::{RingPoint, server_positions};
 use crate::server_table::Server;
 use crate::settings::{CacheMode, DiscoveryMode};
-use crate::slow_start::start_of_process;
+use crate::slow_start::estimate_process_start;
 use crate::subscription::SubscriptionStep;
 use crate::time::Micros;
 use crate::timer::TimerPurpose;
@@ -40,7 +40,7 @@
         let deadlines = self.settings.classes.iter().map(|class| class.deadline);
         let longest_deadline = deadlines.max().unwrap_or_default();
         let name = &endpoint.server;
-        let index = self.servers.index_for(name, self.now, longest_deadline);
+        let index = self.servers.choose_index(name, self.now, longest_deadline);
         self.install_process(index, endpoint);
     }
 
@@ -59,15 +59,15 @@
         let limit = ConcurrencyLimit::new(0, self.initial_limit);
         let mut server = Server::new(endpoint, ring_positions, limit);
         server.started_at =
-            start_of_process(server.endpoint.started, self.now, self.has_discovery_list);
+            estimate_process_start(server.endpoint.started, self.now, self.has_discovery_list);
         server.is_origin = is_origin;
         // Routers that hear of it together do not all send at once.
-        server.slow_start_credit = self.random.next_fraction();
+        server.slow_start_allowance_needed = self.random.next_fraction();
         server.last_sent_at = self.now;
         server.is_disabled = self.admin_overrides.is_disabled(&name);
         server.possible_restart_at = self.admin_overrides.enabled_at(&name);
         if index < self.servers.len() {
-            self.key_locations.forget_server(index);
+            self.key_locations.remove_server(index);
         }
         self.servers.replace(index, server);
     }
@@ -111,7 +111,7 @@
         if had_no_servers {
             let router_count = self.router_count();
             self.origin_fetches
-                .start(self.ring.server_count(), router_count);
+                .initialize(self.ring.server_count(), router_count);
         }
     }
 
--- a/crates/load-balancer/src/server_table.rs
+++ b/crates/load-balancer/src/server_table.rs
@@ -42,7 +42,7 @@
     pub last_used_at: Micros,
     pub responsiveness: Responsiveness,
     /// During slow start: the part of a request that its allowance must cover before the next is sent.
-    pub slow_start_credit: f64,
+    pub slow_start_allowance_needed: f64,
     pub queue: QueueEstimate,
 }
 
@@ -62,14 +62,14 @@
             last_sent_at: Micros(0),
             last_used_at: Micros(0),
             responsiveness: Responsiveness::default(),
-            slow_start_credit: 1.0,
+            slow_start_allowance_needed: 1.0,
             queue: QueueEstimate::new(),
         }
     }
 
     /// What it may be used for.
     pub fn availability(&self) -> Availability {
-        Availability::of(self.endpoint.state, self.is_disabled)
+        Availability::new(self.endpoint.state, self.is_disabled)
     }
 
     /// Whether it left the endpoint list.
@@ -94,7 +94,7 @@
         self.limit.record_send(now, interval);
         self.last_used_at = now;
         self.last_sent_at = now;
-        self.slow_start_credit = 1.0;
+        self.slow_start_allowance_needed = 1.0;
         if !is_fetch {
             self.responsiveness.record_send(now);
         }
@@ -190,7 +190,7 @@
 
     /// The index for a process of a server: that of the server, else that of one which left and was sent nothing for
     /// so long that no request can refer to it, else a new one.
-    pub fn index_for(&self, name: &ServerId, now: Micros, longest_deadline: Micros) -> usize {
+    pub fn choose_index(&self, name: &ServerId, now: Micros, longest_deadline: Micros) -> usize {
         let unused_since = now.since(longest_deadline.scaled(INDEX_REUSE_RATIO));
         let is_unused = |server: &Server| {
             server.is_removed()
--- a/crates/load-balancer/src/slow_start.rs
+++ b/crates/load-balancer/src/slow_start.rs
@@ -6,30 +6,34 @@
 //! Reason: a server with cold caches fails under its full share, and many routers together overload it
 //! before any of them hears that it is slow.
 
-use crate::concurrency_limit::INITIAL_TOTAL_COUNT;
+use crate::concurrency_limit::INITIAL_TOTAL_IN_FLIGHT;
 use crate::server_table::Server;
 use crate::settings::Rules;
 use crate::time::Micros;
 
 /// All routers together send at most this ratio of the work that overloads a server which warms up.
-const SAFE_WORK_RATIO: f64 = 0.75;
+const SAFE_LOAD_RATIO: f64 = 0.75;
 
 /// So much of the age that a list gives a process it has just told of is believed: lists come late by so much, and the
 /// clocks of two machines may be further apart.
-const MAX_BELIEVED_AGE: Micros = Micros::from_millis(1_000);
+const MAX_NEW_PROCESS_AGE: Micros = Micros::from_millis(1_000);
 
-/// When a process of a server started, on this process's clock; zero for long ago. `listed`: as the list says, whose clock
-/// may be another one. `is_news`: the list before did not have this process.
-pub(crate) fn start_of_process(listed: Micros, told_at: Micros, is_news: bool) -> Micros {
-    if listed == Micros(0) {
-        return listed;
+/// When a process of a server started, on this process's clock; zero for long ago. `listed_start`: as the list says, whose clock
+/// may be another one. `is_newly_listed`: the list before did not have this process.
+pub(crate) fn estimate_process_start(
+    listed_start: Micros,
+    received_at: Micros,
+    is_newly_listed: bool,
+) -> Micros {
+    if listed_start == Micros(0) {
+        return listed_start;
     }
-    let earliest = if is_news {
-        told_at.since(MAX_BELIEVED_AGE)
+    let earliest = if is_newly_listed {
+        received_at.since(MAX_NEW_PROCESS_AGE)
     } else {
         Micros(0)
     };
-    listed.max(earliest).min(told_at)
+    listed_start.max(earliest).min(received_at)
 }
 
 impl Server {
@@ -79,15 +83,18 @@
         // Capacity grows linearly: its mean over the pause is that of the pause's middle.
         let halfway = server.last_sent_at.plus(self.now).scaled(0.5);
         let capacity = server.capacity_fraction(halfway, self.rules);
-        let safe_work = SAFE_WORK_RATIO * self.rules.overload_multiple * capacity;
-        let work_at_once = cost.unwrap_or_default().scaled(INITIAL_TOTAL_COUNT);
-        let is_limited_already = self.router_count <= INITIAL_TOTAL_COUNT
-            && work_at_once <= self.rules.overload_duration.scaled(safe_work);
-        if is_limited_already {
+        let safe_load = SAFE_LOAD_RATIO * self.rules.overload_multiple * capacity;
+        let initial_burst_work = cost.unwrap_or_default().scaled(INITIAL_TOTAL_IN_FLIGHT);
+        let is_covered_by_limits = self.router_count <= INITIAL_TOTAL_IN_FLIGHT
+            && initial_burst_work <= self.rules.overload_duration.scaled(safe_load);
+        if is_covered_by_limits {
             return true;
         }
-        let allowance_ratio = safe_work / self.router_count;
+        let allowance_ratio = safe_load / self.router_count;
         let allowance = self.now.since(server.last_sent_at).scaled(allowance_ratio);
-        allowance >= self.typical_latency.scaled(server.slow_start_credit)
+        allowance
+            >= self
+                .typical_latency
+                .scaled(server.slow_start_allowance_needed)
     }
 }
--- a/crates/load-balancer/src/traffic_estimate.rs
+++ b/crates/load-balancer/src/traffic_estimate.rs
@@ -7,9 +7,9 @@
 use std::collections::HashMap;
 
 /// Requests over which the mix of tenants, classes and keys is averaged.
-const MIX_SPAN: f64 = 200.0;
+const TRAFFIC_SPAN: f64 = 200.0;
 /// Requests for unknown keys that are assumed besides, so that a small sample makes no key hot.
-const ASSUMED_OTHER_COUNT: f64 = MIX_SPAN / 8.0;
+const PRIOR_REQUEST_COUNT: f64 = TRAFFIC_SPAN / 8.0;
 /// A longer gap between requests is a pause and tells nothing of their pace.
 const MAX_INTERARRIVAL: Micros = Micros::from_millis(1_000);
 /// Requests over which their pace is averaged.
@@ -55,12 +55,12 @@
             .iter()
             .map(|class| class.priority_weight)
             .fold(f64::INFINITY, f64::min);
-        let tenant_share = |share: f64| MovingAverage::new(share, MIX_SPAN);
+        let tenant_share = |share: f64| MovingAverage::new(share, TRAFFIC_SPAN);
         TrafficEstimate {
             key_counts: HashMap::new(),
             total_count: 0.0,
-            mean_priority_weight: MovingAverage::new(min_weight, MIX_SPAN),
-            class_shares: vec![MovingAverage::new(equal_share, MIX_SPAN); class_count],
+            mean_priority_weight: MovingAverage::new(min_weight, TRAFFIC_SPAN),
+            class_shares: vec![MovingAverage::new(equal_share, TRAFFIC_SPAN); class_count],
             tenant_shares: settings
                 .tenants
                 .iter()
@@ -88,7 +88,7 @@
             .mean_interarrival
             .toward(interarrival, INTERARRIVAL_SPAN);
         self.last_arrived_at = now;
-        if self.total_count >= MIX_SPAN {
+        if self.total_count >= TRAFFIC_SPAN {
             self.decay_counts();
         }
         self.total_count += 1.0;
@@ -128,7 +128,7 @@
             .key_counts
             .get(&ring_position)
             .map_or(0.0, |count| count - 1.0);
-        repeats.max(0.0) / (self.total_count + ASSUMED_OTHER_COUNT)
+        repeats.max(0.0) / (self.total_count + PRIOR_REQUEST_COUNT)
     }
 
     /// The mean priority weight of requests.
--- a/crates/load-balancer/src/warm_state.rs
+++ b/crates/load-balancer/src/warm_state.rs
@@ -97,7 +97,7 @@
             typical_latency: server.typical_latency.0,
             possible_restart_at: server.possible_restart_at.0,
             last_sent_at: server.last_sent_at.0,
-            slow_start_credit: server.slow_start_credit,
+            slow_start_credit: server.slow_start_allowance_needed,
         }
     }
 
@@ -174,6 +174,6 @@
     server.possible_restart_at = server.possible_restart_at.max(possible_restart_at);
     server.last_sent_at = Micros(warm.last_sent_at).min(now);
     if is_sound(warm.slow_start_credit) {
-        server.slow_start_credit = warm.slow_start_credit.min(1.0);
+        server.slow_start_allowance_needed = warm.slow_start_credit.min(1.0);
     }
 }
--- a/crates/load-balancer/tests/many_routers.rs
+++ b/crates/load-balancer/tests/many_routers.rs
@@ -92,7 +92,7 @@
 
 /// With equal priority weights neither class gives way to the other.
 #[test]
-fn classes_of_equal_priority_weight_fare_alike() {
+fn classes_of_equal_priority_weight_are_admitted_alike() {
     let alike = vec![
         class(Idempotency::Idempotent),
         class(Idempotency::Idempotent),
@@ -114,7 +114,7 @@
 
 /// One late answer is no state of the server: a minute later its keys are served as before, without an attempt between.
 #[test]
-fn a_late_answer_fades_with_age() {
+fn a_late_answer_loses_effect_with_age() {
     let mut rig = TestRouter::new(one_of_many(), ready(4));
     let keys: Vec<u64> = keys_of(1, 4).take(12).collect();
     for &key in &keys[..2] {
--- a/crates/load-balancer/tests/random_stream.rs
+++ b/crates/load-balancer/tests/random_stream.rs
@@ -34,7 +34,7 @@
 ];
 
 #[test]
-fn the_registrys_splitmix64_gives_the_same_stream() {
+fn splitmix64_gives_the_expected_stream() {
     for (seed, expected) in EXPECTED {
         let mut generator = SplitMix64::seed_from_u64(seed);
         let stream = expected.map(|_| generator.next_u64() >> 11);
--- a/crates/load-balancer/tests/ring.rs
+++ b/crates/load-balancer/tests/ring.rs
@@ -7,7 +7,7 @@
 
 /// Computed apart from this crate: MD5 digests cut into little-endian words, five servers 10.0.0.1:80 to 10.0.0.5:80.
 /// Key 769 lies past the highest point and wraps to the lowest.
-const GOLDEN: [(u64, usize); 7] = [
+const EXPECTED_OWNERS: [(u64, usize); 7] = [
     (1, 5),
     (2, 2),
     (3, 2),
@@ -25,7 +25,7 @@
 #[test]
 fn keys_go_to_the_first_point_at_or_above_and_wrap_around() {
     let mut rig = TestRouter::new(settings(), ready(5));
-    for (key, server) in GOLDEN {
+    for (key, server) in EXPECTED_OWNERS {
         assert_eq!(rig.served_by(key), Some(name(server)), "key {key}");
     }
 }
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn only_the_keys_of_a_departed_server_move() {
+fn only_the_keys_of_a_draining_server_move() {
     let mut rig = TestRouter::new(settings(), ready(8));
     let before = owners(&mut rig, 0..2_000);
     let mut drained = ready(8);
