--- a/crates/load-balancer/tests/admission.rs
+++ b/crates/load-balancer/tests/admission.rs
@@ -10,15 +10,15 @@
     let mut settings = settings();
     settings.classes[1].priority_weight = 8.0;
     let mut rig = TestRouter::new(settings, ready(1));
-    let room = |rig: &mut TestRouter, class| {
+    let admitted_count = |rig: &mut TestRouter, class| {
         (0..30)
             .filter(|_| sent(&rig.request(class, 7).1).is_some())
             .count()
     };
-    let reads = room(&mut rig, 0);
-    assert!(reads > 0);
+    let admitted_reads = admitted_count(&mut rig, 0);
+    assert!(admitted_reads > 0);
     assert!(
-        room(&mut rig, 1) > 0,
+        admitted_count(&mut rig, 1) > 0,
         "capacity is left for higher priority"
     );
 }
@@ -38,12 +38,12 @@
         },
     ];
     let mut rig = TestRouter::new(settings, ready(1));
-    let mut next = 1_000_000;
-    let mut ask = |rig: &mut TestRouter, tenant| {
-        next += 1;
+    let mut next_id = 1_000_000;
+    let mut is_sent = |rig: &mut TestRouter, tenant| {
+        next_id += 1;
         rig.now = rig.now.plus(ms(5));
         let request = Request {
-            id: RequestId(next),
+            id: RequestId(next_id),
             class: ClassId(0),
             tenant: Some(TenantId(tenant)),
             key: Some(7),
@@ -55,12 +55,15 @@
         sent(&rig.event(Event::Request(request))).is_some()
     };
     for id in 1_000_001..1_000_601 {
-        if ask(&mut rig, 0) {
+        if is_sent(&mut rig, 0) {
             rig.end_attempt(RequestId(id), 0, Outcome::Success, 5);
         }
     }
-    let flood = (0..20).filter(|_| ask(&mut rig, 0)).count();
-    let other = (0..20).filter(|_| ask(&mut rig, 1)).count();
-    assert!(flood > 0);
-    assert!(other > 0, "the tenant over its share took all the capacity");
+    let sent_over_share = (0..20).filter(|_| is_sent(&mut rig, 0)).count();
+    let sent_by_other_tenant = (0..20).filter(|_| is_sent(&mut rig, 1)).count();
+    assert!(sent_over_share > 0);
+    assert!(
+        sent_by_other_tenant > 0,
+        "the tenant over its share took all the capacity"
+    );
 }
--- a/crates/load-balancer/tests/endpoints.rs
+++ b/crates/load-balancer/tests/endpoints.rs
@@ -81,19 +81,19 @@
     settings.rules.drain_close = Some(ms(800));
     let mut rig = TestRouter::new(settings.clone(), ready(3));
     let (id, actions) = rig.request(0, 5);
-    let busy = sent(&actions).expect("sent");
-    let mut drained = ready(3);
-    for endpoint in &mut drained {
+    let server = sent(&actions).expect("sent");
+    let mut draining = ready(3);
+    for endpoint in &mut draining {
         endpoint.state = EndpointState::Draining;
     }
-    let actions = rig.update_endpoints(EndpointUpdate::Delta, drained);
+    let actions = rig.update_endpoints(EndpointUpdate::Delta, draining);
     assert!(
         (1..=3).all(|i| closes(&actions, &name(i))),
         "several drains at once: {actions:?}"
     );
     let actions = rig.end_attempt(id, 0, Outcome::Success, 20);
     assert!(
-        closes(&actions, &busy),
+        closes(&actions, &server),
         "drained while working: {actions:?}"
     );
 
--- a/crates/load-balancer/tests/many_routers.rs
+++ b/crates/load-balancer/tests/many_routers.rs
@@ -6,7 +6,7 @@
 use load_balancer::*;
 
 /// One router of a hundred: class 0 has priority weight one, class 1 five; both are idempotent.
-fn one_of_many() -> Settings {
+fn one_of_100_routers() -> Settings {
     let high_priority = Class {
         priority_weight: 5.0,
         ..class(Idempotency::Idempotent)
@@ -37,7 +37,7 @@
 
 /// One request every `gap` for keys of the first of four servers, `high_priority` of ten of class 1; of nine answers one
 /// takes `elapsed_ms`, past the objective, the others 60 ms. How many of each class were sent on.
-fn drive(
+fn send_requests(
     rig: &mut TestRouter,
     requests: usize,
     gap: Micros,
@@ -45,7 +45,7 @@
     elapsed_ms: u64,
 ) -> [usize; 2] {
     let mut sent_on = [0; 2];
-    for (i, key) in keys_of(1, 4).take(requests).enumerate() {
+    for (i, key) in keys_owned_by(1, 4).take(requests).enumerate() {
         let class = usize::from(i * 7 % 10 < high_priority);
         let (id, actions) = read(rig, i, class, key);
         if sent(&actions).is_some() {
@@ -68,7 +68,7 @@
 }
 
 /// Keys of the given server, each asked for once.
-fn keys_of(server: usize, servers: usize) -> impl Iterator<Item = u64> {
+fn keys_owned_by(server: usize, servers: usize) -> impl Iterator<Item = u64> {
     (0..).filter(move |&key| {
         TestRouter::new(settings(), ready(servers)).served_by(key) == Some(name(server))
     })
@@ -78,34 +78,34 @@
 /// refusals is the same as at few routers.
 #[test]
 fn higher_priority_is_rejected_last_at_one_of_many_routers() {
-    let mut rig = TestRouter::new(one_of_many(), ready(4));
-    drive(&mut rig, 60, ms(700), 3, 400);
+    let mut rig = TestRouter::new(one_of_100_routers(), ready(4));
+    send_requests(&mut rig, 60, ms(700), 3, 400);
     rig.now = rig.now.plus(ms(1_000));
-    let [low, high] = drive(&mut rig, 200, ms(700), 3, 400);
+    let [low, high] = send_requests(&mut rig, 200, ms(700), 3, 400);
     assert!(low < 140 / 2, "{low} of 140 of low priority");
-    let (refused_low, refused_high) = (140 - low, 60 - high);
+    let (rejected_low, rejected_high) = (140 - low, 60 - high);
     assert!(
-        refused_high * 140 * 3 <= refused_low * 60,
-        "{refused_high} of 60 against {refused_low} of 140"
+        rejected_high * 140 * 3 <= rejected_low * 60,
+        "{rejected_high} of 60 against {rejected_low} of 140"
     );
 }
 
 /// With equal priority weights neither class gives way to the other.
 #[test]
 fn classes_of_equal_priority_weight_are_admitted_alike() {
-    let alike = vec![
+    let equal_classes = vec![
         class(Idempotency::Idempotent),
         class(Idempotency::Idempotent),
     ];
     let mut rig = TestRouter::new(
         Settings {
-            classes: alike,
-            ..one_of_many()
+            classes: equal_classes,
+            ..one_of_100_routers()
         },
         ready(4),
     );
-    drive(&mut rig, 60, ms(700), 5, 400);
-    let [one, other] = drive(&mut rig, 200, ms(700), 5, 400);
+    send_requests(&mut rig, 60, ms(700), 5, 400);
+    let [one, other] = send_requests(&mut rig, 200, ms(700), 5, 400);
     assert!(
         one.abs_diff(other) * 4 <= one + other,
         "{one} against {other}"
@@ -115,8 +115,8 @@
 /// One late answer is no state of the server: a minute later its keys are served as before, without an attempt between.
 #[test]
 fn a_late_answer_loses_effect_with_age() {
-    let mut rig = TestRouter::new(one_of_many(), ready(4));
-    let keys: Vec<u64> = keys_of(1, 4).take(12).collect();
+    let mut rig = TestRouter::new(one_of_100_routers(), ready(4));
+    let keys: Vec<u64> = keys_owned_by(1, 4).take(12).collect();
     for &key in &keys[..2] {
         let (id, _) = rig.request(0, key);
         rig.event(ended_with_status(
@@ -136,9 +136,9 @@
 #[test]
 fn a_rejection_by_the_server_holds_until_it_answers() {
     let attempts_there = |outcome: Outcome| {
-        let mut rig = TestRouter::new(one_of_many(), ready(4));
+        let mut rig = TestRouter::new(one_of_100_routers(), ready(4));
         let mut attempts_there = 0;
-        for key in keys_of(1, 4).take(120) {
+        for key in keys_owned_by(1, 4).take(120) {
             let (id, actions) = rig.request(0, key);
             if sent(&actions) == Some(name(1)) {
                 attempts_there += 1;
@@ -163,8 +163,8 @@
 /// where it would be a fetch that drives out another key.
 #[test]
 fn a_limit_on_few_observations_migrates_no_key() {
-    let mut rig = TestRouter::new(one_of_many(), ready(4));
-    let keys: Vec<u64> = keys_of(1, 4).take(40).collect();
+    let mut rig = TestRouter::new(one_of_100_routers(), ready(4));
+    let keys: Vec<u64> = keys_owned_by(1, 4).take(40).collect();
     let (mut at_owner, mut elsewhere) = (0, 0);
     for &key in &keys {
         let (id, actions) = rig.request(0, key);
@@ -189,13 +189,13 @@
 /// admitted again within two seconds.
 #[test]
 fn after_a_burst_all_requests_are_admitted_within_two_seconds() {
-    let mut rig = TestRouter::new(one_of_many(), ready(15));
+    let mut rig = TestRouter::new(one_of_100_routers(), ready(15));
     let mut key = 0;
-    let mut step = |rig: &mut TestRouter, gap: u64, elapsed_ms: u64| {
+    let mut send_request = |rig: &mut TestRouter, gap: u64, elapsed_ms: u64| {
         key += 1;
         let (id, actions) = rig.request(0, key);
-        let ok = sent(&actions).is_some();
-        if ok {
+        let is_sent = sent(&actions).is_some();
+        if is_sent {
             rig.event(ended_with_status(
                 id,
                 Outcome::Success,
@@ -204,19 +204,19 @@
             ));
         }
         rig.now = rig.now.plus(ms(gap));
-        ok
+        is_sent
     };
     for _ in 0..100 {
-        step(&mut rig, 600, 60);
+        send_request(&mut rig, 600, 60);
     }
     // In the burst answers take longer, yet come within the objective.
     for _ in 0..10 {
-        step(&mut rig, 300, 140);
+        send_request(&mut rig, 300, 140);
     }
     for _ in 0..4 {
-        step(&mut rig, 500, 60);
+        send_request(&mut rig, 500, 60);
     }
-    let rejected = (0..60).filter(|_| !step(&mut rig, 600, 60)).count();
+    let rejected = (0..60).filter(|_| !send_request(&mut rig, 600, 60)).count();
     assert!(rejected <= 1, "{rejected} of 60 rejected after the burst");
 }
 
@@ -230,11 +230,11 @@
     let mut rig = TestRouter::new(
         Settings {
             classes: vec![class(Idempotency::Idempotent), keyed],
-            ..one_of_many()
+            ..one_of_100_routers()
         },
         ready(4),
     );
-    let keys: Vec<u64> = keys_of(1, 4).take(3).collect();
+    let keys: Vec<u64> = keys_owned_by(1, 4).take(3).collect();
     for &key in &keys[..2] {
         let (id, _) = rig.request(0, key);
         rig.event(ended_with_status(
@@ -256,7 +256,7 @@
 /// see a server once in ten seconds, a router needs about three attempts.
 #[test]
 fn one_slow_server_does_not_affect_the_others() {
-    let mut rig = TestRouter::new(one_of_many(), ready(15));
+    let mut rig = TestRouter::new(one_of_100_routers(), ready(15));
     let (mut slow, mut others) = ((0, 0), (0, 0));
     for key in 0..600 {
         let (id, actions) = rig.request(0, key);
--- a/crates/load-balancer/tests/origin_failures.rs
+++ b/crates/load-balancer/tests/origin_failures.rs
@@ -40,8 +40,8 @@
 #[test]
 fn fetches_shrink_while_the_origin_fails_and_recover() {
     let mut rig = TestRouter::new(settings(), ready(4));
-    let hit = key_of(1, 4);
-    rig.served_by(hit);
+    let cached_key = key_of(1, 4);
+    rig.served_by(cached_key);
     for key in 10_000..10_200 {
         let (id, actions) = rig.request(0, key);
         if sent(&actions).is_some() {
@@ -54,11 +54,11 @@
         }
     }
     let try_fetches = |rig: &mut TestRouter, from: u64, count: u64| {
-        let mut sends = 0;
+        let mut sent_count = 0;
         for key in from..from + count {
             let (id, actions) = rig.request(0, key);
             if sent(&actions).is_some() {
-                sends += 1;
+                sent_count += 1;
                 rig.event(ended_with_status(
                     id,
                     Outcome::Success,
@@ -68,11 +68,18 @@
             }
             rig.now = rig.now.plus(ms(10));
         }
-        sends
+        sent_count
     };
-    assert_eq!(rig.served_by(hit), Some(name(1)), "likely hits go on");
-    let first = try_fetches(&mut rig, 20_000, 20);
-    assert!(first < 10, "{first} of 20 fetches after a collapse");
+    assert_eq!(
+        rig.served_by(cached_key),
+        Some(name(1)),
+        "likely hits go on"
+    );
+    let sent_at_first = try_fetches(&mut rig, 20_000, 20);
+    assert!(
+        sent_at_first < 10,
+        "{sent_at_first} of 20 fetches after a collapse"
+    );
     for i in 0..10 {
         try_fetches(&mut rig, 30_000 + i * 100, 100);
     }
@@ -83,18 +90,18 @@
 #[test]
 fn a_failed_fetch_forgets_only_its_own_key() {
     use md5::{Digest, Md5};
-    let slot = |key: u64| {
+    let entry_index = |key: u64| {
         let digest: [u8; 16] = Md5::digest(key.to_string().as_bytes()).into();
         u32::from_le_bytes([digest[0], digest[1], digest[2], digest[3]]) % 4096
     };
     let cached_key = 7;
-    let sharing = (1_000_000..)
-        .find(|&key| slot(key) == slot(cached_key))
+    let colliding_key = (1_000_000..)
+        .find(|&key| entry_index(key) == entry_index(cached_key))
         .expect("a key of the same slot");
     let mut rig = TestRouter::new(settings(), ready(1));
     assert_eq!(rig.served_by(cached_key), Some(name(1)));
-    let others = (10_000..10_400).filter(|&key| slot(key) != slot(cached_key));
-    for key in std::iter::once(sharing).chain(others) {
+    let others = (10_000..10_400).filter(|&key| entry_index(key) != entry_index(cached_key));
+    for key in std::iter::once(colliding_key).chain(others) {
         let (id, actions) = rig.request(0, key);
         if sent(&actions).is_some() {
             rig.event(ended_with_status(
@@ -134,10 +141,10 @@
         ));
         rig.now = rig.now.plus(ms(500));
     }
-    let mut let_through = 0;
+    let mut admitted = 0;
     for key in 100..200 {
         let (id, actions) = rig.request(0, key);
-        let_through += usize::from(sent(&actions).is_some());
+        admitted += usize::from(sent(&actions).is_some());
         rig.event(ended_with_status(
             id,
             Outcome::Failure,
@@ -146,7 +153,7 @@
         ));
         rig.now = rig.now.plus(ms(500));
     }
-    assert!(let_through < 20, "{let_through} of 100 fetches");
+    assert!(admitted < 20, "{admitted} of 100 fetches");
 }
 
 /// Guards the servers of a thousand routers: time-outs of requests that may be fetches are the server's, not the
@@ -160,16 +167,16 @@
         },
         ready(50),
     );
-    let mut let_through = 0;
+    let mut admitted = 0;
     for key in 0..100 {
         let (id, actions) = rig.request(0, key);
-        let_through += usize::from(sent(&actions).is_some());
+        admitted += usize::from(sent(&actions).is_some());
         for attempt in 0..3 {
             rig.end_attempt(id, attempt, Outcome::TimedOut, 800);
         }
         rig.now = rig.now.plus(ms(60_000));
     }
-    assert!(let_through > 80, "{let_through} of 100 requests");
+    assert!(admitted > 80, "{admitted} of 100 requests");
 }
 
 /// Guards a failing origin where errors carry no cache status, as on sockets: a likely fetch that fails later than hits are
--- a/crates/load-balancer/tests/origin_fetch_limit.rs
+++ b/crates/load-balancer/tests/origin_fetch_limit.rs
@@ -6,14 +6,14 @@
 use load_balancer::*;
 
 /// Sends requests for new keys until one is rejected; their ids.
-fn fill(rig: &mut TestRouter, first_key: u64) -> Vec<RequestId> {
-    let mut out = Vec::new();
+fn fill_fetch_limit(rig: &mut TestRouter, first_key: u64) -> Vec<RequestId> {
+    let mut in_flight = Vec::new();
     for key in first_key..first_key + 1_000 {
         let (id, actions) = rig.request(0, key);
         if sent(&actions).is_none() {
-            return out;
+            return in_flight;
         }
-        out.push(id);
+        in_flight.push(id);
     }
     panic!("no bound on fetches");
 }
@@ -23,18 +23,21 @@
 #[test]
 fn an_abandoned_fetch_counts_as_long_again() {
     let mut rig = TestRouter::new(settings_with_late_weight(0.0), ready(20));
-    let out = fill(&mut rig, 1_000);
-    assert!(out.len() > 10, "{} at once", out.len());
+    let in_flight = fill_fetch_limit(&mut rig, 1_000);
+    assert!(in_flight.len() > 10, "{} at once", in_flight.len());
     rig.now = rig.now.plus(ms(400));
-    for &id in &out {
+    for &id in &in_flight {
         rig.event(Event::AttemptEnded(ended(id, 0, Outcome::TimedOut, 400)));
     }
     assert!(
-        fill(&mut rig, 5_000).is_empty(),
+        fill_fetch_limit(&mut rig, 5_000).is_empty(),
         "all of them still are at work at the origin"
     );
     rig.now = rig.now.plus(ms(4_000));
-    assert!(!fill(&mut rig, 9_000).is_empty(), "they have ended");
+    assert!(
+        !fill_fetch_limit(&mut rig, 9_000).is_empty(),
+        "they have ended"
+    );
 }
 
 /// Guards against a limit that falls for slow servers and stays down, as rejected clients come back: where fetches take
@@ -99,8 +102,11 @@
             ));
         }
     }
-    let jammed = rig.router.diagnostics().fetch_limit;
-    assert!(jammed < 1.0, "limit {jammed} while all fetches are late");
+    let limit_during_overload = rig.router.diagnostics().fetch_limit;
+    assert!(
+        limit_during_overload < 1.0,
+        "limit {limit_during_overload} while all fetches are late"
+    );
     let mut served = 0;
     for key in 1_000..1_100 {
         let (id, actions) = rig.request(0, key);
@@ -160,7 +166,7 @@
 /// move off a full server, as the move is a fetch and drives out another key.
 #[test]
 fn a_key_does_not_migrate_while_fetches_are_limited() {
-    let moved = |short: bool| {
+    let server_of_last_key = |fetches_limited: bool| {
         let mut rig = TestRouter::new(settings(), ready(20));
         let keys: Vec<u64> = keys_of(1, 20).take(9).collect();
         for &key in &keys[..8] {
@@ -178,7 +184,7 @@
         for key in 20_000..20_010 {
             fetch(key, 30);
         }
-        if short {
+        if fetches_limited {
             for key in 30_000..30_020 {
                 fetch(key, 200);
             }
@@ -193,10 +199,10 @@
         }
         sent(&rig.request(0, keys[8]).1)
     };
-    let elsewhere = moved(false);
+    let elsewhere = server_of_last_key(false);
     assert!(
         elsewhere.is_some() && elsewhere != Some(name(1)),
         "without a queue a key migrates: {elsewhere:?}"
     );
-    assert_eq!(moved(true), None, "short of fetches it is not");
+    assert_eq!(server_of_last_key(true), None, "short of fetches it is not");
 }
--- a/crates/load-balancer/tests/outliers.rs
+++ b/crates/load-balancer/tests/outliers.rs
@@ -10,11 +10,11 @@
 fn an_unreachable_server_is_avoided_and_used_again_once_it_serves() {
     let mut rig = TestRouter::new(settings(), ready(4));
     let mut keys = keys_of(1, 4);
-    let mut down = 0;
+    let mut sent_while_down = 0;
     for key in keys.by_ref().take(60) {
         let (id, actions) = rig.request(0, key);
         if sent(&actions) == Some(name(1)) {
-            down += 1;
+            sent_while_down += 1;
             rig.end_attempt(id, 0, Outcome::Unreachable, 3);
             rig.end_attempt(id, 1, Outcome::Success, 20);
         } else {
@@ -23,8 +23,8 @@
         rig.now = rig.now.plus(ms(5));
     }
     assert!(
-        (1..20).contains(&down),
-        "{down} of 60 went to a server that is down"
+        (1..20).contains(&sent_while_down),
+        "{sent_while_down} of 60 went to a server that is down"
     );
     for key in keys.by_ref().take(40) {
         rig.served_by(key);
@@ -106,10 +106,10 @@
             rig.end_attempt(id, 1, Outcome::Success, 20);
             rig.now = rig.now.plus(ms(2_000));
         }
-        let mut last = 0;
+        let mut sent_at_end = 0;
         for (i, &key) in keys[40..].iter().enumerate() {
             let (id, actions) = rig.request(0, key);
-            last += usize::from(i >= 340 && sent(&actions) == Some(name(1)));
+            sent_at_end += usize::from(i >= 340 && sent(&actions) == Some(name(1)));
             rig.event(ended_with_status(
                 id,
                 Outcome::Success,
@@ -119,7 +119,7 @@
             rig.now = rig.now.plus(ms(2_000));
         }
         assert_eq!(
-            last, 20,
+            sent_at_end, 20,
             "the ring decides again, {routers} routers after {failure:?}"
         );
     }
--- a/crates/load-balancer/tests/placement.rs
+++ b/crates/load-balancer/tests/placement.rs
@@ -10,13 +10,13 @@
 fn a_hot_key_spills_to_its_successor_only_while_hot() {
     let mut rig = TestRouter::new(settings(), ready(4));
     let key = key_of(1, 4);
-    let out: Vec<_> = (0..12).map(|_| rig.request(0, key)).collect();
-    let servers_used: std::collections::BTreeSet<_> = out
+    let requests: Vec<_> = (0..12).map(|_| rig.request(0, key)).collect();
+    let servers_used: std::collections::BTreeSet<_> = requests
         .iter()
         .filter_map(|(_, actions)| sent(actions))
         .collect();
     assert!(servers_used.len() >= 2, "{servers_used:?}");
-    for (id, _) in out {
+    for (id, _) in requests {
         rig.event(ended_with_status(
             id,
             Outcome::Success,
@@ -59,39 +59,39 @@
         }
         servers_used.len()
     };
-    let (hot, calm) = (servers_used(0), servers_used(2_000));
+    let (while_hot, afterwards) = (servers_used(0), servers_used(2_000));
     assert!(
-        (3..12).contains(&hot),
-        "{hot} replicas while a sixth of the requests ask for it"
+        (3..12).contains(&while_hot),
+        "{while_hot} replicas while a sixth of the requests ask for it"
     );
-    assert_eq!(calm, 1);
+    assert_eq!(afterwards, 1);
 }
 
 /// Guards an overloaded fleet: a key that migrates is fetched again and evicts others, so that it goes
 /// to its successor only if that has room to spare. A successor that is half busy with its own keys is not asked.
 #[test]
 fn a_key_migrates_only_to_a_server_with_spare_capacity() {
-    let moved = |busy: usize| {
+    let migrates = |in_flight_at_successor: usize| {
         let mut rig = TestRouter::new(settings(), ready(2));
-        let (owned, next): (Vec<_>, Vec<_>) = (
+        let (owner_keys, successor_keys): (Vec<_>, Vec<_>) = (
             keys_of(1, 2).take(8).collect(),
-            keys_of(2, 2).take(busy).collect(),
+            keys_of(2, 2).take(in_flight_at_successor).collect(),
         );
-        for &key in owned.iter().chain(&next) {
+        for &key in owner_keys.iter().chain(&successor_keys) {
             rig.served_by(key);
         }
-        for &key in &next {
+        for &key in &successor_keys {
             rig.request(0, key);
         }
-        owned
+        owner_keys
             .iter()
             .any(|&key| sent(&rig.request(0, key).1) == Some(name(2)))
     };
     assert!(
-        moved(0),
+        migrates(0),
         "an idle one takes what its owner has no capacity for"
     );
-    assert!(!moved(2), "one with half of its limit in use does not");
+    assert!(!migrates(2), "one with half of its limit in use does not");
 }
 
 /// Guards small machines: one of half the mean listed size takes about half of its arcs, the same at every router.
@@ -114,9 +114,9 @@
             .filter(|&key| rig.served_by(key) == Some(name(1)))
             .count()
     };
-    let (whole, part) = (share(Weights::Unknown), share(Weights::Nominal));
+    let (full_arcs, partial_arcs) = (share(Weights::Unknown), share(Weights::Nominal));
     assert!(
-        part * 10 > whole * 3 && part * 10 < whole * 6,
-        "{part} of {whole}"
+        partial_arcs * 10 > full_arcs * 3 && partial_arcs * 10 < full_arcs * 6,
+        "{partial_arcs} of {full_arcs}"
     );
 }
--- a/crates/load-balancer/tests/ring.rs
+++ b/crates/load-balancer/tests/ring.rs
@@ -32,10 +32,10 @@
 
 #[test]
 fn the_order_of_the_list_does_not_matter() {
-    let mut backwards = ready(9);
-    backwards.reverse();
+    let mut reversed = ready(9);
+    reversed.reverse();
     let mut a = TestRouter::new(settings(), ready(9));
-    let mut b = TestRouter::new(settings(), backwards);
+    let mut b = TestRouter::new(settings(), reversed);
     assert_eq!(owners(&mut a, 0..500), owners(&mut b, 0..500));
 }
 
@@ -56,13 +56,16 @@
 fn only_the_keys_of_a_draining_server_move() {
     let mut rig = TestRouter::new(settings(), ready(8));
     let before = owners(&mut rig, 0..2_000);
-    let mut drained = ready(8);
-    drained[3].state = EndpointState::Draining;
-    rig.update_endpoints(EndpointUpdate::Delta, vec![drained[3].clone()]);
+    let mut endpoints = ready(8);
+    endpoints[3].state = EndpointState::Draining;
+    rig.update_endpoints(EndpointUpdate::Delta, vec![endpoints[3].clone()]);
     let after = owners(&mut rig, 0..2_000);
-    for (was, is) in before.iter().zip(&after) {
-        assert_ne!(*is, name(4), "a draining server is off the ring");
-        assert!(was == is || *was == name(4), "a key of {was} moved to {is}");
+    for (old_owner, new_owner) in before.iter().zip(&after) {
+        assert_ne!(*new_owner, name(4), "a draining server is off the ring");
+        assert!(
+            old_owner == new_owner || *old_owner == name(4),
+            "a key of {old_owner} moved to {new_owner}"
+        );
     }
     rig.update_endpoints(EndpointUpdate::Delta, vec![ready(8)[3].clone()]);
     assert_eq!(owners(&mut rig, 0..2_000), before);
@@ -99,8 +102,8 @@
     let mut endpoints = vec![Endpoint::ready(name(9))];
     endpoints.extend(ready(4).split_off(1));
     rig.update_endpoints(EndpointUpdate::Snapshot, endpoints.clone());
-    let mut anew = TestRouter::new(settings(), endpoints);
+    let mut new_router = TestRouter::new(settings(), endpoints);
     let owners_now = owners(&mut rig, 0..500);
     assert!(owners_now.contains(&name(9)) && !owners_now.contains(&name(1)));
-    assert_eq!(owners_now, owners(&mut anew, 0..500));
+    assert_eq!(owners_now, owners(&mut new_router, 0..500));
 }
--- a/crates/load-balancer/tests/slow_start.rs
+++ b/crates/load-balancer/tests/slow_start.rs
@@ -9,7 +9,7 @@
 /// share of what warm ones are sent; it gets all of them back when warm.
 #[test]
 fn a_server_in_slow_start_takes_a_growing_part_of_its_arcs() {
-    let share_at = |age: u64| {
+    let keys_at_age = |age: u64| {
         let mut endpoints = ready(4);
         endpoints[0].started = ms(100_000 - age);
         let mut rig = TestRouter::new(settings(), endpoints);
@@ -17,7 +17,7 @@
             .filter(|&key| rig.served_by(key) == Some(name(1)))
             .count()
     };
-    let (fresh, half, warm) = (share_at(0), share_at(15_000), share_at(30_000));
+    let (fresh, half, warm) = (keys_at_age(0), keys_at_age(15_000), keys_at_age(30_000));
     assert!(fresh < warm / 5, "fresh {fresh}, warm {warm}");
     assert!(
         half > fresh && half < warm * 3 / 4,
@@ -32,25 +32,29 @@
     let key = (0..)
         .find(|&key| rig.served_by(key) == Some(name(1)))
         .expect("a key of server 1");
-    let fails = |rig: &mut TestRouter| {
+    let fail_one = |rig: &mut TestRouter| {
         let (id, _) = rig.request(0, key);
         rig.end_attempt(id, 0, Outcome::Unreachable, 5);
         rig.end_attempt(id, 1, Outcome::Success, 5);
     };
-    let served = |rig: &mut TestRouter| {
+    let served_count = |rig: &mut TestRouter| {
         (0..400)
             .filter(|&key| rig.served_by(key) == Some(name(1)))
             .count()
     };
     // One connection that was reset shows nothing yet: the server keeps its keys.
-    fails(&mut rig);
-    assert!(served(&mut rig) > 150, "{} of 400 keys", served(&mut rig));
-    fails(&mut rig);
-    fails(&mut rig);
-    let at_once = served(&mut rig);
+    fail_one(&mut rig);
     assert!(
-        at_once < 60,
-        "{at_once} of 400 keys at once to a server that has just been down"
+        served_count(&mut rig) > 150,
+        "{} of 400 keys",
+        served_count(&mut rig)
+    );
+    fail_one(&mut rig);
+    fail_one(&mut rig);
+    let served_after_failures = served_count(&mut rig);
+    assert!(
+        served_after_failures < 60,
+        "{served_after_failures} of 400 keys at once to a server that has just been down"
     );
 }
 
@@ -76,12 +80,12 @@
 fn many_routers_together_stay_within_a_slow_start_allowance() {
     let mut endpoints = ready(4);
     endpoints[0].started = ms(85_000);
-    let mut few = TestRouter::new(settings(), endpoints.clone());
+    let mut router = TestRouter::new(settings(), endpoints.clone());
     let key = (0..)
-        .find(|&key| few.served_by(key) == Some(name(1)))
+        .find(|&key| router.served_by(key) == Some(name(1)))
         .expect("a key of the server in slow start");
     let routers: u32 = 200;
-    let mut to_cold = 0;
+    let mut sent_to_warming_server = 0;
     for seed in 0..routers {
         let mut rig = TestRouter::new(settings(), vec![]);
         rig.router = Router::new(
@@ -95,13 +99,16 @@
         rig.update_endpoints(EndpointUpdate::Snapshot, endpoints.clone());
         for _ in 0..4 {
             let (id, actions) = rig.request(0, key);
-            to_cold += usize::from(sent(&actions) == Some(name(1)));
+            sent_to_warming_server += usize::from(sent(&actions) == Some(name(1)));
             rig.end_attempt(id, 0, Outcome::Success, 75);
             rig.now = rig.now.plus(ms(500));
         }
     }
     // 0.75 of 2 x 53% of a core for 1.5 s, at 75 to 150 ms a request, is 8 to 16; chance adds half at most.
-    assert!((1..24).contains(&to_cold), "{to_cold} requests in 2 s");
+    assert!(
+        (1..24).contains(&sent_to_warming_server),
+        "{sent_to_warming_server} requests in 2 s"
+    );
 }
 
 /// Guards the bounded walk: servers that are left out for slow start do not count, so that one warm server is found.
@@ -123,17 +130,17 @@
 
 /// The share of 2,000 keys that a new process of a server gets, at once, after half of its slow start and after all of it;
 /// the list dates its start so much after the moment at which it tells of it (ms), or before.
-fn shares_of_a_restarted_server(dated_after: i64) -> [usize; 3] {
+fn keys_of_a_restarted_server(listed_start_offset_ms: i64) -> [usize; 3] {
     let hour = ms(3_600_000);
-    let told_at = hour.plus(hour);
+    let received_at = hour.plus(hour);
     [0, 15_000, 30_500].map(|age| {
         let mut rig = TestRouter::new(settings(), ready(4));
-        rig.now = told_at;
+        rig.now = received_at;
         let mut restarted = Endpoint::ready(name(1));
-        let told_at_ms = i64::try_from(told_at.0 / 1_000).expect("in range");
-        restarted.started = ms((told_at_ms + dated_after).unsigned_abs());
+        let received_at_ms = i64::try_from(received_at.0 / 1_000).expect("in range");
+        restarted.started = ms((received_at_ms + listed_start_offset_ms).unsigned_abs());
         rig.update_endpoints(EndpointUpdate::Delta, vec![restarted]);
-        rig.now = told_at.plus(ms(age));
+        rig.now = received_at.plus(ms(age));
         (0..2_000)
             .filter(|&key| rig.served_by(key) == Some(name(1)))
             .count()
@@ -144,16 +151,16 @@
 /// without requests until then, one that it dates back left it without slow start.
 #[test]
 fn a_new_process_warms_up_from_when_it_is_told_whatever_the_clocks_say() {
-    for dated_after in [3_600_000, 5_000, 0, -5_000, -3_600_000] {
-        let [fresh, half, warm] = shares_of_a_restarted_server(dated_after);
-        assert!(warm > 350, "{dated_after} ms: warm {warm}");
+    for listed_start_offset_ms in [3_600_000, 5_000, 0, -5_000, -3_600_000] {
+        let [fresh, half, warm] = keys_of_a_restarted_server(listed_start_offset_ms);
+        assert!(warm > 350, "{listed_start_offset_ms} ms: warm {warm}");
         assert!(
             fresh < warm / 5,
-            "{dated_after} ms: fresh {fresh}, warm {warm}"
+            "{listed_start_offset_ms} ms: fresh {fresh}, warm {warm}"
         );
         assert!(
             half > fresh && half < warm * 3 / 4,
-            "{dated_after} ms: half {half}, warm {warm}"
+            "{listed_start_offset_ms} ms: half {half}, warm {warm}"
         );
     }
 }
