--- a/crates/load-balancer/src/placement.rs
+++ b/crates/load-balancer/src/placement.rs
@@ -1,10 +1,12 @@
-//! Which candidate takes a request?
+//! Chooses the server for a request among the candidates on the ring.
 //!
-//! Inputs: the candidates in ring order, what the router knows of each, whether the request may be an origin fetch,
-//! its priority, the use of the fleet. Answer: the first fit server and a [`CandidateVerdict`] for each candidate
-//! that was offered. Reason: a key stays with its owner, where it is cached; it goes elsewhere only if the owner is
-//! left out or at capacity and the fetch that this costs does less harm than waiting. A hot key has replicas, of
-//! which each router uses one.
+//! The inputs are the candidates in ring order, this router's state of each server, the request's
+//! fetch permission and priority, and how much of the fleet's capacity is in use. The result is the
+//! first eligible server, and a [`CandidateVerdict`] for each candidate that was considered.
+//!
+//! A key stays with its owner, where it is cached. It goes to another server only if the owner is
+//! excluded or at capacity and the extra origin fetch does less harm than rejecting the request. A
+//! hot key has replicas on several servers, of which each router uses one.
 
 use crate::admission::{Priority, ServerLimits};
 use crate::key_locations::KeyLocations;
@@ -17,48 +19,55 @@
 use crate::slow_start::SlowStart;
 use crate::time::Micros;
 
-/// A key moves, where that takes a fetch, only to a server that uses less than this ratio of its limit; else the
-/// fetch, and the keys that it evicts there, cost more than the move saves.
+/// A key migrates, if that takes an origin fetch, only to a server that uses less than this ratio
+/// of its limit. On a busier server the fetch, and the keys that it evicts there, cost more than
+/// the migration saves.
 const MIGRATION_LIMIT_RATIO: f64 = 0.3;
-/// Keys move while the other servers together use less than this ratio of their limits.
+/// Keys migrate while the other servers together use less than this ratio of their limits.
 const FLEET_SPARE_RATIO: f64 = 0.5;
-/// A server whose limit is below this ratio of the mean is in trouble itself: its keys may move even while the fleet
-/// as a whole is in use.
+/// A server whose limit is below this ratio of the mean limit is degraded: its keys may migrate
+/// even while the fleet as a whole is busy.
 const DEGRADED_LIMIT_RATIO: f64 = 0.6;
-/// A hot key is spread over this multiple of the capacity that it needs: its replicas have their usual load too.
+/// A hot key is spread over this multiple of the capacity that it needs, because its replicas serve
+/// their usual load as well.
 const HOT_KEY_HEADROOM_RATIO: f64 = 1.5;
-/// Further attempts of all routers are spread over this many mean servers for each attempt before.
+/// All routers together spread their retries of a request over this many servers of mean weight for
+/// each attempt delivered so far.
 const RETRY_SPREAD_SERVER_COUNT: f64 = 3.0;
 
-/// What one candidate server was to a request: it took the request, or the reason why it was left out.
+/// The result of considering one candidate for a request: it takes the request, or the reason why
+/// it does not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CandidateVerdict {
-    /// Takes the request: the ring owner, or this router's replica of a hot key.
+    /// Takes the request as the ring owner of the key or as this router's replica of a hot key.
     Owner,
-    /// Takes the request in place of an owner that is left out, or because the key is known to be cached there.
+    /// Takes the request instead of the owner, which is excluded or at capacity, or because the key
+    /// is known to be cached here.
     Diverted,
-    /// Takes the request as an extra origin fetch, paid for with one retry token.
+    /// Takes the request at the cost of an extra origin fetch, which spends one retry token.
     DivertedWithRetryToken,
-    /// Left out: an earlier attempt of this request went there.
+    /// Excluded: an earlier attempt of this request was delivered to this server.
     AlreadyAttempted,
-    /// Left out: it serves only part of its arc, being slow or warming up, and this key lies outside that part.
+    /// Excluded: the server serves only part of its arc, because it is small or warming up, and the
+    /// key lies outside that part.
     OutsidePartialArc,
-    /// Left out: it is warming up, and its slow-start allowance is used up.
+    /// Excluded: the server is warming up and has no slow-start allowance left for this request.
     SlowStartLimited,
-    /// Left out: it does not respond.
+    /// Excluded: the server is unresponsive.
     Unresponsive,
-    /// Left out: the key is hot, and this router's replica of it lies further along the ring.
+    /// Passed over: this router uses a replica further along the ring, for a hot key or for a
+    /// retry.
     HotKeyReplicaElsewhere,
-    /// Left out: its concurrency limit is used up.
+    /// Passed over: the server's concurrency limit is used up.
     AtCapacity,
-    /// Left out: the request would most likely be an origin fetch, and those are limited.
+    /// Passed over: the request is likely to be an origin fetch, and fetches are limited.
     FetchLimited,
-    /// Left out: the key stays with its owner although that one is at capacity.
+    /// Passed over: the key stays with its owner although the owner is at capacity.
     RetainedByOwner,
 }
 
 impl CandidateVerdict {
-    /// All of them, in the order of [`crate::Diagnostics::verdicts`].
+    /// All verdicts, in the order of [`crate::Diagnostics::verdicts`].
     pub const ALL: [CandidateVerdict; 11] = [
         CandidateVerdict::Owner,
         CandidateVerdict::Diverted,
@@ -73,7 +82,8 @@
         CandidateVerdict::RetainedByOwner,
     ];
 
-    /// The name in summary lines and traces. Operators' scripts read these names: they do not change.
+    /// The label in summary lines and traces. Operators' scripts match these labels, so they must
+    /// not change.
     pub fn label(self) -> &'static str {
         match self {
             CandidateVerdict::Owner => "Home",
@@ -90,7 +100,7 @@
         }
     }
 
-    /// Whether the request went there.
+    /// Whether the candidate takes the request.
     pub fn is_taken(self) -> bool {
         matches!(
             self,
@@ -101,28 +111,28 @@
     }
 }
 
-/// Counts of verdicts since the start, in the order of [`CandidateVerdict::ALL`].
+/// Counts of verdicts since the router started, in the order of [`CandidateVerdict::ALL`].
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct VerdictCounts {
-    /// Candidates by what they were to requests.
+    /// Candidates considered, by verdict.
     pub verdicts: [u64; CandidateVerdict::ALL.len()],
-    /// Times that no server was found, by what stood in the way.
+    /// Requests for which no server was found, by the verdict that explains it.
     pub unplaced: [u64; CandidateVerdict::ALL.len()],
 }
 
-/// How much of the fleet is in use: one pass over the accepting cache servers.
+/// How much of the fleet's capacity is in use, summed over the accepting cache servers.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FleetUsage {
-    /// The largest part of its arcs that a server takes.
+    /// The largest fraction of its arcs that any server takes.
     pub largest_arc_fraction: f64,
-    /// Requests in flight.
+    /// Requests in flight to all of these servers.
     pub in_flight: f64,
-    /// All concurrency limits together.
+    /// The sum of the concurrency limits.
     pub total_limit: f64,
 }
 
 impl FleetUsage {
-    /// Of the fleet now.
+    /// Sums up the state of the accepting cache servers at `now`.
     pub fn measure(
         servers: &ServerTable,
         now: Micros,
@@ -145,13 +155,15 @@
     }
 }
 
-/// The part of its arcs that a server takes, before it is held against the largest.
+/// The fraction of its arcs that a server takes, by its weight and its progress in slow start.
+/// Placement compares it with the largest such fraction in the fleet.
 fn served_arc_fraction(server: &Server, relative_weight: f64, now: Micros, rules: &Rules) -> f64 {
     server.slow_start_progress(now, rules) * relative_weight.min(1.0)
 }
 
-/// Over how many mean servers a key with this share of all requests is spread; 0 if its owner can serve it alone.
-/// Only whole doublings count: replicas that follow a small sample move, and each move is a fetch.
+/// The number of servers of mean weight over which a key with this share of all requests is spread;
+/// 0 if its owner can serve it alone. The number is rounded down to a power of two: replicas that
+/// followed a small sample closely would keep moving, and each move is an origin fetch.
 pub(crate) fn hot_key_replica_count(key_share: f64, ready_servers: usize) -> f64 {
     let servers_needed = HOT_KEY_HEADROOM_RATIO * key_share * ready_servers as f64;
     if servers_needed < 1.0 {
@@ -161,9 +173,10 @@
     }
 }
 
-/// How much server weight this router passes over before it uses a server, in mean servers (servers of mean weight): its own replica of a hot key, and for a
-/// further attempt one of a few, so that all routers do not crowd the next server. `replica_offset` in [0, 1) is
-/// the router's own.
+/// The server weight that this router skips before it uses a server, in units of the mean weight.
+/// For a hot key this selects the router's own replica; for a retry it selects one of several
+/// servers, so that the routers do not all overload the next server on the ring. `replica_offset`
+/// in [0, 1) differs from router to router.
 pub(crate) fn replica_weight_to_skip(
     pending: &PendingRequest,
     replica_count: f64,
@@ -179,8 +192,9 @@
     replica_offset * spread.min(other_servers)
 }
 
-/// The index of an origin that takes a request; for a router that fetches for itself. `random_fraction` in [0, 1) lets a part
-/// of the requests through while the limit of the origin is below one.
+/// The index of an origin that takes a request, for a router that fetches from the origin itself.
+/// `random_fraction` in [0, 1) admits only a part of the requests while the origin's limit is below
+/// one.
 pub(crate) fn choose_origin(
     servers: &ServerTable,
     limit_multiplier: f64,
@@ -193,54 +207,54 @@
     })
 }
 
-/// What holds for all candidates of a request.
+/// The inputs that are the same for all candidates of a request.
 pub(crate) struct PlacementInputs<'a> {
     pub pending: &'a PendingRequest,
     pub servers: &'a ServerTable,
     pub key_locations: &'a KeyLocations,
     pub now: Micros,
-    /// What the weights of servers tell.
+    /// What the weights on the endpoint list mean.
     pub weights: Weights,
-    /// The tightest latency objective of all classes.
+    /// The shortest latency objective of all classes.
     pub shortest_objective: Micros,
     pub slow_start: SlowStart<'a>,
     pub limits: ServerLimits<'a>,
     pub priority: Priority,
-    /// Whether the request may be an origin fetch.
     pub fetch: FetchPermission,
-    /// Whether a fetch away from the owner can be paid for.
+    /// Whether a retry token is available to pay for a fetch away from the owner.
     pub has_retry_token: bool,
     pub fleet: FleetUsage,
-    /// Servers on the ring.
+    /// The number of servers on the ring.
     pub ready_servers: usize,
 }
 
-/// The server found for a request.
+/// The server chosen for a request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Placement {
-    /// Index in the server table.
+    /// The server's index in the server table.
     pub server: usize,
-    /// It costs a retry token.
+    /// Whether the attempt spends a retry token.
     pub costs_retry_token: bool,
 }
 
-/// One walk over the candidates of a request: what does not change, and what the walk has passed.
+/// One walk over the candidates of a request: its inputs and its progress.
 pub(crate) struct CandidateWalk<'a> {
     inputs: PlacementInputs<'a>,
-    /// No candidate was offered yet.
+    /// Whether no candidate has been considered yet.
     is_first_candidate: bool,
-    /// None was offered yet that is not left out.
+    /// Whether every candidate so far was excluded or skipped as a replica of other routers.
     is_before_first_eligible: bool,
-    /// Weight that is still to be passed over, in mean servers.
+    /// The server weight that is still to be skipped, in units of the mean weight.
     replica_weight_left_to_skip: f64,
-    /// The owner is left out, or may give keys away.
+    /// Whether the key may migrate: the owner is excluded, or its keys may leave it.
     may_migrate: bool,
-    /// The first server passed over that was fit: better than none.
+    /// The first eligible server among those skipped as replicas of other routers. It takes the
+    /// request if no other server does.
     fallback: Option<usize>,
 }
 
 impl<'a> CandidateWalk<'a> {
-    /// A walk that passes over `replica_weight_to_skip` mean servers first.
+    /// Creates a walk that skips servers of this total weight first.
     pub fn new(inputs: PlacementInputs<'a>, replica_weight_to_skip: f64) -> CandidateWalk<'a> {
         CandidateWalk {
             inputs,
@@ -260,7 +274,8 @@
         let found = ring.find_candidate(position, table_len, |server| {
             let verdict = self.verdict(server);
             counts.verdicts[verdict as usize] += 1;
-            // The reason is the first candidate that lacked only capacity or a fetch, else the last.
+            // The reported reason is the first one that is a lack of capacity or of fetch
+            // permission, else the last one.
             let lacks_capacity = matches!(
                 reason,
                 CandidateVerdict::AtCapacity | CandidateVerdict::FetchLimited
@@ -283,7 +298,7 @@
         found.or(fallback)
     }
 
-    /// What one candidate is to the request; the first that is fit takes it.
+    /// The verdict for the next candidate. The walk ends with the first one that takes the request.
     fn verdict(&mut self, index: usize) -> CandidateVerdict {
         let server = &self.inputs.servers[index];
         let is_owner = std::mem::take(&mut self.is_first_candidate);
@@ -317,7 +332,7 @@
         }
     }
 
-    /// The first fit server keeps the key.
+    /// The first eligible server is the one to which the key belongs now.
     fn verdict_for_first_eligible(
         &self,
         server: &Server,
@@ -335,8 +350,8 @@
         }
     }
 
-    /// Past the first fit server a fetch is paid for, unless the key is known to be cached there. A write is a
-    /// fetch at any server, so it is never an extra one.
+    /// Beyond the first eligible server a fetch costs a retry token, unless the key is known to be
+    /// cached there. A write is a fetch at any server, so that it is never an extra one.
     fn verdict_for_successor(&self, server: &Server, is_cached: bool) -> CandidateVerdict {
         let is_extra_fetch = !is_cached && !self.inputs.pending.request.write;
         let limit_ratio = if is_extra_fetch {
@@ -361,8 +376,9 @@
 }
 
 impl PlacementInputs<'_> {
-    /// Why a candidate is left out before its limit is looked at. A server slower or colder than the best takes
-    /// part of its arcs, and one that warms up stays within its allowance.
+    /// The reason for which a candidate is excluded whatever its concurrency limit, if there is
+    /// one. A server that is smaller or colder than the best takes only part of its arcs, and a
+    /// server that is warming up has to stay within its slow-start allowance.
     fn exclusion_verdict(&self, index: usize, relative_weight: f64) -> Option<CandidateVerdict> {
         let server = &self.servers[index];
         let rules = self.limits.rules;
@@ -393,7 +409,8 @@
         !self.pending.request.write && self.key_locations.contains(position, index)
     }
 
-    /// Whether the key may be fetched away from its owner: a write is fetched anyway, a read costs a retry token.
+    /// Whether the key may be fetched by a server other than its owner. A write is a fetch at any
+    /// server; for a read the extra fetch costs a retry token.
     fn may_fetch_elsewhere(&self) -> bool {
         self.fetch.elsewhere && (self.pending.request.write || self.has_retry_token)
     }
@@ -402,9 +419,10 @@
         self.limits.admits(server, limit_ratio, &self.priority)
     }
 
-    /// Whether keys may leave a server at capacity: while the rest of the fleet has capacity to spare, or if the
-    /// server itself is in trouble. In a fleet at capacity each move would be a fetch that adds to the overload. A
-    /// limit on few observations moves nothing but writes: many routers would scatter the keys.
+    /// Whether keys may migrate from a server at capacity: while the rest of the fleet has spare
+    /// capacity, or if this server is degraded. In a fleet at capacity each migration would be a
+    /// fetch that adds to the overload. On a limit with few observations only writes migrate,
+    /// because many routers would otherwise scatter the keys over the fleet.
     fn may_migrate_keys_from(&self, server: &Server) -> bool {
         let may_act_on_limit = self.pending.request.write || server.limit.is_reliable(self.now);
         if !may_act_on_limit {
