--- a/crates/load-balancer/src/admission.rs
+++ b/crates/load-balancer/src/admission.rs
@@ -1,9 +1,11 @@
-//! May a request use a server's concurrency limit now?
+//! Decides whether a request may use a server's concurrency limit now.
 //!
-//! Inputs: the server's limit (requests in flight), its slow start, the request's priority weight, tenant share and
-//! age (µs), recent traffic. Answer: yes or no for one server. Reason: limits keep servers out of overload; in
-//! overload the requests that weigh most come first, a tenant over its share comes last, and the order is the same
-//! at any size of fleet.
+//! The inputs are the server's limit (in requests in flight) and its slow start, the priority
+//! weight, tenant share and age of the request, and the recent traffic of this router.
+//!
+//! Limits keep servers out of overload. During overload the requests with the highest weight are
+//! admitted first and those of a tenant over its share last, and this order is the same whatever
+//! the size of the fleet.
 
 use crate::pending::PendingRequest;
 use crate::server_table::Server;
@@ -12,36 +14,40 @@
 use crate::traffic_estimate::TrafficEstimate;
 use std::cmp::Ordering;
 
-/// Requests of at least this multiple of the mean priority weight are high-priority ones ...
+/// A class is of high priority if its weight is at least this multiple of the mean priority weight
+/// of requests.
 const HIGH_PRIORITY_RATIO: f64 = 2.0;
-/// ... and may use this multiple of a limit.
+/// The multiple of a limit that a request of high priority may use.
 const HIGH_PRIORITY_MULTIPLIER: f64 = 1.5;
-/// The ratio of a limit that a request may use whose answer comes after its latency objective, unless its late
-/// weight is higher: it does not take the place of one that is in time.
+/// The ratio of a limit that a request may use if its answer would come after its latency
+/// objective, unless the late weight of its class is higher. Such a request must not take the place
+/// of one that can still be answered in time.
 const LATE_LIMIT_RATIO: f64 = 0.3;
-/// A tenant that sends this multiple of its share, as odds against the others, is at or over its quota.
+/// A tenant over its share is limited from this multiple of its share on. The multiple is a ratio
+/// of odds: of this tenant's requests against those of all others.
 const OVER_SHARE_RATIO: f64 = 2.0;
-/// The rank of a write: it can run anywhere and need not press into a server at capacity.
+/// The rank of a write. A write can run at any server, so it does not need a high rank at a server
+/// at capacity.
 const WRITE_RANK: f64 = 0.5;
-/// The least share, odds or ratio that is divided by.
+/// The smallest denominator: shares, odds and ratios below it count as this value.
 const MIN_DENOMINATOR: f64 = 1e-3;
 
-/// The priority of a request among others.
+/// The priority of a request relative to other requests.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Priority {
-    /// How much of a limit it may use, as a multiple.
+    /// The multiple of a concurrency limit that the request may use.
     pub limit_multiplier: f64,
-    /// The share of recent requests that rank below it, 0 to 1.
+    /// The share of recent requests that rank below this one, 0 to 1.
     pub rank: f64,
 }
 
-/// What priorities depend on besides the request.
+/// The inputs to priorities other than the request itself.
 #[derive(Clone, Copy)]
 pub(crate) struct PriorityContext<'a> {
     pub settings: &'a Settings,
     pub traffic: &'a TrafficEstimate,
     pub now: Micros,
-    /// How long hits take at any server.
+    /// The typical latency of hits over all servers.
     pub typical_latency: Micros,
 }
 
@@ -50,7 +56,8 @@
         &self.settings.classes[pending.request.class.0]
     }
 
-    /// How much of a limit a request may use: more of high priority, less when late or of a tenant over its share.
+    /// The multiple of a limit that a request may use: higher for a class of high priority, lower
+    /// for a late request or a tenant over its share.
     pub fn limit_multiplier(&self, pending: &PendingRequest) -> f64 {
         let class = self.class(pending);
         let high_weight = HIGH_PRIORITY_RATIO * self.traffic.mean_priority_weight();
@@ -69,7 +76,9 @@
         }
     }
 
-    /// How much a tenant sends against its share, as a ratio of odds.
+    /// The ratio of the odds of a tenant's actual share of the requests to the odds of its
+    /// configured share; `None` for a request without a tenant or with one that the settings do not
+    /// name.
     fn over_share_ratio(&self, pending: &PendingRequest) -> Option<f64> {
         let tenant = pending.request.tenant?;
         let sent_share = self.traffic.tenant_share(tenant)?;
@@ -78,7 +87,7 @@
         Some(odds(sent_share) / odds(entitled_share).max(MIN_DENOMINATOR))
     }
 
-    /// The priority of a request that has this limit multiplier.
+    /// The priority of a request with this limit multiplier.
     pub fn priority(&self, pending: &PendingRequest, limit_multiplier: f64) -> Priority {
         let rank = if pending.request.write {
             WRITE_RANK
@@ -91,7 +100,8 @@
         }
     }
 
-    /// The share of recent requests that rank below a request, and half of those that rank the same.
+    /// The share of recent requests that rank below a request, plus half of the share that ranks
+    /// the same.
     fn priority_rank(&self, pending: &PendingRequest, limit_multiplier: f64) -> f64 {
         let weight = self.class(pending).priority_weight * limit_multiplier.min(1.0);
         let share_below =
@@ -109,18 +119,20 @@
     }
 }
 
-/// The limits of servers as they are now.
+/// Evaluates the concurrency limits of servers at one moment.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ServerLimits<'a> {
     pub now: Micros,
     pub rules: &'a Rules,
-    /// The time between this router's requests to one server, if all got as many.
+    /// The mean time between this router's requests to one server if its requests were spread
+    /// evenly over all servers.
     pub interarrival_per_server: Micros,
 }
 
 impl ServerLimits<'_> {
-    /// Whether one more request of this priority may be sent to a server, of whose limit `limit_ratio` may be used.
-    /// Below one the limit is a pace, so that many routers together do not crowd the server.
+    /// Whether one more request of this priority may be sent to a server if it may use
+    /// `limit_ratio` of the server's limit. A usable limit below one paces the requests, so that
+    /// many routers together do not overload the server.
     pub fn admits(&self, server: &Server, limit_ratio: f64, priority: &Priority) -> bool {
         let current_limit = self.current_limit(server);
         let usable = current_limit * limit_ratio * server.capacity_fraction(self.now, self.rules);
@@ -142,7 +154,7 @@
             .may_send_at_pace(self.now, interval, priority.rank)
     }
 
-    /// The time that a request takes up of the pace of a server; 0 where none holds.
+    /// The interval between paced requests to a server; 0 if its requests are not paced.
     pub fn paced_interval(&self, server: &Server) -> Micros {
         let current_limit = self.current_limit(server);
         let usable = current_limit * server.capacity_fraction(self.now, self.rules);
@@ -153,8 +165,8 @@
         }
     }
 
-    /// The limit of a server, in requests: at least one while it reports spare capacity, since a lower one is then
-    /// out of date.
+    /// The limit of a server, in requests. It is at least one while the server reports spare
+    /// capacity, because a lower limit is then out of date.
     fn current_limit(&self, server: &Server) -> f64 {
         let limit = server.limit.current(self.now);
         if server.queue.reports_spare_capacity(self.now) {
@@ -164,8 +176,9 @@
         }
     }
 
-    /// The time between requests where `usable` is below one: a share of one at a time, or of what this router
-    /// would send there if the server lacks capacity.
+    /// The interval between requests if `usable`, the usable limit, is below one. It is derived
+    /// from one request at a time, or from this router's usual rate to one server if the limit
+    /// itself is below one.
     fn send_interval(&self, server: &Server, current_limit: f64, usable: f64) -> Micros {
         let own_interval = if current_limit < 1.0 {
             self.interarrival_per_server
