--- a/crates/load-balancer/src/slow_start.rs
+++ b/crates/load-balancer/src/slow_start.rs
@@ -1,25 +1,30 @@
-//! How much of its full load may a server take that warms up?
+//! Limits the load of a server that is warming up.
 //!
-//! Inputs: when its process started or may have restarted (µs of this process's clock), when it was last sent a request
-//! (µs), the rules.
-//! Answer: its progress and the fraction of its capacity, 0 to 1, and whether it may be sent one more request.
-//! Reason: a server with cold caches fails under its full share, and many routers together overload it
-//! before any of them hears that it is slow.
+//! The inputs are the start time of the server's process or the time of its possible restart, and
+//! the time at which this router last sent it a request (all in µs on this process's clock), and
+//! the rules of the deployment. The results are the progress of the slow start, the fraction of its
+//! capacity that the server has (both 0 to 1), and whether it may be sent one more request.
+//!
+//! A server with cold caches fails under its full share of requests, and many routers together
+//! overload it before any of them observes that it is slow.
 
 use crate::concurrency_limit::INITIAL_TOTAL_IN_FLIGHT;
 use crate::server_table::Server;
 use crate::settings::Rules;
 use crate::time::Micros;
 
-/// All routers together send at most this ratio of the work that overloads a server which warms up.
+/// All routers together send a server that is warming up at most this ratio of the load that
+/// overloads it.
 const SAFE_LOAD_RATIO: f64 = 0.75;
 
-/// So much of the age that a list gives a process it has just told of is believed: lists come late by so much, and the
-/// clocks of two machines may be further apart.
+/// The greatest age with which a newly listed process is taken to start. An endpoint list may
+/// arrive this late; a greater age more likely comes from a difference between the clocks of two
+/// machines.
 const MAX_NEW_PROCESS_AGE: Micros = Micros::from_millis(1_000);
 
-/// When a process of a server started, on this process's clock; zero for long ago. `listed_start`: as the list says, whose clock
-/// may be another one. `is_newly_listed`: the list before did not have this process.
+/// Estimates when a process of a server started, on this process's clock; zero means long ago.
+/// `listed_start` is the time on the endpoint list, which may stem from another clock.
+/// `is_newly_listed` says that the previous list did not contain this process.
 pub(crate) fn estimate_process_start(
     listed_start: Micros,
     received_at: Micros,
@@ -37,7 +42,7 @@
 }
 
 impl Server {
-    /// How much of its slow start is over: 1 once `slow_start_duration` has passed since its start.
+    /// The progress of the slow start: 1 once `slow_start_duration` has passed since the start.
     pub fn slow_start_progress(&self, at: Micros, rules: &Rules) -> f64 {
         let started = self.started_at.max(self.possible_restart_at);
         if started == Micros(0) {
@@ -45,7 +50,8 @@
         }
         let elapsed = at.since(started).as_secs_f64();
         let progress = elapsed / rules.slow_start_duration.as_secs_f64();
-        // Without a duration a server that has just started is warm: 0 / 0.
+        // With a duration of zero the progress of a server that has just started is 0 / 0; it
+        // counts as warm.
         if progress.is_nan() {
             1.0
         } else {
@@ -53,34 +59,35 @@
         }
     }
 
-    /// The fraction of its capacity that it has at least.
+    /// The fraction of its full capacity that the server has at least.
     pub fn capacity_fraction(&self, at: Micros, rules: &Rules) -> f64 {
         let initial = rules.initial_capacity_ratio;
         initial + (1.0 - initial) * self.slow_start_progress(at, rules)
     }
 }
 
-/// What the allowance of servers that warm up depends on besides the server.
+/// The inputs to slow-start allowances other than the server.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SlowStart<'a> {
     pub now: Micros,
     pub rules: &'a Rules,
     pub router_count: f64,
-    /// How long hits take at any server.
+    /// The typical latency of hits over all servers.
     pub typical_latency: Micros,
 }
 
 impl SlowStart<'_> {
-    /// Whether a server may be sent one more request of this cost: it is warm, or its allowance covers it.
+    /// Whether a server may be sent one more request of this cost: it is warm, or its allowance
+    /// covers the request.
     pub fn allows(&self, server: &Server, cost: Option<Micros>) -> bool {
         server.slow_start_progress(self.now, self.rules) >= 1.0 || self.has_allowance(server, cost)
     }
 
-    /// Where routers are few their concurrency limits see to a server, unless a request costs so much that what
-    /// they let through at once is more than it can stand. Otherwise the allowance since the last request must
-    /// cover one more.
+    /// Whether the allowance that has accumulated since the last request covers one more. In a
+    /// fleet of few routers the concurrency limits suffice to protect the server, unless a request
+    /// is so expensive that the initial limits admit more work at once than the server can take.
     fn has_allowance(&self, server: &Server, cost: Option<Micros>) -> bool {
-        // Capacity grows linearly: its mean over the pause is that of the pause's middle.
+        // Capacity grows linearly, so that its mean over the interval is its value at the midpoint.
         let halfway = server.last_sent_at.plus(self.now).scaled(0.5);
         let capacity = server.capacity_fraction(halfway, self.rules);
         let safe_load = SAFE_LOAD_RATIO * self.rules.overload_multiple * capacity;
