--- a/crates/load-balancer/src/outlier.rs
+++ b/crates/load-balancer/src/outlier.rs
@@ -1,36 +1,40 @@
-//! Is a server an outlier that does not respond at all?
+//! Detects servers that do not respond at all.
 //!
-//! Inputs: how its attempts ended, since when it owes an answer that needs no origin fetch (µs), the shortest
-//! latency objective (µs). Answer: responsive or not, and when an unresponsive one gets its next health check.
-//! Reason: a server that hangs or vanished answers nothing, not even hits; a slow origin or a queue lets some
-//! answers through. Its successors on the ring take its arc, and one real request now and then finds out when it
-//! is back.
+//! The inputs are how a server's attempts ended, since when it owes an answer that needs no origin
+//! fetch (µs), and the shortest latency objective (µs). The results are whether the server is
+//! unresponsive, and when an unresponsive server gets its next health check.
+//!
+//! A server that hangs or has vanished answers nothing, not even hits, whereas a slow origin or a
+//! queue still lets some answers through. The server's successors on the ring take over its arcs,
+//! and a real request is sent now and then as a health check.
 
 use crate::concurrency_limit::SLOW_RATIO;
 use crate::request::{AttemptEnd, Outcome};
 use crate::time::Micros;
 
-/// Attempts in a row without a response that make a server unresponsive: a single one may be lost anywhere.
+/// Consecutive attempts without a response that make a server unresponsive. A single response may
+/// be lost at any server.
 const UNRESPONSIVE_ATTEMPT_COUNT: u32 = 2;
-/// Time between health checks of an unresponsive server, as a multiple of the shortest latency objective.
+/// The interval between health checks of an unresponsive server, as a multiple of the shortest
+/// latency objective.
 const HEALTH_CHECK_INTERVAL_RATIO: f64 = 4.0;
 
-/// Whether one server responds.
+/// The record of whether one server responds.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Responsiveness {
     consecutive_unanswered_attempts: u32,
-    /// Since the last response: when the first attempt was sent that needed no origin fetch.
+    /// When the first attempt since the last response was sent that needs no origin fetch.
     first_unanswered_at: Option<Micros>,
 }
 
 impl Responsiveness {
-    /// Records an attempt that needs no origin fetch.
+    /// Records that an attempt was sent that needs no origin fetch.
     pub fn record_send(&mut self, now: Micros) {
         self.first_unanswered_at.get_or_insert(now);
     }
 
-    /// Records how an attempt ended. Any response shows that the server is there; no response shows nothing where
-    /// the attempt was not written or had hardly any time.
+    /// Records how an attempt ended. Any response shows that the server responds. A missing
+    /// response shows nothing if the attempt was not written or had hardly any time.
     pub fn record_end(&mut self, end: &AttemptEnd, shortest_objective: Micros) {
         match end.outcome {
             Outcome::Cancelled | Outcome::NotSent => {}
@@ -49,19 +53,20 @@
             self.consecutive_unanswered_attempts.saturating_add(1);
     }
 
-    /// Whether enough attempts in a row ended without a response.
+    /// Whether enough consecutive attempts ended without a response.
     pub fn has_failed_repeatedly(&self) -> bool {
         self.consecutive_unanswered_attempts >= UNRESPONSIVE_ATTEMPT_COUNT
     }
 
-    /// Whether the server does not respond: attempts in a row failed, or one that needs no fetch is overdue.
+    /// Whether the server is unresponsive: consecutive attempts failed, or the answer to an attempt
+    /// that needs no origin fetch is overdue.
     pub fn is_unresponsive(&self, now: Micros, in_flight: u32, shortest_objective: Micros) -> bool {
         let is_overdue = |since: Micros| in_flight > 0 && now.since(since) > shortest_objective;
         self.has_failed_repeatedly() || self.first_unanswered_at.is_some_and(is_overdue)
     }
 }
 
-/// Whether an unresponsive server may be sent a request as its health check.
+/// Whether an unresponsive server is due for a request that serves as its health check.
 pub(crate) fn is_health_check_due(
     now: Micros,
     last_sent_at: Micros,
