--- a/crates/load-balancer/src/ring.rs
+++ b/crates/load-balancer/src/ring.rs
@@ -1,60 +1,64 @@
-//! Which servers does a key belong to, and in which order do others stand in for its owner?
+//! Consistent-hash ring of the ready servers.
 //!
-//! Inputs: the ring positions (32 bit) of the ready servers and of a key. Answer: the ring owner, then its distinct
-//! successors clockwise. Reason: all routers build the same ring from the same list, so that they agree on the
-//! owner of a key without a message, and a server that comes or goes moves only its own arcs.
+//! The inputs are the 32-bit ring positions of the servers and of a key. The result is the owner of
+//! the key, followed by its distinct successors clockwise.
+//!
+//! All routers build the same ring from the same endpoint list, so that they agree on the owner of
+//! a key without communicating. A server that joins or leaves moves only the keys of its own arcs.
 
 use crate::ids::ServerId;
 use md5::{Digest, Md5};
 use std::cmp::Ordering;
 
-/// Digests that place one server on the ring, as in ketama.
+/// MD5 digests per server; as in ketama.
 pub(crate) const DIGESTS_PER_SERVER: usize = 40;
-/// Ring positions of one digest.
+/// Ring positions per digest.
 const POSITIONS_PER_DIGEST: usize = 4;
 
-/// The four ring positions of a text: the little-endian words of its MD5 digest, as in ketama.
+/// The four ring positions of a text, which are the little-endian words of its MD5 digest, as in
+/// ketama.
 pub(crate) fn digest_positions(text: &[u8]) -> [u32; POSITIONS_PER_DIGEST] {
     let word = u128::from_le_bytes(Md5::digest(text).into());
     [0, 32, 64, 96].map(|shift| (word >> shift) as u32)
 }
 
-/// The ring positions of a server.
+/// All ring positions of a server.
 pub(crate) fn server_positions(name: &ServerId) -> Vec<u32> {
     (0..DIGESTS_PER_SERVER)
         .flat_map(|number| digest_positions(format!("{name}{number}").as_bytes()))
         .collect()
 }
 
-/// One point of a server on the ring.
+/// A point of a server on the ring.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RingPoint {
     pub position: u32,
-    /// Index in the server table.
+    /// The index of the server in the server table.
     pub server: usize,
 }
 
-/// Consistent-hash ring of the ready servers.
+/// The points of all ready servers.
 #[derive(Debug, Default)]
 pub(crate) struct Ring {
-    /// By position, then by server name.
+    /// Sorted by position, then by server name.
     points: Vec<RingPoint>,
     server_count: usize,
 }
 
 impl Ring {
-    /// Whether no server is on the ring.
+    /// Whether the ring has no servers.
     pub fn is_empty(&self) -> bool {
         self.points.is_empty()
     }
 
-    /// Servers on the ring.
+    /// The number of servers on the ring.
     pub fn server_count(&self) -> usize {
         self.server_count
     }
 
-    /// Removes the points of servers for which `is_retained` is false and adds others. Points at one position are in the
-    /// order of their servers' names, whatever the order of the list.
+    /// Removes the points of servers that `is_retained` rejects, and adds others. Points at the
+    /// same position are ordered by server name, so that the order of the endpoint list does not
+    /// matter.
     pub fn update<'a>(
         &mut self,
         mut added: Vec<RingPoint>,
@@ -72,8 +76,8 @@
         self.server_count = self.points.len() / (POSITIONS_PER_DIGEST * DIGESTS_PER_SERVER);
     }
 
-    /// Offers the owner of a position, then its distinct successors clockwise, until `accept` returns something.
-    /// `table_len` is the length of the server table that the points refer to.
+    /// Passes the owner of a position, then its distinct successors clockwise, to `accept` until it
+    /// returns a value. `table_len` is the length of the server table to which the points refer.
     pub fn find_candidate<T>(
         &self,
         position: u32,
