--- a/crates/load-balancer/src/server_table.rs
+++ b/crates/load-balancer/src/server_table.rs
@@ -156,6 +156,7 @@
         self.servers.iter()
     }
 
+    /// The cache servers that take new requests.
     /// The cache servers that take new requests.
     pub fn accepting(&self) -> impl Iterator<Item = &Server> {
         self.servers
