--- a/crates/load-balancer/src/server_table.rs
+++ b/crates/load-balancer/src/server_table.rs
@@ -1,8 +1,8 @@
-//! The server table: what a router knows of each server, and which index a process has.
+//! The table of servers that a router knows, with its state of each.
 //!
-//! Inputs: entries of the endpoint list, the time (µs). Answer: the index at which a server is kept. Reason: the
-//! index of a server that left is reused once no pending request can refer to it, so that the table stays as small
-//! as the fleet.
+//! Endpoint list entries are assigned an index in the table. The index of a server that left the
+//! list is reused once no pending request can refer to it, so that the table does not grow beyond
+//! the size of the fleet.
 
 use crate::availability::Availability;
 use crate::concurrency_limit::ConcurrencyLimit;
@@ -16,38 +16,41 @@
 use std::collections::HashMap;
 use std::ops::{Index, IndexMut};
 
-/// The index of a server that left is reused once nothing was sent there for this multiple of the longest deadline.
+/// The index of a removed server is reused once nothing was sent to it for this multiple of the
+/// longest deadline.
 const INDEX_REUSE_RATIO: f64 = 2.0;
 
-/// What a router knows of one process of a server.
+/// A router's state of one process of a server.
 #[derive(Debug)]
 pub(crate) struct Server {
     pub endpoint: Endpoint,
-    /// When it started, on this process's clock; zero for long ago.
+    /// When the process started, on this router's clock; zero for long ago.
     pub started_at: Micros,
-    /// Its ring positions; none for an origin.
+    /// Its positions on the ring; empty for an origin.
     pub ring_positions: Vec<u32>,
     pub is_origin: bool,
     /// Whether its points are on the ring.
     pub is_on_ring: bool,
-    /// Disabled by an operator.
+    /// Whether an operator disabled it.
     pub is_disabled: bool,
     pub limit: ConcurrencyLimit,
-    /// How long its hits and time-outs take; a moving average.
+    /// A moving average of how long its hits and timed-out attempts take.
     pub typical_latency: Micros,
-    /// When it last may have restarted without word from the list: unreachable, or enabled by an operator.
+    /// When it may last have restarted without notice by the endpoint list: it was unreachable, or
+    /// an operator enabled it.
     pub possible_restart_at: Micros,
     pub last_sent_at: Micros,
-    /// When something was last sent there or came back.
+    /// When an attempt was last sent there or last ended.
     pub last_used_at: Micros,
     pub responsiveness: Responsiveness,
-    /// During slow start: the part of a request that its allowance must cover before the next is sent.
+    /// During slow start, the fraction of a request's cost that its allowance must have accumulated
+    /// before the next request is sent.
     pub slow_start_allowance_needed: f64,
     pub queue: QueueEstimate,
 }
 
 impl Server {
-    /// A process without observations.
+    /// Creates the state of a process without observations.
     pub fn new(endpoint: Endpoint, ring_positions: Vec<u32>, limit: ConcurrencyLimit) -> Server {
         Server {
             started_at: endpoint.started,
@@ -67,29 +70,30 @@
         }
     }
 
-    /// What it may be used for.
+    /// What the server may be used for.
     pub fn availability(&self) -> Availability {
         Availability::new(self.endpoint.state, self.is_disabled)
     }
 
-    /// Whether it left the endpoint list.
+    /// Whether the server left the endpoint list.
     pub fn is_removed(&self) -> bool {
         self.availability() == Availability::Removed
     }
 
-    /// Whether it takes new requests.
+    /// Whether the server takes new requests.
     pub fn is_accepting(&self) -> bool {
         self.availability() == Availability::Accepting
     }
 
-    /// How long the connection has been idle that its next attempt may reuse; `None` if that is new or busy.
+    /// How long the connection that the next attempt may reuse has been idle; `None` if the next
+    /// attempt needs a new connection or shares a busy one.
     pub fn idle_time(&self, now: Micros, connection_idle: Micros) -> Option<Micros> {
         let idle = now.since(self.last_used_at);
         let has_idle_connection = self.limit.in_flight == 0 && self.last_used_at != Micros(0);
         (has_idle_connection && idle < connection_idle && idle != Micros(0)).then_some(idle)
     }
 
-    /// Records an attempt that takes up `interval` of a pace.
+    /// Records that an attempt was sent; `interval` is the interval between paced requests, or 0.
     pub fn record_send(&mut self, now: Micros, interval: Micros, is_fetch: bool) {
         self.limit.record_send(now, interval);
         self.last_used_at = now;
@@ -100,7 +104,8 @@
         }
     }
 
-    /// Records the load report of an attempt that ended, and whether it shows that the server responds.
+    /// Records the end of an attempt: its load report, and whether it shows that the server
+    /// responds.
     pub fn record_end(&mut self, end: &AttemptEnd, now: Micros, shortest_objective: Micros) {
         self.last_used_at = now;
         if let Some(report) = end.load {
@@ -109,12 +114,13 @@
         self.responsiveness.record_end(end, shortest_objective);
     }
 
-    /// Whether its idle connections must be closed: the deployment asks for it on drains, and it takes nothing new.
+    /// Whether idle connections to the server must be closed, because the deployment requires that
+    /// on drains and the server takes no new requests.
     pub fn must_close_idle(&self, rules: &Rules) -> bool {
         rules.drain_close.is_some() && !self.is_accepting()
     }
 
-    /// Whether it does not respond.
+    /// Whether the server is unresponsive.
     pub fn is_unresponsive(&self, now: Micros, shortest_objective: Micros) -> bool {
         let in_flight = self.limit.in_flight;
         self.responsiveness
@@ -122,12 +128,12 @@
     }
 }
 
-/// All servers that a router knows, those included that left the list a short time ago.
+/// All servers that a router knows, including those that left the endpoint list a short time ago.
 #[derive(Debug, Default)]
 pub(crate) struct ServerTable {
     servers: Vec<Server>,
     index_by_name: HashMap<ServerId, usize>,
-    /// Mean weight of the accepting cache servers.
+    /// The mean weight of the accepting cache servers.
     mean_weight: f64,
 }
 
@@ -146,17 +152,16 @@
 }
 
 impl ServerTable {
-    /// Servers in the table.
+    /// The number of servers in the table.
     pub fn len(&self) -> usize {
         self.servers.len()
     }
 
-    /// All servers, in the order of their indices.
+    /// All servers in index order.
     pub fn iter(&self) -> impl Iterator<Item = &Server> {
         self.servers.iter()
     }
 
-    /// The cache servers that take new requests.
     /// The cache servers that take new requests.
     pub fn accepting(&self) -> impl Iterator<Item = &Server> {
         self.servers
@@ -164,19 +169,20 @@
             .filter(|server| server.is_accepting() && !server.is_origin)
     }
 
-    /// The index of a server.
+    /// The index of the server with this name.
     pub fn index_of(&self, name: &str) -> Option<usize> {
         self.index_by_name.get(name).copied()
     }
 
-    /// Before a full list: what it leaves out is removed.
+    /// Marks all servers as removed, before the entries of a complete endpoint list are applied.
     pub fn mark_all_removed(&mut self) {
         for server in &mut self.servers {
             server.endpoint.state = EndpointState::Removed;
         }
     }
 
-    /// Updates the entry of a process that is known; hands the entry of another process back.
+    /// Updates the endpoint of a process that is already in the table; otherwise returns the
+    /// endpoint.
     pub fn update_known_process(&mut self, endpoint: Endpoint) -> Option<Endpoint> {
         let index = self.index_of(&endpoint.server.0);
         let known = index.map(|index| &mut self.servers[index]);
@@ -189,8 +195,9 @@
         }
     }
 
-    /// The index for a process of a server: that of the server, else that of one which left and was sent nothing for
-    /// so long that no request can refer to it, else a new one.
+    /// Chooses the index for a new process of a server: the current index of the server, else that
+    /// of a removed server to which nothing was sent for so long that no request can refer to it,
+    /// else a new one.
     pub fn choose_index(&self, name: &ServerId, now: Micros, longest_deadline: Micros) -> usize {
         let unused_since = now.since(longest_deadline.scaled(INDEX_REUSE_RATIO));
         let is_unused = |server: &Server| {
@@ -204,8 +211,9 @@
             .unwrap_or(self.servers.len())
     }
 
-    /// Puts a process at an index, in place of the one that may be there. Attempts in flight to that one still count
-    /// here until they end, and points of the same server stay on the ring.
+    /// Puts a process at an index and replaces the one that may be there. Attempts in flight to the
+    /// replaced process still count at this index until they end, and the points of the same server
+    /// stay on the ring.
     pub fn replace(&mut self, index: usize, mut server: Server) {
         let name = server.endpoint.server.clone();
         if let Some(old) = self.servers.get(index) {
@@ -219,7 +227,7 @@
         self.index_by_name.insert(name, index);
     }
 
-    /// Computes the mean weight anew.
+    /// Recomputes the mean weight.
     pub fn update_mean_weight(&mut self) {
         let mut count = 0_u32;
         let mut sum = 0.0;
@@ -230,7 +238,8 @@
         self.mean_weight = sum / f64::from(count.max(1));
     }
 
-    /// A server's size as a ratio of the mean; 1 where weights tell nothing.
+    /// The weight of a server relative to the mean weight; 1 if the deployment's weights carry no
+    /// information.
     pub fn relative_weight(&self, server: &Server, weights: Weights) -> f64 {
         if weights != Weights::Unknown && self.mean_weight > 0.0 {
             server.endpoint.weight / self.mean_weight
