--- a/crates/load-balancer/src/endpoint.rs
+++ b/crates/load-balancer/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! Entries of the endpoint list and its updates.
+//! Entries of the endpoint list, and the kinds of updates to the list.
 
 use crate::ids::{CellId, KindId, ServerId, ZoneId};
 use crate::time::Micros;
@@ -10,49 +10,49 @@
     Ready,
     /// Finishes the requests that it has and takes no new ones.
     Draining,
-    /// Removed from the list.
+    /// No longer on the list.
     Removed,
 }
 
 /// One entry of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// Its name.
+    /// The server's name.
     pub server: ServerId,
-    /// Its state.
+    /// The server's state on the list.
     pub state: EndpointState,
-    /// Its zone.
+    /// The server's zone, if it is known.
     pub zone: Option<ZoneId>,
-    /// Its cell.
+    /// The server's cell.
     pub cell: CellId,
-    /// Its kind of machine.
+    /// The machine kind, if it is known.
     pub kind: Option<KindId>,
-    /// When its process started; zero for long ago.
+    /// When the server's process started; zero for long ago.
     pub started: Micros,
-    /// Its size relative to others; see [`Weights`](crate::Weights).
+    /// The server's size relative to others; see [`Weights`](crate::Weights).
     pub weight: f64,
 }
 
-/// Which part of the endpoint list an event carries.
+/// What an update of the endpoint list carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointUpdate {
     /// Changed entries only.
     Delta,
     /// The whole list.
     Snapshot,
-    /// The whole list as this router last held it; possibly stale.
+    /// The whole list as this router last stored it, which may be stale.
     Restored,
-    /// A poll failed or the watch broke; no entries.
+    /// A poll failed or the watch was lost; no entries.
     WatchLost,
-    /// Discovery turned a poll away after it had waited for this long; no entries.
+    /// Discovery rejected a poll after it had waited for some time; no entries.
     PollRejected {
-        /// From the poll to the rejection.
+        /// The time from the poll to its rejection.
         waited: Micros,
     },
 }
 
 impl Endpoint {
-    /// A ready server of usual size that started long ago.
+    /// A ready server of weight 1 that started long ago.
     pub fn ready(server: ServerId) -> Self {
         Endpoint {
             server,
