--- a/crates/load-balancer/src/availability.rs
+++ b/crates/load-balancer/src/availability.rs
@@ -1,27 +1,27 @@
-//! What may a server be used for?
+//! Derives what a server may be used for from its state on the endpoint list and from whether an
+//! operator disabled it.
 //!
-//! Inputs: its state on the endpoint list, and whether an operator disabled it. Answer: an [`Availability`].
-//! Reason: the operators' word holds whatever the list says. The ring, the sending of attempts and the embedding
-//! program ask nothing else.
+//! An operator's override holds whatever the list says. The ring, the sending of attempts and the
+//! embedding program depend on this result alone.
 
 use crate::endpoint::EndpointState;
 
 /// What a server may be used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Availability {
-    /// Listed as ready: it takes new requests.
+    /// Listed as ready; takes new requests.
     Accepting,
-    /// Listed as draining: it finishes the requests that it has.
+    /// Listed as draining; finishes its requests in flight.
     Draining,
-    /// Disabled by an operator: it finishes what it has and takes nothing new until it is enabled again, whatever
-    /// the endpoint list says.
+    /// Disabled by an operator; finishes its requests in flight and takes no new ones until it is
+    /// enabled again, whatever the endpoint list says.
     Disabled,
     /// Not on the endpoint list.
     Removed,
 }
 
 impl Availability {
-    /// Of a server in this state on the list.
+    /// The availability of a server in this state on the endpoint list.
     pub(crate) fn new(state: EndpointState, is_disabled: bool) -> Availability {
         match state {
             EndpointState::Removed => Availability::Removed,
