--- a/crates/load-balancer/src/key_locations.rs
+++ b/crates/load-balancer/src/key_locations.rs
@@ -1,35 +1,36 @@
-//! Which servers lately served which keys: tells likely hits from likely misses. A measure only.
+//! Records which servers recently served which keys, to tell likely hits from likely misses. This
+//! module only observes; it makes no decisions.
 
 use crate::request::{AttemptEnd, Outcome};
 
-/// Entries; a power of two. A further one replaces an older one.
+/// The number of entries in the table; a power of two. A new location replaces an older one in the
+/// same entry.
 const ENTRY_COUNT: usize = 4096;
-/// Spreads the servers of one key over the table (golden ratio, as in Fibonacci hashing).
+/// Spreads the servers of one key over the table by the golden ratio, as in Fibonacci hashing.
 const SERVER_STRIDE: usize = 0x9E37_79B1;
-/// The server of an empty entry.
+/// Marks an empty entry.
 const NO_SERVER: usize = usize::MAX;
 
-/// A key that a server holds.
+/// A key, and a server that holds it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct KeyLocation {
-    /// Ring position of the key.
+    /// The ring position of the key.
     pub ring_position: u32,
-    /// Index in the server table.
+    /// The index of the server in the server table.
     pub server: usize,
 }
 
-/// An entry that holds nothing.
 const EMPTY_ENTRY: KeyLocation = KeyLocation {
     ring_position: 0,
     server: NO_SERVER,
 };
 
-/// A table of fixed size, by ring position and server.
+/// A table of fixed size, indexed by ring position and server.
 #[derive(Debug)]
 pub(crate) struct KeyLocations(Vec<KeyLocation>);
 
 impl KeyLocations {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new() -> KeyLocations {
         KeyLocations(vec![EMPTY_ENTRY; ENTRY_COUNT])
     }
@@ -47,8 +48,8 @@
         };
     }
 
-    /// Records what the end of an attempt tells: a success that the server holds the key, a fetch or a timeout that it
-    /// lacks it.
+    /// Records the end of an attempt. A success shows that the server holds the key; a failed fetch
+    /// or a timeout shows that it lacks the key.
     pub fn record_end(&mut self, ring_position: u32, server: usize, end: &AttemptEnd) {
         let is_missing = end.cache_status.is_some() || end.outcome == Outcome::TimedOut;
         if end.outcome == Outcome::Success {
@@ -65,14 +66,14 @@
         }
     }
 
-    /// Forgets the keys of a server: another process takes its index and holds nothing.
+    /// Removes the keys of a server whose index is taken by another process, which holds no keys.
     pub fn remove_server(&mut self, server: usize) {
         for location in self.0.iter_mut().filter(|known| known.server == server) {
             location.server = NO_SERVER;
         }
     }
 
-    /// Whether a server served a key, and was not found to lack it since.
+    /// Whether a server has served a key and was not found to lack it since.
     pub fn contains(&self, ring_position: u32, server: usize) -> bool {
         let location = KeyLocation {
             ring_position,
@@ -81,7 +82,7 @@
         self.0[KeyLocations::entry_index(ring_position, server)] == location
     }
 
-    /// Each key and its server.
+    /// All recorded locations.
     pub fn iter(&self) -> impl Iterator<Item = KeyLocation> {
         let is_used = |location: &KeyLocation| location.server != NO_SERVER;
         self.0.iter().copied().filter(is_used)
