--- a/crates/load-balancer/src/latency_baseline.rs
+++ b/crates/load-balancer/src/latency_baseline.rs
@@ -1,20 +1,22 @@
-//! A moving average of latencies and its minimum, which tells whether something waits.
+//! A moving average of latencies and its recent minimum. An average well above the minimum shows a
+//! queue.
 
 use crate::time::Micros;
 
-/// The average of latencies, and the least of it, rising slowly: the latency without a queue.
+/// The average of latencies and a minimum of that average, which rises slowly. The minimum
+/// approximates the latency without a queue.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LatencyBaseline {
     average: Micros,
     minimum: Micros,
-    /// Samples over which the average is taken.
+    /// The number of samples over which the average is taken.
     average_span: u64,
-    /// Samples over which the minimum rises.
+    /// The number of samples over which the minimum rises toward the average.
     minimum_span: u64,
 }
 
 impl LatencyBaseline {
-    /// Without samples both are zero.
+    /// Creates a baseline without samples; the average and the minimum are zero.
     pub const fn new(average_span: u64, minimum_span: u64) -> LatencyBaseline {
         LatencyBaseline {
             average: Micros(0),
@@ -24,7 +26,7 @@
         }
     }
 
-    /// Takes one latency in.
+    /// Records one latency.
     pub fn observe(&mut self, latency: Micros) {
         if self.minimum == Micros(0) {
             self.average = latency;
@@ -35,12 +37,12 @@
         self.minimum = raised_minimum.min(self.average);
     }
 
-    /// The average.
+    /// The average of the recorded latencies.
     pub const fn average(&self) -> Micros {
         self.average
     }
 
-    /// A multiple of the minimum.
+    /// The minimum multiplied by `ratio`.
     pub fn scaled_minimum(&self, ratio: f64) -> Micros {
         self.minimum.scaled(ratio)
     }
