--- a/crates/load-balancer/src/failure_attribution.rs
+++ b/crates/load-balancer/src/failure_attribution.rs
@@ -1,40 +1,45 @@
-//! Did a failed attempt fail at its server or in a fetch from the origin, where the error does not tell?
+//! Attributes a failed attempt to its server or to an origin fetch if the error itself does not say
+//! which.
 //!
-//! Inputs: how long failed attempts took against the typical latency of hits (µs), the cache mode. Answer: the end
-//! of the attempt, marked as a miss where a fetch failed. Reason: what a server fails by itself, it fails sooner
-//! than it serves hits; a later failure was a fetch. While many are late, the quick ones are fetches too: a full
-//! origin rejects them at once.
+//! The inputs are how long failed attempts took in comparison with the typical latency of hits
+//! (µs), and the cache mode. The result is the end of the attempt, marked as a cache miss if a
+//! fetch most likely failed.
+//!
+//! A server that fails a request by itself does so sooner than it serves a hit; a later failure is
+//! a failed fetch. While many failures are late, the early ones count as failed fetches too,
+//! because an overloaded origin rejects fetches at once.
 
 use crate::moving_average::MovingAverage;
 use crate::request::{AttemptEnd, CacheStatus, Outcome};
 use crate::settings::CacheMode;
 use crate::time::Micros;
 
-/// Unexplained failures over which the ratio of late ones is averaged.
+/// The number of unexplained failures over which the ratio of late ones is averaged.
 const LATE_FAILURE_SPAN: f64 = 16.0;
-/// The ratio of late failures above which the origin fails: servers' own are seldom late.
+/// The ratio of late failures above which all unexplained failures are attributed to the origin. A
+/// server's own failures are seldom late.
 const ORIGIN_LATE_FAILURE_RATIO: f64 = 0.2;
 
-/// The ratio of late ones among the unexplained failures.
+/// Tracks how many of the unexplained failures are late.
 #[derive(Debug)]
 pub(crate) struct FailureAttribution {
     late_failures: MovingAverage,
 }
 
 impl FailureAttribution {
-    /// Without failures so far.
+    /// Creates the state before the first failure.
     pub fn new() -> FailureAttribution {
         FailureAttribution {
             late_failures: MovingAverage::new(0.0, LATE_FAILURE_SPAN),
         }
     }
 
-    /// The ratio of late ones among the unexplained failures.
+    /// The ratio of late failures among the unexplained ones.
     pub fn late_failure_ratio(&self) -> f64 {
         self.late_failures.value()
     }
 
-    /// Marks an unexplained failure as a miss if a fetch most likely failed.
+    /// Marks an unexplained failure as a cache miss if a fetch most likely failed.
     pub fn attribute(
         &mut self,
         end: AttemptEnd,
