--- a/crates/load-balancer/src/admin_overrides.rs
+++ b/crates/load-balancer/src/admin_overrides.rs
@@ -9,7 +9,7 @@
 
 /// Servers whose override is remembered: more than any fleet has. A further one replaces the oldest of those that
 /// are enabled, else one that is disabled.
-const OVERRIDE_COUNT: usize = 4096;
+const MAX_OVERRIDE_COUNT: usize = 4096;
 
 /// The operators' latest word on a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -57,7 +57,7 @@
     }
 
     fn set(&mut self, server: ServerId, value: AdminOverride) {
-        if self.0.len() >= OVERRIDE_COUNT && !self.0.contains_key(&server) {
+        if self.0.len() >= MAX_OVERRIDE_COUNT && !self.0.contains_key(&server) {
             self.remove_oldest();
         }
         self.0.insert(server, value);
--- a/crates/load-balancer/src/deployment.rs
+++ b/crates/load-balancer/src/deployment.rs
@@ -13,7 +13,7 @@
 use crate::load_report::LoadReportFormat;
 use crate::settings::{
     CacheMode, Class, ConnectionCosts, DeduplicationScope, DiscoveryMode, Idempotency, Limits,
-    Rules, Settings, Tenant, Weights,
+    Rules, Settings, Tenant, WeightKind,
 };
 use crate::time::Micros;
 use std::collections::HashMap;
@@ -78,7 +78,7 @@
     /// A connection that is not established after this long counts as unreachable.
     pub dial_timeout: Micros,
     /// The fields of the load reports in answers; empty where answers carry none.
-    pub reports: LoadReportFormat,
+    pub report_format: LoadReportFormat,
 }
 
 /// Values and their names, in one order.
@@ -195,7 +195,7 @@
         router_number,
         names,
         dial_timeout,
-        reports: reports(&params),
+        report_format: report_format(&params),
     })
 }
 
@@ -208,17 +208,17 @@
     let collapse_multiple = "specifics.origin_fall_multiple";
     Ok(Settings {
         routers: params.number_or("peers_total", 1.0)? as u32,
-        router_place: None,
+        stagger_fraction: None,
         zone: zone(params, zones),
         classes,
         tenants,
         over_quota_weight: params.number_or("over_share_worth", 1.0)?,
         mode: mode(params)?,
         discovery: discovery(params)?,
-        weights: weights(params),
+        weight_kind: weight_kind(params),
         rules: rules(params)?,
         limits: limits(params)?,
-        connection_idle: params
+        connection_idle_timeout: params
             .optional_time("limits.conn_idle")?
             .unwrap_or(Micros::MAX),
         connection_costs: ConnectionCosts {
@@ -234,11 +234,11 @@
     zones.iter().position(|zone| zone == name).map(ZoneId)
 }
 
-fn weights(params: &Params<'_>) -> Weights {
+fn weight_kind(params: &Params<'_>) -> WeightKind {
     match params.optional("weight_kind") {
-        Some("rough") => Weights::Rough,
-        Some("nominal") => Weights::Nominal,
-        _ => Weights::Unknown,
+        Some("rough") => WeightKind::Rough,
+        Some("nominal") => WeightKind::Nominal,
+        _ => WeightKind::Unknown,
     }
 }
 
@@ -337,18 +337,18 @@
 }
 
 /// Reports that come with probes are left out: this router sends no probes.
-fn reports(params: &Params<'_>) -> LoadReportFormat {
+fn report_format(params: &Params<'_>) -> LoadReportFormat {
     let meaning = |path: &str| params.optional(path).unwrap_or("");
     let names = if meaning("stats.how") == "inline" {
         params.list("stats.columns")
     } else {
         Vec::new()
     };
-    let own_meanings = [
+    let extra_meanings = [
         meaning("specifics.report_x0"),
         meaning("specifics.report_x1"),
     ];
-    LoadReportFormat::new(&names, own_meanings)
+    LoadReportFormat::new(&names, extra_meanings)
 }
 
 fn discovery(params: &Params<'_>) -> Result<DiscoveryMode, DeploymentError> {
--- a/crates/load-balancer/src/endpoint.rs
+++ b/crates/load-balancer/src/endpoint.rs
@@ -29,7 +29,7 @@
     pub kind: Option<KindId>,
     /// When its process started; zero for long ago.
     pub started: Micros,
-    /// Its size relative to others; see [`Weights`](crate::Weights).
+    /// Its size relative to others; see [`WeightKind`](crate::WeightKind).
     pub weight: f64,
 }
 
--- a/crates/load-balancer/src/idle_connection_lifetime.rs
+++ b/crates/load-balancer/src/idle_connection_lifetime.rs
@@ -11,7 +11,7 @@
 use crate::time::Micros;
 
 /// Attempts over which ratios of rejections are averaged.
-const REJECTION_SPAN: f64 = 16.0;
+const REJECTION_AVERAGE_COUNT: f64 = 16.0;
 /// Slots are scarce where the ratio of rejections on new connections is higher by this: overload rejects both alike.
 const SCARCE_SLOTS_RATIO: f64 = 0.1;
 /// What one rejection for want of slots takes off the lifetime, as a ratio.
@@ -48,8 +48,8 @@
     /// Nothing is known.
     pub fn new() -> IdleConnectionLifetime {
         IdleConnectionLifetime {
-            rejections_on_new: MovingAverage::new(0.0, REJECTION_SPAN),
-            rejections_on_reused: MovingAverage::new(0.0, REJECTION_SPAN),
+            rejections_on_new: MovingAverage::new(0.0, REJECTION_AVERAGE_COUNT),
+            rejections_on_reused: MovingAverage::new(0.0, REJECTION_AVERAGE_COUNT),
             lifetime_ratio: 1.0,
         }
     }
@@ -60,14 +60,14 @@
         match end.connection_use {
             ConnectionUse::New if end.outcome != Outcome::Unreachable => {
                 self.rejections_on_new.observe_event(is_rejected);
-                self.adjust(is_rejected);
+                self.adjust_lifetime(is_rejected);
             }
             ConnectionUse::Reused(_) => self.rejections_on_reused.observe_event(is_rejected),
             _ => {}
         }
     }
 
-    fn adjust(&mut self, is_rejected: bool) {
+    fn adjust_lifetime(&mut self, is_rejected: bool) {
         let ratio = if is_rejected && self.are_slots_scarce() {
             self.lifetime_ratio * (1.0 - LIFETIME_DECREASE_RATIO)
         } else {
--- a/crates/load-balancer/src/lib.rs
+++ b/crates/load-balancer/src/lib.rs
@@ -99,8 +99,8 @@
 pub use router::Router;
 pub use settings::{
     CacheMode, Class, ConnectionCosts, DeduplicationScope, DiscoveryMode, Idempotency, Limits,
-    Rules, Settings, SettingsError, Tenant, Weights,
+    Rules, Settings, SettingsError, Tenant, WeightKind,
 };
-pub use silent_watch::{RepeatedCalls, SilentWatchPolicy};
+pub use silent_watch::{CallRetryPolicy, SilentWatchPolicy};
 pub use time::Micros;
 pub use warm_state::WarmState;
--- a/crates/load-balancer/src/load_report.rs
+++ b/crates/load-balancer/src/load_report.rs
@@ -6,7 +6,7 @@
 use crate::time::Micros;
 
 /// Fields that are read of one report; a deployment names four at most.
-const FIELD_COUNT: usize = 8;
+const MAX_FIELD_COUNT: usize = 8;
 /// The largest credible number of requests in a queue or of fetches.
 const MAX_REQUEST_COUNT: f64 = 1e6;
 /// The largest credible service time.
@@ -49,8 +49,8 @@
 
 impl Column {
     /// Whether a report calls it so: as the settings do, or by the other name of the same field.
-    fn is_called(&self, name: &str) -> bool {
-        self.name == name || name_on_sockets(&self.name) == name
+    fn matches_name(&self, name: &str) -> bool {
+        self.name == name || wire_name(&self.name) == name
     }
 }
 
@@ -84,12 +84,12 @@
 
 impl LoadReportFormat {
     /// From the settings: the names in order, and what `x0` and `x1` mean where they are among them.
-    pub fn new(names: &[String], meanings: [&str; 2]) -> LoadReportFormat {
+    pub fn new(names: &[String], extra_meanings: [&str; 2]) -> LoadReportFormat {
         let column = |name: &String| Column {
             name: name.clone(),
-            field: field(name, meanings),
+            field: field(name, extra_meanings),
         };
-        LoadReportFormat(names.iter().take(FIELD_COUNT).map(column).collect())
+        LoadReportFormat(names.iter().take(MAX_FIELD_COUNT).map(column).collect())
     }
 
     /// Whether answers carry no reports.
@@ -109,10 +109,10 @@
     /// Reads names and values as on the sockets, such as `util=0.61,queue=2`. `None` if nothing in it is credible.
     pub fn read_pairs(&self, text: &str) -> Option<LoadReport> {
         let mut report = LoadReport::default();
-        let pairs = text.split(',').take(FIELD_COUNT);
+        let pairs = text.split(',').take(MAX_FIELD_COUNT);
         for (name, value) in pairs.filter_map(|pair| pair.split_once('=')) {
             let name = name.trim();
-            if let Some(column) = self.0.iter().find(|column| column.is_called(name)) {
+            if let Some(column) = self.0.iter().find(|column| column.matches_name(name)) {
                 report.set(column.field, value);
             }
         }
@@ -121,19 +121,19 @@
 }
 
 /// The field of a name in the settings.
-fn field(name: &str, meanings: [&str; 2]) -> Field {
+fn field(name: &str, extra_meanings: [&str; 2]) -> Field {
     match name {
         "utilization" | "util" => Field::CpuUtilization,
         "backlog" | "queue" => Field::QueueLength,
         "recent_ms" | "latency_ms" => Field::ServiceTime,
-        "x0" => own_field(meanings[0]),
-        "x1" => own_field(meanings[1]),
+        "x0" => extra_field(extra_meanings[0]),
+        "x1" => extra_field(extra_meanings[1]),
         _ => Field::Unused,
     }
 }
 
 /// The field of a meaning that the settings give to `x0` or `x1`.
-fn own_field(meaning: &str) -> Field {
+fn extra_field(meaning: &str) -> Field {
     match meaning {
         "fetches_out" => Field::FetchesInFlight,
         _ => Field::Unused,
@@ -141,7 +141,7 @@
 }
 
 /// The settings and the reports on sockets have different names for the same fields.
-fn name_on_sockets(name: &str) -> &str {
+fn wire_name(name: &str) -> &str {
     match name {
         "utilization" => "util",
         "backlog" => "queue",
--- a/crates/load-balancer/src/pending.rs
+++ b/crates/load-balancer/src/pending.rs
@@ -32,7 +32,7 @@
     /// How long its connection had been idle; `None` for a new or a busy one.
     pub idle: Option<Micros>,
     /// It met a connection that was dead already: its server may be tried again.
-    pub met_stale_connection: bool,
+    pub had_stale_connection: bool,
 }
 
 /// A request, until it is answered and its last attempt has ended.
@@ -67,7 +67,7 @@
     pub fn attempts_delivered(&self) -> usize {
         self.attempts
             .iter()
-            .filter(|attempt| !attempt.met_stale_connection)
+            .filter(|attempt| !attempt.had_stale_connection)
             .count()
     }
 
@@ -75,7 +75,7 @@
     pub fn was_delivered_to(&self, server: usize) -> bool {
         self.attempts
             .iter()
-            .any(|attempt| attempt.server == server && !attempt.met_stale_connection)
+            .any(|attempt| attempt.server == server && !attempt.had_stale_connection)
     }
 
     /// The first attempt that may have run or may yet.
@@ -122,7 +122,7 @@
         self.0.get_mut(&id)
     }
 
-    /// Takes a request out, to be put back by [`PendingRequests::insert`] or `keep`.
+    /// Takes a request out, to be put back by [`PendingRequests::insert`] or `reinsert_unless_done`.
     pub fn remove(&mut self, id: RequestId) -> Option<PendingRequest> {
         self.0.remove(&id)
     }
@@ -133,7 +133,7 @@
     }
 
     /// Puts a request back unless it is answered and its last attempt has ended.
-    pub fn keep(&mut self, pending: PendingRequest) {
+    pub fn reinsert_unless_done(&mut self, pending: PendingRequest) {
         if !pending.is_answered || pending.has_attempt_in_flight() {
             self.insert(pending);
         }
--- a/crates/load-balancer/src/placement.rs
+++ b/crates/load-balancer/src/placement.rs
@@ -13,7 +13,7 @@
 use crate::pending::PendingRequest;
 use crate::ring::Ring;
 use crate::server_table::{Server, ServerTable};
-use crate::settings::{Rules, Weights};
+use crate::settings::{Rules, WeightKind};
 use crate::slow_start::SlowStart;
 use crate::time::Micros;
 
@@ -123,14 +123,19 @@
 
 impl FleetUsage {
     /// Of the fleet now.
-    pub fn of(servers: &ServerTable, now: Micros, rules: &Rules, weights: Weights) -> FleetUsage {
+    pub fn of(
+        servers: &ServerTable,
+        now: Micros,
+        rules: &Rules,
+        weight_kind: WeightKind,
+    ) -> FleetUsage {
         let mut usage = FleetUsage {
             largest_arc_part: 0.0,
             in_flight: 0.0,
             total_limit: 0.0,
         };
         for server in servers.accepting() {
-            let relative_weight = servers.relative_weight(server, weights);
+            let relative_weight = servers.relative_weight(server, weight_kind);
             let arc_part = arc_part(server, relative_weight, now, rules);
             usage.largest_arc_part = usage.largest_arc_part.max(arc_part);
             usage.in_flight += f64::from(server.limit.in_flight);
@@ -195,7 +200,7 @@
     pub key_locations: &'a KeyLocations,
     pub now: Micros,
     /// What the weights of servers tell.
-    pub weights: Weights,
+    pub weight_kind: WeightKind,
     /// The tightest latency objective of all classes.
     pub shortest_objective: Micros,
     pub slow_start: SlowStart<'a>,
@@ -285,7 +290,7 @@
         let relative_weight = self
             .inputs
             .servers
-            .relative_weight(server, self.inputs.weights);
+            .relative_weight(server, self.inputs.weight_kind);
         if let Some(verdict) = self.inputs.left_out(index, relative_weight) {
             self.may_move |= self.is_before_first_fit;
             return verdict;
--- a/crates/load-balancer/src/retry.rs
+++ b/crates/load-balancer/src/retry.rs
@@ -12,13 +12,13 @@
 use crate::time::Micros;
 
 /// Retry tokens that one success earns: retries add at most this ratio to the load.
-const EARNED_PER_SUCCESS_RATIO: f64 = 0.15;
+const TOKENS_PER_SUCCESS: f64 = 0.15;
 /// Tokens that all routers together may save: enough for the end of a server or a batch of a deployment.
-const SAVED_TOTAL_COUNT: f64 = 60.0;
+const FLEET_TOKEN_CAPACITY: f64 = 60.0;
 /// Tokens that each router may save at least: several retries of one request, however little it sees.
-const SAVED_MIN_COUNT: f64 = 3.0;
+const ROUTER_MIN_TOKEN_CAPACITY: f64 = 3.0;
 /// Tokens that a retry costs.
-pub(crate) const RETRY_COST_COUNT: f64 = 1.0;
+pub(crate) const RETRY_COST_TOKENS: f64 = 1.0;
 /// A further attempt needs this ratio of the latency objective to be of use.
 const MIN_RETRY_TIME_RATIO: f64 = 0.2;
 /// The ratio of the time left to the latency objective that an attempt may take while another can follow.
@@ -43,7 +43,7 @@
 impl RetryBudget {
     /// A full budget of one of so many routers.
     pub fn new(routers: u32) -> RetryBudget {
-        let max_tokens = (SAVED_TOTAL_COUNT / f64::from(routers)).max(SAVED_MIN_COUNT);
+        let max_tokens = (FLEET_TOKEN_CAPACITY / f64::from(routers)).max(ROUTER_MIN_TOKEN_CAPACITY);
         RetryBudget {
             tokens: max_tokens,
             max_tokens,
@@ -57,17 +57,17 @@
 
     /// Whether a retry is paid for.
     pub fn has_token(&self) -> bool {
-        self.tokens >= RETRY_COST_COUNT
+        self.tokens >= RETRY_COST_TOKENS
     }
 
     /// Earns for a success.
     pub fn record_success(&mut self) {
-        self.tokens = (self.tokens + EARNED_PER_SUCCESS_RATIO).min(self.max_tokens);
+        self.tokens = (self.tokens + TOKENS_PER_SUCCESS).min(self.max_tokens);
     }
 
     /// Pays for one retry.
     pub fn spend_token(&mut self) {
-        self.tokens -= RETRY_COST_COUNT;
+        self.tokens -= RETRY_COST_TOKENS;
     }
 
     /// Takes over what a previous process left: both are one router, whose tokens are not spent twice.
@@ -85,14 +85,14 @@
 /// elsewhere only feeds a failing origin. A miss or a stale connection cost no work: the next attempt is free.
 pub(crate) fn should_retry(
     end: &AttemptEnd,
-    met_stale_connection: bool,
+    had_stale_connection: bool,
     budget: &mut RetryBudget,
 ) -> bool {
     let is_failed_fetch = end.outcome == Outcome::Failure && end.cache_status.is_some();
     if is_failed_fetch {
         return false;
     }
-    let is_free = end.outcome == Outcome::Miss || met_stale_connection;
+    let is_free = end.outcome == Outcome::Miss || had_stale_connection;
     if is_free {
         return true;
     }
--- a/crates/load-balancer/src/router.rs
+++ b/crates/load-balancer/src/router.rs
@@ -79,8 +79,8 @@
         let replica_offset = random.next_fraction();
         // However many routers there are, the first request always goes.
         let initial_limit = (INITIAL_TOTAL_COUNT / f64::from(settings.routers)).max(1.0);
-        let shortest_objective = shortest(&settings.classes, |class| class.latency_objective);
-        let shortest_useful = shortest(&settings.classes, Class::longest_useful_latency);
+        let shortest_objective = min_time(&settings.classes, |class| class.latency_objective);
+        let shortest_useful = min_time(&settings.classes, Class::longest_useful_latency);
         Ok(Router {
             random,
             now: Micros(0),
@@ -105,7 +105,7 @@
             stale_connections: StaleConnections::new(),
             idle_connections: IdleConnectionLifetime::new(),
             shortest_objective,
-            subscription: Subscription::new(settings.router_place, settings.routers),
+            subscription: Subscription::new(settings.stagger_fraction, settings.routers),
             has_discovery_list: false,
             settings,
         })
@@ -158,7 +158,7 @@
         let time_left = pending.request.expires.since(self.now);
         self.set_timer(time_left, pending.request.id, TimerPurpose::Deadline);
         self.place_or_answer(&mut pending);
-        self.pending.keep(pending);
+        self.pending.reinsert_unless_done(pending);
     }
 
     fn new_pending_request(&mut self, request: Request) -> PendingRequest {
@@ -239,7 +239,7 @@
         if !pending.is_answered {
             self.mark_answered_unserved(&mut pending);
         }
-        self.pending.keep(pending);
+        self.pending.reinsert_unless_done(pending);
     }
 
     /// A request that found no server looks for one again.
@@ -250,7 +250,7 @@
         if !pending.is_answered && !pending.has_attempt_in_flight() {
             self.place_or_answer(&mut pending);
         }
-        self.pending.keep(pending);
+        self.pending.reinsert_unless_done(pending);
     }
 
     fn on_deadline(&mut self, id: RequestId) {
@@ -258,18 +258,18 @@
             return;
         };
         match deadline_step(&pending, &self.settings.rules, self.now) {
-            DeadlineStep::Streaming => self.pending.keep(pending),
+            DeadlineStep::Streaming => self.pending.reinsert_unless_done(pending),
             DeadlineStep::Wait(time_left) => {
                 self.set_timer(time_left, id, TimerPurpose::Deadline);
-                self.pending.keep(pending);
+                self.pending.reinsert_unless_done(pending);
             }
             DeadlineStep::AnswerWithGrace(grace) => {
-                self.answer(&mut pending);
+                self.answer_unserved(&mut pending);
                 self.set_timer(grace, id, TimerPurpose::Deadline);
-                self.pending.keep(pending);
+                self.pending.reinsert_unless_done(pending);
             }
             DeadlineStep::AnswerAndForget => {
-                self.answer(&mut pending);
+                self.answer_unserved(&mut pending);
                 self.forget_attempts(&pending);
             }
         }
@@ -292,12 +292,12 @@
                 let after = self.class(pending).minimum_retry_time();
                 self.set_timer(after, pending.request.id, TimerPurpose::Placement);
             }
-            _ => self.answer(pending),
+            _ => self.answer_unserved(pending),
         }
     }
 
     /// Gives the final answer to a request that no server serves; the only place that does.
-    fn answer(&mut self, pending: &mut PendingRequest) {
+    fn answer_unserved(&mut self, pending: &mut PendingRequest) {
         if pending.is_answered || pending.is_streaming {
             return;
         }
@@ -350,6 +350,6 @@
 }
 
 /// The shortest of a time that each class has; 0 without classes.
-fn shortest(classes: &[Class], time: impl Fn(&Class) -> Micros) -> Micros {
+fn min_time(classes: &[Class], time: impl Fn(&Class) -> Micros) -> Micros {
     classes.iter().map(time).min().unwrap_or_default()
 }
--- a/crates/load-balancer/src/router/attempts.rs
+++ b/crates/load-balancer/src/router/attempts.rs
@@ -13,7 +13,7 @@
 use crate::retry::{self, AttemptTarget, AttemptTimeout};
 use crate::settings::CacheMode;
 use crate::slow_start::SlowStart;
-use crate::stale_connections::met_stale_connection;
+use crate::stale_connections::had_stale_connection;
 use crate::time::Micros;
 
 impl Router {
@@ -84,13 +84,13 @@
         fetch: FetchPermission,
     ) -> PlacementInputs<'a> {
         let rules = &self.settings.rules;
-        let weights = self.settings.weights;
+        let weight_kind = self.settings.weight_kind;
         PlacementInputs {
             pending,
             servers: &self.servers,
             key_locations: &self.key_locations,
             now: self.now,
-            weights,
+            weight_kind,
             shortest_objective: self.shortest_objective,
             slow_start: SlowStart {
                 now: self.now,
@@ -102,7 +102,7 @@
             priority: self.priority_context().priority(pending, limit_multiplier),
             fetch,
             has_retry_token: self.retry_budget.has_token(),
-            fleet: FleetUsage::of(&self.servers, self.now, rules, weights),
+            fleet: FleetUsage::of(&self.servers, self.now, rules, weight_kind),
             ready_servers: self.ring.server_count(),
         }
     }
@@ -124,7 +124,7 @@
             is_fetch,
             popularity: pending.popularity,
             idle,
-            met_stale_connection: false,
+            had_stale_connection: false,
         });
         self.record_send(index, is_fetch);
         let timeout = self.attempt_timeout(pending, index);
@@ -164,8 +164,8 @@
     /// How long the connection of the next attempt has been idle, if it is reused. Stale ones are closed first.
     fn take_idle_connection(&mut self, index: usize) -> Option<Micros> {
         let server = &self.servers[index];
-        let idle = server.idle_time(self.now, self.settings.connection_idle)?;
-        if self.stale_connections.are_stale(self.now, idle) {
+        let idle = server.idle_time(self.now, self.settings.connection_idle_timeout)?;
+        if self.stale_connections.is_stale(self.now, idle) {
             let server = server.endpoint.server.clone();
             self.actions.push(Action::CloseIdle { server });
             return None;
@@ -206,21 +206,21 @@
                 self.failure_attribution
                     .attribute(end, self.settings.mode, self.typical_latency);
             let ended = EndedAttempt { attempt, end };
-            self.learn(&pending, &ended);
+            self.record_attempt_end(&pending, &ended);
             pending.is_answered |= end.complete;
             pending.has_missed |= end.outcome == Outcome::Miss;
             if !pending.is_answered && !pending.has_attempt_in_flight() {
                 self.retry_or_answer(&mut pending, &ended);
             }
         }
-        self.pending.keep(pending);
+        self.pending.reinsert_unless_done(pending);
     }
 
     /// Marks an attempt as ended; `None` if it was not in flight.
     fn end_attempt(&self, pending: &mut PendingRequest, end: &AttemptEnd) -> Option<Attempt> {
         let attempt = pending.attempt_in_flight(end.attempt)?;
         let typical_latency = self.servers[attempt.server].typical_latency;
-        attempt.met_stale_connection = met_stale_connection(end, typical_latency);
+        attempt.had_stale_connection = had_stale_connection(end, typical_latency);
         attempt.state = if end.outcome.never_ran() {
             AttemptState::NeverRan
         } else {
@@ -231,17 +231,17 @@
 
     fn retry_or_answer(&mut self, pending: &mut PendingRequest, ended: &EndedAttempt) {
         let has_time = retry::has_time_for_retry(pending, self.class(pending), self.now);
-        let met_stale_connection = ended.attempt.met_stale_connection;
+        let had_stale_connection = ended.attempt.had_stale_connection;
         let budget = &mut self.retry_budget;
-        if has_time && retry::should_retry(&ended.end, met_stale_connection, budget) {
+        if has_time && retry::should_retry(&ended.end, had_stale_connection, budget) {
             self.place_or_answer(pending);
         } else {
-            self.answer(pending);
+            self.answer_unserved(pending);
         }
     }
 
     /// Everything that the end of an attempt tells.
-    fn learn(&mut self, pending: &PendingRequest, ended: &EndedAttempt) {
+    fn record_attempt_end(&mut self, pending: &PendingRequest, ended: &EndedAttempt) {
         let now = self.now;
         let shortest_objective = self.shortest_objective;
         let EndedAttempt { attempt, end } = ended;
@@ -252,7 +252,7 @@
         }
         self.release(attempt.server, attempt.is_fetch);
         self.servers[attempt.server].record_end(end, now, shortest_objective);
-        self.learn_limits(pending, ended);
+        self.update_limits(pending, ended);
         if end.outcome == Outcome::Success {
             self.retry_budget.record_success();
         }
@@ -272,7 +272,7 @@
         self.close_idle_if_leaving(index);
     }
 
-    fn learn_limits(&mut self, pending: &PendingRequest, ended: &EndedAttempt) {
+    fn update_limits(&mut self, pending: &PendingRequest, ended: &EndedAttempt) {
         let context = FeedbackContext {
             now: self.now,
             router_count: self.router_count(),
--- a/crates/load-balancer/src/router/fleet.rs
+++ b/crates/load-balancer/src/router/fleet.rs
@@ -164,7 +164,7 @@
     }
 
     pub(super) fn subscribe(&mut self) {
-        if self.subscription.request() {
+        if self.subscription.try_start_call() {
             self.actions.push(Action::Subscribe);
         }
     }
--- a/crates/load-balancer/src/server_table.rs
+++ b/crates/load-balancer/src/server_table.rs
@@ -11,7 +11,7 @@
 use crate::outlier::Responsiveness;
 use crate::queue_estimate::QueueEstimate;
 use crate::request::AttemptEnd;
-use crate::settings::{Rules, Weights};
+use crate::settings::{Rules, WeightKind};
 use crate::time::Micros;
 use std::collections::HashMap;
 use std::ops::{Index, IndexMut};
@@ -83,10 +83,10 @@
     }
 
     /// How long the connection has been idle that its next attempt may reuse; `None` if that is new or busy.
-    pub fn idle_time(&self, now: Micros, connection_idle: Micros) -> Option<Micros> {
+    pub fn idle_time(&self, now: Micros, connection_idle_timeout: Micros) -> Option<Micros> {
         let idle = now.since(self.last_used_at);
         let has_idle_connection = self.limit.in_flight == 0 && self.last_used_at != Micros(0);
-        (has_idle_connection && idle < connection_idle && idle != Micros(0)).then_some(idle)
+        (has_idle_connection && idle < connection_idle_timeout && idle != Micros(0)).then_some(idle)
     }
 
     /// Records an attempt that takes up `interval` of a pace.
@@ -230,8 +230,8 @@
     }
 
     /// A server's size as a ratio of the mean; 1 where weights tell nothing.
-    pub fn relative_weight(&self, server: &Server, weights: Weights) -> f64 {
-        if weights != Weights::Unknown && self.mean_weight > 0.0 {
+    pub fn relative_weight(&self, server: &Server, weight_kind: WeightKind) -> f64 {
+        if weight_kind != WeightKind::Unknown && self.mean_weight > 0.0 {
             server.endpoint.weight / self.mean_weight
         } else {
             1.0
--- a/crates/load-balancer/src/settings.rs
+++ b/crates/load-balancer/src/settings.rs
@@ -68,7 +68,7 @@
 
 /// What an [`Endpoint::weight`](crate::Endpoint::weight) tells.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Weights {
+pub enum WeightKind {
     /// Nothing, or something that varies from list to list.
     #[default]
     Unknown,
@@ -132,7 +132,7 @@
     /// Routers that share the fleet, this one included; at least 1.
     pub routers: u32,
     /// This router's place among them, from 0 to 1, where it is known: evenly apart, for what not all may do at once.
-    pub router_place: Option<f64>,
+    pub stagger_fraction: Option<f64>,
     /// The zone of this router.
     pub zone: Option<ZoneId>,
     /// Classes of requests; at least one.
@@ -146,13 +146,13 @@
     /// How the endpoint list arrives.
     pub discovery: DiscoveryMode,
     /// What the weights on it tell.
-    pub weights: Weights,
+    pub weight_kind: WeightKind,
     /// The rules of the deployment.
     pub rules: Rules,
     /// What the router may do.
     pub limits: Limits,
     /// Idle connections are closed by either side after this long.
-    pub connection_idle: Micros,
+    pub connection_idle_timeout: Micros,
     /// What connections cost.
     pub connection_costs: ConnectionCosts,
     /// An origin that is sent too much for too long stops for some seconds.
@@ -284,14 +284,14 @@
     fn default() -> Self {
         Settings {
             routers: 1,
-            router_place: None,
+            stagger_fraction: None,
             zone: None,
             classes: Vec::new(),
             tenants: Vec::new(),
             over_quota_weight: 1.0,
             mode: CacheMode::Through,
             discovery: DiscoveryMode::Push,
-            weights: Weights::Unknown,
+            weight_kind: WeightKind::Unknown,
             rules: Rules {
                 answer_grace: Micros::from_millis(20),
                 drain_grace: Micros::from_millis(250),
@@ -308,7 +308,7 @@
                 retry_after: false,
                 max_retry_after: Micros::from_millis(1_000),
             },
-            connection_idle: Micros::from_millis(15_000),
+            connection_idle_timeout: Micros::from_millis(15_000),
             connection_costs: ConnectionCosts::default(),
             origin_collapses_under_overload: true,
         }
--- a/crates/load-balancer/src/stale_connections.rs
+++ b/crates/load-balancer/src/stale_connections.rs
@@ -8,22 +8,22 @@
 use crate::time::Micros;
 
 /// Attempts on idle connections without a response, less those with one, after which idleness is at fault.
-const SUSPICION_COUNT: u32 = 3;
+const STALE_EVIDENCE_COUNT: u32 = 3;
 /// Connections idle for this ratio of the idle time of one that failed are taken to be dead too.
 const STALE_RATIO: f64 = 0.5;
 /// What drops idle connections unseen waits this long at least: an earlier failure has another cause.
 const MIN_STALE_IDLE: Micros = Micros::from_millis(1_000);
 /// How long idle connections are closed before use after one failed.
-const STALE_MEMORY: Micros = Micros::from_millis(20_000);
+const STALE_DURATION: Micros = Micros::from_millis(20_000);
 
 /// From which idle time on connections are stale, at whichever server.
 #[derive(Debug)]
 pub(crate) struct StaleConnections {
-    /// Connections idle for as long as this are not used before `until`.
+    /// Connections idle for as long as this are not used before `stale_until`.
     min_idle: Micros,
-    until: Micros,
+    stale_until: Micros,
     /// Attempts on idle connections without a response, less those with one.
-    suspicions: u32,
+    stale_evidence: u32,
 }
 
 impl StaleConnections {
@@ -31,14 +31,14 @@
     pub fn new() -> StaleConnections {
         StaleConnections {
             min_idle: Micros::MAX,
-            until: Micros(0),
-            suspicions: 0,
+            stale_until: Micros(0),
+            stale_evidence: 0,
         }
     }
 
     /// Whether connections that have been idle for so long are most likely dead.
-    pub fn are_stale(&self, now: Micros, idle: Micros) -> bool {
-        idle >= self.min_idle && now < self.until
+    pub fn is_stale(&self, now: Micros, idle: Micros) -> bool {
+        idle >= self.min_idle && now < self.stale_until
     }
 
     /// Records how an attempt ended whose connection had been idle for `idle`. A lost connection is proof; no
@@ -47,21 +47,21 @@
         let Some(idle) = idle.filter(|&idle| idle >= MIN_STALE_IDLE) else {
             return;
         };
-        self.suspicions = match end.outcome {
+        self.stale_evidence = match end.outcome {
             Outcome::TimedOut if !end.response_started => {
-                (self.suspicions + 1).min(SUSPICION_COUNT)
+                (self.stale_evidence + 1).min(STALE_EVIDENCE_COUNT)
             }
-            Outcome::ConnectionLost if !end.response_started => SUSPICION_COUNT,
-            _ => self.suspicions.saturating_sub(1),
+            Outcome::ConnectionLost if !end.response_started => STALE_EVIDENCE_COUNT,
+            _ => self.stale_evidence.saturating_sub(1),
         };
-        if self.suspicions == SUSPICION_COUNT {
-            let known = if now < self.until {
+        if self.stale_evidence == STALE_EVIDENCE_COUNT {
+            let known = if now < self.stale_until {
                 self.min_idle
             } else {
                 Micros::MAX
             };
             self.min_idle = known.min(idle.scaled(STALE_RATIO).max(MIN_STALE_IDLE));
-            self.until = now.plus(STALE_MEMORY);
+            self.stale_until = now.plus(STALE_DURATION);
         }
     }
 }
@@ -69,7 +69,7 @@
 /// Whether an attempt met a reused connection that was dead already: it broke sooner than any answer comes. No work
 /// was done and the key is cached there, so the next attempt at the same server is free, on another connection.
 /// Guards against taking a connection's end (idle limit, firewall, restart) for the server's.
-pub(crate) fn met_stale_connection(end: &AttemptEnd, typical_latency: Micros) -> bool {
+pub(crate) fn had_stale_connection(end: &AttemptEnd, typical_latency: Micros) -> bool {
     let is_reused = matches!(end.connection_use, ConnectionUse::Reused(_));
     let is_early = end.elapsed.scaled(2.0) <= typical_latency;
     end.outcome == Outcome::ConnectionLost && !end.response_started && is_reused && is_early
--- a/crates/load-balancer/src/warm_state.rs
+++ b/crates/load-balancer/src/warm_state.rs
@@ -11,13 +11,13 @@
 use serde::{Deserialize, Serialize};
 
 /// Servers that are restored at most: more than any fleet has.
-const SERVER_COUNT: usize = 8192;
+const MAX_SERVER_COUNT: usize = 8192;
 /// Keys that are restored at most: more than a router keeps.
-const KEY_COUNT: usize = 65_536;
+const MAX_KEY_COUNT: usize = 65_536;
 /// A restored latency is cut to this: more is no latency of hits.
 const MAX_LATENCY: Micros = Micros::from_millis(60_000);
 /// A restored number from here on is damaged.
-const SOUND_BOUND: f64 = 1e9;
+const VALID_VALUE_BOUND: f64 = 1e9;
 
 /// What was learnt of one process of a server. Stored by position: the order and types of fields are fixed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -53,13 +53,13 @@
 }
 
 /// Whether a share or a count can be used.
-fn is_sound(value: f64) -> bool {
-    value.is_finite() && (0.0..SOUND_BOUND).contains(&value)
+fn is_valid(value: f64) -> bool {
+    value.is_finite() && (0.0..VALID_VALUE_BOUND).contains(&value)
 }
 
 /// Whether a value can be used that must not be zero.
-fn is_sound_and_positive(value: f64) -> bool {
-    is_sound(value) && value > 0.0
+fn is_valid_and_positive(value: f64) -> bool {
+    is_valid(value) && value > 0.0
 }
 
 impl Router {
@@ -106,14 +106,14 @@
     pub fn restore_warm_state(&mut self, now: Micros, state: WarmState) {
         self.now = self.now.max(now);
         let mut indices = Vec::new();
-        for warm in state.servers.iter().take(SERVER_COUNT) {
+        for warm in state.servers.iter().take(MAX_SERVER_COUNT) {
             let index = self.index_of_same_process(warm);
             if let Some(index) = index {
                 restore_server(&mut self.servers[index], now, warm);
             }
             indices.push(index);
         }
-        for &(ring_position, server) in state.key_locations.iter().take(KEY_COUNT) {
+        for &(ring_position, server) in state.key_locations.iter().take(MAX_KEY_COUNT) {
             if let Some(Some(index)) = indices.get(server as usize) {
                 self.key_locations.record_served(ring_position, *index);
             }
@@ -136,12 +136,13 @@
                 ring_position,
                 count,
             })
-            .filter(|key| is_sound(key.count));
-        self.traffic.restore_key_counts(key_counts.take(KEY_COUNT));
-        if is_sound(state.total_count) {
+            .filter(|key| is_valid(key.count));
+        self.traffic
+            .restore_key_counts(key_counts.take(MAX_KEY_COUNT));
+        if is_valid(state.total_count) {
             self.traffic.restore_total_count(state.total_count);
         }
-        if is_sound_and_positive(state.mean_priority_weight) {
+        if is_valid_and_positive(state.mean_priority_weight) {
             self.traffic
                 .restore_mean_priority_weight(state.mean_priority_weight);
         }
@@ -153,27 +154,27 @@
         if state.typical_latency > 0 {
             self.typical_latency = Micros(state.typical_latency).min(self.shortest_objective);
         }
-        if is_sound_and_positive(state.origin_fetch_limit) {
+        if is_valid_and_positive(state.origin_fetch_limit) {
             self.origin_fetches.limit = state.origin_fetch_limit;
         }
         if let Ok(ratios) = state.miss_ratios.try_into() {
             self.origin_fetches.restore_miss_ratios(ratios);
         }
-        if is_sound(state.retry_tokens) {
+        if is_valid(state.retry_tokens) {
             self.retry_budget.restore(state.retry_tokens);
         }
     }
 }
 
 fn restore_server(server: &mut Server, now: Micros, warm: &WarmServer) {
-    if is_sound_and_positive(warm.limit) {
+    if is_valid_and_positive(warm.limit) {
         server.limit.restore(now, warm.limit);
     }
     server.typical_latency = Micros(warm.typical_latency).min(MAX_LATENCY);
     let possible_restart_at = Micros(warm.possible_restart_at).min(now);
     server.possible_restart_at = server.possible_restart_at.max(possible_restart_at);
     server.last_sent_at = Micros(warm.last_sent_at).min(now);
-    if is_sound(warm.slow_start_credit) {
+    if is_valid(warm.slow_start_credit) {
         server.slow_start_credit = warm.slow_start_credit.min(1.0);
     }
 }
--- a/crates/load-balancer/tests/common/mod.rs
+++ b/crates/load-balancer/tests/common/mod.rs
@@ -163,11 +163,11 @@
 
 /// Keys of the given server, each asked for once, so that none of them is hot.
 pub fn keys_of(server: usize, count: usize) -> impl Iterator<Item = u64> {
-    (1_000..).filter(move |&key| key_at(key, count) == name(server))
+    (1_000..).filter(move |&key| server_for_key(key, count) == name(server))
 }
 
 /// The ring's own server of a key among `count`.
-pub fn key_at(key: u64, count: usize) -> ServerId {
+pub fn server_for_key(key: u64, count: usize) -> ServerId {
     TestRouter::new(settings(), ready(count))
         .served_by(key)
         .expect("a server")
@@ -186,7 +186,7 @@
     })
 }
 
-pub fn deadline_of(actions: &[Action]) -> (Micros, u64) {
+pub fn deadline_timer(actions: &[Action]) -> (Micros, u64) {
     let timer = actions.iter().find_map(|a| match a {
         Action::SetTimer { after, token } => Some((*after, *token)),
         _ => None,
--- a/crates/load-balancer/tests/deadlines.rs
+++ b/crates/load-balancer/tests/deadlines.rs
@@ -9,7 +9,7 @@
 fn a_hanging_request_is_answered_at_its_deadline() {
     let mut rig = TestRouter::new(settings(), ready(3));
     let (_, actions) = rig.request(0, 5);
-    let (after, token) = deadline_of(&actions);
+    let (after, token) = deadline_timer(&actions);
     assert!(after <= ms(800));
     rig.now = rig.now.plus(after);
     assert!(rejected(&rig.event(Event::Timer { token })));
@@ -34,7 +34,7 @@
 fn a_hanging_non_idempotent_request_fails_and_is_not_rejected() {
     let mut rig = TestRouter::new(settings(), ready(3));
     let (_, actions) = rig.request(1, 5);
-    let (after, token) = deadline_of(&actions);
+    let (after, token) = deadline_timer(&actions);
     rig.now = rig.now.plus(after);
     let actions = rig.event(Event::Timer { token });
     assert!(failed(&actions) && !rejected(&actions));
--- a/crates/load-balancer/tests/outliers.rs
+++ b/crates/load-balancer/tests/outliers.rs
@@ -97,7 +97,7 @@
             ready(4),
         );
         let keys: Vec<u64> = (0..)
-            .filter(|&k| key_at(k, 4) == name(1))
+            .filter(|&k| server_for_key(k, 4) == name(1))
             .take(400)
             .collect();
         for &key in &keys[..40] {
--- a/crates/load-balancer/tests/placement.rs
+++ b/crates/load-balancer/tests/placement.rs
@@ -102,10 +102,10 @@
         endpoint.weight = 4.0;
     }
     endpoints[0].weight = 1.5;
-    let share = |weights| {
+    let share = |weight_kind| {
         let mut rig = TestRouter::new(
             Settings {
-                weights,
+                weight_kind,
                 ..settings()
             },
             endpoints.clone(),
@@ -114,7 +114,7 @@
             .filter(|&key| rig.served_by(key) == Some(name(1)))
             .count()
     };
-    let (whole, part) = (share(Weights::Unknown), share(Weights::Nominal));
+    let (whole, part) = (share(WeightKind::Unknown), share(WeightKind::Nominal));
     assert!(
         part * 10 > whole * 3 && part * 10 < whole * 6,
         "{part} of {whole}"
--- a/crates/load-balancer/tests/silent_watch.rs
+++ b/crates/load-balancer/tests/silent_watch.rs
@@ -76,7 +76,7 @@
 fn a_small_fleet_has_time_for_three_calls() {
     for (routers, place) in [(1, 1.0), (5, 0.8), (12, 11.0 / 12.0)] {
         let policy = SilentWatchPolicy::new(ASKED, routers, place);
-        let interval = policy.call_interval(None).expect("calls beside one");
+        let interval = policy.hedged_call_interval(None).expect("calls beside one");
         let third = policy.silence_limit.plus(interval).plus(interval);
         assert!(third < KNOWN_AFTER, "{routers} routers: {third:?}");
     }
@@ -86,9 +86,9 @@
 #[test]
 fn an_overloaded_discovery_is_called_once() {
     let small = SilentWatchPolicy::new(ASKED, 5, 0.5);
-    assert!(small.call_interval(Some(ms(2))).is_some());
-    assert_eq!(small.call_interval(Some(ms(2_000))), None);
+    assert!(small.hedged_call_interval(Some(ms(2))).is_some());
+    assert_eq!(small.hedged_call_interval(Some(ms(2_000))), None);
     let large = SilentWatchPolicy::new(ASKED, 100, 0.5);
-    assert_eq!(large.call_interval(None), None);
+    assert_eq!(large.hedged_call_interval(None), None);
     assert!(large.silence_limit < KNOWN_AFTER);
 }
--- a/crates/router-runtime/src/discovery.rs
+++ b/crates/router-runtime/src/discovery.rs
@@ -18,7 +18,7 @@
 use endpoint_table::EndpointTable;
 use error::WatchError;
 use load_balancer::deployment::Names;
-use load_balancer::{EndpointUpdate, Micros, RepeatedCalls, SilentWatchPolicy};
+use load_balancer::{CallRetryPolicy, EndpointUpdate, Micros, SilentWatchPolicy};
 use reopening::{FastRetry, Reopening};
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -71,7 +71,7 @@
 
 impl CallSchedule {
     /// Calls at once. What was learnt of another discovery, or in an outage of this one, is forgotten.
-    fn call_now(&mut self, now: Instant, calls: RepeatedCalls) {
+    fn call_now(&mut self, now: Instant, calls: CallRetryPolicy) {
         self.fast_retry = Some(FastRetry::from(now, calls));
         self.next_call = Some(now);
         self.rejected_after = None;
@@ -144,7 +144,7 @@
     }
 
     fn call_now(&self, schedule: &mut CallSchedule) {
-        schedule.call_now(self.environment.now(), self.silent_watch.repeated_calls);
+        schedule.call_now(self.environment.now(), self.silent_watch.call_retry);
     }
 
     /// Returns when the next call is to be made.
@@ -206,9 +206,9 @@
     /// When to call the agent after the loss of a watch: at once, unless watches keep ending.
     fn call_after_lost_watch(&self, schedule: &mut CallSchedule) -> Instant {
         let now = self.environment.now();
-        let calls = self.silent_watch.repeated_calls;
+        let calls = self.silent_watch.call_retry;
         schedule.fast_retry = Some(FastRetry::from(now, calls));
-        let earliest = |last_call| last_call + duration(calls.max_pause);
+        let earliest = |last_call| last_call + duration(calls.max_delay);
         schedule.last_call.map_or(now, earliest).max(now)
     }
 
@@ -224,7 +224,7 @@
     /// silent, stays open beside the calls that are to replace it.
     async fn watch_until_moved(self: &Rc<Self>, schedule: &mut CallSchedule) -> Option<LostWatch> {
         let mut watches = WatchSet::default();
-        let calls = self.silent_watch.repeated_calls;
+        let calls = self.silent_watch.call_retry;
         let now = self.environment.now();
         let first_call = Reopening::beside_call(now, self.call_interval(schedule), calls);
         let mut reopening = Some(first_call);
@@ -299,7 +299,9 @@
 
     /// Between calls beside those that wait; `None`: none are made.
     fn call_interval(&self, schedule: &CallSchedule) -> Option<Duration> {
-        let interval = self.silent_watch.call_interval(schedule.rejected_after);
+        let interval = self
+            .silent_watch
+            .hedged_call_interval(schedule.rejected_after);
         interval.map(duration)
     }
 
--- a/crates/router-runtime/src/discovery/reopening.rs
+++ b/crates/router-runtime/src/discovery/reopening.rs
@@ -5,7 +5,7 @@
 
 use super::watch_set::LostWatch;
 use crate::clock::duration;
-use load_balancer::RepeatedCalls;
+use load_balancer::CallRetryPolicy;
 use std::time::{Duration, Instant};
 
 /// Calls that failed, repeated fast.
@@ -18,11 +18,11 @@
 
 impl FastRetry {
     /// The calls that follow from now on.
-    pub fn from(now: Instant, calls: RepeatedCalls) -> FastRetry {
+    pub fn from(now: Instant, calls: CallRetryPolicy) -> FastRetry {
         FastRetry {
-            until: calls.lasts.map(|lasts| now + duration(lasts)),
-            pause: duration(calls.first_pause),
-            max_pause: duration(calls.max_pause),
+            until: calls.duration.map(|limit| now + duration(limit)),
+            pause: duration(calls.first_delay),
+            max_pause: duration(calls.max_delay),
         }
     }
 
@@ -53,11 +53,11 @@
     pub fn beside_call(
         now: Instant,
         call_interval: Option<Duration>,
-        calls: RepeatedCalls,
+        calls: CallRetryPolicy,
     ) -> Reopening {
         Reopening {
             call_interval,
-            until: calls.lasts.map(|lasts| now + duration(lasts)),
+            until: calls.duration.map(|limit| now + duration(limit)),
             retry: None,
             next_call: call_interval.map(|interval| now + interval),
             rejected_call: None,
@@ -68,7 +68,7 @@
     pub fn of_silent_watch(
         now: Instant,
         call_interval: Option<Duration>,
-        calls: RepeatedCalls,
+        calls: CallRetryPolicy,
     ) -> Reopening {
         Reopening {
             retry: Some(FastRetry::from(now, calls)),
--- a/crates/router-runtime/src/runtime/config.rs
+++ b/crates/router-runtime/src/runtime/config.rs
@@ -81,13 +81,13 @@
         let deployment = config.deployment;
         let mut settings = hooks::settings(deployment.settings);
         let routers = settings.routers;
-        settings.router_place = deployment
+        settings.stagger_fraction = deployment
             .router_number
             .map(|number| place(number, routers));
         let chance = config.seed as f64 / u64::MAX as f64;
         let upstream_limits = UpstreamLimits {
             connect_timeout: duration(deployment.dial_timeout.min(MAX_TIMEOUT)),
-            server_idle_timeout: duration(settings.connection_idle.min(MAX_TIMEOUT)),
+            server_idle_timeout: duration(settings.connection_idle_timeout.min(MAX_TIMEOUT)),
             max_connections: connection_limit(config.descriptor_limit)?,
         };
         let names = Rc::new(deployment.names);
@@ -98,7 +98,7 @@
             silent_watch: SilentWatchPolicy::new(
                 settings.discovery,
                 settings.routers,
-                settings.router_place.unwrap_or(chance),
+                settings.stagger_fraction.unwrap_or(chance),
             ),
         };
         let classes = settings.classes.clone();
@@ -110,7 +110,7 @@
             router,
             names,
             classes,
-            report_format: deployment.reports,
+            report_format: deployment.report_format,
             upstream_limits,
             discovery,
             initial_endpoints: config.initial_endpoints,
--- a/crates/router-simulation/src/deployment.rs
+++ b/crates/router-simulation/src/deployment.rs
@@ -65,7 +65,7 @@
                 kinds: text(&["m"]),
             },
             dial_timeout: Micros(self.dial_timeout),
-            reports: LoadReportFormat::default(),
+            report_format: LoadReportFormat::default(),
         }
     }
 
@@ -86,7 +86,7 @@
                 retry_after: true,
                 max_retry_after: Micros(SECOND),
             },
-            connection_idle: Micros(self.idle_timeout),
+            connection_idle_timeout: Micros(self.idle_timeout),
             connection_costs: Default::default(),
             origin_collapses_under_overload: false,
             ..Settings::default()
--- a/crates/router-simulation/src/run/routers.rs
+++ b/crates/router-simulation/src/run/routers.rs
@@ -9,7 +9,7 @@
 use crate::rng::SeededRng;
 use crate::simulation::{Simulation, Subnet, address};
 use load_balancer::deployment::Deployment;
-use load_balancer::{AdminOverride, ServerId, Weights, ZoneId};
+use load_balancer::{AdminOverride, ServerId, WeightKind, ZoneId};
 use router_runtime::{EndpointList, RouterConfig, RouterRuntime};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -159,7 +159,7 @@
         settings.routers = self.plan.routers.len() as u32;
         settings.zone = Some(ZoneId(self.plan.routers[router.number]));
         settings.over_quota_weight = 0.2;
-        settings.weights = Weights::Rough;
+        settings.weight_kind = WeightKind::Rough;
         deployment
     }
 
--- a/crates/simulator-adapter/src/session.rs
+++ b/crates/simulator-adapter/src/session.rs
@@ -145,7 +145,7 @@
         let instance = Instance {
             router: Router::new(deployment.settings, seed)?,
             names: deployment.names,
-            reports: deployment.reports,
+            reports: deployment.report_format,
         };
         self.instances.insert(number, instance);
         Ok(())
