--- a/crates/load-balancer/src/router.rs
+++ b/crates/load-balancer/src/router.rs
@@ -1,7 +1,9 @@
-//! One router: takes an event, asks the modules that decide, and returns actions. It decides nothing itself.
+//! The router: passes each event to the modules that hold the decision rules and returns the
+//! resulting actions. The rules themselves live in those modules.
 //!
-//! The way of a request: priority -> fetch permission -> candidates in ring order -> attempt -> outcome -> final
-//! answer or next attempt. Attempts are sent by `send` alone and final answers given by `answer` alone.
+//! A request passes through these steps: priority, fetch permission, candidates in ring order,
+//! attempt, outcome, and then a final answer or the next attempt. Only `send` sends attempts, and
+//! only `answer_unserved` rejects or fails requests.
 
 mod attempts;
 mod fleet;
@@ -33,13 +35,13 @@
 use crate::timer::{self, TimerPurpose};
 use crate::traffic_estimate::TrafficEstimate;
 
-/// The decisions of one router.
+/// The decision state of one router.
 pub struct Router {
     pub(crate) settings: Settings,
     random: Random,
     /// The time of the latest event.
     pub(crate) now: Micros,
-    /// What the present event led to so far.
+    /// Actions caused by the current event so far.
     actions: Vec<Action>,
     pub(crate) servers: ServerTable,
     pub(crate) admin_overrides: AdminOverrides,
@@ -49,26 +51,27 @@
     pub(crate) retry_budget: RetryBudget,
     pub(crate) origin_fetches: OriginFetchLimit,
     pub(crate) failure_attribution: FailureAttribution,
-    /// Where the concurrency limit of a server starts.
+    /// The initial concurrency limit of a server.
     initial_limit: f64,
     pub(crate) verdict_counts: VerdictCounts,
     pub(crate) key_locations: KeyLocations,
     pub(crate) traffic: TrafficEstimate,
-    /// Which replica of a hot key is this router's, in [0, 1).
+    /// Selects the replica of a hot key that this router prefers, in [0, 1).
     replica_offset: f64,
-    /// How long hits take at any server; a moving average.
+    /// Latency of hits over all servers, as a moving average.
     pub(crate) typical_latency: Micros,
     stale_connections: StaleConnections,
     pub(crate) idle_connections: IdleConnectionLifetime,
-    /// The tightest latency objective of all classes.
+    /// The shortest latency objective of all classes.
     pub(crate) shortest_objective: Micros,
     subscription: Subscription,
-    /// Discovery has told a list: what it tells next is news.
+    /// Whether discovery has delivered an endpoint list. Servers that are listed later are new.
     has_discovery_list: bool,
 }
 
 impl Router {
-    /// A router that has seen nothing. `seed` drives the random part of its decisions.
+    /// Creates a router without observations. `seed` initializes the generator for its random
+    /// decisions.
     ///
     /// # Errors
     ///
@@ -77,7 +80,7 @@
         settings.validate()?;
         let mut random = Random::new(seed);
         let replica_offset = random.next_fraction();
-        // However many routers there are, the first request always goes.
+        // At least 1, so that the first request is sent however many routers share the fleet.
         let initial_limit = (INITIAL_TOTAL_COUNT / f64::from(settings.routers)).max(1.0);
         let shortest_objective = min_time(&settings.classes, |class| class.latency_objective);
         let shortest_useful = min_time(&settings.classes, Class::longest_useful_latency);
@@ -111,7 +114,8 @@
         })
     }
 
-    /// Takes one event that happened at `now` and appends to `actions` what is to be done, in order.
+    /// Handles an event that happened at `now` and appends the resulting actions to `actions`, in
+    /// order.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         match event {
@@ -214,8 +218,8 @@
         }
     }
 
-    /// Records the client that joins for its own tenant; the request goes on as that of the tenant with the higher
-    /// limit multiplier.
+    /// Counts the joining client for its own tenant. The request then has the tenant with the
+    /// higher limit multiplier.
     fn on_coalesced(&mut self, id: RequestId, tenant: Option<TenantId>, expires: Micros) {
         self.traffic.record_tenant(tenant);
         let Some(mut pending) = self.pending.remove(id) else {
@@ -231,7 +235,8 @@
         self.pending.insert(pending);
     }
 
-    /// The client has left: it may retry.
+    /// Remembers an unanswered request of a client that disconnected, since the client may retry
+    /// it.
     fn on_client_disconnected(&mut self, id: RequestId) {
         let Some(mut pending) = self.pending.remove(id) else {
             return;
@@ -242,7 +247,7 @@
         self.pending.reinsert_unless_done(pending);
     }
 
-    /// A request that found no server looks for one again.
+    /// Tries again to place a request for which no server was found.
     fn on_placement_timer(&mut self, id: RequestId) {
         let Some(mut pending) = self.pending.remove(id) else {
             return;
@@ -283,12 +288,14 @@
         }
     }
 
-    /// Sends an attempt if a server is found. With no server at all the request waits for one; else it is answered.
+    /// Sends an attempt if a server is found. Without any server on the ring the request waits for
+    /// one; otherwise it is rejected or failed.
     fn place_or_answer(&mut self, pending: &mut PendingRequest) {
         match self.choose_server(pending) {
             Some(server) if self.send(pending, server) => {}
             None if self.ring.is_empty() && pending.request.expires > self.now => {
-                // Looked for as often as an attempt would still be of use.
+                // A shorter interval gains nothing: an attempt needs at least this time to be
+                // useful.
                 let after = self.class(pending).minimum_retry_time();
                 self.set_timer(after, pending.request.id, TimerPurpose::Placement);
             }
@@ -296,7 +303,7 @@
         }
     }
 
-    /// Gives the final answer to a request that no server serves; the only place that does.
+    /// Rejects or fails a request that no server serves. Nothing else produces these two actions.
     fn answer_unserved(&mut self, pending: &mut PendingRequest) {
         if pending.is_answered || pending.is_streaming {
             return;
@@ -349,7 +356,7 @@
     }
 }
 
-/// The shortest of a time that each class has; 0 without classes.
+/// The minimum of a time over all classes; 0 without classes.
 fn min_time(classes: &[Class], time: impl Fn(&Class) -> Micros) -> Micros {
     classes.iter().map(time).min().unwrap_or_default()
 }
--- a/crates/load-balancer/src/router/attempts.rs
+++ b/crates/load-balancer/src/router/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts of requests: finding a server, sending, and learning from the end.
+//! Attempts: choosing a server, sending, and recording how the attempt ended.
 
 use super::Router;
 use crate::action::Action;
@@ -17,8 +17,9 @@
 use crate::time::Micros;
 
 impl Router {
-    /// Chooses the server for the next attempt of a request, by its index. An extra fetch elsewhere spends its retry token
-    /// here, also if [`Router::send`] then finds that nothing may be sent.
+    /// Chooses the server for the next attempt of a request and returns its index. If the placement
+    /// costs a retry token, the token is spent here, even when [`Router::send`] then refuses to
+    /// send.
     pub(super) fn choose_server(&mut self, pending: &PendingRequest) -> Option<usize> {
         let limit_multiplier = self.priority_context().limit_multiplier(pending);
         let chance = self.random.next_fraction();
@@ -34,7 +35,8 @@
         Some(placement.server)
     }
 
-    /// A router that fetches from the origin itself asks caches without limit.
+    /// The permission to send a request that may cause an origin fetch. In cache-aside mode cache
+    /// servers do not fetch, so there is no limit.
     fn fetch_permission(
         &mut self,
         pending: &PendingRequest,
@@ -59,7 +61,7 @@
             .permission(self.now, &undecided, &request)
     }
 
-    /// Walks over the candidates on the ring.
+    /// Walks over the candidates on the ring and returns the first one that accepts the request.
     fn place(
         &mut self,
         pending: &PendingRequest,
@@ -107,8 +109,9 @@
         }
     }
 
-    /// Sends an attempt; the only place that does, so that its conditions hold whatever chose the server. False if
-    /// they do not.
+    /// Sends an attempt unless [`Router::may_send`] forbids it, and returns whether it was sent.
+    /// All attempts go through this function, so that the conditions hold however the server was
+    /// chosen.
     pub(super) fn send(&mut self, pending: &mut PendingRequest, index: usize) -> bool {
         if !self.may_send(pending, index) {
             return false;
@@ -161,7 +164,8 @@
         self.settings.mode == CacheMode::Through && (pending.request.write || !is_cached)
     }
 
-    /// How long the connection of the next attempt has been idle, if it is reused. Stale ones are closed first.
+    /// The idle time of the connection that the next attempt reuses; `None` for a new connection.
+    /// Closes idle connections that are probably stale.
     fn take_idle_connection(&mut self, index: usize) -> Option<Micros> {
         let server = &self.servers[index];
         let idle = server.idle_time(self.now, self.settings.connection_idle_timeout)?;
@@ -216,7 +220,7 @@
         self.pending.reinsert_unless_done(pending);
     }
 
-    /// Marks an attempt as ended; `None` if it was not in flight.
+    /// Marks an attempt as ended and returns it; `None` if it was not in flight.
     fn end_attempt(&self, pending: &mut PendingRequest, end: &AttemptEnd) -> Option<Attempt> {
         let attempt = pending.attempt_in_flight(end.attempt)?;
         let typical_latency = self.servers[attempt.server].typical_latency;
@@ -240,7 +244,7 @@
         }
     }
 
-    /// Everything that the end of an attempt tells.
+    /// Updates all estimates and limits that depend on how an attempt ended.
     fn record_attempt_end(&mut self, pending: &PendingRequest, ended: &EndedAttempt) {
         let now = self.now;
         let shortest_objective = self.shortest_objective;
@@ -256,14 +260,14 @@
         if end.outcome == Outcome::Success {
             self.retry_budget.record_success();
         }
-        // What an origin answers is cached at the server where the request missed.
+        // A response of the origin is stored at the cache server where the request missed.
         let cache_server = pending.last_cache_server(&self.servers);
         let cache_server = cache_server.unwrap_or(attempt.server);
         self.key_locations
             .record_end(pending.ring_position, cache_server, end);
     }
 
-    /// An attempt is no longer in flight, or is forgotten.
+    /// Releases the state of an attempt that ended or is no longer tracked.
     pub(super) fn release(&mut self, index: usize, is_fetch: bool) {
         self.servers[index].limit.record_end();
         if is_fetch {
--- a/crates/load-balancer/src/router/fleet.rs
+++ b/crates/load-balancer/src/router/fleet.rs
@@ -1,4 +1,4 @@
-//! Events of the fleet: the endpoint list, the operators' overrides, the subscription to the list.
+//! Changes of the fleet: endpoint list updates, admin overrides, and the subscription to the list.
 
 use super::Router;
 use crate::action::Action;
@@ -44,7 +44,8 @@
         self.install_process(index, endpoint);
     }
 
-    /// Puts a process without observations at an index: it is sent little at first and holds no keys.
+    /// Installs a server process at an index without observations: it goes through slow start and
+    /// has no keys.
     fn install_process(&mut self, index: usize, endpoint: Endpoint) {
         let name = endpoint.server.clone();
         let is_origin = matches!(
@@ -61,7 +62,8 @@
         server.started_at =
             start_of_process(server.endpoint.started, self.now, self.has_discovery_list);
         server.is_origin = is_origin;
-        // Routers that hear of it together do not all send at once.
+        // Random, so that routers that learn of the server at the same time do not all send at
+        // once.
         server.slow_start_credit = self.random.next_fraction();
         server.last_sent_at = self.now;
         server.is_disabled = self.admin_overrides.is_disabled(&name);
@@ -72,8 +74,8 @@
         self.servers.replace(index, server);
     }
 
-    /// Nothing new goes to the server until it is enabled. What is in flight ends as it would; idle connections are
-    /// closed, since the process may be replaced meanwhile.
+    /// Sends nothing new to the server until it is enabled. Attempts in flight continue. Idle
+    /// connections are closed, since the process may be replaced in the meantime.
     pub(super) fn on_server_disabled(&mut self, server: ServerId) {
         self.admin_overrides.disable(server.clone());
         if let Some(index) = self.servers.index_of(&server.0) {
@@ -83,7 +85,8 @@
         }
     }
 
-    /// The server was enabled at `at`. Whatever the list says of its start, its process may be new.
+    /// Puts a server that was enabled at `at` back into service with slow start: its process may be
+    /// new even if the endpoint list has an old start time.
     pub(super) fn on_server_enabled(&mut self, server: ServerId, at: Micros) {
         if !self.admin_overrides.enable(server.clone(), at, self.now) {
             return;
@@ -96,7 +99,7 @@
         }
     }
 
-    /// What servers may be used for has changed, by the list or by the operators.
+    /// Updates the mean weight and the ring after the availability of servers changed.
     fn on_availability_changed(&mut self) {
         self.servers.update_mean_weight();
         let is_ring_current = self
@@ -115,7 +118,8 @@
         }
     }
 
-    /// Only the points of servers that come or go change.
+    /// Adds and removes the ring points of servers that became available or unavailable; all others
+    /// stay.
     fn update_ring(&mut self) {
         let mut added = Vec::new();
         for index in 0..self.servers.len() {
@@ -140,7 +144,8 @@
         );
     }
 
-    /// Closes idle connections at the notice of a drain, and as attempts end there.
+    /// Closes the idle connections of a server that no longer accepts requests, where the
+    /// deployment demands it. Called when the server leaves and whenever one of its attempts ends.
     pub(super) fn close_idle_if_leaving(&mut self, index: usize) {
         let server = &self.servers[index];
         if server.must_close_idle(&self.settings.rules) {
