--- a/crates/load-balancer/src/retry.rs
+++ b/crates/load-balancer/src/retry.rs
@@ -1,9 +1,12 @@
-//! May a request be tried once more, and how long may an attempt take before the next follows?
+//! Retries: whether a request may have a further attempt, and the timeout of an attempt.
 //!
-//! Inputs: the attempts of the request, its class (idempotency, latency objective in µs), its deadline (µs), the
-//! retry tokens in hand. Answer: yes or no, an attempt timeout (µs), how long a repeat is deduplicated (µs).
-//! Reason: retries help against single failures and multiply the load when many fail, so that successes pay for
-//! them; and a request that may have run is repeated only where that does no harm.
+//! The rules depend on the attempts of the request, its class (idempotency, latency objective), its
+//! deadline and the available retry tokens. They return whether an attempt may be sent, its
+//! timeout, and the time left in the deduplication window. All times are in microseconds.
+//!
+//! Retries help against single failures but multiply the load when many attempts fail, so each
+//! successful attempt earns a part of a retry token and each retry costs one. A request that may
+//! have run is only sent again where its idempotency allows it.
 
 use crate::endpoint::Endpoint;
 use crate::pending::PendingRequest;
@@ -11,29 +14,33 @@
 use crate::settings::{Class, DeduplicationScope, Idempotency, Limits};
 use crate::time::Micros;
 
-/// Retry tokens that one success earns: retries add at most this ratio to the load.
+/// Retry tokens earned by one success. In the long run retries add at most this ratio to the load.
 const TOKENS_PER_SUCCESS: f64 = 0.15;
-/// Tokens that all routers together may save: enough for the end of a server or a batch of a deployment.
+/// Tokens that all routers together can accumulate: enough for the failure of a server or one batch
+/// of a rollout.
 const FLEET_TOKEN_CAPACITY: f64 = 60.0;
-/// Tokens that each router may save at least: several retries of one request, however little it sees.
+/// Tokens that each router can accumulate at least: several retries of one request, even with
+/// little traffic.
 const ROUTER_MIN_TOKEN_CAPACITY: f64 = 3.0;
-/// Tokens that a retry costs.
+/// Tokens spent by one retry.
 pub(crate) const RETRY_COST_TOKENS: f64 = 1.0;
-/// A further attempt needs this ratio of the latency objective to be of use.
+/// Minimum time for a useful attempt, as a ratio of the latency objective.
 const MIN_RETRY_TIME_RATIO: f64 = 0.2;
-/// The ratio of the time left to the latency objective that an attempt may take while another can follow.
+/// Timeout of an attempt while another can follow, as a ratio of the time left until the latency
+/// objective.
 const ATTEMPT_TIME_RATIO: f64 = 0.6;
-/// An answer is overdue after this multiple of the typical latency; until then it most likely still comes.
+/// A response is overdue after this multiple of the typical latency. Before that it will probably
+/// still arrive.
 const OVERDUE_RATIO: f64 = 4.0;
 
 impl Class {
-    /// The shortest time in which a further attempt is of use.
+    /// The shortest remaining time for which a further attempt is useful.
     pub fn minimum_retry_time(&self) -> Micros {
         self.latency_objective.scaled(MIN_RETRY_TIME_RATIO)
     }
 }
 
-/// Tokens for retries: each success earns a part of one, each retry costs one.
+/// The retry budget: each success earns a part of a token, each retry costs one.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RetryBudget {
     tokens: f64,
@@ -41,7 +48,7 @@
 }
 
 impl RetryBudget {
-    /// A full budget of one of so many routers.
+    /// Creates a full budget for one of `routers` routers.
     pub fn new(routers: u32) -> RetryBudget {
         let max_tokens = (FLEET_TOKEN_CAPACITY / f64::from(routers)).max(ROUTER_MIN_TOKEN_CAPACITY);
         RetryBudget {
@@ -50,39 +57,42 @@
         }
     }
 
-    /// Tokens in hand.
+    /// The available tokens.
     pub fn tokens(&self) -> f64 {
         self.tokens
     }
 
-    /// Whether a retry is paid for.
+    /// Whether there is a token for a retry.
     pub fn has_token(&self) -> bool {
         self.tokens >= RETRY_COST_TOKENS
     }
 
-    /// Earns for a success.
+    /// Adds the tokens earned by a success.
     pub fn record_success(&mut self) {
         self.tokens = (self.tokens + TOKENS_PER_SUCCESS).min(self.max_tokens);
     }
 
-    /// Pays for one retry.
+    /// Takes the tokens of one retry.
     pub fn spend_token(&mut self) {
         self.tokens -= RETRY_COST_TOKENS;
     }
 
-    /// Takes over what a previous process left: both are one router, whose tokens are not spent twice.
+    /// Restores the tokens of a previous process. Lowers the balance only: both processes are the
+    /// same router, and its tokens must not be spent twice.
     pub fn restore(&mut self, tokens: f64) {
         self.tokens = self.tokens.min(tokens);
     }
 }
 
-/// Whether a further attempt of a request still has time to be of use.
+/// Whether a request has enough time left for a useful attempt.
 pub(crate) fn has_time_for_retry(pending: &PendingRequest, class: &Class, now: Micros) -> bool {
     pending.request.expires.since(now) >= class.minimum_retry_time()
 }
 
-/// Whether a further attempt may help after one that ended so, and is paid for. Where a fetch failed, a further one
-/// elsewhere only feeds a failing origin. A miss or a stale connection cost no work: the next attempt is free.
+/// Whether another attempt should follow one that ended in this way; spends a retry token unless
+/// the attempt is free. After a failed origin fetch there is none: a fetch through another server
+/// would only add load to a failing origin. A miss or a stale connection caused no work at the
+/// server, so the next attempt is free.
 pub(crate) fn should_retry(
     end: &AttemptEnd,
     had_stale_connection: bool,
@@ -103,7 +113,7 @@
     is_paid
 }
 
-/// Whether one more attempt of a request may be sent at all, wherever to.
+/// Whether a request may have one more attempt, regardless of the server.
 pub(crate) fn may_send_attempt(pending: &PendingRequest, limits: &Limits, now: Micros) -> bool {
     let is_open = !pending.is_answered && !pending.is_streaming;
     let is_in_time = now < pending.request.expires;
@@ -112,8 +122,8 @@
     is_open && is_in_time && attempts_left && is_alone
 }
 
-/// How long a repeat of a keyed request that may have run is still dropped by the servers; `None` where that does
-/// not matter.
+/// The time left in which servers drop a duplicate of a keyed request that may have run; `None` if
+/// the request is not keyed or cannot have run.
 pub(crate) fn deduplication_window_left(
     pending: &PendingRequest,
     class: &Class,
@@ -130,8 +140,8 @@
     Some(first.sent_at.plus(deduplication_window).since(now))
 }
 
-/// Whether a request may run at `candidate`, given the server where it may have run first and how long ago that
-/// was.
+/// Whether a request may be sent to `candidate` after it may have run at `first`, where it was sent
+/// `since_first` ago.
 pub(crate) fn idempotency_allows(
     idempotency: Idempotency,
     first: &Endpoint,
@@ -157,19 +167,19 @@
     }
 }
 
-/// The server of an attempt, as its timeout depends on it.
+/// The properties of the target server that determine the timeout of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AttemptTarget {
-    /// How long its hits take, or those of any server if longer.
+    /// Latency of its hits or of hits over all servers, whichever is longer.
     pub typical_latency: Micros,
     pub is_unresponsive: bool,
     pub is_origin: bool,
 }
 
-/// What the timeout of an attempt depends on besides its server.
+/// The inputs of an attempt timeout other than the target server.
 #[derive(Clone, Copy)]
 pub(crate) struct AttemptTimeout<'a> {
-    /// The request, this attempt included.
+    /// The request; its attempts include this one.
     pub pending: &'a PendingRequest,
     pub class: &'a Class,
     pub limits: &'a Limits,
@@ -178,11 +188,14 @@
 }
 
 impl AttemptTimeout<'_> {
-    /// After which time an attempt is given up so that the next has time left; `None` for the client's own limit.
+    /// The timeout of an attempt, which leaves time for the next one; `None` for no timeout other
+    /// than the client's own.
     ///
-    /// Guards against silence of any cause (a hang, a lost answer): while a retry is allowed and paid for, an
-    /// attempt may take a part of the time left. An answer that may come late, or is not overdue, is waited for:
-    /// the server goes on with what is given up, and the next attempt costs as much again.
+    /// Guards against a server that does not respond for any reason, such as a hang or a lost
+    /// response: while a retry is allowed and has a token, an attempt may take a part of the time
+    /// left. A response that is still of value when late, or that is not overdue yet, is waited
+    /// for: the server keeps working on an abandoned attempt, and the next attempt costs as much
+    /// again.
     pub fn for_target(&self, target: AttemptTarget) -> Option<Micros> {
         let due_at = self
             .pending
