--- a/crates/load-balancer/src/rejected_requests.rs
+++ b/crates/load-balancer/src/rejected_requests.rs
@@ -1,15 +1,19 @@
-//! When did the client of a retry first ask?
+//! The first arrival of a request that its client retries.
 //!
-//! Inputs: requests that no server served (rejected, failed, or left by their client; ring position of the key, class, tenant) and when each first arrived (µs). Answer:
-//! the arrival of the oldest that fits the retry. Reason: a retry names no earlier try, and in overload most of what
-//! is served would be past its latency objective if each try counted anew.
+//! Remembers requests that no server served (rejected, failed, or abandoned by their client) by the
+//! ring position of the key, the class and the tenant, with the time at which each first arrived. A
+//! retry does not say which request it repeats, so it gets the arrival time of the oldest one that
+//! matches. If each retry counted as a new request, most requests that are served in overload would
+//! be past their latency objective.
 
 use crate::request::Request;
 use crate::time::Micros;
 
-/// Requests that are remembered (128 KiB); a full table forgets the oldest.
+/// Table size (128 KiB). In a full table a new entry replaces the oldest of those that it could
+/// replace.
 const ENTRY_COUNT: usize = 8192;
-/// Entries that one key, class and tenant may have: so many of its clients at a time.
+/// Entries for one key, class and tenant: at most this many of its clients are remembered at a
+/// time.
 const ENTRIES_PER_SIGNATURE: usize = 16;
 /// Spreads the classes of one key over the table (golden ratio, as in Fibonacci hashing).
 const CLASS_STRIDE: usize = 0x9E37_79B1;
@@ -17,23 +21,25 @@
 /// A request that no server served.
 #[derive(Clone, Copy, Debug, Default)]
 struct RejectedRequest {
-    /// Key, class and tenant: what the tries of one client have in common.
+    /// Identifies the key, class and tenant, which a request and its retries have in common.
     signature: u64,
     first_arrived_at: Micros,
 }
 
-/// Requests that no server served and whose clients' retries are recognized: a table of fixed size.
+/// A table of fixed size with the requests that no server served, to recognize retries of their
+/// clients.
 #[derive(Debug)]
 pub(crate) struct RejectedRequests(Vec<RejectedRequest>);
 
 impl RejectedRequests {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new() -> RejectedRequests {
         RejectedRequests(vec![RejectedRequest::default(); ENTRY_COUNT])
     }
 
-    /// When the client of a retry first asked: the arrival of the oldest request within a `deadline` that this
-    /// router rejected for the same key, class and tenant; now if there is none. Its entry is removed.
+    /// Returns when the client of a retry first sent its request, and removes the entry: the
+    /// arrival of the oldest unserved request with the same key, class and tenant that is no older
+    /// than `deadline`; `now` if there is none.
     pub fn take_first_arrival(
         &mut self,
         now: Micros,
@@ -52,7 +58,7 @@
         first.map_or(now, |i| std::mem::take(&mut self.0[i]).first_arrived_at)
     }
 
-    /// Remembers a rejected request in place of the oldest entry that it may have.
+    /// Stores an unserved request in place of the oldest of its possible entries.
     pub fn insert(&mut self, ring_position: u32, request: &Request, first_arrived_at: Micros) {
         let oldest = entries(ring_position, request).min_by_key(|&i| self.0[i].first_arrived_at);
         if let Some(oldest) = oldest {
@@ -64,7 +70,7 @@
     }
 }
 
-/// The tenant as a number; 0 for none.
+/// The tenant as a number from 1; 0 for none.
 fn tenant_number(request: &Request) -> u64 {
     request.tenant.map_or(0, |tenant| tenant.0 as u64 + 1)
 }
@@ -75,7 +81,7 @@
     u64::from(ring_position) << 32 | class << 16 | tenant
 }
 
-/// The indices at which a request may be remembered.
+/// The table indices at which a request can be stored.
 fn entries(ring_position: u32, request: &Request) -> impl Iterator<Item = usize> + use<> {
     let class_offset = request.class.0.wrapping_mul(CLASS_STRIDE);
     let spread = (ring_position as usize).wrapping_add(class_offset);
