--- a/crates/load-balancer/src/deadline.rs
+++ b/crates/load-balancer/src/deadline.rs
@@ -1,27 +1,27 @@
-//! What is due when the deadline timer of a request fires?
+//! What to do when the deadline timer of a request fires.
 //!
-//! Inputs: when its client gives up (µs), whether its answer streams, the grace for attempts that never end (µs).
-//! Answer: a [`DeadlineStep`]. Reason: each request gets its final answer in time, and the state of attempts that
-//! never end is released.
+//! The step depends on the deadline of the request, on whether its response is being streamed, and
+//! on the grace period for attempts that have not ended. Each request gets its final answer in
+//! time, and the state of attempts whose end is never reported is released.
 
 use crate::pending::PendingRequest;
 use crate::settings::Rules;
 use crate::time::Micros;
 
-/// What is due.
+/// What to do when a deadline timer fires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DeadlineStep {
-    /// Nothing: the answer streams, and deadlines have stopped.
+    /// Nothing: the response is being streamed, and the deadline no longer applies.
     Streaming,
-    /// Nothing yet: the deadline was extended; look again after this time.
+    /// Nothing yet: the deadline was extended. Check again after this time.
     Wait(Micros),
-    /// The final answer; attempts have this much grace to end.
+    /// Give the final answer, and wait this long for the attempts to end.
     AnswerWithGrace(Micros),
-    /// The final answer, and the attempts are forgotten.
+    /// Give the final answer and release the attempts.
     AnswerAndForget,
 }
 
-/// What is due for a request now.
+/// The step for a request whose deadline timer fires at `now`.
 pub(crate) fn deadline_step(pending: &PendingRequest, rules: &Rules, now: Micros) -> DeadlineStep {
     let expires = pending.request.expires;
     if pending.is_streaming {
@@ -30,7 +30,7 @@
     if now < expires {
         return DeadlineStep::Wait(expires.since(now));
     }
-    // A timer of no length would fire at the same instant for ever.
+    // A timer of zero length would fire forever at the same instant.
     let grace = rules.answer_grace.max(Micros(1));
     if now < expires.plus(grace) {
         DeadlineStep::AnswerWithGrace(grace)
