--- a/crates/load-balancer/src/pending.rs
+++ b/crates/load-balancer/src/pending.rs
@@ -7,10 +7,10 @@
 use crate::time::Micros;
 use std::collections::HashMap;
 
-/// An attempt in flight for less than this multiple of the typical latency may yet turn out to be a hit.
+/// An attempt in flight for less than this multiple of the typical latency may still be a hit.
 const UNDECIDED_LATENCY_RATIO: f64 = 2.0;
 
-/// Whether an attempt is in flight, and else whether it may have run.
+/// Whether an attempt is in flight, and if not, whether it may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptState {
     InFlight,
@@ -25,33 +25,33 @@
     pub server: usize,
     pub sent_at: Micros,
     pub state: AttemptState,
-    /// Counted as a fetch from the origin.
+    /// Counted as an origin fetch.
     pub is_fetch: bool,
     /// Popularity level of the key.
     pub popularity: usize,
-    /// How long its connection had been idle; `None` for a new or a busy one.
+    /// How long its connection had been idle; `None` for a connection that was new or in use.
     pub idle: Option<Micros>,
-    /// It met a connection that was dead already: its server may be tried again.
+    /// It was sent on a connection that was already dead, so its server may be tried again.
     pub had_stale_connection: bool,
 }
 
-/// A request, until it is answered and its last attempt has ended.
+/// A request that is not answered yet or has attempts in flight.
 #[derive(Debug)]
 pub(crate) struct PendingRequest {
     pub request: Request,
-    /// When its client first asked, earlier tries included.
+    /// When the client first sent it; for a recognized retry, the arrival of the original request.
     pub first_arrived_at: Micros,
-    /// Of the key.
+    /// Ring position of the key.
     pub ring_position: u32,
-    /// Where in an arc the key lies, 0 to 1, the same at every router: a server that serves part of its arcs takes
-    /// the keys below that part.
+    /// Position of the key within its arc, 0 to 1, the same at every router. A server with partial
+    /// arcs takes the keys below its fraction.
     pub arc_fraction: f64,
     pub attempts: Vec<Attempt>,
     pub is_answered: bool,
     pub is_streaming: bool,
     /// Popularity level of the key.
     pub popularity: usize,
-    /// A cache server answered that it lacks the key.
+    /// A cache server answered with a miss.
     pub has_missed: bool,
 }
 
@@ -63,7 +63,7 @@
             .any(|attempt| attempt.state == AttemptState::InFlight)
     }
 
-    /// Attempts that met no stale connection.
+    /// Number of attempts that were not lost on a stale connection.
     pub fn attempts_delivered(&self) -> usize {
         self.attempts
             .iter()
@@ -71,28 +71,28 @@
             .count()
     }
 
-    /// Whether an attempt was delivered to a server.
+    /// Whether an attempt to a server was not lost on a stale connection.
     pub fn was_delivered_to(&self, server: usize) -> bool {
         self.attempts
             .iter()
             .any(|attempt| attempt.server == server && !attempt.had_stale_connection)
     }
 
-    /// The first attempt that may have run or may yet.
+    /// The first attempt that may have run or may still run.
     pub fn first_possible_run(&self) -> Option<&Attempt> {
         self.attempts
             .iter()
             .find(|attempt| attempt.state != AttemptState::NeverRan)
     }
 
-    /// The attempt of this number, if it is in flight.
+    /// The attempt with this number, if it is in flight.
     pub fn attempt_in_flight(&mut self, number: AttemptNumber) -> Option<&mut Attempt> {
         self.attempts
             .get_mut(number.0 as usize)
             .filter(|attempt| attempt.state == AttemptState::InFlight)
     }
 
-    /// The cache server of the latest attempt at one.
+    /// The cache server of the latest attempt that was sent to a cache server.
     pub fn last_cache_server(&self, servers: &ServerTable) -> Option<usize> {
         self.attempts
             .iter()
@@ -107,7 +107,7 @@
 pub(crate) struct PendingRequests(HashMap<RequestId, PendingRequest>);
 
 impl PendingRequests {
-    /// Requests in progress.
+    /// Number of requests in progress.
     pub fn len(&self) -> usize {
         self.0.len()
     }
@@ -122,12 +122,13 @@
         self.0.get_mut(&id)
     }
 
-    /// Takes a request out, to be put back by [`PendingRequests::insert`] or `reinsert_unless_done`.
+    /// Removes a request, to be put back by [`PendingRequests::insert`] or
+    /// [`PendingRequests::reinsert_unless_done`].
     pub fn remove(&mut self, id: RequestId) -> Option<PendingRequest> {
         self.0.remove(&id)
     }
 
-    /// Puts a request in.
+    /// Adds a request.
     pub fn insert(&mut self, pending: PendingRequest) {
         self.0.insert(pending.request.id, pending);
     }
@@ -139,8 +140,8 @@
         }
     }
 
-    /// Attempts in flight that count as fetches but were sent so recently that they may turn out to be hits, by
-    /// popularity level.
+    /// Number of attempts in flight that count as fetches but may still be hits, since they were
+    /// sent recently, by popularity level.
     pub fn undecided_fetches(
         &self,
         now: Micros,
