--- a/crates/load-balancer/src/subscription.rs
+++ b/crates/load-balancer/src/subscription.rs
@@ -1,49 +1,59 @@
-//! When does a router subscribe to the endpoint list, and how soon again after a failure?
+//! When a router subscribes to the endpoint list, and how long it waits after a failure.
 //!
-//! Inputs: updates of the list, the longest time without a poll (µs), the number of routers, this router's place among
-//! them or a random fraction. Answer: subscribe now, after some time, or not at all. Reason: routers must not poll
-//! together, but what discovery has counts as known 6 s after it can be reached: the longest wait and the longest call
-//! together stay below that, until six polls on end have waited in vain. Discovery works polls in turn, also those that it gave up
-//! meanwhile: a poll that waited in vain is followed by a longer wait than one that failed at once, and by no other beside it.
+//! The wait follows from the updates of the list, the longest time between polls, the number of
+//! routers, and the stagger fraction of this router (random if it has none).
+//!
+//! Routers must not poll at the same time, but a list counts as known 6 s after discovery has
+//! become reachable. The longest wait and the longest call together therefore stay below 6 s, until
+//! six consecutive polls have timed out in the queue of discovery. Discovery handles polls one
+//! after another, including those whose caller has given up, so a poll that timed out in the queue
+//! is followed by a longer wait than one that failed immediately, and gets no hedged call.
 
 use crate::endpoint::EndpointUpdate;
 use crate::random::Random;
 use crate::silent_watch::SMALL_FLEET_MAX_ROUTERS;
 use crate::time::Micros;
 
-/// The first retry follows within this ratio of the longest time without a poll, doubled by each further failure.
+/// Half the upper bound of the first retry delay, as a ratio of the longest time between polls; the
+/// bound doubles with each failure.
 const FIRST_RETRY_RATIO: f64 = 0.05;
-/// The ratio at which retries stop growing.
+/// The ratio at which the retry delay stops growing.
 const MAX_RETRY_RATIO: f64 = 0.5;
-/// Doublings after which the ratio is past its bound anyway.
+/// Number of doublings after which the ratio has reached its bound.
 const MAX_DOUBLING_COUNT: u32 = 4;
-/// The longest wait after a poll that failed at once, in a small fleet: time for several more within the 6 s.
+/// Maximum delay after a poll that failed immediately, in a small fleet: several more polls fit
+/// into the 6 s.
 const SMALL_FLEET_MAX_RETRY_DELAY: Micros = Micros::from_millis(1_000);
-/// The same in a large fleet, whose polls are to be apart.
+/// Maximum delay after a poll that failed immediately, in a large fleet, whose polls have to be
+/// spread more.
 const LARGE_FLEET_MAX_RETRY_DELAY: Micros = Micros::from_millis(2_000);
 
-/// A poll that is rejected after this time has waited in the queue of an overloaded discovery.
+/// A poll that is rejected after at least this time has waited in the queue of an overloaded
+/// discovery.
 pub(crate) const QUEUED_POLL_WAIT: Micros = Micros::from_millis(1_000);
-/// The retry after such a poll follows after this ratio of the longest time without a poll at least, ...
+/// Minimum delay after a poll that waited in the queue, as a ratio of the longest time between
+/// polls.
 const QUEUED_RETRY_RATIO: f64 = 0.29;
-/// ... this time at the longest, ...
+/// Upper bound of that minimum delay.
 const MAX_QUEUED_RETRY_DELAY: Micros = Micros::from_millis(2_900);
-/// ... and within this part of it more, by the router's place among the others.
+/// The stagger fraction adds up to this ratio of the minimum delay.
 const QUEUED_RETRY_SPREAD: f64 = 0.17;
-/// After so many such polls on end, over half a minute, the routers' own polls keep discovery overloaded: more than it
-/// answers. No wait below the 6 s ends that.
+/// After this many consecutive polls that waited in the queue, which takes over half a minute, the
+/// routers poll more than discovery can answer and keep it overloaded themselves. Delays below the
+/// 6 s would not end that.
 const SUSTAINED_OVERLOAD_POLL_COUNT: u32 = 6;
-/// From then on the retries of all routers spread from this ratio of the longest time without a poll ...
+/// Minimum retry delay in sustained overload, as a ratio of the longest time between polls.
 const OVERLOAD_RETRY_RATIO: f64 = 0.4;
-/// ... over this ratio more.
+/// Range over which the retries of all routers are spread beyond that minimum, as a ratio of the
+/// same time.
 const OVERLOAD_RETRY_SPREAD_RATIO: f64 = 0.8;
 
-/// What follows from an update.
+/// The next step of the subscription after an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SubscriptionStep {
-    /// The subscription stands.
+    /// Nothing: the subscription is active.
     None,
-    /// Subscribe, unless a call is under way.
+    /// Subscribe, unless a call is in progress.
     Subscribe,
     /// Subscribe after this time.
     RetryAfter(Micros),
@@ -52,18 +62,18 @@
 /// The subscription of a router to the endpoint list.
 #[derive(Debug, Default)]
 pub(crate) struct Subscription {
-    /// This router's place among the others, from 0 to 1; `None`: by chance.
+    /// Spreads the retries of the routers, from 0 to 1; `None` for a random value each time.
     stagger_fraction: Option<f64>,
     routers: u32,
     is_subscribed: bool,
     is_call_pending: bool,
     consecutive_failures: u32,
-    /// Those of them that had waited in discovery's queue.
+    /// Those of the consecutive failures that had waited in the queue of discovery.
     consecutive_queued_polls: u32,
 }
 
 impl Subscription {
-    /// Before the first poll of one of `routers` routers; `stagger_fraction` is this one's among them, from 0 to 1, if it is known.
+    /// Creates the subscription of one of `routers` routers before its first poll.
     pub fn new(stagger_fraction: Option<f64>, routers: u32) -> Subscription {
         Subscription {
             stagger_fraction,
@@ -72,7 +82,7 @@
         }
     }
 
-    /// Takes in an update of the list.
+    /// Records an update of the list and returns the next step.
     pub fn on_update(
         &mut self,
         update: EndpointUpdate,
@@ -108,7 +118,8 @@
         };
     }
 
-    /// The wait after a poll that waited in vain: evenly apart by router, as all may have failed at once.
+    /// The delay after a poll that timed out in the queue. Spread evenly over the routers, since
+    /// the polls of all of them may have failed at the same time.
     fn queued_retry_delay(&self, poll_within: Micros, random: &mut Random) -> Micros {
         let stagger_fraction = self
             .stagger_fraction
@@ -127,7 +138,7 @@
         self.consecutive_queued_polls >= SUSTAINED_OVERLOAD_POLL_COUNT
     }
 
-    /// Exponential backoff with jitter.
+    /// The delay after a poll that failed immediately: exponential backoff with jitter.
     fn retry_delay(&self, poll_within: Micros, random: &mut Random) -> Micros {
         if self.is_overload_sustained() {
             return self.queued_retry_delay(poll_within, random);
@@ -147,7 +158,8 @@
         }
     }
 
-    /// Whether to subscribe now: not while subscribed or while a call is under way. Marks the call as under way.
+    /// Returns whether to subscribe now, and marks the call as pending if so. False while
+    /// subscribed or while a call is pending.
     pub fn try_start_call(&mut self) -> bool {
         let is_needed = !self.is_subscribed && !self.is_call_pending;
         self.is_call_pending |= is_needed;
