--- a/crates/load-balancer/src/silent_watch.rs
+++ b/crates/load-balancer/src/silent_watch.rs
@@ -1,68 +1,75 @@
-//! When does a watch on the endpoint list count as silent, is discovery called beside a call that waits, and how soon
-//! is a call repeated that failed?
+//! Calls to discovery when a watch on the endpoint list is silent, and when calls fail.
 //!
-//! Inputs: how the list comes, how many routers there are, this router's stagger fraction (0 to 1). Answer: the longest
-//! time without data (µs), the interval between calls, the pauses between repeated ones and for how long they are
-//! repeated so. Reason: what a silent watch misses counts as known 6 s after the silence began, what follows a new
-//! configuration 4 s after it, but discovery that is asked works calls of all routers in turn: all may call at once. An
-//! agent that pushes lists is this router's alone, and what it has counts as known at once: it is called without end.
+//! The policy follows from the discovery mode, the number of routers and the stagger fraction of
+//! this router. It sets how long a watch may be silent, the interval of hedged calls, and the
+//! delays and duration of fast retries after failed calls.
+//!
+//! A change that a silent watch misses counts as known to the router 6 s after the silence began;
+//! after a new configuration it is 4 s. A discovery service that is polled handles the calls of all
+//! routers one after another, and all of them may call at the same time. An agent that pushes lists
+//! serves only this router, and its list counts as known immediately, so calls to it are retried
+//! without end.
 
 use crate::settings::DiscoveryMode;
 use crate::subscription::QUEUED_POLL_WAIT;
 use crate::time::Micros;
 
-/// Discovery sends an empty line every 2 s: the silence misses one.
+/// Silence limit that one missing keep-alive line exceeds: discovery sends an empty line every 2 s.
 const SHORT_SILENCE_LIMIT: Micros = Micros::from_millis(2_900);
-/// The silence misses two of those lines.
+/// Silence limit that two missing keep-alive lines exceed.
 const LONG_SILENCE_LIMIT: Micros = Micros::from_millis(4_500);
-/// The routers of a large fleet call within this time of one another.
+/// The routers of a large fleet spread their calls over this time.
 const LARGE_FLEET_SPREAD: Micros = Micros::from_millis(1_000);
-/// The routers of a small fleet call in turn, this far apart.
+/// The routers of a small fleet call one after another, at this interval.
 const SMALL_FLEET_STAGGER: Micros = Micros::from_millis(80);
-/// A fleet of so many routers is small: two calls of each fit in before what the watches missed counts as known.
+/// Up to this number of routers a fleet is small: each router has time for two calls before the
+/// changes that its watch missed count as known.
 pub(crate) const SMALL_FLEET_MAX_ROUTERS: u32 = 20;
-/// Between calls beside those that wait. Two that hang leave time for a third.
+/// Interval of hedged calls in a small fleet. If two calls hang, a third one is still in time.
 const HEDGED_CALL_INTERVAL: Micros = Micros::from_millis(1_100);
-/// The same for an agent, which answers at once: one that hangs leaves time for another within the grace of a drain.
+/// Interval of hedged calls to an agent, which normally responds immediately. If one call hangs,
+/// the next is still within the drain grace period.
 const PUSH_HEDGED_CALL_INTERVAL: Micros = Micros::from_millis(150);
 
-/// Calls of discovery are repeated fast for this long; the waits of the subscription follow.
+/// Failed calls are retried fast for this long, and then with the delays of the subscription.
 const FAST_RETRY_DURATION: Micros = Micros::from_millis(3_500);
-/// The pause before the first repeated call; it doubles with each.
+/// Delay before the first retry of a call; doubles with each retry.
 const FIRST_CALL_RETRY_DELAY: Micros = Micros::from_millis(100);
-/// The longest pause in a small fleet: a call may be turned away several times and wait for 2 s then, all within 4 s.
+/// Maximum retry delay in a small fleet. Several calls can be rejected and the next one wait in the
+/// queue for 2 s, all within 4 s.
 const SMALL_FLEET_MAX_CALL_RETRY_DELAY: Micros = Micros::from_millis(200);
-/// The longest pause in a large fleet.
+/// Maximum retry delay in a large fleet.
 const LARGE_FLEET_MAX_CALL_RETRY_DELAY: Micros = Micros::from_millis(400);
-/// The pause before an agent is called again; it doubles with each call.
+/// Delay before the first retry of a call to an agent; doubles with each retry.
 const PUSH_FIRST_CALL_RETRY_DELAY: Micros = Micros::from_millis(10);
-/// The longest pause where an agent pushes lists: well within the grace of a drain.
+/// Maximum retry delay of calls to an agent: well within the drain grace period.
 const PUSH_MAX_CALL_RETRY_DELAY: Micros = Micros::from_millis(80);
 
-/// How calls are repeated that failed.
+/// How failed calls to discovery are retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallRetryPolicy {
-    /// For how long they are repeated; `None`: without end.
+    /// For how long they are retried; `None` for no limit.
     pub duration: Option<Micros>,
-    /// The pause before the first one; it doubles with each.
+    /// Delay before the first retry; doubles with each retry.
     pub first_delay: Micros,
-    /// The longest pause.
+    /// Maximum delay.
     pub max_delay: Micros,
 }
 
-/// How a router treats a watch that brings no data.
+/// How a router handles a watch that delivers no data.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SilentWatchPolicy {
-    /// A watch without data for this long is silent: discovery is called.
+    /// A watch that delivers no data for this long is silent, and discovery is called.
     pub silence_limit: Micros,
-    /// How calls are repeated that failed.
+    /// How failed calls are retried.
     pub call_retry: CallRetryPolicy,
-    /// Between calls beside those that wait, while discovery is not known to be overloaded.
+    /// Interval of hedged calls while discovery is not known to be overloaded.
     hedged_call_interval: Option<Micros>,
 }
 
 impl SilentWatchPolicy {
-    /// The policy of one of `routers` routers; `stagger_fraction` is from 0 to 1, evenly apart or by chance.
+    /// Creates the policy of one of `routers` routers. `stagger_fraction`, from 0 to 1, spreads the
+    /// routers: evenly spaced, or random.
     pub fn new(mode: DiscoveryMode, routers: u32, stagger_fraction: f64) -> SilentWatchPolicy {
         if mode == DiscoveryMode::Push {
             return SilentWatchPolicy {
@@ -95,8 +102,9 @@
         }
     }
 
-    /// Beside a call without an answer for this long another one is made; `None`: one call and no other.
-    /// `rejected_after`: how long a call waited before discovery turned it away, since it answered last.
+    /// The time after which a call that has not returned gets a hedged call; `None` for no hedged
+    /// calls. `rejected_after` is how long a call had waited when discovery rejected it, if it
+    /// rejected one since its last answer.
     pub fn hedged_call_interval(&self, rejected_after: Option<Micros>) -> Option<Micros> {
         let is_overloaded = rejected_after.is_some_and(|waited| waited >= QUEUED_POLL_WAIT);
         self.hedged_call_interval.filter(|_| !is_overloaded)
