--- a/crates/load-balancer/src/admin_overrides.rs
+++ b/crates/load-balancer/src/admin_overrides.rs
@@ -1,36 +1,37 @@
-//! Does an operator's word take a server out of service or put it back?
+//! Servers that operators disabled or enabled.
 //!
-//! Inputs: what operators said of servers, by name and with its time (µs). Answer: disabled or not, and since when
-//! enabled. Reason: the word holds whatever the endpoint list says, also for a server that is not listed yet.
+//! Keeps the latest override of each server by name, with the time at which it was enabled (µs). An
+//! override applies regardless of the endpoint list, even to a server that is not listed yet.
 
 use crate::ids::ServerId;
 use crate::time::Micros;
 use std::collections::BTreeMap;
 
-/// Servers whose override is remembered: more than any fleet has. A further one replaces the oldest of those that
-/// are enabled, else one that is disabled.
+/// Maximum number of overrides, larger than any fleet. A further one replaces the override of the
+/// server that was enabled first, or that of a disabled server if all are disabled.
 const MAX_OVERRIDE_COUNT: usize = 4096;
 
-/// The operators' latest word on a server.
+/// The latest override of a server by an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdminOverride {
-    /// Nothing new is sent to it.
+    /// Nothing new is sent to the server.
     Disabled,
-    /// Put back into service at this time; it may have restarted since, so slow start begins then.
+    /// Put back into service at this time. The server may have restarted before, so its slow start
+    /// begins then.
     EnabledAt(Micros),
 }
 
-/// The overrides by server; they outlive the entries of the endpoint list.
+/// The overrides by server. They are kept when a server leaves the endpoint list.
 #[derive(Debug, Default)]
 pub(crate) struct AdminOverrides(BTreeMap<ServerId, AdminOverride>);
 
 impl AdminOverrides {
-    /// Whether a server is disabled and not enabled since.
+    /// Whether a server is disabled.
     pub fn is_disabled(&self, server: &ServerId) -> bool {
         self.0.get(server) == Some(&AdminOverride::Disabled)
     }
 
-    /// When a server was enabled last; 0 if never.
+    /// When a server was last enabled; 0 if never or if it is disabled.
     pub fn enabled_at(&self, server: &ServerId) -> Micros {
         match self.0.get(server) {
             Some(AdminOverride::EnabledAt(at)) => *at,
@@ -43,10 +44,11 @@
         self.set(server, AdminOverride::Disabled);
     }
 
-    /// Puts a server back into service at `at`. False if that changes nothing: the server is not disabled, and this is
-    /// not the report of another process which heard of it earlier.
+    /// Puts a server back into service at `at`. Returns false if that changes nothing: the server
+    /// is not disabled, and the event is not the report of another process with a later time than
+    /// the one known here.
     pub fn enable(&mut self, server: ServerId, at: Micros, now: Micros) -> bool {
-        // The clock of another process may run ahead.
+        // The clock of another process may be ahead.
         let at = at.min(now);
         let is_reported_later = at < now && at > self.enabled_at(&server);
         let is_change = self.is_disabled(&server) || is_reported_later;
@@ -73,7 +75,7 @@
         }
     }
 
-    /// Each server with an override.
+    /// Iterates over the servers with an override.
     pub fn iter(&self) -> impl Iterator<Item = (&ServerId, AdminOverride)> {
         self.0.iter().map(|(server, value)| (server, *value))
     }
