--- a/crates/load-balancer/src/idle_connection_lifetime.rs
+++ b/crates/load-balancer/src/idle_connection_lifetime.rs
@@ -1,51 +1,55 @@
-//! How long may a connection to a cache server stay idle, and do servers reject new ones for want of slots?
+//! The lifetime of idle connections to cache servers, and whether servers run out of connection
+//! slots.
 //!
-//! Inputs: rejections on new and on reused connections, what connections and handshakes cost, the traffic. Answer:
-//! a lifetime (µs). Reason: many routers that each keep a connection to each server fill the servers' connection
-//! tables; the next one is rejected although the server has time to spare, and a router that takes this for
-//! overload sends less there.
+//! The lifetime (µs) follows from rejections on new and on reused connections, from the costs of
+//! connections and handshakes, and from the traffic. When many routers each keep a connection to
+//! each server, the connection tables of the servers fill up. A new connection is then rejected
+//! although the server has spare capacity, and a router that took this for overload would send less
+//! to that server.
 
 use crate::moving_average::MovingAverage;
 use crate::request::{AttemptEnd, ConnectionUse, Outcome};
 use crate::settings::ConnectionCosts;
 use crate::time::Micros;
 
-/// Attempts over which ratios of rejections are averaged.
+/// Number of attempts over which the ratios of rejections are averaged.
 const REJECTION_AVERAGE_COUNT: f64 = 16.0;
-/// Slots are scarce where the ratio of rejections on new connections is higher by this: overload rejects both alike.
+/// Slots are scarce if the ratio of rejections on new connections is higher by this than that on
+/// reused ones. Overload causes rejections on both.
 const SCARCE_SLOTS_RATIO: f64 = 0.1;
-/// What one rejection for want of slots takes off the lifetime, as a ratio.
+/// Decrease of the lifetime for a rejection for lack of slots, as a ratio of the lifetime.
 const LIFETIME_DECREASE_RATIO: f64 = 0.3;
-/// What each other new connection adds to it, as a ratio of the longest.
+/// Increase of the lifetime for any other new connection, as a ratio of the maximum lifetime.
 const LIFETIME_INCREASE_RATIO: f64 = 0.003;
-/// The shortest lifetime, as a ratio of the longest.
+/// Minimum lifetime, as a ratio of the maximum.
 const MIN_LIFETIME_RATIO: f64 = 0.1;
-/// Connections stay idle until that has cost this ratio of a handshake: a full table takes some of a server's
-/// capacity before it rejects anybody.
+/// Maximum cost of an idle connection, as a ratio of the cost of a handshake. It is below 1 because
+/// a nearly full connection table reduces the capacity of a server before it causes rejections.
 const IDLE_COST_RATIO: f64 = 0.5;
-/// Open connections to each server that [`ConnectionCosts::connection`] is the price of.
+/// Number of open connections to each server that [`ConnectionCosts::connection`] is the cost of.
 const PRICED_CONNECTION_COUNT: f64 = 100.0;
 
-/// The traffic of a router over the fleet.
+/// The traffic from a router to the fleet.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FleetTraffic {
     pub router_count: f64,
     pub ready_server_count: f64,
-    /// The time between this router's requests.
+    /// Mean time between the requests of this router.
     pub mean_interarrival: Micros,
 }
 
-/// Lifetime of idle connections, at whichever server: all have connection tables of about the same size.
+/// Lifetime of idle connections, the same for all servers: their connection tables have about the
+/// same size.
 #[derive(Debug)]
 pub(crate) struct IdleConnectionLifetime {
     rejections_on_new: MovingAverage,
     rejections_on_reused: MovingAverage,
-    /// The ratio of the longest lifetime that holds now.
+    /// The current lifetime as a ratio of the maximum.
     lifetime_ratio: f64,
 }
 
 impl IdleConnectionLifetime {
-    /// Nothing is known.
+    /// Creates the state without observations.
     pub fn new() -> IdleConnectionLifetime {
         IdleConnectionLifetime {
             rejections_on_new: MovingAverage::new(0.0, REJECTION_AVERAGE_COUNT),
@@ -76,14 +80,15 @@
         self.lifetime_ratio = ratio.clamp(MIN_LIFETIME_RATIO, 1.0);
     }
 
-    /// Whether servers reject new connections for want of slots, not for overload.
+    /// Whether servers reject new connections for lack of slots, not because of overload.
     pub fn are_slots_scarce(&self) -> bool {
         let difference = self.rejections_on_new.value() - self.rejections_on_reused.value();
         difference > SCARCE_SLOTS_RATIO
     }
 
-    /// How long a connection may stay idle. Idleness that costs as much as a new connection is at most twice the
-    /// best choice, whatever comes; the lifetime is a part of that, less where slots are scarce.
+    /// How long a connection may stay idle. Closing a connection when its idle time has cost as
+    /// much as a handshake costs at most twice the optimum, whatever the traffic. The lifetime is a
+    /// part of that time, and shorter where slots are scarce.
     pub fn lifetime(&self, costs: ConnectionCosts, traffic: &FleetTraffic) -> Micros {
         if costs.connection <= 0.0 || traffic.ready_server_count < 1.0 {
             return Micros::MAX;
