--- a/crates/load-balancer/src/stale_connections.rs
+++ b/crates/load-balancer/src/stale_connections.rs
@@ -1,33 +1,36 @@
-//! Is a connection that has been idle for some time still usable?
+//! Detection of stale connections: idle connections that are already dead.
 //!
-//! Inputs: how attempts on idle connections end, and how long those had been idle (µs). Answer: whether
-//! connections idle for so long are closed before use; and whether an attempt met a connection that was dead
-//! already. Reason: a firewall or a peer drops idle connections unseen, and a request sent on one is lost.
+//! Firewalls and peers can drop idle connections without notice, and a request that is sent on one
+//! is lost. From how attempts on idle connections end, and how long the connections had been idle
+//! (µs), this module derives whether connections with a given idle time are closed before use, and
+//! whether an attempt was sent on a dead connection.
 
 use crate::request::{AttemptEnd, ConnectionUse, Outcome};
 use crate::time::Micros;
 
-/// Attempts on idle connections without a response, less those with one, after which idleness is at fault.
+/// Attempts without a response on idle connections, minus those with one, from which on idle
+/// connections count as stale.
 const STALE_EVIDENCE_COUNT: u32 = 3;
-/// Connections idle for this ratio of the idle time of one that failed are taken to be dead too.
+/// Connections that were idle for this ratio of the idle time of a failed one count as dead too.
 const STALE_RATIO: f64 = 0.5;
-/// What drops idle connections unseen waits this long at least: an earlier failure has another cause.
+/// Idle connections are not dropped earlier than this. A failure after a shorter idle time has
+/// another cause.
 const MIN_STALE_IDLE: Micros = Micros::from_millis(1_000);
-/// How long idle connections are closed before use after one failed.
+/// After a failure, idle connections are closed before use for this long.
 const STALE_DURATION: Micros = Micros::from_millis(20_000);
 
-/// From which idle time on connections are stale, at whichever server.
+/// The idle time from which connections count as stale, for all servers together.
 #[derive(Debug)]
 pub(crate) struct StaleConnections {
-    /// Connections idle for as long as this are not used before `stale_until`.
+    /// Connections that were idle for at least this long are not used until `stale_until`.
     min_idle: Micros,
     stale_until: Micros,
-    /// Attempts on idle connections without a response, less those with one.
+    /// Attempts without a response on idle connections, minus those with one.
     stale_evidence: u32,
 }
 
 impl StaleConnections {
-    /// Nothing is known.
+    /// Creates the state without observations.
     pub fn new() -> StaleConnections {
         StaleConnections {
             min_idle: Micros::MAX,
@@ -36,13 +39,14 @@
         }
     }
 
-    /// Whether connections that have been idle for so long are most likely dead.
+    /// Whether a connection that has been idle for this long is probably dead.
     pub fn is_stale(&self, now: Micros, idle: Micros) -> bool {
         idle >= self.min_idle && now < self.stale_until
     }
 
-    /// Records how an attempt ended whose connection had been idle for `idle`. A lost connection is proof; no
-    /// response has other causes too and needs repetition. A response that breaks off was the server's fault.
+    /// Records how an attempt ended whose connection had been idle for `idle`. A lost connection is
+    /// sufficient evidence. A missing response can have other causes, so several are needed. If a
+    /// response had started, the connection was alive and the failure is the server's.
     pub fn record_end(&mut self, now: Micros, idle: Option<Micros>, end: &AttemptEnd) {
         let Some(idle) = idle.filter(|&idle| idle >= MIN_STALE_IDLE) else {
             return;
@@ -66,9 +70,10 @@
     }
 }
 
-/// Whether an attempt met a reused connection that was dead already: it broke sooner than any answer comes. No work
-/// was done and the key is cached there, so the next attempt at the same server is free, on another connection.
-/// Guards against taking a connection's end (idle limit, firewall, restart) for the server's.
+/// Whether an attempt was sent on a reused connection that was already dead: it broke sooner than
+/// any response could arrive. The server did no work and still has the key cached, so the next
+/// attempt, on another connection to the same server, is free. Guards against taking the end of a
+/// connection (idle timeout, firewall, restart) for a failure of the server.
 pub(crate) fn had_stale_connection(end: &AttemptEnd, typical_latency: Micros) -> bool {
     let is_reused = matches!(end.connection_use, ConnectionUse::Reused(_));
     let is_early = end.elapsed.scaled(2.0) <= typical_latency;
