--- a/crates/load-balancer/src/placement.rs
+++ b/crates/load-balancer/src/placement.rs
@@ -15,7 +15,7 @@
 use crate::pending::PendingRequest;
 use crate::ring::Ring;
 use crate::server_table::{Server, ServerTable};
-use crate::settings::{Rules, Weights};
+use crate::settings::{Rules, WeightKind};
 use crate::slow_start::SlowStart;
 use crate::time::Micros;
 
@@ -137,7 +137,7 @@
         servers: &ServerTable,
         now: Micros,
         rules: &Rules,
-        weights: Weights,
+        weight_kind: WeightKind,
     ) -> FleetUsage {
         let mut usage = FleetUsage {
             largest_arc_fraction: 0.0,
@@ -145,7 +145,7 @@
             total_limit: 0.0,
         };
         for server in servers.accepting() {
-            let relative_weight = servers.relative_weight(server, weights);
+            let relative_weight = servers.relative_weight(server, weight_kind);
             let served_arc_fraction = served_arc_fraction(server, relative_weight, now, rules);
             usage.largest_arc_fraction = usage.largest_arc_fraction.max(served_arc_fraction);
             usage.in_flight += f64::from(server.limit.in_flight);
@@ -213,8 +213,8 @@
     pub servers: &'a ServerTable,
     pub key_locations: &'a KeyLocations,
     pub now: Micros,
-    /// What the weights on the endpoint list mean.
-    pub weights: Weights,
+    /// What the weight_kind on the endpoint list mean.
+    pub weight_kind: WeightKind,
     /// The shortest latency objective of all classes.
     pub shortest_objective: Micros,
     pub slow_start: SlowStart<'a>,
@@ -305,7 +305,7 @@
         let relative_weight = self
             .inputs
             .servers
-            .relative_weight(server, self.inputs.weights);
+            .relative_weight(server, self.inputs.weight_kind);
         if let Some(verdict) = self.inputs.exclusion_verdict(index, relative_weight) {
             self.may_migrate |= self.is_before_first_eligible;
             return verdict;
