--- a/crates/cache-router/src/process.rs
+++ b/crates/cache-router/src/process.rs
@@ -190,7 +190,7 @@
         terminate.recv().await;
     };
     let report = runtime.run(listener, stop).await;
-    if let Some(hand_over) = hand_over.filter(|_| runtime.lifecycle().is_handed_over()) {
+    if let Some(hand_over) = hand_over.filter(|_| runtime.lifecycle().hands_over_connections()) {
         // Idle connections are still on their way to the successor, however many these are.
         let _ = tokio::time::timeout_at(report.exit_deadline.into(), hand_over).await;
     }
--- a/crates/cache-router/src/signals.rs
+++ b/crates/cache-router/src/signals.rs
@@ -61,7 +61,7 @@
                     "; other settings at the next start"
                 };
                 eprintln!("asterport: configuration reloaded: discovery {discovery}{remark}");
-                runtime.move_watch_to(discovery);
+                runtime.set_discovery_addr(discovery);
             }
             Err(error) => {
                 eprintln!("asterport: configuration not reloaded, the old one holds: {error}");
--- a/crates/cache-router/src/summary.rs
+++ b/crates/cache-router/src/summary.rs
@@ -68,11 +68,11 @@
     let metrics = runtime.metrics();
     let attempts = &report.counts;
     let mut counters = BTreeMap::from([
-        ("opened".to_string(), attempts.opened),
-        ("unopened".to_string(), attempts.unopened),
-        ("calls".to_string(), attempts.calls),
+        ("opened".to_string(), attempts.connections_opened),
+        ("unopened".to_string(), attempts.connections_failed),
+        ("calls".to_string(), attempts.discovery_calls),
         ("misses".to_string(), attempts.misses),
-        ("full_new".to_string(), attempts.full_new),
+        ("full_new".to_string(), attempts.overloaded_when_new),
         ("written".to_string(), metrics.attempts_written),
     ]);
     for ((_, name), count) in OUTCOMES.iter().zip(attempts.outcomes) {
--- a/crates/hot-restart/src/inherited_listener.rs
+++ b/crates/hot-restart/src/inherited_listener.rs
@@ -31,7 +31,7 @@
 /// # Errors
 /// When the descriptor is closed, not a listening TCP socket, or listens on another address.
 pub fn inherited_listener(descriptor: i32, addr: SocketAddr) -> Result<TcpListener, InheritError> {
-    let socket = socket2::Socket::from(duplicate(descriptor)?);
+    let socket = socket2::Socket::from(duplicate_descriptor(descriptor)?);
     let is_stream = matches!(socket.r#type(), Ok(socket2::Type::STREAM));
     let is_listener = socket.is_listener().unwrap_or(false);
     if !is_stream || !is_listener {
@@ -49,7 +49,7 @@
 }
 
 /// A copy of one of this process's own descriptors.
-fn duplicate(descriptor: i32) -> io::Result<OwnedFd> {
+fn duplicate_descriptor(descriptor: i32) -> io::Result<OwnedFd> {
     let process = pidfd_open(getpid(), PidfdFlags::empty())?;
     Ok(pidfd_getfd(process, descriptor, PidfdGetfdFlags::empty())?)
 }
--- a/crates/hot-restart/src/store.rs
+++ b/crates/hot-restart/src/store.rs
@@ -32,10 +32,10 @@
 }
 
 impl StateStore {
-    /// In `folder`, for the router of this name. Nothing is created yet.
-    pub fn new(folder: &Path, router: &str) -> StateStore {
+    /// In `directory`, for the router of this name. Nothing is created yet.
+    pub fn new(directory: &Path, router: &str) -> StateStore {
         StateStore {
-            path: folder.join(router_file_name(router, "state")),
+            path: directory.join(router_file_name(router, "state")),
             router: router.to_string(),
         }
     }
@@ -84,8 +84,8 @@
     /// When the disk does not take it: it is to be saved again.
     pub fn sync(&self) -> Result<(), StoreError> {
         File::open(&self.path)?.sync_all()?;
-        if let Some(folder) = self.path.parent() {
-            File::open(folder)?.sync_all()?;
+        if let Some(directory) = self.path.parent() {
+            File::open(directory)?.sync_all()?;
         }
         Ok(())
     }
--- a/crates/hot-restart/tests/state_store.rs
+++ b/crates/hot-restart/tests/state_store.rs
@@ -1,4 +1,4 @@
-//! The state file of a router: read as it was saved, in the folder that was given, and of this router only.
+//! The state file of a router: read as it was saved, in the directory that was given, and of this router only.
 
 mod support;
 
@@ -8,22 +8,22 @@
 
 #[test]
 fn a_state_file_is_read_as_saved_and_another_routers_is_refused() {
-    let folder = std::env::temp_dir().join(format!("asterport-store-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
-    let store = StateStore::new(&folder, "n/../1");
+    let directory = std::env::temp_dir().join(format!("asterport-store-{}", std::process::id()));
+    std::fs::create_dir_all(&directory).expect("a directory");
+    let store = StateStore::new(&directory, "n/../1");
     assert!(matches!(store.load(), Ok(None)));
     store.save(state()).expect("saved");
     assert!(matches!(store.load(), Ok(Some(found)) if found == state()));
     assert_eq!(
         store.path().parent(),
-        Some(&*folder),
+        Some(&*directory),
         "no name leads elsewhere"
     );
-    let other = StateStore::new(&folder, "n2");
+    let other = StateStore::new(&directory, "n2");
     std::fs::copy(store.path(), other.path()).expect("copied");
     assert!(matches!(
         other.load(),
         Err(StoreError::Message(MessageError::OtherRouter(_)))
     ));
-    std::fs::remove_dir_all(&folder).expect("removed");
+    std::fs::remove_dir_all(&directory).expect("removed");
 }
--- a/crates/hot-restart/tests/stored_forms.rs
+++ b/crates/hot-restart/tests/stored_forms.rs
@@ -93,11 +93,11 @@
 #[test]
 fn a_state_file_of_the_earlier_program_is_found_read_and_written_alike() {
     let bytes: &[u8] = include_bytes!("golden/asterport-n_2f1.state");
-    let folder = std::env::temp_dir().join(format!("asterport-golden-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
-    let path = folder.join("asterport-n_2f1.state");
+    let directory = std::env::temp_dir().join(format!("asterport-golden-{}", std::process::id()));
+    std::fs::create_dir_all(&directory).expect("a directory");
+    let path = directory.join("asterport-n_2f1.state");
     std::fs::write(&path, bytes).expect("written");
-    let store = StateStore::new(&folder, "n/1");
+    let store = StateStore::new(&directory, "n/1");
     let state = store.load().expect("readable").expect("there is one");
     assert_eq!(
         state,
@@ -108,5 +108,5 @@
     );
     store.save(state).expect("saved");
     assert_eq!(std::fs::read(&path).expect("the file"), bytes);
-    std::fs::remove_dir_all(&folder).expect("removed");
+    std::fs::remove_dir_all(&directory).expect("removed");
 }
--- a/crates/process-lifecycle/src/lib.rs
+++ b/crates/process-lifecycle/src/lib.rs
@@ -50,7 +50,7 @@
     Starting,
     Serving,
     HandingOver,
-    Ending { has_successor: bool },
+    ShuttingDown { has_successor: bool },
 }
 
 /// What to do with an idle connection: one without an unanswered request.
@@ -113,16 +113,16 @@
     }
 
     /// Whether this process accepts connections from the listener.
-    pub fn accepts(&self) -> bool {
+    pub fn accepts_connections(&self) -> bool {
         matches!(self.phase, Phase::Starting | Phase::Serving)
     }
 
     /// Whether a successor process takes the connections that become idle.
-    pub fn is_handed_over(&self) -> bool {
+    pub fn hands_over_connections(&self) -> bool {
         matches!(
             self.phase,
             Phase::HandingOver
-                | Phase::Ending {
+                | Phase::ShuttingDown {
                     has_successor: true
                 }
         )
@@ -131,8 +131,8 @@
     /// What to do with idle connections.
     pub fn idle_connection_policy(&self) -> IdleConnectionPolicy {
         match self.phase {
-            _ if self.is_handed_over() => IdleConnectionPolicy::HandOver,
-            Phase::Ending { .. } => IdleConnectionPolicy::CloseNow,
+            _ if self.hands_over_connections() => IdleConnectionPolicy::HandOver,
+            Phase::ShuttingDown { .. } => IdleConnectionPolicy::CloseNow,
             _ if self.is_drained() => IdleConnectionPolicy::Close,
             _ => IdleConnectionPolicy::Keep,
         }
@@ -142,7 +142,7 @@
     /// connection becomes idle once these are answered.
     pub fn may_read_more(&self, now: Micros) -> bool {
         match self.drained_since {
-            _ if self.is_handed_over() => false,
+            _ if self.hands_over_connections() => false,
             Some(start) => now.since(start) < DRAIN_READ_DURATION,
             None => true,
         }
@@ -153,15 +153,15 @@
     /// The phase after `event`.
     fn after(self, event: LifecycleEvent) -> Phase {
         use LifecycleEvent::{EndpointsKnown, SuccessorLost, SuccessorServes, Terminate};
-        let ending = |has_successor| Phase::Ending { has_successor };
+        let ending = |has_successor| Phase::ShuttingDown { has_successor };
         match (self, event) {
             (Phase::Starting, EndpointsKnown) => Phase::Serving,
             (Phase::Starting | Phase::Serving, SuccessorServes) => Phase::HandingOver,
             (Phase::HandingOver, SuccessorLost) => Phase::Serving,
             (Phase::Starting | Phase::Serving, Terminate) => ending(false),
             (Phase::HandingOver, Terminate) => ending(true),
-            (Phase::Ending { .. }, SuccessorServes) => ending(true),
-            (Phase::Ending { .. }, SuccessorLost) => ending(false),
+            (Phase::ShuttingDown { .. }, SuccessorServes) => ending(true),
+            (Phase::ShuttingDown { .. }, SuccessorLost) => ending(false),
             (phase, _) => phase,
         }
     }
--- a/crates/process-lifecycle/tests/lifecycle.rs
+++ b/crates/process-lifecycle/tests/lifecycle.rs
@@ -16,14 +16,16 @@
 
 #[test]
 fn a_process_is_ready_once_it_knows_endpoints() {
-    assert!(!after(&[]).is_ready() && after(&[]).accepts());
+    assert!(!after(&[]).is_ready() && after(&[]).accepts_connections());
     assert!(after(&[LifecycleEvent::EndpointsKnown]).is_ready());
 }
 
 #[test]
 fn a_drained_process_reports_unhealthy_and_closes_idle_connections_but_can_serve() {
     let lifecycle = after(&[LifecycleEvent::EndpointsKnown, LifecycleEvent::DrainRouter]);
-    assert!(!lifecycle.reports_healthy() && lifecycle.is_ready() && lifecycle.accepts());
+    assert!(
+        !lifecycle.reports_healthy() && lifecycle.is_ready() && lifecycle.accepts_connections()
+    );
     assert_eq!(
         lifecycle.idle_connection_policy(),
         IdleConnectionPolicy::Close
@@ -62,7 +64,7 @@
     assert_eq!(
         (
             lifecycle.idle_connection_policy(),
-            lifecycle.accepts(),
+            lifecycle.accepts_connections(),
             lifecycle.is_ready()
         ),
         (IdleConnectionPolicy::HandOver, false, false)
@@ -101,7 +103,7 @@
         (
             lifecycle.idle_connection_policy(),
             lifecycle.reports_healthy(),
-            lifecycle.accepts()
+            lifecycle.accepts_connections()
         ),
         (IdleConnectionPolicy::CloseNow, false, false)
     );
--- a/crates/router-runtime/src/clock.rs
+++ b/crates/router-runtime/src/clock.rs
@@ -25,22 +25,22 @@
 
     /// Now.
     pub fn now(&self) -> Micros {
-        self.micros(self.environment.now())
+        self.to_micros(self.environment.now())
     }
 
     /// The point in time of an instant.
-    pub fn micros(&self, instant: Instant) -> Micros {
+    pub fn to_micros(&self, instant: Instant) -> Micros {
         let since_start = instant.saturating_duration_since(self.start);
         self.unix_start.plus(Micros(since_start.as_micros() as u64))
     }
 
     /// The instant of a point in time.
-    pub fn instant(&self, at: Micros) -> Instant {
-        self.start + duration(at.since(self.unix_start))
+    pub fn to_instant(&self, at: Micros) -> Instant {
+        self.start + to_duration(at.since(self.unix_start))
     }
 }
 
 /// A length of time of the decision library.
-pub fn duration(time: Micros) -> Duration {
+pub fn to_duration(time: Micros) -> Duration {
     Duration::from_micros(time.0)
 }
--- a/crates/router-runtime/src/coalescing_stage.rs
+++ b/crates/router-runtime/src/coalescing_stage.rs
@@ -195,7 +195,7 @@
 
     /// A write begins or ends: later reads on its key do not join flights that began before.
     fn separate_reads(&self, coalescing: &Coalescing, key: &[u8]) {
-        hooks::separate_reads(|| self.handle(coalescing, Event::Write { key }, Subject::None));
+        hooks::end_coalescing(|| self.handle(coalescing, Event::Write { key }, Subject::None));
     }
 
     /// Gives the coalescer an event and carries out its actions.
--- a/crates/router-runtime/src/discovery.rs
+++ b/crates/router-runtime/src/discovery.rs
@@ -5,11 +5,11 @@
 
 mod endpoint_table;
 mod error;
-mod reopening;
+mod reconnect;
 mod watch;
 mod watch_set;
 
-use crate::clock::duration;
+use crate::clock::to_duration;
 use crate::dispatcher::Dispatcher;
 use crate::endpoint_list::EndpointList;
 use crate::environment::Environment;
@@ -19,7 +19,7 @@
 use error::WatchError;
 use load_balancer::deployment::Names;
 use load_balancer::{EndpointUpdate, Micros, RepeatedCalls, SilentWatchPolicy};
-use reopening::{FastRetry, Reopening};
+use reconnect::{ReconnectSchedule, RetryBackoff};
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -58,23 +58,23 @@
 /// When to call, from one watch to the next.
 #[derive(Default)]
 struct CallSchedule {
-    fast_retry: Option<FastRetry>,
+    backoff: Option<RetryBackoff>,
     /// When to call without a subscription.
-    next_call: Option<Instant>,
+    next_call_at: Option<Instant>,
     /// When discovery was called last.
     last_call: Option<Instant>,
     /// A watch was lost before.
-    has_lost: bool,
+    has_lost_watch: bool,
     /// The longest that a call has waited since the last answer before discovery turned it away.
-    rejected_after: Option<Micros>,
+    longest_rejection_wait: Option<Micros>,
 }
 
 impl CallSchedule {
     /// Calls at once. What was learnt of another discovery, or in an outage of this one, is forgotten.
     fn call_now(&mut self, now: Instant, calls: RepeatedCalls) {
-        self.fast_retry = Some(FastRetry::from(now, calls));
-        self.next_call = Some(now);
-        self.rejected_after = None;
+        self.backoff = Some(RetryBackoff::starting_at(now, calls));
+        self.next_call_at = Some(now);
+        self.longest_rejection_wait = None;
     }
 }
 
@@ -121,7 +121,7 @@
     }
 
     /// Leaves the watch for a new one at this address, at once.
-    pub fn move_to(&self, addr: SocketAddr) {
+    pub fn set_addr(&self, addr: SocketAddr) {
         self.addr.set(addr);
         self.endpoints.reset_version();
         self.addr_changed.notify_one();
@@ -135,8 +135,8 @@
             self.call_now(&mut schedule);
         }
         loop {
-            self.until_call(&mut schedule).await;
-            match self.watch_until_moved(&mut schedule).await {
+            self.wait_for_call(&mut schedule).await;
+            match self.watch_until_lost(&mut schedule).await {
                 None => self.call_now(&mut schedule),
                 Some(lost) => self.watch_lost(&lost, &mut schedule),
             }
@@ -148,7 +148,7 @@
     }
 
     /// Returns when the next call is to be made.
-    async fn until_call(&self, schedule: &mut CallSchedule) {
+    async fn wait_for_call(&self, schedule: &mut CallSchedule) {
         loop {
             tokio::select! {
                 biased;
@@ -157,30 +157,34 @@
                     return;
                 }
                 () = self.dispatcher.subscription_wanted() => {
-                    if schedule.next_call.is_none() {
+                    if schedule.next_call_at.is_none() {
                         return;
                     }
                 }
-                () = self.next_call(schedule.next_call) => return,
+                () = self.sleep_until_call(schedule.next_call_at) => return,
             }
         }
     }
 
     /// Returns when a call is due that the decision library does not ask for.
-    async fn next_call(&self, next_call: Option<Instant>) {
-        match next_call {
-            Some(at) => self.environment.sleep_until(hooks::call_at(at)).await,
+    async fn sleep_until_call(&self, next_call_at: Option<Instant>) {
+        match next_call_at {
+            Some(at) => {
+                self.environment
+                    .sleep_until(hooks::discovery_call_at(at))
+                    .await
+            }
             None => std::future::pending().await,
         }
     }
 
     /// Logs the loss of a watch: one line for each outage, not for each call during one.
     fn log_loss(&self, lost: &LostWatch, schedule: &mut CallSchedule) {
-        if lost.failed_call.is_none() || !schedule.has_lost {
+        if lost.failed_call_at.is_none() || !schedule.has_lost_watch {
             self.environment
                 .log(format_args!("discovery watch lost: {}", lost.error));
         }
-        schedule.has_lost = true;
+        schedule.has_lost_watch = true;
     }
 
     /// Logs the loss of a watch, and sets when to call again or tells the decision library of the loss.
@@ -189,16 +193,14 @@
         if !matches!(lost.error, WatchError::Silent(_)) {
             self.log_loss(lost, schedule);
         }
-        schedule.next_call = match &mut schedule.fast_retry {
-            Some(fast_retry) if lost.failed_call.is_some() => {
-                fast_retry.next(self.environment.now())
-            }
+        schedule.next_call_at = match &mut schedule.backoff {
+            Some(backoff) if lost.failed_call_at.is_some() => backoff.next(self.environment.now()),
             _ if self.is_push => Some(self.call_after_lost_watch(schedule)),
             _ => None,
         };
-        if schedule.next_call.is_none() {
-            schedule.fast_retry = None;
-            let update = self.update_of_loss(lost);
+        if schedule.next_call_at.is_none() {
+            schedule.backoff = None;
+            let update = self.loss_update(lost);
             self.dispatcher.endpoints_changed(update, Vec::new());
         }
     }
@@ -207,14 +209,14 @@
     fn call_after_lost_watch(&self, schedule: &mut CallSchedule) -> Instant {
         let now = self.environment.now();
         let calls = self.silent_watch.repeated_calls;
-        schedule.fast_retry = Some(FastRetry::from(now, calls));
-        let earliest = |last_call| last_call + duration(calls.max_pause);
+        schedule.backoff = Some(RetryBackoff::starting_at(now, calls));
+        let earliest = |last_call| last_call + to_duration(calls.max_pause);
         schedule.last_call.map_or(now, earliest).max(now)
     }
 
     /// What the decision library is told of a loss.
-    fn update_of_loss(&self, lost: &LostWatch) -> EndpointUpdate {
-        match lost.rejected_after(self.environment.now()) {
+    fn loss_update(&self, lost: &LostWatch) -> EndpointUpdate {
+        match lost.rejection_wait(self.environment.now()) {
             Some(waited) => EndpointUpdate::PollRejected { waited },
             None => EndpointUpdate::WatchLost,
         }
@@ -222,17 +224,18 @@
 
     /// A watch until it is lost, or until the address has changed: then none. A call that waits, or a watch that falls
     /// silent, stays open beside the calls that are to replace it.
-    async fn watch_until_moved(self: &Rc<Self>, schedule: &mut CallSchedule) -> Option<LostWatch> {
+    async fn watch_until_lost(self: &Rc<Self>, schedule: &mut CallSchedule) -> Option<LostWatch> {
         let mut watches = WatchSet::default();
         let calls = self.silent_watch.repeated_calls;
         let now = self.environment.now();
-        let first_call = Reopening::beside_call(now, self.call_interval(schedule), calls);
-        let mut reopening = Some(first_call);
+        let first_call =
+            ReconnectSchedule::after_first_call(now, self.call_interval(schedule), calls);
+        let mut reconnect = Some(first_call);
         schedule.last_call = Some(now);
         self.open_watch(&mut watches);
         loop {
-            let next_call = reopening.as_ref().and_then(Reopening::next_call);
-            let next_call_at = next_call.unwrap_or_else(|| self.environment.now());
+            let next_call_at = reconnect.as_ref().and_then(ReconnectSchedule::next_call_at);
+            let wake_at = next_call_at.unwrap_or_else(|| self.environment.now());
             tokio::select! {
                 biased;
                 () = self.addr_changed.notified() => return None,
@@ -240,53 +243,55 @@
                 () = self.dispatcher.subscription_wanted() => {}
                 event = watches.next() => match event {
                     WatchEvent::InService => {
-                        schedule.rejected_after = None;
-                        reopening = None;
+                        schedule.longest_rejection_wait = None;
+                        reconnect = None;
                     }
                     WatchEvent::Silent => {
-                        self.log_loss(&self.silent_watch(None), schedule);
+                        self.log_loss(&self.silent_watch_lost(None), schedule);
                         let now = self.environment.now();
                         let call_interval = self.call_interval(schedule);
-                        reopening = Some(Reopening::of_silent_watch(now, call_interval, calls));
+                        reconnect =
+                            Some(ReconnectSchedule::after_silence(now, call_interval, calls));
                     }
                     WatchEvent::Lost(lost) => {
                         let now = self.environment.now();
-                        schedule.rejected_after =
-                            schedule.rejected_after.max(lost.rejected_after(now));
-                        match &mut reopening {
-                            Some(reopening)
-                                if reopening.replaces_silent_watch() || !watches.has_no_call() =>
+                        schedule.longest_rejection_wait =
+                            schedule.longest_rejection_wait.max(lost.rejection_wait(now));
+                        match &mut reconnect {
+                            Some(reconnect)
+                                if reconnect.replaces_silent_watch()
+                                    || !watches.has_no_pending_call() =>
                             {
-                                if !reopening.replaces_silent_watch() {
+                                if !reconnect.replaces_silent_watch() {
                                     self.log_loss(&lost, schedule);
                                 }
-                                reopening.watch_lost(now, &lost, self.call_interval(schedule));
+                                reconnect.watch_lost(now, &lost, self.call_interval(schedule));
                             }
                             _ => return Some(lost),
                         }
                     }
                 },
-                () = self.environment.sleep_until(next_call_at), if next_call.is_some() => {
-                    if let Some(reopening) = &mut reopening {
-                        reopening.called(self.environment.now());
+                () = self.environment.sleep_until(wake_at), if next_call_at.is_some() => {
+                    if let Some(reconnect) = &mut reconnect {
+                        reconnect.record_call(self.environment.now());
                     }
                     self.open_watch(&mut watches);
                 }
             }
-            let given_up = reopening
+            let given_up = reconnect
                 .as_ref()
-                .filter(|reopening| reopening.next_call().is_none());
-            if let Some(reopening) = given_up
-                && watches.has_no_call()
+                .filter(|reconnect| reconnect.next_call_at().is_none());
+            if let Some(reconnect) = given_up
+                && watches.has_no_pending_call()
             {
-                return Some(self.silent_watch(reopening.rejected_call()));
+                return Some(self.silent_watch_lost(reconnect.rejected_call_at()));
             }
         }
     }
 
     /// Calls discovery.
     fn open_watch(self: &Rc<Self>, watches: &mut WatchSet) {
-        let progress = Rc::new(WatchProgress::called(self.environment.now()));
+        let progress = Rc::new(WatchProgress::new(self.environment.now()));
         let (discovery, watched) = (self.clone(), progress.clone());
         watches.open(progress, async move {
             let Err(error) = discovery.watch(&watched).await;
@@ -299,21 +304,23 @@
 
     /// Between calls beside those that wait; `None`: none are made.
     fn call_interval(&self, schedule: &CallSchedule) -> Option<Duration> {
-        let interval = self.silent_watch.call_interval(schedule.rejected_after);
-        interval.map(duration)
+        let interval = self
+            .silent_watch
+            .call_interval(schedule.longest_rejection_wait);
+        interval.map(to_duration)
     }
 
     /// A watch without data for this long has fallen silent.
-    fn silence_limit(&self) -> Duration {
-        duration(self.silent_watch.silence_limit)
+    fn silence_timeout(&self) -> Duration {
+        to_duration(self.silent_watch.silence_limit)
     }
 
-    /// The loss of a watch that is silent; `rejected_call` was to replace it.
-    fn silent_watch(&self, rejected_call: Option<Instant>) -> LostWatch {
+    /// The loss of a watch that is silent; `rejected_call_at` was to replace it.
+    fn silent_watch_lost(&self, rejected_call_at: Option<Instant>) -> LostWatch {
         LostWatch {
-            error: WatchError::Silent(self.silence_limit()),
-            failed_call: None,
-            rejected_call,
+            error: WatchError::Silent(self.silence_timeout()),
+            failed_call_at: None,
+            rejected_call_at,
         }
     }
 
--- a/crates/router-runtime/src/discovery/endpoint_table.rs
+++ b/crates/router-runtime/src/discovery/endpoint_table.rs
@@ -27,7 +27,7 @@
     /// The version of the list, as the present discovery server counts.
     version: Cell<u64>,
     /// By name.
-    hosts: RefCell<BTreeMap<String, ListedEndpoint>>,
+    entries: RefCell<BTreeMap<String, ListedEndpoint>>,
 }
 
 impl<E: Environment> EndpointTable<E> {
@@ -44,7 +44,7 @@
             dispatcher,
             upstream,
             version: Cell::new(0),
-            hosts: RefCell::default(),
+            entries: RefCell::default(),
         })
     }
 
@@ -63,7 +63,7 @@
         EndpointList {
             version: self.version.get(),
             is_snapshot: true,
-            hosts: self.hosts.borrow().values().cloned().collect(),
+            entries: self.entries.borrow().values().cloned().collect(),
         }
     }
 
@@ -83,73 +83,79 @@
     }
 
     fn apply(self: &Rc<Self>, list: EndpointList, update: EndpointUpdate) {
-        let is_whole = update != EndpointUpdate::Delta;
-        self.remember(is_whole, &list.hosts);
+        let is_snapshot = update != EndpointUpdate::Delta;
+        self.store_list(is_snapshot, &list.entries);
         let table = self.clone();
-        let hosts = hooks::hosts(&self.environment, update, list.hosts, move |late| {
-            table.apply_hosts(late, EndpointUpdate::Delta);
-        });
+        let entries =
+            hooks::listed_endpoints(&self.environment, update, list.entries, move |late| {
+                table.apply_entries(late, EndpointUpdate::Delta);
+            });
         self.version.set(list.version);
-        self.apply_hosts(hosts, update);
+        self.apply_entries(entries, update);
     }
 
     /// First the addresses, so that the decision library's actions find them; then the event.
-    fn apply_hosts(&self, hosts: Vec<ListedEndpoint>, update: EndpointUpdate) {
-        let mut endpoints = Vec::with_capacity(hosts.len());
-        for host in hosts {
-            let endpoint = self.endpoint(&host);
-            self.upstream
-                .set_server(&endpoint.server, host.addr, endpoint.state, host.started_ms);
+    fn apply_entries(&self, entries: Vec<ListedEndpoint>, update: EndpointUpdate) {
+        let mut endpoints = Vec::with_capacity(entries.len());
+        for entry in entries {
+            let endpoint = self.to_endpoint(&entry);
+            self.upstream.set_server(
+                &endpoint.server,
+                entry.addr,
+                endpoint.state,
+                entry.started_ms,
+            );
             endpoints.push(endpoint);
         }
-        hooks::endpoints_listed(&endpoints, |server| {
+        hooks::lift_overrides(&endpoints, |server| {
             let enabled = AdminOverride::EnabledAt(self.dispatcher.now());
             self.dispatcher
                 .apply_admin_override(server.clone(), enabled);
         });
         if update != EndpointUpdate::Delta {
-            let listed: HashSet<&ServerId> =
+            let listed_servers: HashSet<&ServerId> =
                 endpoints.iter().map(|endpoint| &endpoint.server).collect();
-            self.upstream.keep_only(|server| listed.contains(server));
+            self.upstream
+                .retain_servers(|server| listed_servers.contains(server));
         }
         self.dispatcher.endpoints_changed(update, endpoints);
     }
 
     /// A host of the list in the decision library's terms.
-    fn endpoint(&self, host: &ListedEndpoint) -> Endpoint {
-        let state = match host.health {
+    fn to_endpoint(&self, entry: &ListedEndpoint) -> Endpoint {
+        let state = match entry.health {
             Health::Up => EndpointState::Ready,
             Health::Draining => EndpointState::Draining,
             Health::Removed => EndpointState::Removed,
         };
-        let has_weight = host.weight.is_finite() && host.weight >= 0.0;
+        let has_weight = entry.weight.is_finite() && entry.weight >= 0.0;
         let weight = if has_weight {
-            host.weight
+            entry.weight
         } else {
             DEFAULT_WEIGHT
         };
         Endpoint {
-            server: ServerId::from(host.name.as_str()),
+            server: ServerId::from(entry.name.as_str()),
             state,
-            zone: position(&self.names.zones, host.zone.as_ref()).map(ZoneId),
-            cell: CellId(host.cell),
-            kind: position(&self.names.kinds, host.kind.as_ref()).map(KindId),
-            started: Micros::from_millis(host.started_ms),
+            zone: position(&self.names.zones, entry.zone.as_ref()).map(ZoneId),
+            cell: CellId(entry.cell),
+            kind: position(&self.names.kinds, entry.kind.as_ref()).map(KindId),
+            started: Micros::from_millis(entry.started_ms),
             weight,
         }
     }
 
     /// Keeps the list as it stands, for a successor.
-    fn remember(&self, is_whole: bool, changed: &[ListedEndpoint]) {
-        let mut hosts = self.hosts.borrow_mut();
-        if is_whole {
-            hosts.clear();
+    fn store_list(&self, is_snapshot: bool, changed: &[ListedEndpoint]) {
+        let mut entries = self.entries.borrow_mut();
+        if is_snapshot {
+            entries.clear();
         }
-        for host in changed {
-            if host.health == Health::Removed {
-                hosts.remove(&host.name);
+        for entry in changed {
+            if entry.health == Health::Removed {
+                entries.remove(&entry.name);
             } else {
-                hosts.insert(host.name.clone(), host.clone());
+                entries.insert(entry.name.clone(), entry.clone());
             }
         }
     }
--- a/crates/router-runtime/src/discovery/reopening.rs
+++ b/crates/router-runtime/src/discovery/reconnect.rs
@@ -4,25 +4,25 @@
 //! as the decision library's policy of silent watches says; its back-off follows where the repeats have an end.
 
 use super::watch_set::LostWatch;
-use crate::clock::duration;
+use crate::clock::to_duration;
 use load_balancer::RepeatedCalls;
 use std::time::{Duration, Instant};
 
 /// Calls that failed, repeated fast.
-pub(super) struct FastRetry {
+pub(super) struct RetryBackoff {
     /// `None`: without end.
-    until: Option<Instant>,
+    give_up_at: Option<Instant>,
     pause: Duration,
     max_pause: Duration,
 }
 
-impl FastRetry {
+impl RetryBackoff {
     /// The calls that follow from now on.
-    pub fn from(now: Instant, calls: RepeatedCalls) -> FastRetry {
-        FastRetry {
-            until: calls.lasts.map(|lasts| now + duration(lasts)),
-            pause: duration(calls.first_pause),
-            max_pause: duration(calls.max_pause),
+    pub fn starting_at(now: Instant, calls: RepeatedCalls) -> RetryBackoff {
+        RetryBackoff {
+            give_up_at: calls.lasts.map(|lasts| now + to_duration(lasts)),
+            pause: to_duration(calls.first_pause),
+            max_pause: to_duration(calls.max_pause),
         }
     }
 
@@ -30,90 +30,94 @@
     pub fn next(&mut self, now: Instant) -> Option<Instant> {
         let at = now + self.pause;
         self.pause = (self.pause * 2).min(self.max_pause);
-        self.until.is_none_or(|until| at < until).then_some(at)
+        self.give_up_at
+            .is_none_or(|give_up_at| at < give_up_at)
+            .then_some(at)
     }
 }
 
 /// The calls beside one that waits for its answer, or that are to replace a silent watch.
-pub(super) struct Reopening {
+pub(super) struct ReconnectSchedule {
     /// Between calls beside those that wait; `None`: one call is made and no other.
     call_interval: Option<Duration>,
     /// No more calls are made from then on; `None`: without end.
-    until: Option<Instant>,
+    give_up_at: Option<Instant>,
     /// Failed calls are repeated; `None` while no watch is silent.
-    retry: Option<FastRetry>,
+    backoff: Option<RetryBackoff>,
     /// When the next call is due; `None`: no more are made.
-    next_call: Option<Instant>,
+    next_call_at: Option<Instant>,
     /// When the last call was made of those that discovery turned away.
-    rejected_call: Option<Instant>,
+    rejected_call_at: Option<Instant>,
 }
 
-impl Reopening {
+impl ReconnectSchedule {
     /// The first call for a watch is made.
-    pub fn beside_call(
+    pub fn after_first_call(
         now: Instant,
         call_interval: Option<Duration>,
         calls: RepeatedCalls,
-    ) -> Reopening {
-        Reopening {
+    ) -> ReconnectSchedule {
+        ReconnectSchedule {
             call_interval,
-            until: calls.lasts.map(|lasts| now + duration(lasts)),
-            retry: None,
-            next_call: call_interval.map(|interval| now + interval),
-            rejected_call: None,
+            give_up_at: calls.lasts.map(|lasts| now + to_duration(lasts)),
+            backoff: None,
+            next_call_at: call_interval.map(|interval| now + interval),
+            rejected_call_at: None,
         }
     }
 
     /// The watch has fallen silent: the first call is due.
-    pub fn of_silent_watch(
+    pub fn after_silence(
         now: Instant,
         call_interval: Option<Duration>,
         calls: RepeatedCalls,
-    ) -> Reopening {
-        Reopening {
-            retry: Some(FastRetry::from(now, calls)),
-            next_call: Some(now),
-            ..Reopening::beside_call(now, call_interval, calls)
+    ) -> ReconnectSchedule {
+        ReconnectSchedule {
+            backoff: Some(RetryBackoff::starting_at(now, calls)),
+            next_call_at: Some(now),
+            ..ReconnectSchedule::after_first_call(now, call_interval, calls)
         }
     }
 
     /// Whether a silent watch is to be replaced.
     pub fn replaces_silent_watch(&self) -> bool {
-        self.retry.is_some()
+        self.backoff.is_some()
     }
 
     /// When the next call is due.
-    pub fn next_call(&self) -> Option<Instant> {
-        self.next_call
+    pub fn next_call_at(&self) -> Option<Instant> {
+        self.next_call_at
     }
 
     /// When the last call was made of those that discovery turned away.
-    pub fn rejected_call(&self) -> Option<Instant> {
-        self.rejected_call
+    pub fn rejected_call_at(&self) -> Option<Instant> {
+        self.rejected_call_at
     }
 
     /// A call is made.
-    pub fn called(&mut self, now: Instant) {
-        let next = self.call_interval.map(|interval| now + interval);
-        let is_wanted = |next: &Instant| self.until.is_none_or(|until| *next < until);
-        self.next_call = next.filter(is_wanted);
+    pub fn record_call(&mut self, now: Instant) {
+        let next_call_at = self.call_interval.map(|interval| now + interval);
+        let is_wanted = |at: &Instant| self.give_up_at.is_none_or(|give_up_at| *at < give_up_at);
+        self.next_call_at = next_call_at.filter(is_wanted);
     }
 
     /// A call has failed, or a watch has ended. From now on calls are made at this interval; `None`: no more are made.
     pub fn watch_lost(&mut self, now: Instant, lost: &LostWatch, call_interval: Option<Duration>) {
-        self.rejected_call = lost.rejected_call.or(self.rejected_call);
+        self.rejected_call_at = lost.rejected_call_at.or(self.rejected_call_at);
         self.call_interval = call_interval;
         let Some(interval) = call_interval else {
-            self.next_call = None;
+            self.next_call_at = None;
             return;
         };
         // Another call has been made beside one that waited for longer.
-        let has_call_beside = lost.waited(now).is_some_and(|waited| waited >= interval);
-        let retry = match &mut self.retry {
-            Some(retry) if !has_call_beside => retry.next(now),
+        let has_parallel_call = lost
+            .failed_call_wait(now)
+            .is_some_and(|waited| waited >= interval);
+        let retry = match &mut self.backoff {
+            Some(backoff) if !has_parallel_call => backoff.next(now),
             _ => None,
         };
-        self.next_call = match (self.next_call, retry) {
+        self.next_call_at = match (self.next_call_at, retry) {
             (Some(next), Some(retry)) => Some(next.min(retry)),
             (next, retry) => next.or(retry),
         };
--- a/crates/router-runtime/src/discovery/watch.rs
+++ b/crates/router-runtime/src/discovery/watch.rs
@@ -6,7 +6,7 @@
 use crate::endpoint_list::EndpointListReader;
 use crate::environment::Environment;
 use crate::mutation::hooks;
-use crate::socket_error::connect;
+use crate::socket_error::connect_with_retry;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
 use hyper::body::{Frame, Incoming};
@@ -19,9 +19,9 @@
 use std::time::{Duration, Instant};
 
 /// A call without a connection by then has failed ...
-const CONNECT_LIMIT: Duration = Duration::from_millis(1_200);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_200);
 /// ... and one without an answer by then; discovery gives a call up after 2 s.
-const ANSWER_LIMIT: Duration = Duration::from_millis(2_500);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// Where a call goes, and by when it has to be answered.
 #[derive(Clone, Copy)]
@@ -36,14 +36,14 @@
         self.upstream.metrics().discovery_called();
         let call = Call {
             addr: self.addr.get(),
-            answer_by: self.environment.now() + ANSWER_LIMIT,
+            answer_by: self.environment.now() + ANSWER_TIMEOUT,
         };
-        let connecting = connect(&self.environment, call.addr, || true);
+        let connecting = connect_with_retry(&self.environment, call.addr, || true);
         let stream = self
             .environment
-            .timeout(CONNECT_LIMIT, connecting)
+            .timeout(CONNECT_TIMEOUT, connecting)
             .await
-            .map_err(|_| WatchError::ConnectTimeout(CONNECT_LIMIT))?
+            .map_err(|_| WatchError::ConnectTimeout(CONNECT_TIMEOUT))?
             .map_err(WatchError::Connect)?
             .ok_or(WatchError::Closed)?;
         let (sender, connection) =
@@ -67,7 +67,7 @@
         call: Call,
         progress: &WatchProgress,
     ) -> Result<Infallible, WatchError> {
-        let mut body = self.call(&mut sender, call).await?;
+        let mut body = self.send_request(&mut sender, call).await?;
         let mut lists = EndpointListReader::default();
         let mut last_data_at = self.environment.now();
         loop {
@@ -85,7 +85,7 @@
             lists.feed(&data);
             let has_list = self.apply_lists(&mut lists, progress)?;
             // Within an unfinished list, white space alone does not count as data.
-            let is_data = has_list || !lists.is_midway() || !data.trim_ascii().is_empty();
+            let is_data = has_list || !lists.has_partial_list() || !data.trim_ascii().is_empty();
             if is_data {
                 last_data_at = self.environment.now();
             }
@@ -107,14 +107,14 @@
             match self.environment.timeout_at(until, body.frame()).await {
                 Ok(frame) => frame,
                 Err(_) if progress.is_answered.get() => return Ok(None),
-                Err(_) => return Err(WatchError::AnswerTimeout(ANSWER_LIMIT)),
+                Err(_) => return Err(WatchError::AnswerTimeout(ANSWER_TIMEOUT)),
             }
         };
         Ok(Some(frame.ok_or(WatchError::Closed)??))
     }
 
     /// Sends the request, and gives the body of the answer.
-    async fn call(
+    async fn send_request(
         &self,
         sender: &mut SendRequest<Empty<Bytes>>,
         call: Call,
@@ -127,7 +127,7 @@
             .environment
             .timeout_at(call.answer_by, sender.send_request(request))
             .await
-            .map_err(|_| WatchError::AnswerTimeout(ANSWER_LIMIT))??;
+            .map_err(|_| WatchError::AnswerTimeout(ANSWER_TIMEOUT))??;
         if answer.status() != StatusCode::OK {
             return Err(WatchError::Status(answer.status()));
         }
@@ -146,7 +146,7 @@
             self.endpoints.update(list);
             self.mark_answered(progress);
         }
-        if !lists.is_midway() && !progress.is_answered.get() {
+        if !lists.has_partial_list() && !progress.is_answered.get() {
             // Nothing has changed since the version in the request: that answers the call too.
             self.dispatcher
                 .endpoints_changed(EndpointUpdate::Delta, Vec::new());
@@ -163,7 +163,7 @@
         call: Call,
     ) -> Instant {
         let deadline = match progress.is_answered.get() {
-            true => last_data_at + self.silence_limit(),
+            true => last_data_at + self.silence_timeout(),
             false => call.answer_by,
         };
         hooks::silence_deadline(deadline, self.is_push, self.environment.now())
--- a/crates/router-runtime/src/discovery/watch_set.rs
+++ b/crates/router-runtime/src/discovery/watch_set.rs
@@ -22,7 +22,7 @@
 
 impl WatchProgress {
     /// Discovery is called now.
-    pub fn called(now: Instant) -> WatchProgress {
+    pub fn new(now: Instant) -> WatchProgress {
         WatchProgress {
             called_at: now,
             is_answered: Cell::new(false),
@@ -40,32 +40,32 @@
     /// Why.
     pub error: WatchError,
     /// When the call for it was made; `None`: it was answered.
-    pub failed_call: Option<Instant>,
+    pub failed_call_at: Option<Instant>,
     /// When a call was made that discovery turned away, if one was.
-    pub rejected_call: Option<Instant>,
+    pub rejected_call_at: Option<Instant>,
 }
 
 impl LostWatch {
     fn new(error: WatchError, progress: &WatchProgress) -> LostWatch {
-        let failed_call = (!progress.is_answered.get()).then_some(progress.called_at);
+        let failed_call_at = (!progress.is_answered.get()).then_some(progress.called_at);
         let is_rejected = matches!(error, WatchError::Status(_));
         LostWatch {
             error,
-            failed_call,
-            rejected_call: failed_call.filter(|_| is_rejected),
+            failed_call_at,
+            rejected_call_at: failed_call_at.filter(|_| is_rejected),
         }
     }
 
     /// How long its call had waited, if it failed.
-    pub fn waited(&self, now: Instant) -> Option<Duration> {
+    pub fn failed_call_wait(&self, now: Instant) -> Option<Duration> {
         let waited = |call| now.saturating_duration_since(call);
-        self.failed_call.map(waited)
+        self.failed_call_at.map(waited)
     }
 
     /// How long the call had waited that discovery turned away, if one was.
-    pub fn rejected_after(&self, now: Instant) -> Option<Micros> {
+    pub fn rejection_wait(&self, now: Instant) -> Option<Micros> {
         let waited = |call| now.saturating_duration_since(call);
-        self.rejected_call
+        self.rejected_call_at
             .map(|call| Micros(waited(call).as_micros() as u64))
     }
 }
@@ -84,7 +84,7 @@
     progress: Rc<WatchProgress>,
     /// Whether it was in service when it was polled last.
     was_in_service: bool,
-    end: Pin<Box<dyn Future<Output = WatchError>>>,
+    task: Pin<Box<dyn Future<Output = WatchError>>>,
 }
 
 /// See the module. The oldest first.
@@ -98,17 +98,17 @@
     pub fn open(
         &mut self,
         progress: Rc<WatchProgress>,
-        end: impl Future<Output = WatchError> + 'static,
+        task: impl Future<Output = WatchError> + 'static,
     ) {
         self.watches.push(OpenWatch {
             progress,
             was_in_service: false,
-            end: Box::pin(end),
+            task: Box::pin(task),
         });
     }
 
     /// Whether no call waits for its answer.
-    pub fn has_no_call(&self) -> bool {
+    pub fn has_no_pending_call(&self) -> bool {
         let mut answered = self.watches.iter().map(|watch| &watch.progress.is_answered);
         answered.all(Cell::get)
     }
@@ -119,25 +119,25 @@
     }
 
     fn poll(&mut self, cx: &mut Context<'_>) -> Poll<WatchEvent> {
-        for place in 0..self.watches.len() {
-            if let Some(event) = self.poll_watch(place, cx) {
+        for index in 0..self.watches.len() {
+            if let Some(event) = self.poll_watch(index, cx) {
                 return Poll::Ready(event);
             }
         }
         Poll::Pending
     }
 
-    fn poll_watch(&mut self, place: usize, cx: &mut Context<'_>) -> Option<WatchEvent> {
-        let watch = &mut self.watches[place];
-        if let Poll::Ready(error) = watch.end.as_mut().poll(cx) {
-            let watch = self.watches.remove(place);
+    fn poll_watch(&mut self, index: usize, cx: &mut Context<'_>) -> Option<WatchEvent> {
+        let watch = &mut self.watches[index];
+        if let Poll::Ready(error) = watch.task.as_mut().poll(cx) {
+            let watch = self.watches.remove(index);
             return Some(WatchEvent::Lost(LostWatch::new(error, &watch.progress)));
         }
         let is_in_service = watch.progress.is_in_service();
         let was_in_service = std::mem::replace(&mut watch.was_in_service, is_in_service);
         match (was_in_service, is_in_service) {
             (false, true) => {
-                let in_service = self.watches.swap_remove(place);
+                let in_service = self.watches.swap_remove(index);
                 self.watches = vec![in_service];
                 Some(WatchEvent::InService)
             }
--- a/crates/router-runtime/src/dispatcher.rs
+++ b/crates/router-runtime/src/dispatcher.rs
@@ -9,7 +9,7 @@
 mod stage_requests;
 mod timers;
 
-use crate::clock::{Clock, duration};
+use crate::clock::{Clock, to_duration};
 use crate::environment::Environment;
 use crate::metrics::ResourceUsage;
 use crate::mutation::hooks;
@@ -79,7 +79,7 @@
 
     /// The instant of a point in time of that clock.
     pub fn instant(&self, at: Micros) -> Instant {
-        self.clock.instant(at)
+        self.clock.to_instant(at)
     }
 
     fn open_for_client(
@@ -98,7 +98,7 @@
         let expires = hooks::deadline(self.clock.now().plus(request.wait));
         let write = request.command.is_write();
         let is_shared = matches!(sink, ResponseSink::Stage);
-        let shared_end = is_shared.then(|| Rc::new(Cell::new(self.clock.instant(expires))));
+        let shared_end = is_shared.then(|| Rc::new(Cell::new(self.clock.to_instant(expires))));
         let open_request = OpenRequest {
             command: Rc::new(request.command),
             expires,
@@ -179,7 +179,7 @@
 
     /// How long a connection to a server may stay idle.
     pub fn idle_connection_lifetime(&self) -> Duration {
-        duration(self.state.borrow().router.idle_connection_lifetime())
+        to_duration(self.state.borrow().router.idle_connection_lifetime())
     }
 
     /// The decision library's present estimates.
@@ -271,7 +271,7 @@
             }
             Action::Fail { id } => state.requests.respond(id, Response::Failed),
             Action::SetTimer { after, token } => {
-                let at = self.environment.now() + duration(after);
+                let at = self.environment.now() + to_duration(after);
                 state.timers.set(at, token);
                 self.timer_set.notify_one();
             }
--- a/crates/router-runtime/src/dispatcher/attempts.rs
+++ b/crates/router-runtime/src/dispatcher/attempts.rs
@@ -5,7 +5,9 @@
 use crate::environment::Environment;
 use crate::mutation::hooks;
 use crate::request::Response;
-use crate::upstream::{AttemptContext, AttemptLimit, AttemptOwner, AttemptResult, BodyConsumer};
+use crate::upstream::{
+    AttemptContext, AttemptDeadlines, AttemptOwner, AttemptResult, BodyConsumer,
+};
 use load_balancer::{
     AttemptEnd, AttemptNumber, Availability, Event, Micros, Outcome, RequestId, ServerId,
 };
@@ -48,12 +50,12 @@
             state.events.push_back(not_sent(request, order.id));
             return;
         }
-        let limit = AttemptLimit {
-            write_by: order
+        let deadlines = AttemptDeadlines {
+            write_deadline: order
                 .write_within
-                .map(|within| self.clock.instant(started.plus(within))),
-            until: self.clock.instant(end),
-            extended_until: match order.timeout {
+                .map(|within| self.clock.to_instant(started.plus(within))),
+            deadline: self.clock.to_instant(end),
+            extended_deadline: match order.timeout {
                 Some(_) => None,
                 None => request.shared_end.clone(),
             },
@@ -69,14 +71,14 @@
             owner: self.clone(),
             id: order.id,
             attempt: number,
-            limit,
+            deadlines,
             is_sent: is_sent.clone(),
         };
         let attempt = || {
             let upstream = self.upstream.clone();
             upstream.attempt(order.server.clone(), command.clone(), context.clone())
         };
-        hooks::attempt_sent(&self.environment, attempt);
+        hooks::duplicate_attempt(&self.environment, attempt);
         let in_flight = InFlight {
             id: order.id,
             number,
@@ -106,7 +108,7 @@
             };
             let end = result.streaming_since.map_or_else(
                 || dispatcher.clock.now(),
-                |since| dispatcher.clock.micros(since),
+                |since| dispatcher.clock.to_micros(since),
             );
             let elapsed = end.since(in_flight.started);
             dispatcher.attempt_ended(in_flight.id, in_flight.number, result, elapsed);
@@ -172,7 +174,7 @@
         let is_wanted = state.requests.get(id).is_some_and(|request| {
             request.sink.is_some() && request.has_in_flight(attempt.0 as usize)
         });
-        hooks::is_wanted(is_wanted)
+        hooks::is_attempt_wanted(is_wanted)
     }
 
     fn begin_streaming(self: Rc<Self>, id: RequestId, attempt: AttemptNumber) -> BodyConsumer {
@@ -183,7 +185,7 @@
                 .get(id)
                 .filter(|request| request.sink.is_some())
             else {
-                return BodyConsumer::Nobody;
+                return BodyConsumer::Discard;
             };
             if request.is_shared() || !request.connection.begin_streaming() {
                 return BodyConsumer::Buffer(request.abandoned.clone());
--- a/crates/router-runtime/src/dispatcher/open_requests.rs
+++ b/crates/router-runtime/src/dispatcher/open_requests.rs
@@ -158,7 +158,7 @@
     /// Removes a request that is over.
     pub fn remove_if_over(&mut self, id: RequestId) {
         let is_over = self.requests.get(&id).is_some_and(OpenRequest::is_over);
-        if hooks::is_removed(is_over) {
+        if hooks::may_remove_request(is_over) {
             self.requests.remove(&id);
         }
     }
--- a/crates/router-runtime/src/dispatcher/stage_requests.rs
+++ b/crates/router-runtime/src/dispatcher/stage_requests.rs
@@ -52,7 +52,7 @@
             request.expires = request.expires.max(expires);
             if let Some(end) = &request.shared_end {
                 // An attempt in flight is not cut short when the client with the latest deadline leaves.
-                end.set(end.get().max(self.clock.instant(request.expires)));
+                end.set(end.get().max(self.clock.to_instant(request.expires)));
             }
         }
         self.handle(Event::Coalesced {
--- a/crates/router-runtime/src/dispatcher/timers.rs
+++ b/crates/router-runtime/src/dispatcher/timers.rs
@@ -28,7 +28,7 @@
             return None;
         }
         let Reverse((_, token)) = self.timers.pop()?;
-        if let Some(at) = hooks::fired_timer(now) {
+        if let Some(at) = hooks::rearm_fired_timer(now) {
             self.set(at, token);
         }
         Some(token)
--- a/crates/router-runtime/src/downstream/close.rs
+++ b/crates/router-runtime/src/downstream/close.rs
@@ -19,7 +19,7 @@
     /// Returns once a client that is not being read has disconnected. Guards against requests for nobody: the end of
     /// its connection stands behind commands that are not read yet.
     pub(super) async fn disconnected(&self, stream: &impl ReadStream) {
-        while !hooks::has_disconnected(stream.has_peer_closed()) {
+        while !hooks::is_disconnect_noticed(stream.has_peer_closed()) {
             self.environment.sleep(DISCONNECT_CHECK_INTERVAL).await;
         }
     }
--- a/crates/router-runtime/src/downstream/connections.rs
+++ b/crates/router-runtime/src/downstream/connections.rs
@@ -6,7 +6,7 @@
 use crate::environment::Environment;
 use crate::memory_budget::MemoryBudget;
 use crate::metrics::RouterMetrics;
-use crate::socket_error::concerns_one_connection;
+use crate::socket_error::affects_one_connection;
 use crate::stage::RequestStage;
 use load_balancer::Class;
 use load_balancer::deployment::Names;
@@ -113,7 +113,7 @@
     /// Makes room and waits, unless the error was that of one connection. The time of the requests that wait runs on: most
     /// shortages pass in a moment.
     async fn accept_failed(&self, error: &io::Error, earlier_failures: u32) {
-        if !concerns_one_connection(error) {
+        if !affects_one_connection(error) {
             self.make_room();
             let doublings = earlier_failures.min(MAX_ACCEPT_PAUSE_DOUBLINGS);
             let pause = FIRST_ACCEPT_PAUSE * (1 << doublings);
--- a/crates/router-runtime/src/downstream/read_plan.rs
+++ b/crates/router-runtime/src/downstream/read_plan.rs
@@ -2,7 +2,7 @@
 
 use super::client::{COMMAND_LIMIT, Client};
 use super::connections::ClientConnections;
-use crate::clock::duration;
+use crate::clock::to_duration;
 use crate::environment::Environment;
 use crate::memory_budget::MemoryReservation;
 use crate::mutation::hooks;
@@ -89,9 +89,9 @@
             return false;
         }
         let lifecycle = self.lifecycle();
-        if lifecycle.is_handed_over() || !lifecycle.is_drained() {
+        if lifecycle.hands_over_connections() || !lifecycle.is_drained() {
             client.is_stopped.set(false);
-            return !lifecycle.is_handed_over();
+            return !lifecycle.hands_over_connections();
         }
         let may_finish = !client.has_pending_responses() || client.has_begun_command();
         let stops = !may_finish && !lifecycle.may_read_more(self.config.requests.now());
@@ -170,7 +170,7 @@
             return Some(value_deadline.unwrap_or(began_at + HEAD_LIMIT));
         }
         if is_newcomer(policy, client) {
-            return Some(last_used_at + duration(FIRST_COMMAND_GRACE));
+            return Some(last_used_at + to_duration(FIRST_COMMAND_GRACE));
         }
         if !client.has_sent_command.get() {
             return Some(last_used_at + COMMAND_LIMIT);
@@ -195,7 +195,7 @@
         && !client.has_pending_responses()
         && input.is_empty();
     let is_done = may_close || client.is_evicted.get();
-    hooks::early_end(
+    hooks::read_end(
         is_done.then_some(ReadEnd::Done),
         is_closing,
         client.pending_responses.get(),
--- a/crates/router-runtime/src/endpoint_list.rs
+++ b/crates/router-runtime/src/endpoint_list.rs
@@ -19,14 +19,14 @@
     /// Whether it names all servers, rather than those that have changed.
     #[serde(default, rename = "whole")]
     pub(crate) is_snapshot: bool,
-    #[serde(default)]
-    pub(crate) hosts: Vec<ListedEndpoint>,
+    #[serde(default, rename = "hosts")]
+    pub(crate) entries: Vec<ListedEndpoint>,
 }
 
 impl EndpointList {
     /// How many entries it has.
     pub fn endpoint_count(&self) -> usize {
-        self.hosts.len()
+        self.entries.len()
     }
 }
 
@@ -75,7 +75,7 @@
     Malformed(#[source] serde_json::Error),
     /// The body is no object: its first byte.
     #[error("malformed list: begins with '{}'", .0.escape_ascii())]
-    NoObject(u8),
+    NotAnObject(u8),
 }
 
 /// Reads lists from an answer as it arrives.
@@ -84,14 +84,14 @@
     /// What has arrived and is not read yet.
     bytes: BytesMut,
     /// An object may have become whole since the last look.
-    may_be_whole: bool,
+    may_be_complete: bool,
 }
 
 impl EndpointListReader {
     /// More has arrived.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.bytes.extend_from_slice(bytes);
-        self.may_be_whole |= bytes.contains(&b'}');
+        self.may_be_complete |= bytes.contains(&b'}');
     }
 
     /// Takes the next list that has arrived whole, if there is one.
@@ -102,10 +102,10 @@
         self.skip_white_space();
         match self.bytes.first() {
             Some(b'{') => {}
-            Some(&byte) => return Err(ListError::NoObject(byte)),
+            Some(&byte) => return Err(ListError::NotAnObject(byte)),
             None => return Ok(None),
         }
-        if self.may_be_whole {
+        if self.may_be_complete {
             let mut objects =
                 serde_json::Deserializer::from_slice(&self.bytes).into_iter::<EndpointList>();
             match objects.next() {
@@ -115,7 +115,7 @@
                     return Ok(Some(list));
                 }
                 Some(Err(error)) if !error.is_eof() => return Err(ListError::Malformed(error)),
-                _ => self.may_be_whole = false,
+                _ => self.may_be_complete = false,
             }
         }
         if self.bytes.len() > MAX_LIST_BYTES {
@@ -126,7 +126,7 @@
 
     /// Whether a list has begun and is not whole. White space alone is then no sign of life: a discovery server that
     /// writes half a list and nothing but empty lines has fallen silent.
-    pub fn is_midway(&self) -> bool {
+    pub fn has_partial_list(&self) -> bool {
         !self.bytes.is_empty()
     }
 
--- a/crates/router-runtime/src/metrics.rs
+++ b/crates/router-runtime/src/metrics.rs
@@ -92,15 +92,15 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AttemptCounts {
     /// Connections opened to cache servers.
-    pub opened: u64,
+    pub connections_opened: u64,
     /// Connections to cache servers that could not be opened.
-    pub unopened: u64,
+    pub connections_failed: u64,
     /// Calls to discovery.
-    pub calls: u64,
+    pub discovery_calls: u64,
     /// By outcome, in the order of [`OUTCOMES`].
     pub outcomes: [u64; OUTCOMES.len()],
     /// Attempts that found the server overloaded on a new connection: it may have all the connections that it can hold.
-    pub full_new: u64,
+    pub overloaded_when_new: u64,
     /// Reads that cost an origin fetch.
     pub misses: u64,
 }
@@ -140,12 +140,12 @@
     }
 
     /// A connection to a cache server was opened, or could not be.
-    pub fn connection_opened(&self, is_open: bool) {
+    pub fn connect_ended(&self, is_open: bool) {
         let mut attempts = self.attempts.get();
         if is_open {
-            attempts.opened += 1;
+            attempts.connections_opened += 1;
         } else {
-            attempts.unopened += 1;
+            attempts.connections_failed += 1;
         }
         self.attempts.set(attempts);
     }
@@ -153,7 +153,7 @@
     /// Discovery was called.
     pub fn discovery_called(&self) {
         let mut attempts = self.attempts.get();
-        attempts.calls += 1;
+        attempts.discovery_calls += 1;
         self.attempts.set(attempts);
     }
 
@@ -169,7 +169,7 @@
             attempts.outcomes[place] += 1;
         }
         if outcome == Outcome::Overloaded && connection_use == ConnectionUse::New {
-            attempts.full_new += 1;
+            attempts.overloaded_when_new += 1;
         }
         if matches!(
             cache_status,
--- a/crates/router-runtime/src/mutation.rs
+++ b/crates/router-runtime/src/mutation.rs
@@ -72,7 +72,7 @@
     /// The mutations that randomly drawn runs catch. Scenarios catch the others, whose faults are too rare in drawn
     /// runs: [`Mutation::PausesBeforeCalls`], [`Mutation::KeepsSilentPush`], [`Mutation::DropsPendingAtShutdown`], [`Mutation::KeepsOldConnections`] and
     /// [`Mutation::OverlooksDisconnects`].
-    pub const DRAWN: [Mutation; 24] = [
+    pub const CAUGHT_BY_DRAWN_RUNS: [Mutation; 24] = [
         Mutation::AnswersTwice,
         Mutation::DropsPipelined,
         Mutation::DeadlinesLate,
@@ -100,7 +100,7 @@
     ];
 
     /// Whether the defect shows only where reads are coalesced.
-    pub fn is_of_coalescing(self) -> bool {
+    pub fn requires_coalescing(self) -> bool {
         use Mutation::{CoalescesAcrossWrites, CoalescesWrites, HoldsWaiters, Stampedes};
         matches!(
             self,
--- a/crates/router-runtime/src/mutation/hooks.rs
+++ b/crates/router-runtime/src/mutation/hooks.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 /// Past the end of any simulated run.
-const BEYOND_RUN: Duration = Duration::from_secs(3_600);
+const AFTER_RUN_END: Duration = Duration::from_secs(3_600);
 
 /// The settings that the decision library gets.
 pub(crate) fn settings(mut settings: Settings) -> Settings {
@@ -67,7 +67,7 @@
 }
 
 /// The time that an attempt tells its server, in milliseconds.
-pub(crate) fn told_time(wait_ms: u64) -> u64 {
+pub(crate) fn remaining_time(wait_ms: u64) -> u64 {
     if is_active(Mutation::TellsTooMuchTime) {
         wait_ms + 200
     } else {
@@ -76,22 +76,22 @@
 }
 
 /// When to set a timer again that has fired: never.
-pub(crate) fn fired_timer(now: Instant) -> Option<Instant> {
-    is_active(Mutation::LeaksTimers).then(|| now + BEYOND_RUN)
+pub(crate) fn rearm_fired_timer(now: Instant) -> Option<Instant> {
+    is_active(Mutation::LeaksTimers).then(|| now + AFTER_RUN_END)
 }
 
 /// Whether a request that has ended is removed from memory.
-pub(crate) fn is_removed(is_over: bool) -> bool {
+pub(crate) fn may_remove_request(is_over: bool) -> bool {
     is_over && !is_active(Mutation::LeaksRequests)
 }
 
 /// Whether an attempt that has not begun is still wanted.
-pub(crate) fn is_wanted(is_wanted: bool) -> bool {
+pub(crate) fn is_attempt_wanted(is_wanted: bool) -> bool {
     is_wanted || is_active(Mutation::SendsAfterAnswer) || is_active(Mutation::SendsAfterDisconnect)
 }
 
 /// An attempt goes out, once.
-pub(crate) fn attempt_sent<E, A, F>(environment: &E, attempt: A)
+pub(crate) fn duplicate_attempt<E, A, F>(environment: &E, attempt: A)
 where
     E: Environment,
     A: FnOnce() -> F,
@@ -108,7 +108,7 @@
 }
 
 /// When discovery is called.
-pub(crate) fn call_at(at: Instant) -> Instant {
+pub(crate) fn discovery_call_at(at: Instant) -> Instant {
     if is_active(Mutation::PausesBeforeCalls) {
         at + Duration::from_millis(500)
     } else {
@@ -119,23 +119,23 @@
 /// By when a watch has to say something.
 pub(crate) fn silence_deadline(deadline: Instant, is_push: bool, now: Instant) -> Instant {
     if is_active(Mutation::KeepsSilentPush) && is_push {
-        now + BEYOND_RUN
+        now + AFTER_RUN_END
     } else {
         deadline
     }
 }
 
-/// The hosts of a list, as they are applied now. `apply_later` gets those that are held back.
-pub(crate) fn hosts<E: Environment>(
+/// The entries of a list, as they are applied now. `apply_later` gets those that are held back.
+pub(crate) fn listed_endpoints<E: Environment>(
     environment: &E,
     update: EndpointUpdate,
-    mut hosts: Vec<ListedEndpoint>,
+    mut entries: Vec<ListedEndpoint>,
     apply_later: impl FnOnce(Vec<ListedEndpoint>) + 'static,
 ) -> Vec<ListedEndpoint> {
     if is_active(Mutation::DrainsLate) && update != EndpointUpdate::Restored {
-        let (up, late): (Vec<ListedEndpoint>, Vec<ListedEndpoint>) = hosts
+        let (up, late): (Vec<ListedEndpoint>, Vec<ListedEndpoint>) = entries
             .into_iter()
-            .partition(|host| host.health == Health::Up);
+            .partition(|entry| entry.health == Health::Up);
         if !late.is_empty() {
             let clock = environment.clone();
             environment.spawn(async move {
@@ -146,21 +146,21 @@
         return up;
     }
     if is_active(Mutation::KeepsRemoved) {
-        hosts.retain(|host| host.health != Health::Removed);
+        entries.retain(|entry| entry.health != Health::Removed);
     }
-    for host in &mut hosts {
+    for entry in &mut entries {
         if is_active(Mutation::SkipsSlowStart) {
-            host.started_ms = 0;
+            entry.started_ms = 0;
         }
         if is_active(Mutation::MissesRestart) {
-            host.started_ms = host.started_ms.min(1);
+            entry.started_ms = entry.started_ms.min(1);
         }
     }
-    hosts
+    entries
 }
 
 /// Servers that a list names.
-pub(crate) fn endpoints_listed(endpoints: &[Endpoint], mut enable: impl FnMut(&ServerId)) {
+pub(crate) fn lift_overrides(endpoints: &[Endpoint], mut enable: impl FnMut(&ServerId)) {
     if !is_active(Mutation::ListLiftsOverrides) {
         return;
     }
@@ -241,7 +241,7 @@
 }
 
 /// A write separates the reads before it from those after it.
-pub(crate) fn separate_reads(separate: impl FnOnce()) {
+pub(crate) fn end_coalescing(separate: impl FnOnce()) {
     if !is_active(Mutation::CoalescesAcrossWrites) {
         separate();
     }
@@ -298,7 +298,7 @@
 }
 
 /// How reading a connection ends before the client has sent more.
-pub(crate) fn early_end<T>(end: Option<T>, is_closing: bool, pending: usize, drop: T) -> Option<T> {
+pub(crate) fn read_end<T>(end: Option<T>, is_closing: bool, pending: usize, drop: T) -> Option<T> {
     if is_active(Mutation::DropsPipelined) && is_closing && pending > 1 {
         Some(drop)
     } else {
@@ -307,7 +307,7 @@
 }
 
 /// Whether a client that is not being read has disconnected.
-pub(crate) fn has_disconnected(has_disconnected: bool) -> bool {
+pub(crate) fn is_disconnect_noticed(has_disconnected: bool) -> bool {
     has_disconnected && !is_active(Mutation::OverlooksDisconnects)
 }
 
--- a/crates/router-runtime/src/runtime.rs
+++ b/crates/router-runtime/src/runtime.rs
@@ -212,9 +212,9 @@
     /// Leaves half of the slots for connections to cache servers to another process of this router, or takes them back.
     pub fn share_connection_slots(&self, shared: bool) {
         if shared {
-            self.upstream.cede_half();
+            self.upstream.cede_half_of_slots();
         } else {
-            self.upstream.take_back();
+            self.upstream.reclaim_slots();
         }
     }
 
@@ -236,8 +236,8 @@
     }
 
     /// Leaves the watch for one at this address.
-    pub fn move_watch_to(&self, discovery: SocketAddr) {
-        self.discovery.move_to(discovery);
+    pub fn set_discovery_addr(&self, discovery: SocketAddr) {
+        self.discovery.set_addr(discovery);
     }
 
     /// What the router holds now.
--- a/crates/router-runtime/src/runtime/config.rs
+++ b/crates/router-runtime/src/runtime/config.rs
@@ -1,6 +1,6 @@
 //! What a router is started with, and what follows from it.
 
-use crate::clock::duration;
+use crate::clock::to_duration;
 use crate::discovery::DiscoveryConfig;
 use crate::endpoint_list::EndpointList;
 use crate::mutation::hooks;
@@ -83,11 +83,11 @@
         let routers = settings.routers;
         settings.router_place = deployment
             .router_number
-            .map(|number| place(number, routers));
-        let chance = config.seed as f64 / u64::MAX as f64;
+            .map(|number| relative_position(number, routers));
+        let random_position = config.seed as f64 / u64::MAX as f64;
         let upstream_limits = UpstreamLimits {
-            connect_timeout: duration(deployment.dial_timeout.min(MAX_TIMEOUT)),
-            server_idle_timeout: duration(settings.connection_idle.min(MAX_TIMEOUT)),
+            connect_timeout: to_duration(deployment.dial_timeout.min(MAX_TIMEOUT)),
+            server_idle_timeout: to_duration(settings.connection_idle.min(MAX_TIMEOUT)),
             max_connections: connection_limit(config.descriptor_limit)?,
         };
         let names = Rc::new(deployment.names);
@@ -98,12 +98,12 @@
             silent_watch: SilentWatchPolicy::new(
                 settings.discovery,
                 settings.routers,
-                settings.router_place.unwrap_or(chance),
+                settings.router_place.unwrap_or(random_position),
             ),
         };
         let classes = settings.classes.clone();
         let deadlines = classes.iter().map(|class| class.deadline);
-        let longest_deadline = duration(deadlines.max().unwrap_or_default());
+        let longest_deadline = to_duration(deadlines.max().unwrap_or_default());
         let may_cancel = settings.limits.cancel;
         let router = Router::new(settings, config.seed)?;
         Ok(RouterSetup {
@@ -123,7 +123,7 @@
 }
 
 /// The place among the others, from 0 to 1, of the router of this number.
-fn place(number: u32, routers: u32) -> f64 {
+fn relative_position(number: u32, routers: u32) -> f64 {
     f64::from(number % routers.max(1)) / f64::from(routers.max(1))
 }
 
--- a/crates/router-runtime/src/runtime/shutdown.rs
+++ b/crates/router-runtime/src/runtime/shutdown.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 /// The front hears of SIGTERM late: clients connect for up to 0.4 s after it, and what they send takes some time more.
-const ACCEPT_AFTER_STOP: Duration = Duration::from_millis(550);
+const ACCEPT_AFTER_SIGTERM: Duration = Duration::from_millis(550);
 /// SIGKILL comes no sooner than the longest deadline and this much after SIGTERM ...
 const KILL_MARGIN: Duration = Duration::from_millis(700);
 /// ... where a longer deadline than this counts as this.
@@ -51,9 +51,9 @@
             () = self.accept(&listener) => {}
         }
         let schedule = self.shutdown_schedule(self.environment.now());
-        self.accept_last(listener).await;
+        self.accept_late_clients(listener).await;
         self.apply_lifecycle_event(LifecycleEvent::Terminate);
-        let report = self.finish(schedule).await;
+        let report = self.finish_connections(schedule).await;
         // No connection is handed over any more.
         self.clients.hand_over_to(None);
         report
@@ -68,14 +68,14 @@
         environment.spawn(self.coalescing.clone().run());
         let dispatcher = self.dispatcher.clone();
         let lifetime = move || dispatcher.idle_connection_lifetime();
-        environment.spawn(self.upstream.clone().retire_idle(lifetime));
+        environment.spawn(self.upstream.clone().close_expired_idle(lifetime));
         environment.spawn(self.clients.clone().close_idle());
     }
 
     /// Accepts clients whenever the state of this process says so.
     async fn accept(&self, listener: &E::Listener) {
         loop {
-            if self.lifecycle.get().accepts() {
+            if self.lifecycle.get().accepts_connections() {
                 tokio::select! {
                     biased;
                     () = self.lifecycle_changed.notified() => {}
@@ -99,19 +99,22 @@
 
     /// Accepts the clients that connect after the stop, and closes the listener: load balancers in front of the router
     /// notice the stop late.
-    async fn accept_last(&self, listener: E::Listener) {
-        if self.lifecycle.get().is_handed_over() {
+    async fn accept_late_clients(&self, listener: E::Listener) {
+        if self.lifecycle.get().hands_over_connections() {
             return;
         }
         let accepting = self.accept(&listener);
-        let _ = self.environment.timeout(ACCEPT_AFTER_STOP, accepting).await;
-        if !self.lifecycle.get().is_handed_over() {
+        let _ = self
+            .environment
+            .timeout(ACCEPT_AFTER_SIGTERM, accepting)
+            .await;
+        if !self.lifecycle.get().hands_over_connections() {
             self.clients.accept_queued(&listener).await;
         }
     }
 
     /// Waits until all connections have ended. When the time is over, pending requests are answered as failed.
-    async fn finish(&self, schedule: ShutdownSchedule) -> ShutdownReport {
+    async fn finish_connections(&self, schedule: ShutdownSchedule) -> ShutdownReport {
         let mut report = ShutdownReport {
             failed: 0,
             unanswered: 0,
--- a/crates/router-runtime/src/upstream.rs
+++ b/crates/router-runtime/src/upstream.rs
@@ -7,5 +7,5 @@
 mod pool;
 mod response;
 
-pub use attempt::{AttemptContext, AttemptLimit, AttemptOwner, AttemptResult, BodyConsumer};
+pub use attempt::{AttemptContext, AttemptDeadlines, AttemptOwner, AttemptResult, BodyConsumer};
 pub use pool::{UpstreamLimits, UpstreamPools};
--- a/crates/router-runtime/src/upstream/attempt.rs
+++ b/crates/router-runtime/src/upstream/attempt.rs
@@ -20,26 +20,27 @@
 
 /// How long an attempt may take.
 #[derive(Clone, Debug)]
-pub struct AttemptLimit {
+pub struct AttemptDeadlines {
     /// Its last byte is written by then, or none of it counts.
-    pub write_by: Option<Instant>,
+    pub write_deadline: Option<Instant>,
     /// It has ended by then ...
-    pub until: Instant,
+    pub deadline: Instant,
     /// ... or by then, if that is later: it may move while the attempt is in flight.
-    pub extended_until: Option<Rc<Cell<Instant>>>,
+    pub extended_deadline: Option<Rc<Cell<Instant>>>,
 }
 
-impl AttemptLimit {
+impl AttemptDeadlines {
     /// By when the attempt ends, as it stands now.
-    pub fn until(&self) -> Instant {
-        self.extended_until
+    pub fn deadline(&self) -> Instant {
+        self.extended_deadline
             .as_ref()
-            .map_or(self.until, |extended| extended.get().max(self.until))
+            .map_or(self.deadline, |extended| extended.get().max(self.deadline))
     }
 
-    fn write_by(&self) -> Instant {
-        let until = self.until();
-        self.write_by.map_or(until, |write_by| write_by.min(until))
+    fn write_deadline(&self) -> Instant {
+        let deadline = self.deadline();
+        self.write_deadline
+            .map_or(deadline, |write_deadline| write_deadline.min(deadline))
     }
 }
 
@@ -82,7 +83,7 @@
     /// Several clients, or one that waits for more than this value; once it is whole. Told when nobody waits any more.
     Buffer(Rc<Notify>),
     /// Nobody waits for it.
-    Nobody,
+    Discard,
 }
 
 /// Whom an attempt is made for, and who knows whether it is still wanted.
@@ -97,8 +98,13 @@
     fn begin_streaming(self: Rc<Self>, id: RequestId, attempt: AttemptNumber) -> BodyConsumer;
 
     /// The client takes a streamed value so slowly that the server has done its work: the attempt counts as ended. The
-    /// value had begun to arrive after `took`.
-    fn client_stalled(self: Rc<Self>, id: RequestId, attempt: AttemptNumber, took: Duration);
+    /// value had begun to arrive after `time_to_first_byte`.
+    fn client_stalled(
+        self: Rc<Self>,
+        id: RequestId,
+        attempt: AttemptNumber,
+        time_to_first_byte: Duration,
+    );
 }
 
 /// Whose an attempt is, and how long it may take.
@@ -111,7 +117,7 @@
     /// Its number among the attempts of the request.
     pub attempt: AttemptNumber,
     /// How long it may take.
-    pub limit: AttemptLimit,
+    pub deadlines: AttemptDeadlines,
     /// Its last byte has been written: from then on it may run.
     pub is_sent: Rc<Cell<bool>>,
 }
@@ -127,11 +133,11 @@
         self.owner.clone().begin_streaming(self.id, self.attempt)
     }
 
-    /// The client stalls a streamed value that had begun to arrive after `took`.
-    pub fn client_stalled(&self, took: Duration) {
+    /// The client stalls a streamed value that had begun to arrive after `time_to_first_byte`.
+    pub fn client_stalled(&self, time_to_first_byte: Duration) {
         self.owner
             .clone()
-            .client_stalled(self.id, self.attempt, took);
+            .client_stalled(self.id, self.attempt, time_to_first_byte);
     }
 }
 
@@ -145,7 +151,7 @@
     ) -> AttemptResult {
         let (connection, connection_use) = match self.take_idle(&server) {
             Some(idle) => {
-                let idle_time = Micros(self.age(idle.since).as_micros() as u64);
+                let idle_time = Micros(self.elapsed_since(idle.idle_since).as_micros() as u64);
                 (idle.connection, ConnectionUse::Reused(idle_time))
             }
             None => match self.connect(&server, &context).await {
@@ -160,7 +166,7 @@
                 }
             },
         };
-        if !self.may_begin(&server, &connection, &context) {
+        if !self.may_send(&server, &connection, &context) {
             self.put_back(&server, connection);
             return Outcome::NotSent.into();
         }
@@ -172,7 +178,7 @@
 
     /// Whether the attempt's first byte may be written, after the wait for its connection: the request still wants it,
     /// the server still accepts requests where this connection leads, and there is time left.
-    fn may_begin(
+    fn may_send(
         &self,
         server: &ServerId,
         connection: &Connection<E>,
@@ -181,7 +187,7 @@
         self.is_current(server, connection)
             && context.owner.is_accepting(server)
             && context.is_wanted()
-            && self.environment.now() <= context.limit.write_by()
+            && self.environment.now() <= context.deadlines.write_deadline()
     }
 
     /// One command and its response on a connection.
@@ -210,12 +216,12 @@
         context: &AttemptContext,
     ) -> Result<(), Outcome> {
         let wait_ms = context
-            .limit
-            .until()
+            .deadlines
+            .deadline()
             .saturating_duration_since(self.environment.now())
             .as_millis()
             .max(1);
-        let encoded = command.encode(hooks::told_time(wait_ms as u64));
+        let encoded = command.encode(hooks::remaining_time(wait_ms as u64));
         self.write(connection, &encoded.head, context).await?;
         if encoded.long_value.is_empty() {
             return Ok(());
@@ -242,8 +248,8 @@
                     .map(Some),
                 false => Poll::Ready(None),
             });
-            let write_by = context.limit.write_by();
-            match self.environment.timeout_at(write_by, write).await {
+            let write_deadline = context.deadlines.write_deadline();
+            match self.environment.timeout_at(write_deadline, write).await {
                 Ok(Some(Ok(count))) if count > 0 => written += count,
                 Ok(None) => return Err(Outcome::NotSent),
                 _ => return Err(Outcome::Unreachable),
--- a/crates/router-runtime/src/upstream/connection.rs
+++ b/crates/router-runtime/src/upstream/connection.rs
@@ -3,7 +3,7 @@
 use super::attempt::AttemptContext;
 use super::pool::UpstreamPools;
 use crate::environment::{Environment, Stream};
-use crate::socket_error::{connect, is_local};
+use crate::socket_error::{connect_with_retry, is_local_failure};
 use bytes::BytesMut;
 use load_balancer::{Outcome, ServerId};
 use std::io;
@@ -75,7 +75,7 @@
         let dial = self.dial(process, context);
         tokio::pin!(dial);
         loop {
-            let end = context.limit.until();
+            let end = context.deadlines.deadline();
             tokio::select! {
                 biased;
                 connection = &mut dial => {
@@ -83,8 +83,8 @@
                     let Some(connection) = connection.transpose() else {
                         return Err(Outcome::NotSent);
                     };
-                    self.metrics().connection_opened(connection.is_ok());
-                    return connection.map_err(|error| match is_local(&error) {
+                    self.metrics().connect_ended(connection.is_ok());
+                    return connection.map_err(|error| match is_local_failure(&error) {
                         true => Outcome::NotSent,
                         false => Outcome::Unreachable,
                     });
@@ -92,10 +92,10 @@
                 () = self.environment.sleep_until(connect_by.min(end)) => {}
             }
             if connect_by <= end {
-                self.metrics().connection_opened(false);
+                self.metrics().connect_ended(false);
                 return Err(Outcome::Unreachable);
             }
-            let is_extended = context.limit.until() != end;
+            let is_extended = context.deadlines.deadline() != end;
             if !is_extended {
                 return Err(Outcome::TimedOut);
             }
@@ -108,12 +108,12 @@
         process: ServerProcess,
         context: &AttemptContext,
     ) -> io::Result<Option<Connection<E>>> {
-        let slot = self.connection_slot().await?;
+        let slot = self.acquire_slot().await?;
         if !context.is_wanted() {
             return Ok(None);
         }
         let started = self.environment.now();
-        let connected = connect(&self.environment, process.addr, || context.is_wanted());
+        let connected = connect_with_retry(&self.environment, process.addr, || context.is_wanted());
         let Some(stream) = connected.await? else {
             return Ok(None);
         };
@@ -122,7 +122,7 @@
             stream,
             received: BytesMut::new(),
             process,
-            round_trip: self.age(started),
+            round_trip: self.elapsed_since(started),
             is_used: false,
             _slot: slot,
         }))
--- a/crates/router-runtime/src/upstream/pool.rs
+++ b/crates/router-runtime/src/upstream/pool.rs
@@ -21,9 +21,9 @@
 const IDLE_LIFETIME_RATIO: f64 = 0.8;
 /// A connection rests this long and one round trip before its next command: what a server writes behind its response
 /// arrives by then, and is not taken for the next response, which names no request.
-const QUIET_TIME: Duration = Duration::from_millis(7);
+const SETTLE_TIME: Duration = Duration::from_millis(7);
 /// How often idle connections are looked through.
-const RETIRE_INTERVAL: Duration = Duration::from_millis(500);
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// What the settings and the descriptors allow.
 #[derive(Clone, Copy, Debug)]
@@ -40,15 +40,15 @@
 struct Pool<E: Environment> {
     process: ServerProcess,
     /// The most recently used last.
-    idle: Vec<IdleUpstream<E>>,
+    idle: Vec<IdleUpstreamConnection<E>>,
 }
 
 /// An idle connection.
-pub(super) struct IdleUpstream<E: Environment> {
+pub(super) struct IdleUpstreamConnection<E: Environment> {
     /// The connection.
     pub connection: Connection<E>,
     /// When it was last used, or opened.
-    pub since: Instant,
+    pub idle_since: Instant,
 }
 
 impl<E: Environment> Pool<E> {
@@ -148,7 +148,7 @@
     }
 
     /// Forgets the servers that a whole list leaves out.
-    pub fn keep_only(&self, is_listed: impl Fn(&ServerId) -> bool) {
+    pub fn retain_servers(&self, is_listed: impl Fn(&ServerId) -> bool) {
         self.pools
             .borrow_mut()
             .retain(|server, _| is_listed(server));
@@ -163,7 +163,7 @@
 
     /// Leaves half of the slots to another process of this router, and closes idle connections for that. Slots in use
     /// are ceded as they become free.
-    pub fn cede_half(&self) {
+    pub fn cede_half_of_slots(&self) {
         let half = self.limits.max_connections / 2;
         while self.ceded_slots.get() < half {
             let ceded = self.slots.forget_permits(half - self.ceded_slots.get());
@@ -175,45 +175,48 @@
     }
 
     /// Takes all slots back.
-    pub fn take_back(&self) {
+    pub fn reclaim_slots(&self) {
         self.slots.add_permits(self.ceded_slots.take());
     }
 
     /// Closes connections that have been idle for long, that the server has written to or closed, or that are older
     /// than `lifetime` says. Runs as long as the process.
-    pub async fn retire_idle(self: Rc<Self>, lifetime: impl Fn() -> Duration) {
+    pub async fn close_expired_idle(self: Rc<Self>, lifetime: impl Fn() -> Duration) {
         loop {
-            self.environment.sleep(RETIRE_INTERVAL).await;
+            self.environment.sleep(IDLE_CHECK_INTERVAL).await;
             let lifetime = lifetime();
             for pool in self.pools.borrow_mut().values_mut() {
-                pool.idle
-                    .retain(|idle| self.age(idle.since) < lifetime && self.is_usable(idle));
+                pool.idle.retain(|idle| {
+                    self.elapsed_since(idle.idle_since) < lifetime && self.is_usable(idle)
+                });
             }
         }
     }
 
     /// How long ago an instant was.
-    pub(super) fn age(&self, since: Instant) -> Duration {
+    pub(super) fn elapsed_since(&self, since: Instant) -> Duration {
         self.environment.now().saturating_duration_since(since)
     }
 
     /// Whether a connection is young enough and has nothing unread, neither a byte nor an end.
-    fn is_usable(&self, idle: &IdleUpstream<E>) -> bool {
+    fn is_usable(&self, idle: &IdleUpstreamConnection<E>) -> bool {
         let lifetime = self.limits.server_idle_timeout.mul_f64(IDLE_LIFETIME_RATIO);
-        self.age(idle.since) < lifetime && idle.connection.stream.has_no_pending_input()
+        self.elapsed_since(idle.idle_since) < lifetime
+            && idle.connection.stream.has_no_pending_input()
     }
 
     /// Whether a response's tail would have arrived.
-    fn is_quiet(&self, idle: &IdleUpstream<E>) -> bool {
+    fn is_settled(&self, idle: &IdleUpstreamConnection<E>) -> bool {
         let connection = &idle.connection;
-        !connection.is_used || self.age(idle.since) >= QUIET_TIME + connection.round_trip
+        !connection.is_used
+            || self.elapsed_since(idle.idle_since) >= SETTLE_TIME + connection.round_trip
     }
 
     /// Takes the idle connection to a server that was used last and is quiet. The others grow old and are closed.
-    pub(super) fn take_idle(&self, server: &ServerId) -> Option<IdleUpstream<E>> {
+    pub(super) fn take_idle(&self, server: &ServerId) -> Option<IdleUpstreamConnection<E>> {
         let mut pools = self.pools.borrow_mut();
         let idle = &mut pools.get_mut(server)?.idle;
-        while let Some(position) = idle.iter().rposition(|idle| self.is_quiet(idle)) {
+        while let Some(position) = idle.iter().rposition(|idle| self.is_settled(idle)) {
             let candidate = idle.remove(position);
             if self.is_usable(&candidate) {
                 return Some(candidate);
@@ -230,9 +233,9 @@
             .get_mut(server)
             .filter(|pool| pool.is_current(&connection));
         if let Some(pool) = pool {
-            pool.idle.push(IdleUpstream {
+            pool.idle.push(IdleUpstreamConnection {
                 connection,
-                since: self.environment.now(),
+                idle_since: self.environment.now(),
             });
         }
     }
@@ -251,7 +254,7 @@
     }
 
     /// Waits for a slot for a connection. Where none is free, the oldest idle connection is closed for it.
-    pub(super) async fn connection_slot(&self) -> io::Result<OwnedSemaphorePermit> {
+    pub(super) async fn acquire_slot(&self) -> io::Result<OwnedSemaphorePermit> {
         if let Ok(slot) = self.slots.clone().try_acquire_owned() {
             return Ok(slot);
         }
@@ -266,7 +269,7 @@
         let oldest = pools
             .values_mut()
             .filter(|pool| !pool.idle.is_empty())
-            .min_by_key(|pool| pool.idle[0].since);
+            .min_by_key(|pool| pool.idle[0].idle_since);
         oldest.map(|pool| pool.idle.remove(0)).is_some()
     }
 }
--- a/crates/router-runtime/src/upstream/response.rs
+++ b/crates/router-runtime/src/upstream/response.rs
@@ -21,24 +21,24 @@
 use tokio::sync::mpsc;
 
 /// A value is served without its load report if that does not follow within this time.
-const REPORT_LIMIT: Duration = Duration::from_millis(20);
+const LOAD_REPORT_TIMEOUT: Duration = Duration::from_millis(20);
 /// How much of a long value is read at a time.
-const PIECE_BYTES: usize = 16 * 1024;
+const STREAM_READ_BYTES: usize = 16 * 1024;
 /// A client that takes nothing of a streamed value for this long stalls it: the server has done its work by then.
-const CLIENT_STALL_LIMIT: Duration = Duration::from_millis(50);
+const CLIENT_STALL_TIMEOUT: Duration = Duration::from_millis(50);
 /// A server that sends nothing of a streamed value for this long has broken it off; slow ones pause for seconds.
-const SERVER_STALL_LIMIT: Duration = Duration::from_secs(10);
+const SERVER_STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// How a wait for more of a response ended.
-enum ReadEnd {
+enum ReadResult {
     /// Bytes arrived.
     Received,
     /// The attempt's limit was extended meanwhile.
-    Extended,
+    DeadlineExtended,
     /// The attempt's limit passed.
     TimedOut,
     /// The connection ended, or the server paused for too long within a response.
-    Lost,
+    ConnectionLost,
 }
 
 /// A long value on its way to its client.
@@ -50,7 +50,7 @@
 }
 
 /// The client of a streamed value has disconnected.
-struct ClientGone;
+struct ClientDisconnected;
 
 impl<E: Environment> UpstreamPools<E> {
     /// Reads the response to the command in flight.
@@ -76,9 +76,9 @@
                             .stream_response(server, connection, value, context)
                             .await;
                     }
-                    BodyConsumer::Nobody => return Outcome::Cancelled.into(),
+                    BodyConsumer::Discard => return Outcome::Cancelled.into(),
                     BodyConsumer::Buffer(abandoned) => {
-                        let held = self.hold_response(server, connection, long, context);
+                        let held = self.buffer_response(server, connection, long, context);
                         return tokio::select! {
                             biased;
                             result = held => result,
@@ -92,17 +92,19 @@
                 Ok(None) => {}
                 Err(_) => return connection_lost(true),
             }
-            let pause = response_started.then(|| self.pause_limit(&reader));
+            let pause = response_started.then(|| self.pause_timeout(&reader));
             let read = connection.read(READ_SIZE);
             match self.read_more(read, context, pause).await {
-                ReadEnd::Received => response_started = true,
-                ReadEnd::Extended => {}
+                ReadResult::Received => response_started = true,
+                ReadResult::DeadlineExtended => {}
                 _ if reader.has_value() => {
                     let reply = reader.served_without_report(&connection.received);
                     return self.result(reply);
                 }
-                ReadEnd::TimedOut => return self.timed_out(server, connection, response_started),
-                ReadEnd::Lost => {
+                ReadResult::TimedOut => {
+                    return self.timed_out(server, connection, response_started);
+                }
+                ReadResult::ConnectionLost => {
                     self.broken.close(connection);
                     return connection_lost(response_started);
                 }
@@ -139,9 +141,9 @@
 
     /// How long a server may pause within a response: cache servers write one in a few pieces, one soon after the
     /// other.
-    fn pause_limit(&self, reader: &ReplyReader) -> Duration {
+    fn pause_timeout(&self, reader: &ReplyReader) -> Duration {
         if reader.has_value() {
-            REPORT_LIMIT
+            LOAD_REPORT_TIMEOUT
         } else {
             self.limits.connect_timeout
         }
@@ -153,19 +155,21 @@
         read: impl Future<Output = io::Result<usize>>,
         context: &AttemptContext,
         pause: Option<Duration>,
-    ) -> ReadEnd {
-        let end = context.limit.until();
+    ) -> ReadResult {
+        let end = context.deadlines.deadline();
         let read_by = pause.map_or(end, |pause| end.min(self.environment.now() + pause));
         match self.environment.timeout_at(read_by, read).await {
-            Ok(Ok(count)) if count > 0 => ReadEnd::Received,
-            Err(_) if read_by == end && context.limit.until() > end => ReadEnd::Extended,
-            Err(_) if read_by == end => ReadEnd::TimedOut,
-            _ => ReadEnd::Lost,
+            Ok(Ok(count)) if count > 0 => ReadResult::Received,
+            Err(_) if read_by == end && context.deadlines.deadline() > end => {
+                ReadResult::DeadlineExtended
+            }
+            Err(_) if read_by == end => ReadResult::TimedOut,
+            _ => ReadResult::ConnectionLost,
         }
     }
 
     /// Holds a long value until it is whole: others wait for it as well, or for more on its client's connection.
-    async fn hold_response(
+    async fn buffer_response(
         &self,
         server: &ServerId,
         mut connection: Connection<E>,
@@ -186,13 +190,13 @@
                 Err(_) => return connection_lost(true),
             }
             // Within the value the server may pause, as it may where that is streamed.
-            let pause = reader.has_value().then_some(REPORT_LIMIT);
-            let read = self.read_held(&mut connection, &reader, &mut memory);
+            let pause = reader.has_value().then_some(LOAD_REPORT_TIMEOUT);
+            let read = self.read_buffered(&mut connection, &reader, &mut memory);
             match self.read_more(read, context, pause).await {
-                ReadEnd::Received | ReadEnd::Extended => {}
+                ReadResult::Received | ReadResult::DeadlineExtended => {}
                 _ if reader.has_value() => break reader.without_report(&connection.received),
-                ReadEnd::TimedOut => return self.timed_out(server, connection, true),
-                ReadEnd::Lost => {
+                ReadResult::TimedOut => return self.timed_out(server, connection, true),
+                ReadResult::ConnectionLost => {
                     self.broken.close(connection);
                     return connection_lost(true);
                 }
@@ -212,7 +216,7 @@
     }
 
     /// Reads more of a long value that is held, once there is memory for it.
-    async fn read_held(
+    async fn read_buffered(
         &self,
         connection: &mut Connection<E>,
         reader: &LongValueReader,
@@ -236,8 +240,8 @@
         context: &AttemptContext,
     ) -> AttemptResult {
         let streaming_since = self.environment.now();
-        let took = streaming_since.saturating_duration_since(value.sent_at);
-        let on_stall = || context.client_stalled(took);
+        let time_to_first_byte = streaming_since.saturating_duration_since(value.sent_at);
+        let on_stall = || context.client_stalled(time_to_first_byte);
         let result = self.stream_value(server, connection, value, on_stall).await;
         AttemptResult {
             streaming_since: Some(streaming_since),
@@ -263,7 +267,7 @@
                 ValuePart::Last(reply) => break reply,
                 ValuePart::Bytes(piece) => {
                     let sent = self.send_piece(&pieces, piece, &mut on_stall).await;
-                    if let Err(ClientGone) = sent {
+                    if let Err(ClientDisconnected) = sent {
                         return Outcome::Cancelled.into();
                     }
                 }
@@ -302,12 +306,12 @@
         pieces: &mpsc::Sender<BodyPiece>,
         piece: Bytes,
         on_stall: &mut Option<impl FnOnce()>,
-    ) -> Result<(), ClientGone> {
+    ) -> Result<(), ClientDisconnected> {
         let reserving = pieces.reserve();
         tokio::pin!(reserving);
         let reserved = self
             .environment
-            .timeout(CLIENT_STALL_LIMIT, &mut reserving)
+            .timeout(CLIENT_STALL_TIMEOUT, &mut reserving)
             .await;
         let reserved = match reserved {
             Ok(reserved) => reserved,
@@ -319,7 +323,7 @@
             }
         };
         reserved
-            .map_err(|_| ClientGone)?
+            .map_err(|_| ClientDisconnected)?
             .send(BodyPiece::More(piece));
         Ok(())
     }
@@ -349,11 +353,11 @@
     /// Waits for more of a streamed value; false if none arrives.
     async fn read_piece(&self, connection: &mut Connection<E>, reader: &LongValueReader) -> bool {
         let pause = if reader.has_value() {
-            REPORT_LIMIT
+            LOAD_REPORT_TIMEOUT
         } else {
-            SERVER_STALL_LIMIT
+            SERVER_STALL_TIMEOUT
         };
-        let read = connection.read(PIECE_BYTES);
+        let read = connection.read(STREAM_READ_BYTES);
         let read = self.environment.timeout(pause, read).await;
         matches!(read, Ok(Ok(1..)))
     }
--- a/crates/router-runtime/tests/endpoint_list.rs
+++ b/crates/router-runtime/tests/endpoint_list.rs
@@ -43,7 +43,7 @@
             break;
         }
     }
-    assert!(!reader.is_midway());
+    assert!(!reader.has_partial_list());
     Ok(taken)
 }
 
--- a/crates/router-simulation/src/campaign/mutations.rs
+++ b/crates/router-simulation/src/campaign/mutations.rs
@@ -33,15 +33,19 @@
     use std::sync::{Mutex, PoisonError};
 
     let results: Mutex<BTreeMap<u64, MutationResult>> = Mutex::default();
-    for_each_parallel(0..Mutation::DRAWN.len() as u64, thread_count, |index| {
-        let mutation = Mutation::DRAWN[index as usize];
-        let result = MutationResult {
-            mutation: format!("{mutation:?}"),
-            detected: detect(mutation, seeds.clone()),
-        };
-        let mut results = results.lock().unwrap_or_else(PoisonError::into_inner);
-        results.insert(index, result);
-    });
+    for_each_parallel(
+        0..Mutation::CAUGHT_BY_DRAWN_RUNS.len() as u64,
+        thread_count,
+        |index| {
+            let mutation = Mutation::CAUGHT_BY_DRAWN_RUNS[index as usize];
+            let result = MutationResult {
+                mutation: format!("{mutation:?}"),
+                detected: detect(mutation, seeds.clone()),
+            };
+            let mut results = results.lock().unwrap_or_else(PoisonError::into_inner);
+            results.insert(index, result);
+        },
+    );
     let results = results.into_inner();
     let results = results.unwrap_or_else(PoisonError::into_inner);
     Some(results.into_values().collect())
@@ -57,7 +61,7 @@
     use crate::run::{Recording, simulate};
     use router_runtime::mutation::activate;
 
-    let draw = if mutation.is_of_coalescing() {
+    let draw = if mutation.requires_coalescing() {
         RunPlan::draw_coalescing
     } else {
         RunPlan::draw
