--- a/crates/router-runtime/src/discovery.rs
+++ b/crates/router-runtime/src/discovery.rs
@@ -1,7 +1,10 @@
-//! Discovery: keeps a watch on the list of servers, and calls again when it is lost.
+//! Discovery client: watches the endpoint list and reconnects when the watch is lost.
 //!
-//! In subscription mode the decision library asks for calls and says how long to wait between them; in push mode the agent
-//! that has the lists is called at once, again and again. It relies on one thread: no borrow crosses an await.
+//! A call is an HTTP request that opens a watch; the first data of its response answer it. In
+//! subscription mode the decision library decides when to call and how long to wait between
+//! calls. In push mode, where a local agent holds the lists, calls are repeated with a short
+//! back-off until one is answered. All state belongs to one thread; no `RefCell` borrow is held
+//! across an await.
 
 mod endpoint_table;
 mod error;
@@ -27,22 +30,22 @@
 use tokio::sync::Notify;
 use watch_set::{LostWatch, WatchEvent, WatchProgress, WatchSet};
 
-/// The ends of failed calls are logged at most this often.
+/// Minimum time between two log lines about failed calls.
 const FAILED_CALL_LOG_INTERVAL: Duration = Duration::from_millis(400);
 
-/// The source of the list of servers, and how it is watched.
+/// Where the endpoint list comes from, and how it is watched.
 pub struct DiscoveryConfig {
-    /// The discovery server.
+    /// Address of the discovery server.
     pub addr: SocketAddr,
-    /// Names of zones and kinds.
+    /// Names of zones and machine kinds in the settings.
     pub names: Rc<Names>,
-    /// Push mode: lists are sent without a subscription of the decision library.
+    /// Push mode: lists arrive without a subscription by the decision library.
     pub is_push: bool,
-    /// When a watch is silent, and how discovery is called then.
+    /// When a watch counts as silent, and how discovery is called then.
     pub silent_watch: SilentWatchPolicy,
 }
 
-/// See the module.
+/// Keeps one watch on the endpoint list open; see the module.
 pub struct Discovery<E: Environment> {
     environment: E,
     addr: Cell<SocketAddr>,
@@ -55,22 +58,23 @@
     failed_call_logged_at: Cell<Option<Instant>>,
 }
 
-/// When to call, from one watch to the next.
+/// State that decides when to call discovery, kept from one watch to the next.
 #[derive(Default)]
 struct CallSchedule {
     backoff: Option<RetryBackoff>,
-    /// When to call without a subscription.
+    /// Time of the next call that does not need a subscription.
     next_call_at: Option<Instant>,
-    /// When discovery was called last.
+    /// Time of the most recent call.
     last_call: Option<Instant>,
-    /// A watch was lost before.
+    /// Whether a watch has been lost since the start of the process.
     has_lost_watch: bool,
-    /// The longest that a call has waited since the last answer before discovery turned it away.
+    /// Longest time that a call waited before discovery rejected it, since the last answer.
     longest_rejection_wait: Option<Micros>,
 }
 
 impl CallSchedule {
-    /// Calls at once. What was learnt of another discovery, or in an outage of this one, is forgotten.
+    /// Schedules a call at once and resets what was learnt from another discovery server or from
+    /// an outage of this one.
     fn call_now(&mut self, now: Instant, calls: RepeatedCalls) {
         self.backoff = Some(RetryBackoff::starting_at(now, calls));
         self.next_call_at = Some(now);
@@ -79,7 +83,7 @@
 }
 
 impl<E: Environment> Discovery<E> {
-    /// A discovery that does not call before [`Discovery::run`].
+    /// Creates a client that makes no call before [`Discovery::run`].
     pub fn new(
         config: DiscoveryConfig,
         dispatcher: Rc<Dispatcher<E>>,
@@ -105,30 +109,30 @@
         })
     }
 
-    /// Applies the list that the router had before its start.
+    /// Applies the endpoint list that a previous process of this router had.
     pub fn restore(&self, list: EndpointList) {
         self.endpoints.restore(list);
     }
 
-    /// The discovery server.
+    /// Address of the discovery server.
     pub fn addr(&self) -> SocketAddr {
         self.addr.get()
     }
 
-    /// The list of servers as it stands.
+    /// The current endpoint list.
     pub fn list(&self) -> EndpointList {
         self.endpoints.list()
     }
 
-    /// Leaves the watch for a new one at this address, at once.
+    /// Closes the watch and opens one at this address at once.
     pub fn set_addr(&self, addr: SocketAddr) {
         self.addr.set(addr);
         self.endpoints.reset_version();
         self.addr_changed.notify_one();
     }
 
-    /// Watches whenever the decision library subscribes, a call is due or the address has changed, for as long as the
-    /// process runs.
+    /// Opens a watch whenever the decision library subscribes, a call is due or the address has
+    /// changed. Runs until the process ends.
     pub async fn run(self: Rc<Self>) {
         let mut schedule = CallSchedule::default();
         if self.is_push {
@@ -147,7 +151,7 @@
         schedule.call_now(self.environment.now(), self.silent_watch.repeated_calls);
     }
 
-    /// Returns when the next call is to be made.
+    /// Returns when the next call is due.
     async fn wait_for_call(&self, schedule: &mut CallSchedule) {
         loop {
             tokio::select! {
@@ -166,7 +170,7 @@
         }
     }
 
-    /// Returns when a call is due that the decision library does not ask for.
+    /// Sleeps until `next_call_at`; never returns if that is `None`.
     async fn sleep_until_call(&self, next_call_at: Option<Instant>) {
         match next_call_at {
             Some(at) => {
@@ -178,7 +182,7 @@
         }
     }
 
-    /// Logs the loss of a watch: one line for each outage, not for each call during one.
+    /// Logs the loss of a watch: one line per outage, not one per failed call.
     fn log_loss(&self, lost: &LostWatch, schedule: &mut CallSchedule) {
         if lost.failed_call_at.is_none() || !schedule.has_lost_watch {
             self.environment
@@ -187,9 +191,10 @@
         schedule.has_lost_watch = true;
     }
 
-    /// Logs the loss of a watch, and sets when to call again or tells the decision library of the loss.
+    /// Logs the loss of a watch, and either schedules the next call or reports the loss to the
+    /// decision library.
     fn watch_lost(&self, lost: &LostWatch, schedule: &mut CallSchedule) {
-        // The silence was logged when it began.
+        // A silent watch was logged when its silence began.
         if !matches!(lost.error, WatchError::Silent(_)) {
             self.log_loss(lost, schedule);
         }
@@ -205,7 +210,8 @@
         }
     }
 
-    /// When to call the agent after the loss of a watch: at once, unless watches keep ending.
+    /// When to call the agent after the loss of a watch: at once, but no sooner than the maximum
+    /// pause after the last call, in case each watch ends soon after it was opened.
     fn call_after_lost_watch(&self, schedule: &mut CallSchedule) -> Instant {
         let now = self.environment.now();
         let calls = self.silent_watch.repeated_calls;
@@ -214,7 +220,7 @@
         schedule.last_call.map_or(now, earliest).max(now)
     }
 
-    /// What the decision library is told of a loss.
+    /// The update that reports a loss to the decision library.
     fn loss_update(&self, lost: &LostWatch) -> EndpointUpdate {
         match lost.rejection_wait(self.environment.now()) {
             Some(waited) => EndpointUpdate::PollRejected { waited },
@@ -222,8 +228,8 @@
         }
     }
 
-    /// A watch until it is lost, or until the address has changed: then none. A call that waits, or a watch that falls
-    /// silent, stays open beside the calls that are to replace it.
+    /// Opens a watch and returns when it is lost; `None` if the address has changed. A pending call
+    /// or a silent watch stays open while further calls try to replace it.
     async fn watch_until_lost(self: &Rc<Self>, schedule: &mut CallSchedule) -> Option<LostWatch> {
         let mut watches = WatchSet::default();
         let calls = self.silent_watch.repeated_calls;
@@ -239,7 +245,7 @@
             tokio::select! {
                 biased;
                 () = self.addr_changed.notified() => return None,
-                // A subscription during a call that it did not cause: the first line answers both.
+                // A subscription while a call is pending: the first data answer both.
                 () = self.dispatcher.subscription_wanted() => {}
                 event = watches.next() => match event {
                     WatchEvent::InService => {
@@ -289,20 +295,20 @@
         }
     }
 
-    /// Calls discovery.
+    /// Calls discovery and adds the watch to `watches`.
     fn open_watch(self: &Rc<Self>, watches: &mut WatchSet) {
         let progress = Rc::new(WatchProgress::new(self.environment.now()));
-        let (discovery, watched) = (self.clone(), progress.clone());
+        let (discovery, task_progress) = (self.clone(), progress.clone());
         watches.open(progress, async move {
-            let Err(error) = discovery.watch(&watched).await;
-            if !watched.is_answered.get() {
-                discovery.log_failed_call(&watched, &error);
+            let Err(error) = discovery.watch(&task_progress).await;
+            if !task_progress.is_answered.get() {
+                discovery.log_failed_call(&task_progress, &error);
             }
             error
         });
     }
 
-    /// Between calls beside those that wait; `None`: none are made.
+    /// Interval between calls while others are pending; `None` if no further ones are made.
     fn call_interval(&self, schedule: &CallSchedule) -> Option<Duration> {
         let interval = self
             .silent_watch
@@ -310,12 +316,13 @@
         interval.map(to_duration)
     }
 
-    /// A watch without data for this long has fallen silent.
+    /// A watch that brings no data for this long counts as silent.
     fn silence_timeout(&self) -> Duration {
         to_duration(self.silent_watch.silence_limit)
     }
 
-    /// The loss of a watch that is silent; `rejected_call_at` was to replace it.
+    /// The loss of a silent watch. `rejected_call_at` is the time of a call that was to replace it
+    /// and was rejected, if there was one.
     fn silent_watch_lost(&self, rejected_call_at: Option<Instant>) -> LostWatch {
         LostWatch {
             error: WatchError::Silent(self.silence_timeout()),
@@ -324,7 +331,7 @@
         }
     }
 
-    /// Logs the end of a call without an answer, unless the one of another call was logged just before.
+    /// Logs the failure of a call, at most once per [`FAILED_CALL_LOG_INTERVAL`].
     fn log_failed_call(&self, call: &WatchProgress, error: &WatchError) {
         let now = self.environment.now();
         let since = |logged: Instant| now.saturating_duration_since(logged);
@@ -339,7 +346,7 @@
         ));
     }
 
-    /// The call has its answer.
+    /// Marks the call as answered, and logs its first answer.
     fn mark_answered(&self, progress: &WatchProgress) {
         if !progress.is_answered.replace(true) {
             let waited = self.environment.now() - progress.called_at;
