--- a/crates/router-runtime/src/discovery/reconnect.rs
+++ b/crates/router-runtime/src/discovery/reconnect.rs
@@ -1,23 +1,26 @@
-//! When to call discovery while a watch is silent, after a new configuration, and where an agent pushes lists.
+//! Timing of the calls that open or replace a watch: while the watch is silent, after a change of
+//! the configuration, and in push mode.
 //!
-//! Calls are made until one is answered, at an interval beside those that wait, or once alone, and repeated after pauses,
-//! as the decision library's policy of silent watches says; its back-off follows where the repeats have an end.
+//! Calls are made until one is answered: failed ones are retried with an exponential back-off, and
+//! while a call is pending another one may be made at a fixed interval. The decision library's
+//! [`SilentWatchPolicy`](load_balancer::SilentWatchPolicy) sets the pauses and the interval. Where
+//! it limits how long calls are repeated, the library's own back-off between subscriptions follows.
 
 use super::watch_set::LostWatch;
 use crate::clock::to_duration;
 use load_balancer::RepeatedCalls;
 use std::time::{Duration, Instant};
 
-/// Calls that failed, repeated fast.
+/// Exponential back-off between retries of a failed call.
 pub(super) struct RetryBackoff {
-    /// `None`: without end.
+    /// No retry is made from this time on; `None`: retries never end.
     give_up_at: Option<Instant>,
     pause: Duration,
     max_pause: Duration,
 }
 
 impl RetryBackoff {
-    /// The calls that follow from now on.
+    /// Starts the back-off at `now` with its first pause.
     pub fn starting_at(now: Instant, calls: RepeatedCalls) -> RetryBackoff {
         RetryBackoff {
             give_up_at: calls.lasts.map(|lasts| now + to_duration(lasts)),
@@ -26,7 +29,8 @@
         }
     }
 
-    /// When to call again after a failed call; `None` once their time is over.
+    /// Time of the next retry after a failed call; `None` if it would come at or after the end of
+    /// the retries.
     pub fn next(&mut self, now: Instant) -> Option<Instant> {
         let at = now + self.pause;
         self.pause = (self.pause * 2).min(self.max_pause);
@@ -36,22 +40,23 @@
     }
 }
 
-/// The calls beside one that waits for its answer, or that are to replace a silent watch.
+/// Schedules the calls made while the first one is pending, or those that are to replace a silent
+/// watch.
 pub(super) struct ReconnectSchedule {
-    /// Between calls beside those that wait; `None`: one call is made and no other.
+    /// Interval between calls while others are pending; `None`: no further call is made.
     call_interval: Option<Duration>,
-    /// No more calls are made from then on; `None`: without end.
+    /// No call is made from this time on; `None`: calls never end.
     give_up_at: Option<Instant>,
-    /// Failed calls are repeated; `None` while no watch is silent.
+    /// Back-off between retries of failed calls; `None` unless a silent watch is to be replaced.
     backoff: Option<RetryBackoff>,
-    /// When the next call is due; `None`: no more are made.
+    /// Time of the next call; `None`: no further call is made.
     next_call_at: Option<Instant>,
-    /// When the last call was made of those that discovery turned away.
+    /// When the most recent call that discovery rejected was made.
     rejected_call_at: Option<Instant>,
 }
 
 impl ReconnectSchedule {
-    /// The first call for a watch is made.
+    /// The schedule after the first call for a watch, made at `now`.
     pub fn after_first_call(
         now: Instant,
         call_interval: Option<Duration>,
@@ -66,7 +71,7 @@
         }
     }
 
-    /// The watch has fallen silent: the first call is due.
+    /// The schedule after a watch has fallen silent: the first call is due at once.
     pub fn after_silence(
         now: Instant,
         call_interval: Option<Duration>,
@@ -79,29 +84,30 @@
         }
     }
 
-    /// Whether a silent watch is to be replaced.
+    /// Whether the calls are to replace a silent watch.
     pub fn replaces_silent_watch(&self) -> bool {
         self.backoff.is_some()
     }
 
-    /// When the next call is due.
+    /// Time of the next call; `None`: no further call is made.
     pub fn next_call_at(&self) -> Option<Instant> {
         self.next_call_at
     }
 
-    /// When the last call was made of those that discovery turned away.
+    /// When the most recent call that discovery rejected was made.
     pub fn rejected_call_at(&self) -> Option<Instant> {
         self.rejected_call_at
     }
 
-    /// A call is made.
+    /// Records a call made at `now` and schedules the next one.
     pub fn record_call(&mut self, now: Instant) {
         let next_call_at = self.call_interval.map(|interval| now + interval);
         let is_wanted = |at: &Instant| self.give_up_at.is_none_or(|give_up_at| *at < give_up_at);
         self.next_call_at = next_call_at.filter(is_wanted);
     }
 
-    /// A call has failed, or a watch has ended. From now on calls are made at this interval; `None`: no more are made.
+    /// Schedules the next call after one has failed or a watch has ended. `call_interval` is the
+    /// new interval while others are pending; `None`: no further call is made.
     pub fn watch_lost(&mut self, now: Instant, lost: &LostWatch, call_interval: Option<Duration>) {
         self.rejected_call_at = lost.rejected_call_at.or(self.rejected_call_at);
         self.call_interval = call_interval;
@@ -109,7 +115,7 @@
             self.next_call_at = None;
             return;
         };
-        // Another call has been made beside one that waited for longer.
+        // If the failed call was pending for the whole interval, another one was made meanwhile.
         let has_parallel_call = lost
             .failed_call_wait(now)
             .is_some_and(|waited| waited >= interval);
