--- a/crates/router-runtime/src/discovery/watch.rs
+++ b/crates/router-runtime/src/discovery/watch.rs
@@ -1,4 +1,4 @@
-//! One watch on the list of servers, from its call to its end.
+//! One watch on the endpoint list, from its call to its end.
 
 use super::Discovery;
 use super::error::WatchError;
@@ -18,12 +18,13 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// A call without a connection by then has failed ...
+/// A call fails if its connection takes longer.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// ... and one without an answer by then; discovery gives a call up after 2 s.
+/// A call fails if its answer takes longer. It exceeds the 2 s after which discovery itself gives a
+/// call up.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Where a call goes, and by when it has to be answered.
+/// Destination and deadline of a call.
 #[derive(Clone, Copy)]
 struct Call {
     addr: SocketAddr,
@@ -31,7 +32,8 @@
 }
 
 impl<E: Environment> Discovery<E> {
-    /// Watches until the watch is lost. Its first line answers the subscription.
+    /// Opens a watch and applies its lists until it is lost. The first data answer the
+    /// subscription.
     pub(super) async fn watch(&self, progress: &WatchProgress) -> Result<Infallible, WatchError> {
         self.upstream.metrics().discovery_called();
         let call = Call {
@@ -48,7 +50,7 @@
             .ok_or(WatchError::Closed)?;
         let (sender, connection) =
             hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
-        // The connection ends with this watch, however it ends.
+        // Returning drops the connection as well.
         let lists = self.read_lists(sender, call, progress);
         tokio::pin!(lists);
         tokio::select! {
@@ -56,11 +58,11 @@
             end = &mut lists => return end,
             _ = connection => {}
         }
-        // What arrived before the connection's end is still to be read.
+        // Read what arrived before the connection ended.
         lists.await
     }
 
-    /// Calls on a connection, and reads the lists of the answer.
+    /// Sends the request on a connection, and applies the lists of the response as they arrive.
     async fn read_lists(
         &self,
         mut sender: SendRequest<Empty<Bytes>>,
@@ -75,7 +77,7 @@
                 .next_frame(&mut body, progress, last_data_at, call)
                 .await?
             else {
-                // What it still brings is applied, but it is broken: another call is to replace it.
+                // Lists that still arrive are applied, but another call is to replace the watch.
                 progress.is_silent.set(true);
                 continue;
             };
@@ -84,7 +86,7 @@
             };
             lists.feed(&data);
             let has_list = self.apply_lists(&mut lists, progress)?;
-            // Within an unfinished list, white space alone does not count as data.
+            // Within an incomplete list, white space alone does not count as data.
             let is_data = has_list || !lists.has_partial_list() || !data.trim_ascii().is_empty();
             if is_data {
                 last_data_at = self.environment.now();
@@ -92,7 +94,7 @@
         }
     }
 
-    /// The next frame of the answer; none if the watch falls silent.
+    /// The next frame of the response; `None` if the watch falls silent.
     async fn next_frame(
         &self,
         body: &mut Incoming,
@@ -113,7 +115,7 @@
         Ok(Some(frame.ok_or(WatchError::Closed)??))
     }
 
-    /// Sends the request, and gives the body of the answer.
+    /// Sends the request, and returns the body of the response.
     async fn send_request(
         &self,
         sender: &mut SendRequest<Empty<Bytes>>,
@@ -134,7 +136,7 @@
         Ok(answer.into_body())
     }
 
-    /// Applies the lists that have arrived whole; true if there were any.
+    /// Applies the lists that have arrived completely; true if there were any.
     fn apply_lists(
         &self,
         lists: &mut EndpointListReader,
@@ -147,7 +149,8 @@
             self.mark_answered(progress);
         }
         if !lists.has_partial_list() && !progress.is_answered.get() {
-            // Nothing has changed since the version in the request: that answers the call too.
+            // White space without a list: nothing has changed since the requested version. That
+            // answers the call too.
             self.dispatcher
                 .endpoints_changed(EndpointUpdate::Delta, Vec::new());
             self.mark_answered(progress);
@@ -155,7 +158,7 @@
         Ok(has_list)
     }
 
-    /// By when data has to arrive.
+    /// The time by which the next data have to arrive.
     fn data_deadline(
         &self,
         progress: &WatchProgress,
