--- a/crates/router-runtime/src/discovery/watch_set.rs
+++ b/crates/router-runtime/src/discovery/watch_set.rs
@@ -1,5 +1,7 @@
-//! The watches that are open at once: the one in service and, once that has fallen silent, the calls that are to replace
-//! it. The first call that is answered is the watch in service, and the others are closed.
+//! The set of open watches: the one in service and the pending calls that are to replace it.
+//!
+//! Calls are made in parallel while no watch is in service or the one in service has fallen silent.
+//! The first call that is answered becomes the watch in service, and all others are closed.
 
 use super::error::WatchError;
 use load_balancer::Micros;
@@ -10,18 +12,19 @@
 use std::task::{Context, Poll};
 use std::time::{Duration, Instant};
 
-/// How far a watch has come.
+/// State of a watch, shared with its task.
 pub(super) struct WatchProgress {
-    /// When discovery was called.
+    /// When the call was made.
     pub called_at: Instant,
-    /// The call has its answer.
+    /// Whether the call has been answered.
     pub is_answered: Cell<bool>,
-    /// The watch has brought nothing for longer than it may: from then on it is broken, whatever it still brings.
+    /// Whether the watch has brought no data for too long. It stays silent even if data arrive
+    /// later.
     pub is_silent: Cell<bool>,
 }
 
 impl WatchProgress {
-    /// Discovery is called now.
+    /// The state of a call that is made at `now`.
     pub fn new(now: Instant) -> WatchProgress {
         WatchProgress {
             called_at: now,
@@ -37,11 +40,11 @@
 
 /// A watch that has ended.
 pub(super) struct LostWatch {
-    /// Why.
+    /// Why it ended.
     pub error: WatchError,
-    /// When the call for it was made; `None`: it was answered.
+    /// When its call was made, if that failed; `None` if it was answered.
     pub failed_call_at: Option<Instant>,
-    /// When a call was made that discovery turned away, if one was.
+    /// When the call that discovery rejected was made, if there was one.
     pub rejected_call_at: Option<Instant>,
 }
 
@@ -56,13 +59,13 @@
         }
     }
 
-    /// How long its call had waited, if it failed.
+    /// How long its call had been pending, if it failed.
     pub fn failed_call_wait(&self, now: Instant) -> Option<Duration> {
         let waited = |call| now.saturating_duration_since(call);
         self.failed_call_at.map(waited)
     }
 
-    /// How long the call had waited that discovery turned away, if one was.
+    /// How long the call that discovery rejected had been pending, if there was one.
     pub fn rejection_wait(&self, now: Instant) -> Option<Micros> {
         let waited = |call| now.saturating_duration_since(call);
         self.rejected_call_at
@@ -70,9 +73,9 @@
     }
 }
 
-/// What has happened to the watches.
+/// A change in the state of a watch.
 pub(super) enum WatchEvent {
-    /// A watch is in service: its call is answered.
+    /// A call was answered: its watch is in service.
     InService,
     /// The watch in service has fallen silent.
     Silent,
@@ -82,19 +85,20 @@
 
 struct OpenWatch {
     progress: Rc<WatchProgress>,
-    /// Whether it was in service when it was polled last.
+    /// Whether it was in service at its last poll.
     was_in_service: bool,
     task: Pin<Box<dyn Future<Output = WatchError>>>,
 }
 
-/// See the module. The oldest first.
+/// The open watches; see the module.
 #[derive(Default)]
 pub(super) struct WatchSet {
+    /// Oldest first.
     watches: Vec<OpenWatch>,
 }
 
 impl WatchSet {
-    /// Adds a watch: what it does, until its end.
+    /// Adds a watch. `task` runs it and returns why it ended.
     pub fn open(
         &mut self,
         progress: Rc<WatchProgress>,
@@ -107,13 +111,13 @@
         });
     }
 
-    /// Whether no call waits for its answer.
+    /// Whether all calls have been answered.
     pub fn has_no_pending_call(&self) -> bool {
         let mut answered = self.watches.iter().map(|watch| &watch.progress.is_answered);
         answered.all(Cell::get)
     }
 
-    /// The next event. It never returns while no watch is open.
+    /// Waits for the next event; never returns while no watch is open.
     pub async fn next(&mut self) -> WatchEvent {
         poll_fn(|cx| self.poll(cx)).await
     }
