--- a/crates/router-runtime/src/discovery/error.rs
+++ b/crates/router-runtime/src/discovery/error.rs
@@ -1,4 +1,4 @@
-//! Why a watch on the list of servers ends.
+//! Errors that end a watch on the endpoint list.
 
 use crate::endpoint_list::ListError;
 use hyper::StatusCode;
@@ -10,28 +10,28 @@
     /// The connection failed.
     #[error(transparent)]
     Connect(std::io::Error),
-    /// The connection was not up within its limit.
-    #[error("no connection within {} s", .0.as_secs_f64())]
+    /// The connection took too long.
+    #[error("connect timed out after {} s", .0.as_secs_f64())]
     ConnectTimeout(Duration),
-    /// The answer broke off or is no HTTP.
+    /// The response was cut off, or is not HTTP.
     #[error(transparent)]
     Http(#[from] hyper::Error),
-    /// Discovery answered with another status than 200.
-    #[error("answered {0}")]
+    /// Discovery answered with a status other than 200.
+    #[error("unexpected status {0}")]
     Status(StatusCode),
-    /// The body is no list.
+    /// The body is not a sequence of endpoint lists.
     #[error(transparent)]
     List(#[from] ListError),
-    /// The request cannot be written.
+    /// The request could not be built.
     #[error("malformed request: {0}")]
     Request(#[from] hyper::http::Error),
-    /// Discovery ended the watch.
-    #[error("closed by the server")]
+    /// Discovery closed the connection or ended the response.
+    #[error("connection closed by discovery")]
     Closed,
-    /// The call was not answered within its limit.
+    /// The answer took too long.
     #[error("no answer within {} s", .0.as_secs_f64())]
     AnswerTimeout(Duration),
-    /// No data arrived within the limit.
+    /// No data arrived for too long.
     #[error("no data for {} s", .0.as_secs_f64())]
     Silent(Duration),
 }
