--- a/crates/router-runtime/src/discovery/endpoint_table.rs
+++ b/crates/router-runtime/src/discovery/endpoint_table.rs
@@ -1,5 +1,6 @@
-//! The endpoint list as discovery wrote it: applied to the upstream pools and to the decision library, and kept for a
-//! successor process. What the decision library makes of it is its own `ServerTable`.
+//! The endpoint list in the form that discovery sends. Each change is applied to the upstream pools
+//! and to the decision library, and the whole list is kept to be handed to a successor process. The
+//! decision library keeps its own state of the servers in its `ServerTable`.
 
 use crate::dispatcher::Dispatcher;
 use crate::endpoint_list::{EndpointList, Health, ListedEndpoint};
@@ -15,18 +16,18 @@
 use std::collections::{BTreeMap, HashSet};
 use std::rc::Rc;
 
-/// The weight of a server whose list gives none that can be used.
+/// Weight of a server whose listed weight is negative or not finite.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// See the module.
+/// The current endpoint list; see the module.
 pub struct EndpointTable<E: Environment> {
     environment: E,
     names: Rc<Names>,
     dispatcher: Rc<Dispatcher<E>>,
     upstream: Rc<UpstreamPools<E>>,
-    /// The version of the list, as the present discovery server counts.
+    /// Version of the list, as counted by the current discovery server.
     version: Cell<u64>,
-    /// By name.
+    /// By server name.
     entries: RefCell<BTreeMap<String, ListedEndpoint>>,
 }
 
@@ -48,17 +49,17 @@
         })
     }
 
-    /// The version of the list; 0 before the first.
+    /// Version of the list; 0 before the first list.
     pub fn version(&self) -> u64 {
         self.version.get()
     }
 
-    /// Forgets the version: another discovery server counts anew.
+    /// Resets the version to 0: each discovery server counts its own versions.
     pub fn reset_version(&self) {
         self.version.set(0);
     }
 
-    /// The whole list as it stands.
+    /// The whole current list.
     pub fn list(&self) -> EndpointList {
         EndpointList {
             version: self.version.get(),
@@ -67,12 +68,12 @@
         }
     }
 
-    /// Applies the list that this router had before its start.
+    /// Applies the list that a previous process of this router had.
     pub fn restore(self: &Rc<Self>, list: EndpointList) {
         self.apply(list, EndpointUpdate::Restored);
     }
 
-    /// Applies a list of the watch: a snapshot or a delta.
+    /// Applies a list that the watch brought: a snapshot or a delta.
     pub fn update(self: &Rc<Self>, list: EndpointList) {
         let update = if list.is_snapshot {
             EndpointUpdate::Snapshot
@@ -94,7 +95,7 @@
         self.apply_entries(entries, update);
     }
 
-    /// First the addresses, so that the decision library's actions find them; then the event.
+    /// Updates the addresses before the decision library, whose actions need them.
     fn apply_entries(&self, entries: Vec<ListedEndpoint>, update: EndpointUpdate) {
         let mut endpoints = Vec::with_capacity(entries.len());
         for entry in entries {
@@ -121,7 +122,7 @@
         self.dispatcher.endpoints_changed(update, endpoints);
     }
 
-    /// A host of the list in the decision library's terms.
+    /// Converts an entry of the list to an endpoint of the decision library.
     fn to_endpoint(&self, entry: &ListedEndpoint) -> Endpoint {
         let state = match entry.health {
             Health::Up => EndpointState::Ready,
@@ -145,7 +146,7 @@
         }
     }
 
-    /// Keeps the list as it stands, for a successor.
+    /// Applies the changes to the list kept for a successor process.
     fn store_list(&self, is_snapshot: bool, changed: &[ListedEndpoint]) {
         let mut entries = self.entries.borrow_mut();
         if is_snapshot {
@@ -161,7 +162,7 @@
     }
 }
 
-/// The place of a name among the names of the settings.
+/// Index of a name among the names of the settings.
 fn position(names: &[String], name: Option<&String>) -> Option<usize> {
     names.iter().position(|known| Some(known) == name)
 }
