--- a/crates/router-runtime/src/upstream.rs
+++ b/crates/router-runtime/src/upstream.rs
@@ -1,6 +1,7 @@
-//! Connections to the cache servers: pools of idle connections, and attempts on them.
+//! Upstream side of the router: connection pools to the cache servers, and attempts on their
+//! connections.
 //!
-//! The pools and their attempts rely on one thread: no borrow crosses an await.
+//! All state belongs to one thread; no `RefCell` borrow is held across an await.
 
 mod attempt;
 mod connection;
