--- a/crates/router-runtime/src/upstream/attempt.rs
+++ b/crates/router-runtime/src/upstream/attempt.rs
@@ -1,4 +1,5 @@
-//! One attempt: a connection, one command on it, and its response as an [`Outcome`].
+//! One attempt: takes a connection, sends one command on it, and turns the response into an
+//! [`Outcome`].
 
 use super::connection::Connection;
 use super::pool::UpstreamPools;
@@ -18,19 +19,19 @@
 use tokio::io::AsyncWrite;
 use tokio::sync::{Notify, mpsc};
 
-/// How long an attempt may take.
+/// The deadlines of an attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptDeadlines {
-    /// Its last byte is written by then, or none of it counts.
+    /// The command has to be written completely by then; otherwise it counts as not executed.
     pub write_deadline: Option<Instant>,
-    /// It has ended by then ...
+    /// The attempt has to end by then, unless `extended_deadline` is later.
     pub deadline: Instant,
-    /// ... or by then, if that is later: it may move while the attempt is in flight.
+    /// A later deadline, which may move while the attempt is in flight.
     pub extended_deadline: Option<Rc<Cell<Instant>>>,
 }
 
 impl AttemptDeadlines {
-    /// By when the attempt ends, as it stands now.
+    /// The deadline in force now.
     pub fn deadline(&self) -> Instant {
         self.extended_deadline
             .as_ref()
@@ -44,21 +45,22 @@
     }
 }
 
-/// How an attempt ended, and the answer if it served the request.
+/// Result of an attempt, with the answer if it served the request.
 pub struct AttemptResult {
     /// How it ended.
     pub outcome: Outcome,
-    /// How the read went, where the server said it.
+    /// Whether the cache had the value, if the server reported it.
     pub cache_status: Option<CacheStatus>,
-    /// The answer; `None` also for one that was streamed.
+    /// The answer; `None` if there is none or it was streamed to the client.
     pub answer: Option<Answer>,
-    /// Bytes of a response arrived: the connection was alive, whatever the outcome.
+    /// Whether bytes of a response arrived, which shows that the connection was alive.
     pub response_started: bool,
-    /// The connection that the attempt went out on.
+    /// Whether the attempt used a new or a pooled connection.
     pub connection_use: ConnectionUse,
     /// The server's load report.
     pub load: Option<LoadReport>,
-    /// When the answer began to be streamed: how long the rest takes depends on the client.
+    /// When streaming of the answer began, if it was streamed. The time that the rest takes depends
+    /// on the client.
     pub streaming_since: Option<Instant>,
 }
 
@@ -76,29 +78,32 @@
     }
 }
 
-/// Who receives a long value.
+/// What to do with a long value.
 pub enum BodyConsumer {
-    /// A client, piece by piece.
+    /// Stream it to one client, piece by piece.
     Stream(mpsc::Sender<BodyPiece>),
-    /// Several clients, or one that waits for more than this value; once it is whole. Told when nobody waits any more.
+    /// Buffer it until it is complete: several clients wait for it, or one client that waits for
+    /// other values as well. Notified when no client waits any more.
     Buffer(Rc<Notify>),
-    /// Nobody waits for it.
+    /// Discard it: no client waits for it.
     Discard,
 }
 
-/// Whom an attempt is made for, and who knows whether it is still wanted.
+/// The component that an attempt is made for. It knows whether the attempt is still needed.
 pub trait AttemptOwner {
-    /// Whether new attempts may go to a server now.
+    /// Whether new attempts may be sent to a server now.
     fn is_accepting(&self, server: &ServerId) -> bool;
 
-    /// Whether an attempt is still wanted: its request waits for a response, and it was not cancelled.
+    /// Whether an attempt is still wanted: its request is pending, and it was not cancelled.
     fn is_wanted(&self, id: RequestId, attempt: AttemptNumber) -> bool;
 
-    /// A long value has begun to arrive: from here on the request has its response.
+    /// Called when a long value begins to arrive. If it is to be streamed, the request has its
+    /// response from then on.
     fn begin_streaming(self: Rc<Self>, id: RequestId, attempt: AttemptNumber) -> BodyConsumer;
 
-    /// The client takes a streamed value so slowly that the server has done its work: the attempt counts as ended. The
-    /// value had begun to arrive after `time_to_first_byte`.
+    /// Called when the client reads a streamed value too slowly. The attempt counts as ended, since
+    /// the rest of its time depends on the client and not on the server. `time_to_first_byte` is
+    /// the time from the command to the beginning of the value.
     fn client_stalled(
         self: Rc<Self>,
         id: RequestId,
@@ -107,33 +112,34 @@
     );
 }
 
-/// Whose an attempt is, and how long it may take.
+/// Owner, identity and deadlines of an attempt.
 #[derive(Clone)]
 pub struct AttemptContext {
-    /// Whom it is made for.
+    /// The component that it is made for.
     pub owner: Rc<dyn AttemptOwner>,
-    /// Its request.
+    /// Id of its request.
     pub id: RequestId,
     /// Its number among the attempts of the request.
     pub attempt: AttemptNumber,
-    /// How long it may take.
+    /// Its deadlines.
     pub deadlines: AttemptDeadlines,
-    /// Its last byte has been written: from then on it may run.
+    /// Whether the command is written completely. From then on the server may execute it.
     pub is_sent: Rc<Cell<bool>>,
 }
 
 impl AttemptContext {
-    /// Whether it is still wanted.
+    /// Whether the attempt is still wanted.
     pub fn is_wanted(&self) -> bool {
         self.owner.is_wanted(self.id, self.attempt)
     }
 
-    /// A long value has begun to arrive.
+    /// Reports that a long value has begun to arrive.
     pub fn begin_streaming(&self) -> BodyConsumer {
         self.owner.clone().begin_streaming(self.id, self.attempt)
     }
 
-    /// The client stalls a streamed value that had begun to arrive after `time_to_first_byte`.
+    /// Reports that the client has stalled a streamed value that had begun to arrive after
+    /// `time_to_first_byte`.
     pub fn client_stalled(&self, time_to_first_byte: Duration) {
         self.owner
             .clone()
@@ -142,7 +148,7 @@
 }
 
 impl<E: Environment> UpstreamPools<E> {
-    /// Makes an attempt, from its connection to its outcome. It takes no longer than its limit.
+    /// Makes an attempt. It ends by its deadline, unless its answer is being streamed by then.
     pub async fn attempt(
         self: Rc<Self>,
         server: ServerId,
@@ -156,7 +162,7 @@
             }
             None => match self.connect(&server, &context).await {
                 Ok(connection) => (connection, ConnectionUse::New),
-                // No connection was attempted: that tells nothing of new connections.
+                // No connection was opened, so the result carries no information about new ones.
                 Err(Outcome::NotSent) => return Outcome::NotSent.into(),
                 Err(outcome) => {
                     return AttemptResult {
@@ -176,8 +182,8 @@
         }
     }
 
-    /// Whether the attempt's first byte may be written, after the wait for its connection: the request still wants it,
-    /// the server still accepts requests where this connection leads, and there is time left.
+    /// Whether to send the command after the wait for a connection: the attempt is still wanted,
+    /// the connection still leads to a server that accepts requests, and there is time left.
     fn may_send(
         &self,
         server: &ServerId,
@@ -190,7 +196,7 @@
             && self.environment.now() <= context.deadlines.write_deadline()
     }
 
-    /// One command and its response on a connection.
+    /// Sends the command on a connection and reads its response.
     async fn exchange(
         &self,
         server: &ServerId,
@@ -208,7 +214,7 @@
         self.read_response(server, connection, context).await
     }
 
-    /// Writes a command whole. An error is the outcome of the attempt.
+    /// Writes a command completely. An error is the outcome of the attempt.
     async fn write_command(
         &self,
         connection: &mut Connection<E>,
@@ -232,7 +238,8 @@
         self.write(connection, b"\r\n", context).await
     }
 
-    /// Writes bytes while the attempt is wanted. A command that is given up before its last byte does not run.
+    /// Writes bytes while the attempt is wanted. A server does not execute a command that is
+    /// abandoned before its last byte.
     async fn write(
         &self,
         connection: &mut Connection<E>,
@@ -241,7 +248,8 @@
     ) -> Result<(), Outcome> {
         let mut written = 0;
         while written < bytes.len() {
-            // Checked whenever the connection is writable: a long value may wait for that for long.
+            // Checked at each poll, since a long value may wait a long time until the connection is
+            // writable.
             let write = poll_fn(|cx| match context.is_wanted() {
                 true => Pin::new(&mut connection.stream)
                     .poll_write(cx, &bytes[written..])
