--- a/crates/router-runtime/src/upstream/connection.rs
+++ b/crates/router-runtime/src/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a cache server, and how it is opened.
+//! A connection to a cache server, and how it is opened.
 
 use super::attempt::AttemptContext;
 use super::pool::UpstreamPools;
@@ -12,12 +12,13 @@
 use tokio::io::AsyncReadExt;
 use tokio::sync::OwnedSemaphorePermit;
 
-/// Where a server's present process is reached.
+/// The process that currently runs a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ServerProcess {
     /// Its address.
     pub addr: SocketAddr,
-    /// When it started, as the list says, in milliseconds; another start is another process.
+    /// Start time in the endpoint list, in milliseconds since the Unix epoch. A different time
+    /// means a different process.
     pub started_ms: u64,
 }
 
@@ -25,20 +26,20 @@
 pub(super) struct Connection<E: Environment> {
     /// The socket.
     pub stream: E::Stream,
-    /// What was read and not taken yet.
+    /// Bytes that were read and are not parsed yet.
     pub received: BytesMut,
-    /// Where it leads. The list may name another process since.
+    /// The process that it leads to. The endpoint list may name a newer one by now.
     pub process: ServerProcess,
-    /// A round trip: measured as the time to connect.
+    /// Round-trip time, measured as the time to connect.
     pub round_trip: Duration,
-    /// Something was written to it: the tail of a response may still arrive.
+    /// Whether a command was written to it, so that the rest of a response may still arrive.
     pub is_used: bool,
-    /// Its slot, free again when the connection is dropped.
+    /// Its connection slot, released on drop.
     _slot: OwnedSemaphorePermit,
 }
 
 impl<E: Environment> Connection<E> {
-    /// Reads what is there, or waits for it. 0 is the end.
+    /// Reads available bytes, or waits for some. Returns their number, 0 at the end of the stream.
     pub async fn read(&mut self, size: usize) -> io::Result<usize> {
         self.received.reserve(size);
         let count = self.stream.read_buf(&mut self.received).await?;
@@ -46,7 +47,7 @@
         Ok(count)
     }
 
-    /// The same, of at most so many bytes.
+    /// Reads like [`Connection::read`], but at most `size` bytes.
     pub async fn read_at_most(&mut self, size: usize) -> io::Result<usize> {
         self.received.reserve(size);
         let mut limited = (&mut self.stream).take(size as u64);
@@ -55,7 +56,8 @@
         Ok(count)
     }
 
-    /// A peer that writes in pieces may hold the next one back until the last is acknowledged.
+    /// Acknowledges received bytes at once: with Nagle's algorithm, a peer that writes in pieces
+    /// may hold the next one back until the previous one is acknowledged.
     fn acknowledge(&self, count: usize) {
         if count > 0 {
             self.stream.acknowledge_immediately();
@@ -79,7 +81,7 @@
             tokio::select! {
                 biased;
                 connection = &mut dial => {
-                    // The attempt waited for a slot, and nobody wants it any more.
+                    // The attempt is no longer wanted after its wait.
                     let Some(connection) = connection.transpose() else {
                         return Err(Outcome::NotSent);
                     };
@@ -102,7 +104,7 @@
         }
     }
 
-    /// Waits for a slot and connects; `None` if the attempt is no longer wanted.
+    /// Waits for a connection slot and connects; `None` if the attempt is no longer wanted.
     async fn dial(
         &self,
         process: ServerProcess,
