--- a/crates/router-runtime/src/upstream/pool.rs
+++ b/crates/router-runtime/src/upstream/pool.rs
@@ -1,4 +1,5 @@
-//! The cache servers of the list, each with its idle connections, and the slots for connections to all of them.
+//! Connection pools: the listed cache servers with their idle connections, and a limit on the
+//! number of connections to all of them.
 
 use super::connection::{Connection, ServerProcess};
 use crate::environment::{Environment, Stream};
@@ -16,38 +17,40 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// Idle connections are closed after this share of the time at which a cache server closes them. A command written just
-/// as the server closes ends as a reset, and may have run.
+/// Idle connections are closed after this fraction of the server's own idle timeout. A command that
+/// is written just as the server closes the connection ends with a reset, and may have been
+/// executed.
 const IDLE_LIFETIME_RATIO: f64 = 0.8;
-/// A connection rests this long and one round trip before its next command: what a server writes behind its response
-/// arrives by then, and is not taken for the next response, which names no request.
+/// A connection is not reused until this time and one round trip after its last response. Excess
+/// bytes that a server writes after a response arrive by then; later they would be taken for the
+/// next response, since responses carry no request id.
 const SETTLE_TIME: Duration = Duration::from_millis(7);
-/// How often idle connections are looked through.
+/// How often idle connections are checked.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What the settings and the descriptors allow.
+/// Limits set by the settings and by the number of file descriptors.
 #[derive(Clone, Copy, Debug)]
 pub struct UpstreamLimits {
-    /// How long connecting may take.
+    /// Time limit for opening a connection.
     pub connect_timeout: Duration,
-    /// After how long cache servers close idle connections.
+    /// Time after which cache servers close idle connections.
     pub server_idle_timeout: Duration,
-    /// Connections to all cache servers together.
+    /// Maximum number of connections to all cache servers together.
     pub max_connections: usize,
 }
 
-/// One server of the list.
+/// Idle connections to one server.
 struct Pool<E: Environment> {
     process: ServerProcess,
-    /// The most recently used last.
+    /// Ordered by the time of the last use, the latest at the end.
     idle: Vec<IdleUpstreamConnection<E>>,
 }
 
 /// An idle connection.
 pub(super) struct IdleUpstreamConnection<E: Environment> {
-    /// The connection.
+    /// The connection itself.
     pub connection: Connection<E>,
-    /// When it was last used, or opened.
+    /// When it became idle.
     pub idle_since: Instant,
 }
 
@@ -59,8 +62,8 @@
         }
     }
 
-    /// Whether a connection leads to the process that the list names. A response of the previous process may come after
-    /// the list has named the new one.
+    /// Whether a connection leads to the listed process. The previous process may still respond
+    /// after the list has named a new one.
     fn is_current(&self, connection: &Connection<E>) -> bool {
         let is_same_process =
             hooks::is_same_process(self.process.started_ms == connection.process.started_ms);
@@ -68,26 +71,27 @@
     }
 }
 
-/// The cache servers of the list, each with its idle connections.
+/// The listed cache servers, each with its idle connections.
 pub struct UpstreamPools<E: Environment> {
     pub(super) environment: E,
-    /// By name, so that iteration is deterministic.
+    /// Ordered by server, so that iteration is deterministic.
     pools: RefCell<BTreeMap<ServerId, Pool<E>>>,
     pub(super) limits: UpstreamLimits,
-    /// What load reports hold.
+    /// Format of load reports.
     pub(super) report_format: LoadReportFormat,
-    /// Memory for long answers that are held until they are whole.
+    /// Memory for long answers that are buffered until they are complete.
     pub(super) answer_memory: Rc<MemoryBudget>,
+    /// One permit for each connection that may be opened.
     slots: Arc<Semaphore>,
-    /// Slots that are left to another process of this router.
+    /// Number of slots ceded to another process of this router.
     ceded_slots: Cell<usize>,
     metrics: Rc<RouterMetrics>,
-    /// Closes connections that broke.
+    /// Closes broken connections.
     pub(super) broken: hooks::BrokenConnections<Connection<E>>,
 }
 
 impl<E: Environment> UpstreamPools<E> {
-    /// Pools without servers.
+    /// Creates pools without servers.
     pub fn new(
         limits: UpstreamLimits,
         report_format: LoadReportFormat,
@@ -109,23 +113,24 @@
         })
     }
 
-    /// Where attempts and connections are counted.
+    /// Counters of attempts and connections.
     pub fn metrics(&self) -> &RouterMetrics {
         &self.metrics
     }
 
-    /// How many connections are idle.
+    /// Number of idle connections.
     pub fn idle_count(&self) -> usize {
         let pools = self.pools.borrow();
         pools.values().map(|pool| pool.idle.len()).sum()
     }
 
-    /// How many servers the list has.
+    /// Number of listed servers.
     pub fn listed_count(&self) -> usize {
         self.pools.borrow().len()
     }
 
-    /// Takes one entry of the list. A new address or a new process closes the idle connections to the old one.
+    /// Applies one entry of the endpoint list. If the address or the process has changed, the idle
+    /// connections to the old one are closed.
     pub fn set_server(
         &self,
         server: &ServerId,
@@ -147,7 +152,7 @@
         }
     }
 
-    /// Forgets the servers that a whole list leaves out.
+    /// Removes all servers but those for which `is_listed` is true.
     pub fn retain_servers(&self, is_listed: impl Fn(&ServerId) -> bool) {
         self.pools
             .borrow_mut()
@@ -161,8 +166,8 @@
         }
     }
 
-    /// Leaves half of the slots to another process of this router, and closes idle connections for that. Slots in use
-    /// are ceded as they become free.
+    /// Cedes up to half of the connection slots to another process of this router, closing idle
+    /// connections to free them. Slots that attempts use at this time are not ceded.
     pub fn cede_half_of_slots(&self) {
         let half = self.limits.max_connections / 2;
         while self.ceded_slots.get() < half {
@@ -174,13 +179,13 @@
         }
     }
 
-    /// Takes all slots back.
+    /// Takes all ceded slots back.
     pub fn reclaim_slots(&self) {
         self.slots.add_permits(self.ceded_slots.take());
     }
 
-    /// Closes connections that have been idle for long, that the server has written to or closed, or that are older
-    /// than `lifetime` says. Runs as long as the process.
+    /// Periodically closes idle connections that have expired, that the server has written to or
+    /// closed, or that have been idle for `lifetime`. Runs until the process ends.
     pub async fn close_expired_idle(self: Rc<Self>, lifetime: impl Fn() -> Duration) {
         loop {
             self.environment.sleep(IDLE_CHECK_INTERVAL).await;
@@ -193,26 +198,28 @@
         }
     }
 
-    /// How long ago an instant was.
+    /// Time elapsed since an instant.
     pub(super) fn elapsed_since(&self, since: Instant) -> Duration {
         self.environment.now().saturating_duration_since(since)
     }
 
-    /// Whether a connection is young enough and has nothing unread, neither a byte nor an end.
+    /// Whether an idle connection has not expired, and has no pending input: neither a byte nor the
+    /// end of the stream.
     fn is_usable(&self, idle: &IdleUpstreamConnection<E>) -> bool {
         let lifetime = self.limits.server_idle_timeout.mul_f64(IDLE_LIFETIME_RATIO);
         self.elapsed_since(idle.idle_since) < lifetime
             && idle.connection.stream.has_no_pending_input()
     }
 
-    /// Whether a response's tail would have arrived.
+    /// Whether excess bytes after the last response would have arrived by now.
     fn is_settled(&self, idle: &IdleUpstreamConnection<E>) -> bool {
         let connection = &idle.connection;
         !connection.is_used
             || self.elapsed_since(idle.idle_since) >= SETTLE_TIME + connection.round_trip
     }
 
-    /// Takes the idle connection to a server that was used last and is quiet. The others grow old and are closed.
+    /// Takes the most recently used of the idle connections to a server that are settled, so that
+    /// those not needed expire.
     pub(super) fn take_idle(&self, server: &ServerId) -> Option<IdleUpstreamConnection<E>> {
         let mut pools = self.pools.borrow_mut();
         let idle = &mut pools.get_mut(server)?.idle;
@@ -225,7 +232,7 @@
         None
     }
 
-    /// Keeps a connection as idle, or closes it if the list names another process by now.
+    /// Returns a connection to its pool, or closes it if the list names another process by now.
     pub(super) fn put_back(&self, server: &ServerId, mut connection: Connection<E>) {
         connection.received = BytesMut::new();
         let mut pools = self.pools.borrow_mut();
@@ -240,7 +247,7 @@
         }
     }
 
-    /// Whether a connection leads to the process that the list names.
+    /// Whether a connection leads to the listed process.
     pub(super) fn is_current(&self, server: &ServerId, connection: &Connection<E>) -> bool {
         let pools = self.pools.borrow();
         pools
@@ -248,12 +255,12 @@
             .is_some_and(|pool| pool.is_current(connection))
     }
 
-    /// Where a server's present process is reached; `None`: it is not listed.
+    /// The listed process of a server; `None` if the server is not listed.
     pub(super) fn process(&self, server: &ServerId) -> Option<ServerProcess> {
         self.pools.borrow().get(server).map(|pool| pool.process)
     }
 
-    /// Waits for a slot for a connection. Where none is free, the oldest idle connection is closed for it.
+    /// Waits for a connection slot. If none is free, the oldest idle connection is closed.
     pub(super) async fn acquire_slot(&self) -> io::Result<OwnedSemaphorePermit> {
         if let Ok(slot) = self.slots.clone().try_acquire_owned() {
             return Ok(slot);
@@ -263,7 +270,7 @@
         slot.map_err(io::Error::other)
     }
 
-    /// Closes the connection that has been idle for longest; false if none is idle.
+    /// Closes the connection that has been idle for the longest time; false if none is idle.
     fn close_oldest_idle(&self) -> bool {
         let mut pools = self.pools.borrow_mut();
         let oldest = pools
