--- a/crates/router-runtime/src/upstream/response.rs
+++ b/crates/router-runtime/src/upstream/response.rs
@@ -1,7 +1,9 @@
-//! The response to the one command in flight on a connection: read whole, or streamed if it is long.
+//! Reads the response to the command in flight on a connection: completely if it is short, buffered
+//! or streamed if it is long.
 //!
-//! Whatever is no response may have run, and ends the connection: what follows on it cannot be told apart. So do bytes
-//! behind a good response.
+//! After a malformed response the command counts as possibly executed, and the connection is
+//! closed, since later bytes cannot be matched to a command. It is also closed if bytes follow a
+//! valid response.
 
 use super::attempt::{AttemptContext, AttemptResult, BodyConsumer};
 use super::connection::Connection;
@@ -20,30 +22,32 @@
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc;
 
-/// A value is served without its load report if that does not follow within this time.
+/// A value is served without its load report if the report takes longer.
 const LOAD_REPORT_TIMEOUT: Duration = Duration::from_millis(20);
-/// How much of a long value is read at a time.
+/// Size of one read of a long value that is streamed.
 const STREAM_READ_BYTES: usize = 16 * 1024;
-/// A client that takes nothing of a streamed value for this long stalls it: the server has done its work by then.
+/// A client that reads nothing of a streamed value for this long has stalled it; the attempt is
+/// then recorded as ended, since the delay is not the server's.
 const CLIENT_STALL_TIMEOUT: Duration = Duration::from_millis(50);
-/// A server that sends nothing of a streamed value for this long has broken it off; slow ones pause for seconds.
+/// A server that sends nothing of a streamed value for this long has failed. Slow servers pause for
+/// seconds.
 const SERVER_STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How a wait for more of a response ended.
+/// Result of a wait for more bytes of a response.
 enum ReadResult {
     /// Bytes arrived.
     Received,
-    /// The attempt's limit was extended meanwhile.
+    /// The attempt's deadline was extended during the wait.
     DeadlineExtended,
-    /// The attempt's limit passed.
+    /// The attempt's deadline passed.
     TimedOut,
-    /// The connection ended, or the server paused for too long within a response.
+    /// The connection ended or failed, or the server paused for too long within a response.
     ConnectionLost,
 }
 
-/// A long value on its way to its client.
+/// A long value that is streamed to its client.
 struct ValueStream {
-    /// When its command was written.
+    /// When its command was sent.
     sent_at: Instant,
     long: LongValue,
     pieces: mpsc::Sender<BodyPiece>,
@@ -112,7 +116,7 @@
         }
     }
 
-    /// Keeps the connection if nothing stands behind the reply.
+    /// Returns the connection to its pool, unless bytes follow the reply.
     fn reply_received(
         &self,
         server: &ServerId,
@@ -125,7 +129,7 @@
         self.result(reply)
     }
 
-    /// Closes the connection: its response may still arrive.
+    /// Closes the connection, since the response may still arrive on it.
     fn timed_out(
         &self,
         server: &ServerId,
@@ -139,8 +143,8 @@
         }
     }
 
-    /// How long a server may pause within a response: cache servers write one in a few pieces, one soon after the
-    /// other.
+    /// How long a server may pause within a response. Cache servers write a response in a few
+    /// pieces in quick succession.
     fn pause_timeout(&self, reader: &ReplyReader) -> Duration {
         if reader.has_value() {
             LOAD_REPORT_TIMEOUT
@@ -149,7 +153,7 @@
         }
     }
 
-    /// Waits for more of a response, until the attempt's limit or for the length of a pause. `read` reads it.
+    /// Waits for `read` until the attempt's deadline, or for at most `pause`.
     async fn read_more(
         &self,
         read: impl Future<Output = io::Result<usize>>,
@@ -168,7 +172,8 @@
         }
     }
 
-    /// Holds a long value until it is whole: others wait for it as well, or for more on its client's connection.
+    /// Buffers a long value until it is complete: several clients wait for it, or its client waits
+    /// for other responses as well.
     async fn buffer_response(
         &self,
         server: &ServerId,
@@ -189,7 +194,7 @@
                 Ok(None) => {}
                 Err(_) => return connection_lost(true),
             }
-            // Within the value the server may pause, as it may where that is streamed.
+            // Within the value the server may pause until the attempt's deadline.
             let pause = reader.has_value().then_some(LOAD_REPORT_TIMEOUT);
             let read = self.read_buffered(&mut connection, &reader, &mut memory);
             match self.read_more(read, context, pause).await {
@@ -215,7 +220,7 @@
         AttemptResult { answer, ..result }
     }
 
-    /// Reads more of a long value that is held, once there is memory for it.
+    /// Reads more of a buffered value, once there is memory for it.
     async fn read_buffered(
         &self,
         connection: &mut Connection<E>,
@@ -231,7 +236,7 @@
         Ok(count)
     }
 
-    /// Streams a long value to its client, who may stall it.
+    /// Streams a long value to its client, and reports a stall by the client.
     async fn stream_response(
         &self,
         server: &ServerId,
@@ -249,7 +254,7 @@
         }
     }
 
-    /// Passes a long value on as it arrives. The server waits where the client does: at most one read of the value and
+    /// Forwards a long value as it arrives, with back-pressure: at most one read of the value and
     /// one piece on its way to the client are in memory.
     async fn stream_value(
         &self,
@@ -278,7 +283,8 @@
                     Some(part) => part,
                     None => return connection_lost(true),
                 },
-                // The server may pause for long, and its connection is wanted for others.
+                // The server may pause for seconds; do not hold its connection for a client that
+                // has disconnected.
                 () = pieces.closed() => return Outcome::Cancelled.into(),
             };
         };
@@ -300,7 +306,7 @@
         }
     }
 
-    /// Sends a piece to the client, at the client's pace. The first stall is reported.
+    /// Sends a piece to the client at the client's pace. Calls `on_stall` at the first stall.
     async fn send_piece(
         &self,
         pieces: &mpsc::Sender<BodyPiece>,
@@ -328,8 +334,8 @@
         Ok(())
     }
 
-    /// The next part of a streamed value, or its end without a load report that does not follow; none if the value is
-    /// broken off.
+    /// The next part of a streamed value. If the load report does not follow the value, its end is
+    /// returned without one; `None` if the value is cut off.
     async fn next_part(
         &self,
         connection: &mut Connection<E>,
@@ -350,7 +356,7 @@
         }
     }
 
-    /// Waits for more of a streamed value; false if none arrives.
+    /// Waits for more bytes of a streamed value; false if none arrive.
     async fn read_piece(&self, connection: &mut Connection<E>, reader: &LongValueReader) -> bool {
         let pause = if reader.has_value() {
             LOAD_REPORT_TIMEOUT
@@ -362,7 +368,7 @@
         matches!(read, Ok(Ok(1..)))
     }
 
-    /// What a reply means for its attempt.
+    /// Converts a reply to the result of its attempt.
     fn result(&self, reply: Reply) -> AttemptResult {
         let (outcome, cache_status, answer, report) = match reply {
             Reply::Served {
@@ -387,7 +393,7 @@
         }
     }
 
-    /// The load report of a response, where one is expected and can be read.
+    /// The load report of a response; `None` if none is expected or it is malformed.
     fn load_report(&self, report: LoadReportText) -> Option<LoadReport> {
         let report = report.filter(|_| !self.report_format.is_empty())?;
         let text = std::str::from_utf8(&report).ok()?;
