--- a/crates/router-runtime/src/runtime.rs
+++ b/crates/router-runtime/src/runtime.rs
@@ -1,4 +1,5 @@
-//! One router: its parts put together, and what the program and operators ask of it.
+//! Assembles the components of one router, and offers the operations that the program and operators
+//! use.
 
 mod config;
 mod reports;
@@ -26,7 +27,7 @@
 pub use reports::{AttemptReport, CoalescingReport, WatchedEndpoints};
 pub use shutdown::ShutdownReport;
 
-/// One router. It relies on one thread: its tasks share their state without locks.
+/// One router. All its tasks run on one thread and share their state without locks.
 pub struct RouterRuntime<E: Environment> {
     environment: E,
     dispatcher: Rc<Dispatcher<E>>,
@@ -41,10 +42,11 @@
 }
 
 impl<E: Environment> RouterRuntime<E> {
-    /// A router that has taken its settings and its last list, and accepts no clients yet.
+    /// Creates a router from its configuration and its last endpoint list. It accepts no clients
+    /// before [`RouterRuntime::run`].
     ///
     /// # Errors
-    /// When a setting cannot be used.
+    /// When a setting is invalid.
     pub fn new(environment: E, config: RouterConfig) -> Result<RouterRuntime<E>, ConfigError> {
         let setup = RouterSetup::new(config)?;
         let metrics = Rc::new(RouterMetrics::new(setup.classes.len()));
@@ -80,7 +82,7 @@
             write_memory: MemoryBudget::of_memory(setup.memory_bytes),
         };
         let clients = ClientConnections::new(downstream, environment.clone());
-        // Before the first request, so that none finds an empty ring.
+        // Before the first request, so that no request finds an empty hash ring.
         discovery.restore(setup.initial_endpoints);
         Ok(RouterRuntime {
             environment,
@@ -96,7 +98,7 @@
         })
     }
 
-    /// The state of this process.
+    /// The lifecycle state of this process.
     pub fn lifecycle(&self) -> Lifecycle {
         let now = self.dispatcher.now();
         let lifecycle = self.lifecycle.get();
@@ -114,29 +116,31 @@
         self.clients.lifecycle_changed();
     }
 
-    /// Drains the router: `PING` is answered with an error, and connections are closed as they become idle. Twice is
-    /// once.
+    /// Drains the router: `PING` is answered with an error, and connections are closed as they
+    /// become idle. Idempotent.
     pub fn drain_router(&self) {
         self.apply_lifecycle_event(LifecycleEvent::DrainRouter);
     }
 
-    /// Ends the drain; without one it changes nothing.
+    /// Ends the drain; does nothing if the router is not drained.
     pub fn resume_router(&self) {
         self.apply_lifecycle_event(LifecycleEvent::ResumeRouter);
     }
 
-    /// Sends nothing more to this server, whatever the list says; false if it is unknown.
+    /// Sends no more requests to this server, whatever the endpoint list says; false if it is
+    /// unknown.
     pub fn disable_server(&self, server: &str) -> bool {
         self.override_server(server, AdminOverride::Disabled)
     }
 
-    /// Enables a server again, to be warmed up; false if it is unknown.
+    /// Enables a disabled server again, which then warms up; false if it is unknown.
     pub fn enable_server(&self, server: &str) -> bool {
         let enabled = AdminOverride::EnabledAt(self.dispatcher.now());
         self.override_server(server, enabled)
     }
 
-    /// Applies an override to a server that is listed or has one already; false for any other.
+    /// Applies an override to a server that is listed or already has one; false for any other
+    /// server.
     fn override_server(&self, server: &str, admin_override: AdminOverride) -> bool {
         let server = ServerId::from(server);
         let is_listed = self
@@ -154,7 +158,7 @@
         is_known
     }
 
-    /// Applies the operators' overrides that another process of this router had.
+    /// Applies the admin overrides that another process of this router had.
     pub fn apply_admin_overrides(
         &self,
         overrides: impl IntoIterator<Item = (ServerId, AdminOverride)>,
@@ -164,23 +168,23 @@
         }
     }
 
-    /// All overrides of operators.
+    /// All admin overrides.
     pub fn admin_overrides(&self) -> Vec<(ServerId, AdminOverride)> {
         self.dispatcher.admin_overrides()
     }
 
-    /// What the decision library has learnt so far.
+    /// Warm state of the decision library.
     pub fn warm_state(&self) -> WarmState {
         self.dispatcher.warm_state()
     }
 
-    /// Takes over what another process of this router has learnt; to be called after
+    /// Restores the warm state of another process of this router. Call it after
     /// [`RouterRuntime::apply_admin_overrides`].
     pub fn restore_warm_state(&self, warm_state: WarmState) {
         self.dispatcher.restore_warm_state(warm_state);
     }
 
-    /// The endpoint list as it stands, and where it comes from.
+    /// The current endpoint list, and the discovery server that it comes from.
     pub fn endpoint_list(&self) -> WatchedEndpoints {
         WatchedEndpoints {
             discovery: self.discovery.addr(),
@@ -188,7 +192,7 @@
         }
     }
 
-    /// What operators are shown.
+    /// Metrics for operators.
     pub fn metrics(&self) -> Metrics {
         let metrics = self.clients.metrics();
         let class_names = self.class_names.iter().cloned();
@@ -201,7 +205,8 @@
         }
     }
 
-    /// Counts of attempts since the start, and the decision library's present estimates.
+    /// Counts of attempts since the start of the process, and the decision library's current
+    /// estimates.
     pub fn attempts(&self) -> AttemptReport {
         AttemptReport {
             counts: self.upstream.metrics().attempts(),
@@ -209,7 +214,8 @@
         }
     }
 
-    /// Leaves half of the slots for connections to cache servers to another process of this router, or takes them back.
+    /// Cedes half of the slots for connections to cache servers to another process of this router,
+    /// or takes them back.
     pub fn share_connection_slots(&self, shared: bool) {
         if shared {
             self.upstream.cede_half_of_slots();
@@ -218,29 +224,31 @@
         }
     }
 
-    /// Another process has taken over the listener: connections are handed over as they become idle.
+    /// Hands connections over as they become idle, since another process has taken over the
+    /// listener.
     pub fn hand_over_to(&self, successor: mpsc::UnboundedSender<IdleConnection<E::Stream>>) {
         self.clients.hand_over_to(Some(successor));
         self.apply_lifecycle_event(LifecycleEvent::SuccessorServes);
     }
 
-    /// That other process has gone: this one serves on.
+    /// Ends the hand-over, since the successor process has ended: this process continues to serve.
     pub fn successor_lost(&self) {
         self.clients.hand_over_to(None);
         self.apply_lifecycle_event(LifecycleEvent::SuccessorLost);
     }
 
-    /// Serves a connection that another process has handed over.
+    /// Serves an idle connection that another process has handed over, or that could not be handed
+    /// over to another process.
     pub fn adopt_connection(&self, idle_connection: IdleConnection<E::Stream>) {
         self.clients.start(idle_connection);
     }
 
-    /// Leaves the watch for one at this address.
+    /// Closes the watch and opens one at this address.
     pub fn set_discovery_addr(&self, discovery: SocketAddr) {
         self.discovery.set_addr(discovery);
     }
 
-    /// What the router holds now.
+    /// Resources in use now.
     pub fn resource_usage(&self) -> ResourceUsage {
         let coalescing = self.coalescing.usage();
         ResourceUsage {
@@ -252,7 +260,7 @@
         }
     }
 
-    /// Counts of coalescing so far, and the age of the oldest flight; `None` where coalescing is off.
+    /// Counts of coalescing so far, and the age of the oldest flight; `None` if coalescing is off.
     pub fn coalescing(&self) -> Option<CoalescingReport> {
         let usage = self.coalescing.usage()?;
         Some(CoalescingReport {
