--- a/crates/router-runtime/src/runtime/reports.rs
+++ b/crates/router-runtime/src/runtime/reports.rs
@@ -1,4 +1,4 @@
-//! What a router tells the program about itself, as plain data.
+//! Reports of a router's state to the program, as plain data.
 
 use crate::endpoint_list::EndpointList;
 use crate::metrics::AttemptCounts;
@@ -6,25 +6,25 @@
 use request_coalescing::Counters;
 use std::net::SocketAddr;
 
-/// The endpoint list as a router has it, and the discovery server that it comes from.
+/// A router's endpoint list, and the discovery server that it comes from.
 #[derive(Debug)]
 pub struct WatchedEndpoints {
-    /// The discovery server.
+    /// Address of the discovery server.
     pub discovery: SocketAddr,
-    /// Its list, as far as it has come.
+    /// The current endpoint list.
     pub endpoints: EndpointList,
 }
 
-/// What attempts came to, and what the decision library makes of them.
+/// Counts of attempts, and the estimates that the decision library derives from them.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptReport {
     /// Counts since the start of the process.
     pub counts: AttemptCounts,
-    /// The decision library's present estimates.
+    /// The decision library's current estimates.
     pub diagnostics: Diagnostics,
 }
 
-/// What coalescing has done.
+/// Counts of coalescing and the state of its flights.
 #[derive(Clone, Copy, Debug)]
 pub struct CoalescingReport {
     /// Counts since the start of the process.
