--- a/crates/router-runtime/src/runtime/shutdown.rs
+++ b/crates/router-runtime/src/runtime/shutdown.rs
@@ -1,4 +1,4 @@
-//! A router at work: the tasks that run beside its connections, and what happens after SIGTERM.
+//! Runs a router: its background tasks, and its graceful shutdown after SIGTERM.
 
 use super::RouterRuntime;
 use crate::environment::Environment;
@@ -7,38 +7,41 @@
 use std::future::Future;
 use std::time::{Duration, Instant};
 
-/// The front hears of SIGTERM late: clients connect for up to 0.4 s after it, and what they send takes some time more.
+/// New connections are accepted for this long after SIGTERM: the load balancers in front of the
+/// router send clients for up to 0.4 s after it, and their first bytes take some more time.
 const ACCEPT_AFTER_SIGTERM: Duration = Duration::from_millis(550);
-/// SIGKILL comes no sooner than the longest deadline and this much after SIGTERM ...
+/// SIGKILL follows SIGTERM no sooner than the longest deadline plus this margin.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
-/// ... where a longer deadline than this counts as this.
+/// A longer deadline counts as this one in the time between SIGTERM and SIGKILL.
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
-/// Pending requests are answered as failed this long before SIGKILL: none ends without a response.
+/// Pending requests are answered as failed this long before SIGKILL, so that none ends without a
+/// response.
 const FAIL_PENDING_MARGIN: Duration = Duration::from_millis(120);
-/// The process ends this long before SIGKILL.
+/// The process exits this long before SIGKILL.
 const EXIT_MARGIN: Duration = Duration::from_millis(30);
 
-/// How a router ended.
+/// Result of a graceful shutdown.
 #[derive(Clone, Copy, Debug)]
 pub struct ShutdownReport {
-    /// Requests that were answered as failed since the time before SIGKILL was over.
+    /// Requests that were answered as failed because SIGKILL was near.
     pub failed: usize,
-    /// Requests that were left without a response all the same.
+    /// Requests that were left without a response nevertheless.
     pub unanswered: usize,
-    /// By when the process is to have ended.
+    /// The time by which the process has to exit.
     pub exit_deadline: Instant,
 }
 
 /// The schedule after SIGTERM.
 struct ShutdownSchedule {
-    /// Pending requests are answered as failed.
+    /// When pending requests are answered as failed.
     fail_pending_at: Instant,
-    /// The process is to have ended.
+    /// The time by which the process has to exit.
     exit_deadline: Instant,
 }
 
 impl<E: Environment> RouterRuntime<E> {
-    /// Serves until `stop` returns, and then until no response is pending or the time for that is over.
+    /// Serves until `stop` returns, and then shuts down: returns when all connections have ended or
+    /// the process has to exit.
     pub async fn run(
         &self,
         listener: E::Listener,
@@ -54,13 +57,13 @@
         self.accept_late_clients(listener).await;
         self.apply_lifecycle_event(LifecycleEvent::Terminate);
         let report = self.finish_connections(schedule).await;
-        // No connection is handed over any more.
+        // From here on no connection is handed over.
         self.clients.hand_over_to(None);
         report
     }
 
-    /// Spawns the tasks that run beside the connections. Each owns a handle to its part and runs until the process
-    /// ends, which drops them; the task of the coalescing stage ends at once where coalescing is off.
+    /// Spawns the background tasks. Each owns a handle to its component and runs until the process
+    /// ends. The task of the coalescing stage returns at once if coalescing is off.
     fn spawn_tasks(&self) {
         let environment = &self.environment;
         environment.spawn(self.discovery.clone().run());
@@ -72,7 +75,7 @@
         environment.spawn(self.clients.clone().close_idle());
     }
 
-    /// Accepts clients whenever the state of this process says so.
+    /// Accepts clients while the lifecycle allows it.
     async fn accept(&self, listener: &E::Listener) {
         loop {
             if self.lifecycle.get().accepts_connections() {
@@ -87,7 +90,7 @@
         }
     }
 
-    /// The schedule of a process that is told to stop at this instant.
+    /// The schedule of a process that received SIGTERM at `stopped_at`.
     fn shutdown_schedule(&self, stopped_at: Instant) -> ShutdownSchedule {
         let longest_wait = self.longest_deadline.min(MAX_COUNTED_DEADLINE);
         let killed_at = stopped_at + longest_wait + KILL_MARGIN;
@@ -97,8 +100,9 @@
         }
     }
 
-    /// Accepts the clients that connect after the stop, and closes the listener: load balancers in front of the router
-    /// notice the stop late.
+    /// Accepts clients for [`ACCEPT_AFTER_SIGTERM`], since load balancers in front of the router
+    /// notice the shutdown late, and closes the listener. Does nothing if a successor process has
+    /// taken over.
     async fn accept_late_clients(&self, listener: E::Listener) {
         if self.lifecycle.get().hands_over_connections() {
             return;
@@ -113,7 +117,8 @@
         }
     }
 
-    /// Waits until all connections have ended. When the time is over, pending requests are answered as failed.
+    /// Waits until all connections have ended. Requests that are pending near SIGKILL are answered
+    /// as failed.
     async fn finish_connections(&self, schedule: ShutdownSchedule) -> ShutdownReport {
         let mut report = ShutdownReport {
             failed: 0,
