--- a/crates/router-runtime/src/runtime/config.rs
+++ b/crates/router-runtime/src/runtime/config.rs
@@ -1,4 +1,4 @@
-//! What a router is started with, and what follows from it.
+//! Configuration of a router, and the setup of its components derived from it.
 
 use crate::clock::to_duration;
 use crate::discovery::DiscoveryConfig;
@@ -12,71 +12,73 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Descriptors that are neither clients' nor cache servers': standard streams, the async runtime's, the listener's,
-/// discovery's, and some to spare.
+/// File descriptors that are not used for clients or cache servers: standard streams, the async
+/// runtime, the listener, discovery, and some to spare.
 const RESERVED_DESCRIPTORS: usize = 48;
-/// Clients and cache servers get one part each of the other descriptors.
+/// The other descriptors are divided equally between clients and cache servers.
 const DESCRIPTOR_USES: usize = 2;
-/// Longer timeouts of the settings count as a day: instants beyond may not be representable.
+/// Fewer descriptors leave none for connections.
+const MIN_DESCRIPTORS: usize = RESERVED_DESCRIPTORS + DESCRIPTOR_USES;
+/// Longer timeouts in the settings count as one day: instants far ahead may not be representable.
 const MAX_TIMEOUT: Micros = Micros::from_millis(86_400_000);
 
-/// What a router needs at its start.
+/// Configuration of a router at its start.
 pub struct RouterConfig {
-    /// Its settings, and the names behind their numbers.
+    /// Its settings, and the names that their numbers stand for.
     pub deployment: Deployment,
-    /// For its random numbers; new with each start.
+    /// Seed of its random numbers; different at each start.
     pub seed: u64,
-    /// Where the list of servers is watched.
+    /// Address of the discovery server.
     pub discovery: SocketAddr,
-    /// The list as this router last had it.
+    /// The last endpoint list of a previous process of this router.
     pub initial_endpoints: EndpointList,
     /// Memory that the process may use, in bytes.
     pub memory_bytes: usize,
-    /// Descriptors that the process may hold.
+    /// File descriptors that the process may have open.
     pub descriptor_limit: usize,
-    /// Which reads are coalesced; `None`: none are.
+    /// Which reads are coalesced; `None` if coalescing is off.
     pub coalescing: Option<CoalescingRules>,
 }
 
-/// Why a router cannot start with its configuration.
+/// Why a configuration is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// The descriptors leave none for clients and cache servers.
-    #[error("limits.sockets: {0} is too few")]
+    /// The descriptor limit leaves none for clients and cache servers.
+    #[error("limits.sockets: {0} is too few, at least {MIN_DESCRIPTORS} are needed")]
     TooFewDescriptors(usize),
-    /// The decision library does not take the settings.
+    /// The decision library rejects the settings.
     #[error(transparent)]
     Settings(#[from] load_balancer::SettingsError),
 }
 
-/// What the parts of a router are made of.
+/// What the components of a router are built from.
 pub(super) struct RouterSetup {
-    /// The decision library.
+    /// The decision library's router.
     pub router: Router,
-    /// Names behind the numbers of the settings.
+    /// The names that the numbers of the settings stand for.
     pub names: Rc<Names>,
-    /// Classes of the settings.
+    /// Request classes of the settings.
     pub classes: Vec<Class>,
-    /// What load reports hold.
+    /// Format of load reports.
     pub report_format: LoadReportFormat,
-    /// For connections to cache servers.
+    /// Limits of connections to cache servers.
     pub upstream_limits: UpstreamLimits,
-    /// For the watch on the list of servers.
+    /// Configuration of the watch on the endpoint list.
     pub discovery: DiscoveryConfig,
-    /// The list as this router last had it.
+    /// The last endpoint list of a previous process of this router.
     pub initial_endpoints: EndpointList,
-    /// Which reads are coalesced.
+    /// Which reads are coalesced; `None` if coalescing is off.
     pub coalescing: Option<CoalescingRules>,
-    /// Attempts for nobody are cancelled.
+    /// Whether attempts that no client waits for may be cancelled.
     pub may_cancel: bool,
-    /// The longest deadline of any class.
+    /// The longest deadline of all classes.
     pub longest_deadline: Duration,
-    /// Memory that the process may use.
+    /// Memory that the process may use, in bytes.
     pub memory_bytes: usize,
 }
 
 impl RouterSetup {
-    /// Checks a configuration and derives the setup.
+    /// Validates a configuration and derives the setup.
     pub fn new(config: RouterConfig) -> Result<RouterSetup, ConfigError> {
         let deployment = config.deployment;
         let mut settings = hooks::settings(deployment.settings);
@@ -122,12 +124,12 @@
     }
 }
 
-/// The place among the others, from 0 to 1, of the router of this number.
+/// Position of a router among all routers, from 0 to 1, by its number.
 fn relative_position(number: u32, routers: u32) -> f64 {
     f64::from(number % routers.max(1)) / f64::from(routers.max(1))
 }
 
-/// How many connections clients, and how many cache servers, may have.
+/// Maximum number of connections of clients, and likewise of cache servers.
 fn connection_limit(descriptors: usize) -> Result<usize, ConfigError> {
     let limit = descriptors.saturating_sub(RESERVED_DESCRIPTORS) / DESCRIPTOR_USES;
     if limit == 0 {
