--- a/crates/router-runtime/src/environment.rs
+++ b/crates/router-runtime/src/environment.rs
@@ -1,9 +1,9 @@
-//! Time, tasks, TCP and UDP, as traits.
+//! Traits for time, tasks, TCP and UDP.
 //!
-//! The runtime is generic over an [`Environment`]: it reads no clock, opens no socket and spawns no task but through
-//! it, and its random numbers come from a seed. In service that is [`crate::tokio_environment::TokioEnvironment`],
-//! real sockets on tokio; in the simulation a virtual clock and network. Static dispatch keeps it free of cost in
-//! service.
+//! The runtime is generic over an [`Environment`]: it reads clocks, opens sockets and spawns tasks
+//! only through it, and its random numbers come from a seed. In production the environment is
+//! [`crate::tokio_environment::TokioEnvironment`], with real sockets on tokio; in the simulation it
+//! is a virtual clock and network. Static dispatch avoids any cost in production.
 
 use std::fmt;
 use std::future::Future;
@@ -12,11 +12,11 @@
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncRead, AsyncWrite};
 
-/// A time limit has passed.
+/// Error of a future that did not complete in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Elapsed;
 
-/// Time, tasks and TCP as one process sees them. A clone is another handle to the same process.
+/// Time, tasks and sockets of one process. A clone is another handle to the same process.
 pub trait Environment: Clone + 'static {
     /// A TCP connection.
     type Stream: Stream;
@@ -25,28 +25,30 @@
     /// A UDP socket.
     type DatagramSocket: DatagramSocket;
 
-    /// The monotonic clock. Its instants compare with others of the same environment only.
+    /// The monotonic clock. Its instants are comparable only within the same environment.
     fn now(&self) -> Instant;
 
-    /// The wall clock, since the Unix epoch. It may step; the runtime reads it once, at its start.
+    /// The wall clock, as time since the Unix epoch. It may be stepped, so the runtime reads it
+    /// only once, at its start.
     fn unix_now(&self) -> Duration;
 
-    /// Returns at this instant, or as soon after it as the timers' resolution allows.
+    /// Sleeps until this instant, or as soon after it as the timer resolution allows.
     fn sleep_until(&self, at: Instant) -> impl Future<Output = ()>;
 
-    /// Spawns a task on the thread of the others of this process. It runs until it returns or the process ends.
+    /// Spawns a task on the thread of this process's other tasks. It runs until it returns or the
+    /// process ends.
     fn spawn(&self, task: impl Future<Output = ()> + 'static);
 
     /// Opens a connection, without a time limit.
     ///
     /// # Errors
-    /// When it is refused, or the process has no descriptor left.
+    /// When it is refused, or no file descriptor is left.
     fn connect(&self, to: SocketAddr) -> impl Future<Output = io::Result<Self::Stream>>;
 
     /// Accepts the next connection of a listener.
     ///
     /// # Errors
-    /// When the process has no descriptor left, or the connection broke before it was taken.
+    /// When no file descriptor is left, or the connection failed before it was accepted.
     fn accept(&self, listener: &Self::Listener) -> impl Future<Output = io::Result<Self::Stream>>;
 
     /// Binds a UDP socket to an address.
@@ -55,15 +57,15 @@
     /// When the address is not available.
     fn bind(&self, at: SocketAddr) -> impl Future<Output = io::Result<Self::DatagramSocket>>;
 
-    /// Logs one line for operators.
+    /// Logs one line.
     fn log(&self, line: fmt::Arguments<'_>);
 
-    /// Returns after this time.
+    /// Sleeps for this time.
     fn sleep(&self, time: Duration) -> impl Future<Output = ()> {
         self.sleep_until(self.now() + time)
     }
 
-    /// The output of a future, if it completes by this instant.
+    /// The output of a future, or [`Elapsed`] if it does not complete by this instant.
     fn timeout_at<F: Future>(
         &self,
         at: Instant,
@@ -78,7 +80,7 @@
         }
     }
 
-    /// The output of a future, if it completes within this time.
+    /// The output of a future, or [`Elapsed`] if it does not complete within this time.
     fn timeout<F: Future>(
         &self,
         time: Duration,
@@ -90,31 +92,31 @@
 
 /// The reading half of a connection.
 pub trait ReadStream: AsyncRead + Unpin {
-    /// Whether the peer has ended its sending or reset the connection, also where bytes before that are still unread.
-    /// Of an end that stands behind more than the system buffers, it knows nothing yet.
+    /// Whether the peer has closed its sending side or reset the connection, even if bytes before
+    /// that are still unread. A close behind more bytes than the system buffers is not noticed yet.
     fn has_peer_closed(&self) -> bool;
 }
 
-/// A TCP connection. Dropped, it is closed; with bytes unread it is reset.
+/// A TCP connection. Dropping it closes the connection, or resets it if bytes are unread.
 pub trait Stream: AsyncRead + AsyncWrite + Unpin + 'static {
     /// The reading half.
     type Reader<'a>: ReadStream;
     /// The writing half.
     type Writer<'a>: AsyncWrite + Unpin;
 
-    /// Splits it into halves that are used side by side.
+    /// Splits it into halves that can be used concurrently.
     fn split(&mut self) -> (Self::Reader<'_>, Self::Writer<'_>);
 
-    /// Sends what is written without delay, however little it is.
+    /// Disables Nagle's algorithm: small writes are sent without delay.
     ///
     /// # Errors
-    /// When the connection is gone.
+    /// When the connection is closed.
     fn set_nodelay(&self) -> io::Result<()>;
 
-    /// Whether nothing has arrived that was not read: neither a byte nor an end.
+    /// Whether there is nothing to read: neither a byte, nor the end of the stream, nor an error.
     fn has_no_pending_input(&self) -> bool;
 
-    /// Acknowledges what has arrived without the usual delay, where the system allows it.
+    /// Acknowledges received bytes without the usual delay, if the system allows it.
     fn acknowledge_immediately(&self);
 }
 
@@ -123,12 +125,12 @@
     /// Sends one datagram.
     ///
     /// # Errors
-    /// When the system does not take it: it is too long, or there is no route to the address.
+    /// When the system rejects it: it is too long, or there is no route to the address.
     fn send_to(&self, bytes: &[u8], to: SocketAddr) -> impl Future<Output = io::Result<usize>>;
 
-    /// Receives the next datagram, cut to the buffer, and its sender.
+    /// Receives the next datagram, truncated to the buffer, and its sender.
     ///
-    /// # Errors
-    /// When the socket failed, for instance because the destination of an earlier datagram refused it.
+    /// # Errors When the socket failed, for instance because the destination of an earlier datagram
+    /// refused it.
     fn receive(&self, buffer: &mut [u8]) -> impl Future<Output = io::Result<(usize, SocketAddr)>>;
 }
