--- a/crates/router-runtime/src/tokio_environment.rs
+++ b/crates/router-runtime/src/tokio_environment.rs
@@ -1,4 +1,4 @@
-//! The environment in service: the system's clocks, tokio's timers and tasks, real sockets.
+//! The environment in production: the system's clocks, tokio's timers and tasks, and real sockets.
 
 use crate::environment::{DatagramSocket, Environment, ReadStream, Stream};
 use std::fmt;
@@ -12,10 +12,11 @@
 use tokio::net::tcp::{ReadHalf, WriteHalf};
 use tokio::net::{TcpListener, TcpSocket, TcpStream, UdpSocket};
 
-/// The length of the listener's queue, in connections.
+/// Length of the listener's queue of connections that are not accepted yet.
 const BACKLOG: u32 = 1024;
 
-/// This process. It has to be used within a [`tokio::task::LocalSet`] on a runtime with its drivers enabled.
+/// The environment of this process. It has to be used within a [`tokio::task::LocalSet`], on a
+/// runtime with its I/O and time drivers enabled.
 #[derive(Clone, Copy, Debug)]
 pub struct TokioEnvironment;
 
@@ -71,7 +72,7 @@
 
 impl ReadStream for ReadHalf<'_> {
     fn has_peer_closed(&self) -> bool {
-        // Polled once, without a waker: what tokio knows so far.
+        // One poll without a waker returns the readiness that tokio knows so far.
         let ready =
             pin!(self.ready(Interest::READABLE)).poll(&mut Context::from_waker(Waker::noop()));
         matches!(ready, Poll::Ready(Ok(ready)) if ready.is_read_closed())
@@ -97,12 +98,12 @@
     }
 
     fn acknowledge_immediately(&self) {
-        // Where it cannot be set, the kernel acknowledges a little later.
+        // If the option cannot be set, the kernel acknowledges a little later.
         let _ = self.set_quickack(true);
     }
 }
 
-/// Binds so that a restart at the same address succeeds at once.
+/// Listens on an address, with `SO_REUSEADDR` so that a restart can bind it again at once.
 ///
 /// # Errors
 /// When the address is not available.
