--- a/crates/router-runtime/src/discovery/watch.rs
+++ b/crates/router-runtime/src/discovery/watch.rs
@@ -1,4 +1,4 @@
-//! One watch on the list of servers, from its call to its end.
+//! One watch on the endpoint list, from its call to its end.
 
 use super::Discovery;
 use super::error::WatchError;
@@ -6,7 +6,7 @@
 use crate::endpoint_list::EndpointListReader;
 use crate::environment::Environment;
 use crate::mutation::hooks;
-use crate::socket_error::connect;
+use crate::socket_error::connect_with_retry;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
 use hyper::body::{Frame, Incoming};
@@ -18,12 +18,13 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// A call without a connection by then has failed ...
-const CONNECT_LIMIT: Duration = Duration::from_millis(1_200);
-/// ... and one without an answer by then; discovery gives a call up after 2 s.
-const ANSWER_LIMIT: Duration = Duration::from_millis(2_500);
+/// A call fails if its connection takes longer.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// A call fails if its answer takes longer. It exceeds the 2 s after which discovery itself gives a
+/// call up.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Where a call goes, and by when it has to be answered.
+/// Destination and deadline of a call.
 #[derive(Clone, Copy)]
 struct Call {
     addr: SocketAddr,
@@ -31,24 +32,25 @@
 }
 
 impl<E: Environment> Discovery<E> {
-    /// Watches until the watch is lost. Its first line answers the subscription.
+    /// Opens a watch and applies its lists until it is lost. The first data answer the
+    /// subscription.
     pub(super) async fn watch(&self, progress: &WatchProgress) -> Result<Infallible, WatchError> {
         self.upstream.metrics().discovery_called();
         let call = Call {
             addr: self.addr.get(),
-            answer_by: self.environment.now() + ANSWER_LIMIT,
+            answer_by: self.environment.now() + ANSWER_TIMEOUT,
         };
-        let connecting = connect(&self.environment, call.addr, || true);
+        let connecting = connect_with_retry(&self.environment, call.addr, || true);
         let stream = self
             .environment
-            .timeout(CONNECT_LIMIT, connecting)
+            .timeout(CONNECT_TIMEOUT, connecting)
             .await
-            .map_err(|_| WatchError::ConnectTimeout(CONNECT_LIMIT))?
+            .map_err(|_| WatchError::ConnectTimeout(CONNECT_TIMEOUT))?
             .map_err(WatchError::Connect)?
             .ok_or(WatchError::Closed)?;
         let (sender, connection) =
             hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
-        // The connection ends with this watch, however it ends.
+        // Returning drops the connection as well.
         let lists = self.read_lists(sender, call, progress);
         tokio::pin!(lists);
         tokio::select! {
@@ -56,18 +58,18 @@
             end = &mut lists => return end,
             _ = connection => {}
         }
-        // What arrived before the connection's end is still to be read.
+        // Read what arrived before the connection ended.
         lists.await
     }
 
-    /// Calls on a connection, and reads the lists of the answer.
+    /// Sends the request on a connection, and applies the lists of the response as they arrive.
     async fn read_lists(
         &self,
         mut sender: SendRequest<Empty<Bytes>>,
         call: Call,
         progress: &WatchProgress,
     ) -> Result<Infallible, WatchError> {
-        let mut body = self.call(&mut sender, call).await?;
+        let mut body = self.send_request(&mut sender, call).await?;
         let mut lists = EndpointListReader::default();
         let mut last_data_at = self.environment.now();
         loop {
@@ -75,7 +77,7 @@
                 .next_frame(&mut body, progress, last_data_at, call)
                 .await?
             else {
-                // What it still brings is applied, but it is broken: another call is to replace it.
+                // Lists that still arrive are applied, but another call is to replace the watch.
                 progress.is_silent.set(true);
                 continue;
             };
@@ -84,15 +86,15 @@
             };
             lists.feed(&data);
             let has_list = self.apply_lists(&mut lists, progress)?;
-            // Within an unfinished list, white space alone does not count as data.
-            let is_data = has_list || !lists.is_midway() || !data.trim_ascii().is_empty();
+            // Within an incomplete list, white space alone does not count as data.
+            let is_data = has_list || !lists.has_partial_list() || !data.trim_ascii().is_empty();
             if is_data {
                 last_data_at = self.environment.now();
             }
         }
     }
 
-    /// The next frame of the answer; none if the watch falls silent.
+    /// The next frame of the response; `None` if the watch falls silent.
     async fn next_frame(
         &self,
         body: &mut Incoming,
@@ -107,14 +109,14 @@
             match self.environment.timeout_at(until, body.frame()).await {
                 Ok(frame) => frame,
                 Err(_) if progress.is_answered.get() => return Ok(None),
-                Err(_) => return Err(WatchError::AnswerTimeout(ANSWER_LIMIT)),
+                Err(_) => return Err(WatchError::AnswerTimeout(ANSWER_TIMEOUT)),
             }
         };
         Ok(Some(frame.ok_or(WatchError::Closed)??))
     }
 
-    /// Sends the request, and gives the body of the answer.
-    async fn call(
+    /// Sends the request, and returns the body of the response.
+    async fn send_request(
         &self,
         sender: &mut SendRequest<Empty<Bytes>>,
         call: Call,
@@ -127,14 +129,14 @@
             .environment
             .timeout_at(call.answer_by, sender.send_request(request))
             .await
-            .map_err(|_| WatchError::AnswerTimeout(ANSWER_LIMIT))??;
+            .map_err(|_| WatchError::AnswerTimeout(ANSWER_TIMEOUT))??;
         if answer.status() != StatusCode::OK {
             return Err(WatchError::Status(answer.status()));
         }
         Ok(answer.into_body())
     }
 
-    /// Applies the lists that have arrived whole; true if there were any.
+    /// Applies the lists that have arrived completely; true if there were any.
     fn apply_lists(
         &self,
         lists: &mut EndpointListReader,
@@ -146,8 +148,9 @@
             self.endpoints.update(list);
             self.mark_answered(progress);
         }
-        if !lists.is_midway() && !progress.is_answered.get() {
-            // Nothing has changed since the version in the request: that answers the call too.
+        if !lists.has_partial_list() && !progress.is_answered.get() {
+            // White space without a list: nothing has changed since the requested version. That
+            // answers the call too.
             self.dispatcher
                 .endpoints_changed(EndpointUpdate::Delta, Vec::new());
             self.mark_answered(progress);
@@ -155,7 +158,7 @@
         Ok(has_list)
     }
 
-    /// By when data has to arrive.
+    /// The time by which the next data have to arrive.
     fn data_deadline(
         &self,
         progress: &WatchProgress,
@@ -163,7 +166,7 @@
         call: Call,
     ) -> Instant {
         let deadline = match progress.is_answered.get() {
-            true => last_data_at + self.silence_limit(),
+            true => last_data_at + self.silence_timeout(),
             false => call.answer_by,
         };
         hooks::silence_deadline(deadline, self.is_push, self.environment.now())
