--- a/crates/request-coalescing/src/coalescer.rs
+++ b/crates/request-coalescing/src/coalescer.rs
@@ -61,9 +61,11 @@
     }
 
     /// Gives rejected waiters a Retry-After of at most `most`; `None`: none is given.
-    pub fn with_max_retry_after(self, most: Option<Micros>) -> Coalescer {
+    pub fn with_max_retry_after(self, max_retry_after: Option<Micros>) -> Coalescer {
         Coalescer {
-            retry_after: RetryAfter { maximum: most },
+            retry_after: RetryAfter {
+                maximum: max_retry_after,
+            },
             ..self
         }
     }
@@ -76,7 +78,7 @@
             Event::ClientDisconnected { id } => self.remove_waiter(now, id, actions),
             Event::Retried { flight } => self.on_retried(now, flight, actions),
             Event::FlightEnded { flight, outcome } => self.on_ended(now, flight, outcome, actions),
-            Event::DeadlineReached => self.on_due(now, actions),
+            Event::DeadlineReached => self.on_deadline_reached(now, actions),
         }
     }
 
@@ -207,10 +209,10 @@
     }
 
     /// Rejects waiters at their deadline: a read is idempotent, so that the client may send it again.
-    fn on_due(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    fn on_deadline_reached(&mut self, now: Micros, actions: &mut Vec<Action>) {
         while let Some(id) = self.table.first_expired(now) {
             self.counters.expired += 1;
-            let retry_after = self.retry_after.spread(id, self.typical_latency(id));
+            let retry_after = self.retry_after.spread(id, self.median_latency(id));
             actions.push(Action::Answer {
                 id,
                 outcome: FlightOutcome::Rejected(retry_after),
@@ -309,9 +311,9 @@
     }
 
     /// The typical latency of the class of a waiter's flight.
-    fn typical_latency(&self, waiter: RequestId) -> Option<Micros> {
+    fn median_latency(&self, waiter: RequestId) -> Option<Micros> {
         let waiter = self.table.waiter(waiter)?;
         let flight = self.table.flight(waiter.flight)?;
-        self.classes[flight.class.0].latency.typical()
+        self.classes[flight.class.0].latency.median()
     }
 }
--- a/crates/request-coalescing/src/flight_table.rs
+++ b/crates/request-coalescing/src/flight_table.rs
@@ -55,7 +55,7 @@
     by_key: HashMap<Box<[u8]>, Vec<FlightId>>,
     by_deadline: BTreeSet<(Micros, RequestId)>,
     /// Flights opened so far.
-    opened: u64,
+    opened_count: u64,
 }
 
 impl FlightTable {
@@ -110,12 +110,12 @@
     /// Opens a flight with the read as its first waiter.
     pub fn open(&mut self, now: Micros, read: &Read<'_>) -> FlightId {
         let id = FlightId(read.id);
-        self.opened += 1;
+        self.opened_count += 1;
         let flight = Flight {
             key: read.key.into(),
             variant: read.variant.into(),
             class: read.class,
-            sequence: self.opened,
+            sequence: self.opened_count,
             opened_at: now,
             expires: read.expires,
             is_open: true,
@@ -181,16 +181,16 @@
 
     /// Closes all flights of a key to newcomers; returns how many were open.
     pub fn close_to_newcomers(&mut self, key: &[u8]) -> u64 {
-        let mut closed = 0;
+        let mut closed_count = 0;
         for id in self.by_key.get(key).map_or(&[][..], Vec::as_slice) {
             if let Some(flight) = self.flights.get_mut(id)
                 && flight.is_open
             {
                 flight.is_open = false;
-                closed += 1;
+                closed_count += 1;
             }
         }
-        closed
+        closed_count
     }
 
     /// Sets a flight's deadline to the latest one of its waiters; returns it if that is earlier than before.
--- a/crates/request-coalescing/src/latency_tracker.rs
+++ b/crates/request-coalescing/src/latency_tracker.rs
@@ -23,7 +23,7 @@
     /// The median.
     median: Micros,
     /// The second longest: the longest may have hung itself.
-    long: Micros,
+    second_longest: Micros,
 }
 
 /// Tracks the latencies of one request class.
@@ -86,7 +86,7 @@
     pub fn hung_after(&self) -> Micros {
         self.estimate
             .map_or(self.latency_objective, |estimate| {
-                estimate.long.scaled(HUNG_RATIO)
+                estimate.second_longest.scaled(HUNG_RATIO)
             })
             .max(HUNG_AFTER_MINIMUM)
     }
@@ -97,7 +97,7 @@
     }
 
     /// The median latency; `None` until there is an estimate.
-    pub fn typical(&self) -> Option<Micros> {
+    pub fn median(&self) -> Option<Micros> {
         self.estimate.map(|estimate| estimate.median)
     }
 
@@ -106,7 +106,7 @@
         sorted.sort_unstable();
         self.estimate = Some(Estimate {
             median: sorted[sorted.len() / 2],
-            long: sorted[sorted.len() - 2],
+            second_longest: sorted[sorted.len() - 2],
         });
     }
 }
--- a/crates/request-coalescing/src/retry_after.rs
+++ b/crates/request-coalescing/src/retry_after.rs
@@ -3,9 +3,9 @@
 use load_balancer::{Micros, RequestId};
 
 /// The shortest Retry-After.
-const SHORTEST: Micros = Micros::from_millis(1);
+const MIN_RETRY_AFTER: Micros = Micros::from_millis(1);
 /// The longest estimate, as a part of the maximum: spreading at most doubles it.
-const LONGEST_ESTIMATE_RATIO: f64 = 0.5;
+const MAX_ESTIMATE_RATIO: f64 = 0.5;
 /// 2^32 over the golden ratio: multiples of it, modulo 2^32, spread evenly whatever their count.
 const GOLDEN_RATIO_MULTIPLIER: u32 = 0x9E37_79B9;
 
@@ -24,8 +24,8 @@
         let maximum = self.maximum?;
         let shortest = estimate
             .unwrap_or(maximum)
-            .min(maximum.scaled(LONGEST_ESTIMATE_RATIO))
-            .max(SHORTEST);
+            .min(maximum.scaled(MAX_ESTIMATE_RATIO))
+            .max(MIN_RETRY_AFTER);
         let hash = id.0.wrapping_mul(GOLDEN_RATIO_MULTIPLIER);
         let position = f64::from(hash) / f64::from(u32::MAX);
         Some(shortest.scaled(1.0 + position))
--- a/crates/request-coalescing/src/settings.rs
+++ b/crates/request-coalescing/src/settings.rs
@@ -4,7 +4,7 @@
 use serde::Deserialize;
 
 /// The highest value of a bound; a higher one is taken for a slip of the pen.
-const BOUND_MAXIMUM: usize = 1_000_000;
+const MAX_BOUND: usize = 1_000_000;
 /// Fields that every read is told apart by, and that no file may ignore: class, tenant and idempotency key.
 const REQUIRED_FIELDS: [&str; 3] = ["c", "t", "k"];
 
@@ -45,7 +45,7 @@
             ("second_flights", self.replacement_flights, 0),
         ];
         for (key, value, minimum) in rows {
-            if !(minimum..=BOUND_MAXIMUM).contains(&value) {
+            if !(minimum..=MAX_BOUND).contains(&value) {
                 return Err(SettingsError::BoundOutOfRange {
                     key,
                     value,
@@ -128,7 +128,7 @@
         name: String,
     },
     /// A bound is zero where it must not be, or too high.
-    #[error("joining.bounds.{key}: {value} does not lie between {minimum} and {BOUND_MAXIMUM}")]
+    #[error("joining.bounds.{key}: {value} does not lie between {minimum} and {MAX_BOUND}")]
     BoundOutOfRange {
         /// Its key in the file.
         key: &'static str,
@@ -173,13 +173,13 @@
     fn coalesced_classes(&self, deployment: &Deployment) -> Result<Vec<bool>, SettingsError> {
         let known = &deployment.names.classes;
         let classes = &deployment.settings.classes;
-        let mut joined = vec![false; classes.len()];
+        let mut is_coalesced = vec![false; classes.len()];
         for name in &self.classes {
             let Some(class) = known.iter().position(|known| known == name) else {
                 return Err(SettingsError::UnknownClass { name: name.clone() });
             };
             match classes[class].idempotency {
-                Idempotency::Idempotent => joined[class] = true,
+                Idempotency::Idempotent => is_coalesced[class] = true,
                 Idempotency::Keyed { .. } => {
                     return Err(SettingsError::KeyedClass { name: name.clone() });
                 }
@@ -188,7 +188,7 @@
                 }
             }
         }
-        Ok(joined)
+        Ok(is_coalesced)
     }
 
     fn check_ignored_fields(&self) -> Result<(), SettingsError> {
--- a/crates/request-coalescing/tests/coalescer/any_event_order.rs
+++ b/crates/request-coalescing/tests/coalescer/any_event_order.rs
@@ -1,6 +1,6 @@
 //! Invariants that hold in any order of events.
 
-use crate::rig::*;
+use crate::harness::*;
 use load_balancer::{ClassId, Micros, RequestId};
 use proptest::prelude::*;
 use proptest::sample::Index;
@@ -52,7 +52,7 @@
 
 /// Plays steps on a coalescer and keeps what its answers have to agree with.
 struct Model {
-    rig: Rig,
+    harness: Harness,
     reads: BTreeMap<u32, ReadRecord>,
     waiting: BTreeSet<u32>,
     flights: BTreeSet<u32>,
@@ -63,7 +63,7 @@
 impl Model {
     fn new() -> Model {
         Model {
-            rig: Rig::with(Bounds {
+            harness: Harness::with(Bounds {
                 waiters: 40,
                 waiters_per_flight: 10,
                 flights_per_key: 4,
@@ -77,7 +77,7 @@
     }
 
     /// Plays one step, numbered from 1, and checks all that it causes.
-    fn play(&mut self, number: usize, step: &Step) -> TestCaseResult {
+    fn apply(&mut self, number: usize, step: &Step) -> TestCaseResult {
         let id = number as u32;
         let mut ended = None;
         let actions = match step {
@@ -88,19 +88,19 @@
             } => self.read(number, *key, *variant, *wait_ms),
             Step::Write { key } => {
                 self.last_write[usize::from(*key)] = number;
-                self.rig.event(Event::Write { key: &[*key] })
+                self.harness.event(Event::Write { key: &[*key] })
             }
             Step::Disconnect(index) => match pick(&self.waiting, index) {
                 Some(waiter) => {
                     self.waiting.remove(&waiter);
-                    self.rig.event(Event::ClientDisconnected {
+                    self.harness.event(Event::ClientDisconnected {
                         id: RequestId(waiter),
                     })
                 }
                 None => Vec::new(),
             },
             Step::Retry(index) => match pick(&self.flights, index) {
-                Some(id) => self.rig.event(Event::Retried { flight: flight(id) }),
+                Some(id) => self.harness.event(Event::Retried { flight: flight(id) }),
                 None => Vec::new(),
             },
             Step::End(index, outcome) => {
@@ -108,7 +108,7 @@
                 match ended {
                     Some(id) => {
                         self.flights.remove(&id);
-                        self.rig.ended(id, *outcome)
+                        self.harness.ended(id, *outcome)
                     }
                     None => Vec::new(),
                 }
@@ -118,7 +118,7 @@
         for action in actions {
             self.check(id, step, ended, action)?;
         }
-        let Usage { waiters, flights } = self.rig.coalescer.usage();
+        let Usage { waiters, flights } = self.harness.coalescer.usage();
         prop_assert_eq!((waiters, flights), (self.waiting.len(), self.flights.len()));
         prop_assert!(flights <= waiters, "a flight without a waiter");
         Ok(())
@@ -126,7 +126,7 @@
 
     fn read(&mut self, number: usize, key: u8, variant: u8, wait_ms: u16) -> Vec<Action> {
         let id = number as u32;
-        let expires = self.rig.now.plus(ms(u64::from(wait_ms)));
+        let expires = self.harness.now.plus(ms(u64::from(wait_ms)));
         self.reads.insert(
             id,
             ReadRecord {
@@ -136,7 +136,7 @@
                 expires,
             },
         );
-        self.rig.event(Event::Read(Read {
+        self.harness.event(Event::Read(Read {
             id: RequestId(id),
             class: ClassId(0),
             tenant: None,
@@ -148,18 +148,23 @@
 
     /// Passes time, stopping at each deadline; each waiter answered there has exactly that deadline.
     fn advance(&mut self, millis: u16) -> Result<Vec<Action>, TestCaseError> {
-        let end = self.rig.now.plus(ms(u64::from(millis)));
+        let end = self.harness.now.plus(ms(u64::from(millis)));
         let mut actions = Vec::new();
-        while let Some(due) = self.rig.coalescer.next_deadline().filter(|&due| due <= end) {
-            prop_assert!(due >= self.rig.now);
-            self.rig.now = due;
-            let due_actions = self.rig.event(Event::DeadlineReached);
+        while let Some(due) = self
+            .harness
+            .coalescer
+            .next_deadline()
+            .filter(|&due| due <= end)
+        {
+            prop_assert!(due >= self.harness.now);
+            self.harness.now = due;
+            let due_actions = self.harness.event(Event::DeadlineReached);
             for (id, _) in answers(&due_actions) {
                 prop_assert_eq!(self.reads[&id].expires, due);
             }
             actions.extend(due_actions);
         }
-        self.rig.now = end;
+        self.harness.now = end;
         Ok(actions)
     }
 
@@ -194,7 +199,7 @@
                 prop_assert!(self.waiting.remove(&id.0), "answered twice, or unasked");
                 let read = &self.reads[&id.0];
                 let time_passes = matches!(step, Step::Advance { .. });
-                prop_assert!(time_passes || self.rig.now <= read.expires);
+                prop_assert!(time_passes || self.harness.now <= read.expires);
                 if outcome == FlightOutcome::Served {
                     let first = &self.reads[&ended.expect("a flight")];
                     prop_assert_eq!((read.key, read.variant), (first.key, first.variant));
@@ -208,11 +213,11 @@
 
     /// Lets all deadlines pass; nothing is left then.
     fn finish(mut self) -> TestCaseResult {
-        while let Some(due) = self.rig.coalescer.next_deadline() {
-            self.rig.now = due;
-            self.rig.event(Event::DeadlineReached);
+        while let Some(due) = self.harness.coalescer.next_deadline() {
+            self.harness.now = due;
+            self.harness.event(Event::DeadlineReached);
         }
-        prop_assert_eq!(self.rig.coalescer.usage(), Usage::default());
+        prop_assert_eq!(self.harness.coalescer.usage(), Usage::default());
         Ok(())
     }
 }
@@ -233,7 +238,7 @@
     ) {
         let mut model = Model::new();
         for (index, step) in steps.iter().enumerate() {
-            model.play(index + 1, step)?;
+            model.apply(index + 1, step)?;
         }
         model.finish()?;
     }
@@ -252,7 +257,7 @@
     ];
     let mut model = Model::new();
     for (index, step) in steps.iter().enumerate() {
-        model.play(index + 1, step).expect("the invariants hold");
+        model.apply(index + 1, step).expect("the invariants hold");
     }
     assert!(model.waiting.is_empty(), "answered");
     model.finish().expect("nothing is left");
--- a/crates/request-coalescing/tests/coalescer/bounds.rs
+++ b/crates/request-coalescing/tests/coalescer/bounds.rs
@@ -1,6 +1,6 @@
 //! Past a bound a read bypasses coalescing.
 
-use crate::rig::*;
+use crate::harness::*;
 use load_balancer::RequestId;
 use request_coalescing::*;
 
@@ -12,34 +12,34 @@
         flights_per_key: 2,
         replacement_flights: 1,
     };
-    let mut rig = Rig::with(bounds);
-    let alone = |id| Action::Bypass { id: RequestId(id) };
+    let mut harness = Harness::with(bounds);
+    let bypass = |id| Action::Bypass { id: RequestId(id) };
     for id in 1..=3 {
-        rig.read(id);
+        harness.read(id);
     }
-    assert_eq!(rig.read(4), alone(4), "the flight is full");
+    assert_eq!(harness.read(4), bypass(4), "the flight is full");
     assert_eq!(
-        rig.read_of(5, b"key", b"x", 1_000),
+        harness.read_of(5, b"key", b"x", 1_000),
         Action::Open { flight: flight(5) }
     );
     assert_eq!(
-        rig.read_of(6, b"key", b"y", 1_000),
-        alone(6),
+        harness.read_of(6, b"key", b"y", 1_000),
+        bypass(6),
         "the key has its flights"
     );
     assert_eq!(
-        rig.read_of(7, b"other", b"", 1_000),
+        harness.read_of(7, b"other", b"", 1_000),
         Action::Open { flight: flight(7) }
     );
     assert_eq!(
-        rig.read_of(8, b"third", b"", 1_000),
-        alone(8),
+        harness.read_of(8, b"third", b"", 1_000),
+        bypass(8),
         "enough wait in all"
     );
-    assert_eq!(rig.coalescer.counters().bypassed, 3);
-    rig.ended(7, FlightOutcome::Served);
+    assert_eq!(harness.coalescer.counters().bypassed, 3);
+    harness.ended(7, FlightOutcome::Served);
     assert_eq!(
-        rig.read_of(9, b"third", b"", 1_000),
+        harness.read_of(9, b"third", b"", 1_000),
         Action::Open { flight: flight(9) },
         "there is room again"
     );
--- a/crates/request-coalescing/tests/coalescer/flight_outcomes.rs
+++ b/crates/request-coalescing/tests/coalescer/flight_outcomes.rs
@@ -1,15 +1,15 @@
 //! What the waiters of a rejected or failed flight are answered.
 
-use crate::rig::*;
+use crate::harness::*;
 use request_coalescing::*;
 
 #[test]
 fn a_rejection_reaches_all_waiters_with_spread_retry_after() {
-    let mut rig = Rig::new();
+    let mut harness = Harness::new();
     for id in 1..=500 {
-        rig.read(id);
+        harness.read(id);
     }
-    let answers = answers(&rig.ended(1, FlightOutcome::Rejected(Some(ms(100)))));
+    let answers = answers(&harness.ended(1, FlightOutcome::Rejected(Some(ms(100)))));
     assert_eq!(answers.len(), 500);
     let mut retry_after_us: Vec<u64> = answers
         .iter()
@@ -36,11 +36,11 @@
 
 #[test]
 fn a_failure_reaches_all_waiters_unchanged() {
-    let mut rig = Rig::new();
-    rig.read(1);
-    rig.read(2);
+    let mut harness = Harness::new();
+    harness.read(1);
+    harness.read(2);
     assert_eq!(
-        answers(&rig.ended(1, FlightOutcome::Failed)),
+        answers(&harness.ended(1, FlightOutcome::Failed)),
         [(1, FlightOutcome::Failed), (2, FlightOutcome::Failed)]
     );
 }
--- a/crates/request-coalescing/tests/coalescer/rig.rs
+++ b/crates/request-coalescing/tests/coalescer/harness.rs
@@ -11,17 +11,17 @@
     FlightId(RequestId(id))
 }
 
-pub struct Rig {
+pub struct Harness {
     pub coalescer: Coalescer,
     pub now: Micros,
 }
 
-impl Rig {
-    pub fn new() -> Rig {
-        Rig::with(Bounds::default())
+impl Harness {
+    pub fn new() -> Harness {
+        Harness::with(Bounds::default())
     }
 
-    pub fn with(bounds: Bounds) -> Rig {
+    pub fn with(bounds: Bounds) -> Harness {
         let coalescer = Coalescer::new(
             bounds,
             &[ClassSettings {
@@ -30,7 +30,7 @@
             }],
         )
         .with_max_retry_after(Some(ms(1_000)));
-        Rig {
+        Harness {
             coalescer,
             now: ms(10_000),
         }
--- a/crates/request-coalescing/tests/coalescer/retries.rs
+++ b/crates/request-coalescing/tests/coalescer/retries.rs
@@ -1,16 +1,16 @@
 //! A retry of a flight rejects the waiters for whom it comes too late.
 
-use crate::rig::*;
+use crate::harness::*;
 use request_coalescing::*;
 
 #[test]
 fn a_retry_rejects_the_waiters_for_whom_it_comes_too_late() {
-    let mut rig = Rig::new();
-    rig.read(1);
-    rig.read_of(2, b"key", b"", 100);
-    rig.read_of(3, b"key", b"", 101);
-    rig.advance(81);
-    let actions = rig.event(Event::Retried { flight: flight(1) });
+    let mut harness = Harness::new();
+    harness.read(1);
+    harness.read_of(2, b"key", b"", 100);
+    harness.read_of(3, b"key", b"", 101);
+    harness.advance(81);
+    let actions = harness.event(Event::Retried { flight: flight(1) });
     assert!(
         matches!(
             answers(&actions)[..],
@@ -20,7 +20,7 @@
     );
     assert_eq!(withdrawn(&actions), []);
     assert_eq!(
-        answers(&rig.ended(1, FlightOutcome::Served)),
+        answers(&harness.ended(1, FlightOutcome::Served)),
         [(1, FlightOutcome::Served), (3, FlightOutcome::Served)]
     );
 }
@@ -28,8 +28,8 @@
 /// What the decision library allowed for the one with the most time is not taken from it a moment later.
 #[test]
 fn the_waiter_with_the_latest_deadline_keeps_its_retry() {
-    let mut rig = Rig::new();
-    rig.read_of(1, b"key", b"", 100);
-    rig.advance(81);
-    assert_eq!(rig.event(Event::Retried { flight: flight(1) }), []);
+    let mut harness = Harness::new();
+    harness.read_of(1, b"key", b"", 100);
+    harness.advance(81);
+    assert_eq!(harness.event(Event::Retried { flight: flight(1) }), []);
 }
--- a/crates/request-coalescing/tests/coalescer/waiter_deadlines.rs
+++ b/crates/request-coalescing/tests/coalescer/waiter_deadlines.rs
@@ -1,22 +1,25 @@
 //! Each waiter has its own deadline; the flight has the latest of them.
 
-use crate::rig::*;
+use crate::harness::*;
 use load_balancer::RequestId;
 use request_coalescing::*;
 
 #[test]
 fn a_waiter_is_rejected_at_its_own_deadline_and_neither_ends_nor_shortens_the_flight() {
-    let mut rig = Rig::new();
-    rig.read(1);
-    let Action::Join { expires, .. } = rig.read_of(2, b"key", b"", 50) else {
+    let mut harness = Harness::new();
+    harness.read(1);
+    let Action::Join { expires, .. } = harness.read_of(2, b"key", b"", 50) else {
         panic!("joined")
     };
-    assert_eq!(expires, rig.now.plus(ms(1_000)), "not shortened");
-    assert_eq!(rig.coalescer.next_deadline(), Some(rig.now.plus(ms(50))));
-    rig.advance(49);
-    assert_eq!(rig.event(Event::DeadlineReached), []);
-    rig.advance(1);
-    let actions = rig.event(Event::DeadlineReached);
+    assert_eq!(expires, harness.now.plus(ms(1_000)), "not shortened");
+    assert_eq!(
+        harness.coalescer.next_deadline(),
+        Some(harness.now.plus(ms(50)))
+    );
+    harness.advance(49);
+    assert_eq!(harness.event(Event::DeadlineReached), []);
+    harness.advance(1);
+    let actions = harness.event(Event::DeadlineReached);
     assert!(
         matches!(
             answers(&actions)[..],
@@ -26,47 +29,47 @@
     );
     assert_eq!(withdrawn(&actions), []);
     assert_eq!(
-        answers(&rig.ended(1, FlightOutcome::Served)),
+        answers(&harness.ended(1, FlightOutcome::Served)),
         [(1, FlightOutcome::Served)]
     );
 }
 
 #[test]
 fn a_waiter_with_a_later_deadline_extends_the_flight() {
-    let mut rig = Rig::new();
-    rig.read(1);
-    let Action::Join { expires, .. } = rig.read_of(2, b"key", b"", 4_000) else {
+    let mut harness = Harness::new();
+    harness.read(1);
+    let Action::Join { expires, .. } = harness.read_of(2, b"key", b"", 4_000) else {
         panic!("joined")
     };
-    assert_eq!(expires, rig.now.plus(ms(4_000)));
+    assert_eq!(expires, harness.now.plus(ms(4_000)));
 }
 
 #[test]
 fn the_leader_disconnects_and_the_flight_goes_on_until_the_last_waiter_leaves() {
-    let mut rig = Rig::new();
-    rig.read(1);
-    rig.read(2);
-    rig.read(3);
+    let mut harness = Harness::new();
+    harness.read(1);
+    harness.read(2);
+    harness.read(3);
     assert_eq!(
-        rig.event(Event::ClientDisconnected { id: RequestId(1) }),
+        harness.event(Event::ClientDisconnected { id: RequestId(1) }),
         []
     );
     assert_eq!(
-        rig.event(Event::ClientDisconnected { id: RequestId(3) }),
+        harness.event(Event::ClientDisconnected { id: RequestId(3) }),
         []
     );
-    assert_eq!(joins(rig.read(4)), Some(1));
+    assert_eq!(joins(harness.read(4)), Some(1));
     assert_eq!(
-        rig.event(Event::ClientDisconnected { id: RequestId(2) }),
+        harness.event(Event::ClientDisconnected { id: RequestId(2) }),
         []
     );
     assert_eq!(
-        withdrawn(&rig.event(Event::ClientDisconnected { id: RequestId(4) })),
+        withdrawn(&harness.event(Event::ClientDisconnected { id: RequestId(4) })),
         [1]
     );
-    assert_eq!(rig.coalescer.usage(), Usage::default());
+    assert_eq!(harness.coalescer.usage(), Usage::default());
     assert_eq!(
-        rig.event(Event::ClientDisconnected { id: RequestId(4) }),
+        harness.event(Event::ClientDisconnected { id: RequestId(4) }),
         [],
         "said twice"
     );
@@ -74,20 +77,20 @@
 
 #[test]
 fn the_last_waiters_deadline_ends_the_flight() {
-    let mut rig = Rig::new();
-    rig.read(1);
-    rig.advance(1_000);
-    assert_eq!(withdrawn(&rig.event(Event::DeadlineReached)), [1]);
-    assert_eq!(rig.coalescer.usage(), Usage::default());
+    let mut harness = Harness::new();
+    harness.read(1);
+    harness.advance(1_000);
+    assert_eq!(withdrawn(&harness.event(Event::DeadlineReached)), [1]);
+    assert_eq!(harness.coalescer.usage(), Usage::default());
 }
 
 #[test]
 fn a_flights_deadline_is_the_latest_of_its_remaining_waiters() {
-    let mut rig = Rig::new();
-    let start = rig.now;
-    rig.read_of(1, b"key", b"", 300);
-    rig.read_of(2, b"key", b"", 900);
-    rig.read_of(3, b"key", b"", 500);
+    let mut harness = Harness::new();
+    let start = harness.now;
+    harness.read_of(1, b"key", b"", 300);
+    harness.read_of(2, b"key", b"", 900);
+    harness.read_of(3, b"key", b"", 500);
     let shorten = |millis| {
         [Action::Shorten {
             flight: flight(1),
@@ -95,19 +98,19 @@
         }]
     };
     assert_eq!(
-        rig.event(Event::ClientDisconnected { id: RequestId(2) }),
+        harness.event(Event::ClientDisconnected { id: RequestId(2) }),
         shorten(500)
     );
     assert_eq!(
-        rig.event(Event::ClientDisconnected { id: RequestId(1) }),
+        harness.event(Event::ClientDisconnected { id: RequestId(1) }),
         []
     );
-    let Action::Join { expires, .. } = rig.read_of(4, b"key", b"", 400) else {
+    let Action::Join { expires, .. } = harness.read_of(4, b"key", b"", 400) else {
         panic!("joined")
     };
     assert_eq!(expires, start.plus(ms(500)));
     assert_eq!(
-        rig.event(Event::ClientDisconnected { id: RequestId(3) }),
+        harness.event(Event::ClientDisconnected { id: RequestId(3) }),
         shorten(400)
     );
 }
--- a/crates/request-coalescing/tests/latency_tracker.rs
+++ b/crates/request-coalescing/tests/latency_tracker.rs
@@ -16,7 +16,7 @@
     assert_eq!(tracker.hung_after(), ms(100));
     tracker.record_served(ms(15));
     assert_eq!(tracker.hung_after(), ms(30));
-    assert_eq!(tracker.typical(), Some(ms(15)));
+    assert_eq!(tracker.median(), Some(ms(15)));
 }
 
 /// Of a hundred answers one is a fetch: a fetch must not look like a hang.
@@ -31,7 +31,7 @@
         tracker.record_served(ms(if i % 100 == 0 { 300 } else { 1 }));
     }
     assert_eq!(tracker.hung_after(), ms(600));
-    assert_eq!(tracker.typical(), Some(ms(1)));
+    assert_eq!(tracker.median(), Some(ms(1)));
 }
 
 #[test]
--- a/crates/request-coalescing/tests/operator_texts.rs
+++ b/crates/request-coalescing/tests/operator_texts.rs
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn the_line_of_counters_keeps_its_words() {
+fn the_text_form_of_the_counters_is_stable() {
     let counters = Counters {
         flights: 1,
         joined: 2,
--- a/crates/router-runtime/src/coalescing_stage.rs
+++ b/crates/router-runtime/src/coalescing_stage.rs
@@ -51,7 +51,7 @@
 }
 
 /// What an event is about, for the actions that it causes.
-enum Subject {
+enum EventPayload {
     None,
     /// The read that has arrived.
     Request(ClientRequest),
@@ -59,12 +59,12 @@
     Response(Response),
 }
 
-impl Subject {
+impl EventPayload {
     fn take_request(&mut self) -> Option<ClientRequest> {
-        match std::mem::replace(self, Subject::None) {
-            Subject::Request(request) => Some(request),
-            subject => {
-                *self = subject;
+        match std::mem::replace(self, EventPayload::None) {
+            EventPayload::Request(request) => Some(request),
+            payload => {
+                *self = payload;
                 None
             }
         }
@@ -72,8 +72,8 @@
 
     fn response(&self) -> Option<&Response> {
         match self {
-            Subject::Response(response) => Some(response),
-            Subject::None | Subject::Request(_) => None,
+            EventPayload::Response(response) => Some(response),
+            EventPayload::None | EventPayload::Request(_) => None,
         }
     }
 }
@@ -127,7 +127,7 @@
         let id = self.dispatcher.next_id();
         let key = request.command.key().clone();
         let variant = coalescing.variant(&request);
-        let expires = self.dispatcher.now().plus(request.wait);
+        let expires = self.dispatcher.now().plus(request.timeout);
         let waiter = Waiter {
             response: sender,
             client_id,
@@ -142,7 +142,11 @@
             variant: &variant,
             expires,
         };
-        self.handle(coalescing, Event::Read(read), Subject::Request(request));
+        self.handle(
+            coalescing,
+            Event::Read(read),
+            EventPayload::Request(request),
+        );
         Some(SubmittedRequest { id, response })
     }
 
@@ -159,7 +163,7 @@
                 () = self.environment.sleep_until(due.unwrap_or_else(|| self.environment.now())), if due.is_some() => {}
             }
             hooks::expire_waiters(|| {
-                self.handle(coalescing, Event::DeadlineReached, Subject::None)
+                self.handle(coalescing, Event::DeadlineReached, EventPayload::None)
             });
         }
     }
@@ -180,14 +184,14 @@
                 StageEvent::WriteEnded(key) => self.separate_reads(coalescing, &key),
                 StageEvent::Retried(id) => {
                     let flight = FlightId(id);
-                    self.handle(coalescing, Event::Retried { flight }, Subject::None);
+                    self.handle(coalescing, Event::Retried { flight }, EventPayload::None);
                 }
                 StageEvent::Responded(id, response) => {
                     let event = Event::FlightEnded {
                         flight: FlightId(id),
                         outcome: flight_outcome(&response),
                     };
-                    self.handle(coalescing, event, Subject::Response(response));
+                    self.handle(coalescing, event, EventPayload::Response(response));
                 }
             }
         }
@@ -195,11 +199,11 @@
 
     /// A write begins or ends: later reads on its key do not join flights that began before.
     fn separate_reads(&self, coalescing: &Coalescing, key: &[u8]) {
-        hooks::separate_reads(|| self.handle(coalescing, Event::Write { key }, Subject::None));
+        hooks::separate_reads(|| self.handle(coalescing, Event::Write { key }, EventPayload::None));
     }
 
     /// Gives the coalescer an event and carries out its actions.
-    fn handle(&self, coalescing: &Coalescing, event: Event<'_>, mut subject: Subject) {
+    fn handle(&self, coalescing: &Coalescing, event: Event<'_>, mut payload: EventPayload) {
         let now = self.dispatcher.now();
         let mut actions = std::mem::take(&mut coalescing.state.borrow_mut().actions);
         let deadline_before = coalescing.state.borrow().coalescer.next_deadline();
@@ -209,16 +213,16 @@
             .coalescer
             .handle(now, event, &mut actions);
         for action in actions.drain(..) {
-            self.carry_out(coalescing, action, &mut subject);
+            self.execute_action(coalescing, action, &mut payload);
         }
         coalescing.state.borrow_mut().actions = actions;
         coalescing.wake_if_earlier_than(deadline_before);
     }
 
-    fn carry_out(&self, coalescing: &Coalescing, action: Action, subject: &mut Subject) {
+    fn execute_action(&self, coalescing: &Coalescing, action: Action, payload: &mut EventPayload) {
         match action {
             Action::Open { flight } => {
-                if let Some(request) = subject.take_request() {
+                if let Some(request) = payload.take_request() {
                     self.dispatcher.open_shared(flight.0, request);
                 }
             }
@@ -229,12 +233,12 @@
             } => self.dispatcher.join_shared(flight.0, tenant, expires),
             Action::Bypass { id } => {
                 let waiter = coalescing.remove_waiter(id);
-                if let (Some(waiter), Some(request)) = (waiter, subject.take_request()) {
+                if let (Some(waiter), Some(request)) = (waiter, payload.take_request()) {
                     self.dispatcher.submit_claimed(id, request, waiter.response);
                 }
             }
             Action::Answer { id, outcome } => {
-                self.answer_waiter(coalescing, id, outcome, subject.response());
+                self.answer_waiter(coalescing, id, outcome, payload.response());
             }
             Action::Shorten { flight, expires } => {
                 self.dispatcher.shorten_shared(flight.0, expires);
@@ -320,7 +324,11 @@
             return self.dispatcher.client_disconnected(id);
         };
         self.dispatcher.release_client_id(&waiter.client_id);
-        self.handle(coalescing, Event::ClientDisconnected { id }, Subject::None);
+        self.handle(
+            coalescing,
+            Event::ClientDisconnected { id },
+            EventPayload::None,
+        );
     }
 
     fn now(&self) -> Micros {
--- a/crates/router-runtime/src/dispatcher.rs
+++ b/crates/router-runtime/src/dispatcher.rs
@@ -16,7 +16,7 @@
 use crate::request::{ClientRequest, Response, SubmittedRequest};
 use crate::stage::RequestStage;
 use crate::upstream::UpstreamPools;
-use attempts::AttemptOrder;
+use attempts::AttemptParams;
 use load_balancer::{
     Action, AdminOverride, AttemptNumber, Availability, Diagnostics, Endpoint, EndpointUpdate,
     Event, Micros, Request, RequestId, Router, ServerId, WarmState,
@@ -95,14 +95,15 @@
     }
 
     fn open(self: &Rc<Self>, id: RequestId, request: ClientRequest, sink: ResponseSink) {
-        let expires = hooks::deadline(self.clock.now().plus(request.wait));
+        let expires = hooks::deadline(self.clock.now().plus(request.timeout));
         let write = request.command.is_write();
         let is_shared = matches!(sink, ResponseSink::Stage);
-        let shared_end = is_shared.then(|| Rc::new(Cell::new(self.clock.instant(expires))));
+        let shared_attempt_deadline =
+            is_shared.then(|| Rc::new(Cell::new(self.clock.instant(expires))));
         let open_request = OpenRequest {
             command: Rc::new(request.command),
             expires,
-            shared_end,
+            shared_attempt_deadline,
             sink: Some(sink),
             connection: request.connection,
             abandoned: Rc::default(),
@@ -126,7 +127,7 @@
         let is_pending = self.state.borrow_mut().requests.abandon(id);
         if is_pending {
             self.handle(Event::ClientDisconnected { id });
-            self.remove_if_over(id);
+            self.remove_if_finished(id);
         }
     }
 
@@ -138,7 +139,7 @@
             state.requests.respond(id, Response::Failed);
             drop(state);
             self.handle(Event::ClientDisconnected { id });
-            self.remove_if_over(id);
+            self.remove_if_finished(id);
         }
     }
 
@@ -235,7 +236,7 @@
             let now = self.clock.now();
             state.router.handle(now, hooks::event(event), &mut actions);
             for action in actions.drain(..) {
-                self.carry_out(&mut state, hooks::action(action));
+                self.execute_action(&mut state, hooks::action(action));
             }
         }
         state.is_handling = false;
@@ -249,7 +250,7 @@
         }
     }
 
-    fn carry_out(self: &Rc<Self>, state: &mut State, action: Action) {
+    fn execute_action(self: &Rc<Self>, state: &mut State, action: Action) {
         match action {
             Action::Send {
                 id,
@@ -257,13 +258,13 @@
                 timeout,
                 write_within,
             } => {
-                let order = AttemptOrder {
+                let params = AttemptParams {
                     id,
                     server,
                     timeout,
                     write_within,
                 };
-                self.send(state, order);
+                self.send(state, params);
             }
             Action::Cancel { id, attempt } => cancel(state, id, attempt),
             Action::Reject { id, retry_after } => {
@@ -281,8 +282,8 @@
         }
     }
 
-    fn remove_if_over(&self, id: RequestId) {
-        self.state.borrow_mut().requests.remove_if_over(id);
+    fn remove_if_finished(&self, id: RequestId) {
+        self.state.borrow_mut().requests.remove_if_finished(id);
     }
 
     /// What the dispatcher and the decision library remember.
--- a/crates/router-runtime/src/dispatcher/attempts.rs
+++ b/crates/router-runtime/src/dispatcher/attempts.rs
@@ -15,7 +15,7 @@
 use tokio::sync::{mpsc, oneshot};
 
 /// What the decision library wants sent.
-pub(super) struct AttemptOrder {
+pub(super) struct AttemptParams {
     /// The request.
     pub id: RequestId,
     /// Where it goes.
@@ -27,7 +27,7 @@
 }
 
 /// An attempt that is in flight.
-struct InFlight {
+struct InFlightAttempt {
     id: RequestId,
     number: AttemptNumber,
     started: Micros,
@@ -38,47 +38,47 @@
 
 impl<E: Environment> Dispatcher<E> {
     /// Starts an attempt. Nothing goes out for a request that has its response or no time left.
-    pub(super) fn send(self: &Rc<Self>, state: &mut State, order: AttemptOrder) {
-        let Some(request) = state.requests.get_mut(order.id) else {
+    pub(super) fn send(self: &Rc<Self>, state: &mut State, params: AttemptParams) {
+        let Some(request) = state.requests.get_mut(params.id) else {
             return;
         };
         let started = self.clock.now();
-        let end = attempt_end(request, &order, started);
-        if request.sink.is_none() || end <= started {
-            state.events.push_back(not_sent(request, order.id));
+        let deadline = attempt_deadline(request, &params, started);
+        if request.sink.is_none() || deadline <= started {
+            state.events.push_back(not_sent_event(request, params.id));
             return;
         }
         let limit = AttemptLimit {
-            write_by: order
+            write_by: params
                 .write_within
                 .map(|within| self.clock.instant(started.plus(within))),
-            until: self.clock.instant(end),
-            extended_until: match order.timeout {
+            until: self.clock.instant(deadline),
+            extended_until: match params.timeout {
                 Some(_) => None,
-                None => request.shared_end.clone(),
+                None => request.shared_attempt_deadline.clone(),
             },
         };
         let (cancel, cancelled) = oneshot::channel();
         let number = request.add_attempt(Some(cancel));
         let command = request.command.clone();
         if number.0 > 0 && request.is_shared() {
-            state.requests.shared_retried(order.id);
+            state.requests.shared_retried(params.id);
         }
         let is_sent = Rc::new(Cell::new(false));
         let context = AttemptContext {
             owner: self.clone(),
-            id: order.id,
+            id: params.id,
             attempt: number,
             limit,
             is_sent: is_sent.clone(),
         };
         let attempt = || {
             let upstream = self.upstream.clone();
-            upstream.attempt(order.server.clone(), command.clone(), context.clone())
+            upstream.attempt(params.server.clone(), command.clone(), context.clone())
         };
         hooks::attempt_sent(&self.environment, attempt);
-        let in_flight = InFlight {
-            id: order.id,
+        let in_flight = InFlightAttempt {
+            id: params.id,
             number,
             started,
             cancelled,
@@ -91,7 +91,7 @@
     fn run_attempt(
         self: &Rc<Self>,
         attempt: impl Future<Output = AttemptResult> + 'static,
-        in_flight: InFlight,
+        in_flight: InFlightAttempt,
     ) {
         let dispatcher = self.clone();
         self.environment.spawn(async move {
@@ -130,7 +130,7 @@
             load,
             streaming_since: _,
         } = result;
-        let complete = self.record_end(id, number, answer.map(Response::Served));
+        let complete = self.record_attempt_end(id, number, answer.map(Response::Served));
         self.upstream
             .metrics()
             .attempt_ended(outcome, connection_use, cache_status);
@@ -145,11 +145,16 @@
             connection_use,
             load,
         }));
-        self.remove_if_over(id);
+        self.remove_if_finished(id);
     }
 
     /// Marks an attempt as ended and passes its response on; whether the request has its response.
-    fn record_end(&self, id: RequestId, number: AttemptNumber, response: Option<Response>) -> bool {
+    fn record_attempt_end(
+        &self,
+        id: RequestId,
+        number: AttemptNumber,
+        response: Option<Response>,
+    ) -> bool {
         let mut state = self.state.borrow_mut();
         if let Some(response) = response {
             state.requests.respond(id, response);
@@ -208,15 +213,15 @@
 }
 
 /// When an attempt that starts now ends at the latest.
-fn attempt_end(request: &OpenRequest, order: &AttemptOrder, started: Micros) -> Micros {
-    match order.timeout {
+fn attempt_deadline(request: &OpenRequest, params: &AttemptParams, started: Micros) -> Micros {
+    match params.timeout {
         Some(timeout) => started.plus(timeout).min(request.expires),
         None => request.expires,
     }
 }
 
 /// The end of an attempt that is not started.
-fn not_sent(request: &mut OpenRequest, id: RequestId) -> Event {
+fn not_sent_event(request: &mut OpenRequest, id: RequestId) -> Event {
     let number = request.add_attempt(None);
     Event::AttemptEnded(AttemptEnd {
         complete: request.sink.is_none(),
--- a/crates/router-runtime/src/dispatcher/open_requests.rs
+++ b/crates/router-runtime/src/dispatcher/open_requests.rs
@@ -31,7 +31,7 @@
     /// Its deadline.
     pub expires: Micros,
     /// The end of attempts without a timeout of their own, for a shared request: it moves with the clients that join.
-    pub shared_end: Option<Rc<Cell<Instant>>>,
+    pub shared_attempt_deadline: Option<Rc<Cell<Instant>>>,
     /// Taken by the final response.
     pub sink: Option<ResponseSink>,
     /// The connection of its client; of a shared one, that of the client that opened it.
@@ -60,7 +60,7 @@
         self.attempts.get(attempt).is_some_and(Option::is_some)
     }
 
-    fn is_over(&self) -> bool {
+    fn is_finished(&self) -> bool {
         self.sink.is_none() && self.attempts.iter().all(Option::is_none)
     }
 }
@@ -150,15 +150,15 @@
             }
             None => {}
         }
-        if self.requests.get(&id).is_some_and(OpenRequest::is_over) {
+        if self.requests.get(&id).is_some_and(OpenRequest::is_finished) {
             self.requests.remove(&id);
         }
     }
 
     /// Removes a request that is over.
-    pub fn remove_if_over(&mut self, id: RequestId) {
-        let is_over = self.requests.get(&id).is_some_and(OpenRequest::is_over);
-        if hooks::is_removed(is_over) {
+    pub fn remove_if_finished(&mut self, id: RequestId) {
+        let is_finished = self.requests.get(&id).is_some_and(OpenRequest::is_finished);
+        if hooks::is_removed(is_finished) {
             self.requests.remove(&id);
         }
     }
--- a/crates/router-runtime/src/dispatcher/stage_requests.rs
+++ b/crates/router-runtime/src/dispatcher/stage_requests.rs
@@ -50,7 +50,7 @@
     pub fn join_shared(self: &Rc<Self>, id: RequestId, tenant: Option<TenantId>, expires: Micros) {
         if let Some(request) = self.state.borrow_mut().requests.get_mut(id) {
             request.expires = request.expires.max(expires);
-            if let Some(end) = &request.shared_end {
+            if let Some(end) = &request.shared_attempt_deadline {
                 // An attempt in flight is not cut short when the client with the latest deadline leaves.
                 end.set(end.get().max(self.clock.instant(request.expires)));
             }
--- a/crates/router-runtime/src/downstream.rs
+++ b/crates/router-runtime/src/downstream.rs
@@ -4,10 +4,10 @@
 
 mod client;
 mod close;
+mod close_log;
 mod commands;
 mod connection;
 mod connections;
-mod end_log;
 mod read_plan;
 mod responses;
 
--- a/crates/router-runtime/src/downstream/client.rs
+++ b/crates/router-runtime/src/downstream/client.rs
@@ -9,33 +9,33 @@
 
 /// A client that sends nothing for this long after it connected is closed. One that has sent no command for this long
 /// since its last response is closed before others when room is needed.
-pub(super) const COMMAND_LIMIT: Duration = Duration::from_secs(2);
+pub(super) const COMMAND_TIMEOUT: Duration = Duration::from_secs(2);
 /// A client that has sent nothing so soon after it connected may be about to.
-const YOUNG_LIMIT: Duration = Duration::from_millis(500);
+const SILENT_AGE: Duration = Duration::from_millis(500);
 /// A client that connected within this time most likely has its command on the way: closed now, it would lose it.
-const ARRIVING_LIMIT: Duration = Duration::from_millis(100);
+const ARRIVAL_GRACE: Duration = Duration::from_millis(100);
 /// A client that has sent no command for this long since its last response is idle.
 const IDLE_AFTER: Duration = Duration::from_millis(100);
 
 /// Which idle client is closed first to make room for another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum CloseOrder {
+enum EvictionPriority {
     /// It had its time to send a command and has not.
-    SilentForLong,
+    LongSilent,
     /// It has sent no command for long.
-    UnusedForLong,
+    LongUnused,
     /// It has sent no whole command yet.
     Silent,
     /// It is idle between commands. Closed, it loses nothing.
     BetweenCommands,
     /// It has just connected. Last, so that connections of a crowd do not close each other.
-    Arriving,
+    JustConnected,
 }
 
 /// Where a client stands among those that may be closed: the smallest is closed first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct CloseRank {
-    order: CloseOrder,
+pub(super) struct EvictionRank {
+    priority: EvictionPriority,
     /// When it connected, was last used, or its unfinished command began.
     since: Instant,
 }
@@ -63,7 +63,7 @@
     /// Requests that wait for their response.
     pub pending_requests: RefCell<BTreeSet<RequestId>>,
     /// Never idle while the router is drained: once no response is pending it is closed.
-    pub is_stopped: Cell<bool>,
+    pub is_closing_for_drain: Cell<bool>,
     /// Its place is wanted for another: the rest of a command is not waited for.
     pub is_evicted: Cell<bool>,
 }
@@ -82,7 +82,7 @@
             unknown_commands: Cell::new(0),
             last_used_at: Cell::new(now),
             pending_requests: RefCell::default(),
-            is_stopped: Cell::new(false),
+            is_closing_for_drain: Cell::new(false),
             is_evicted: Cell::new(false),
         }
     }
@@ -115,21 +115,21 @@
     }
 
     /// Where it stands among the clients that may be closed.
-    pub fn close_rank(&self, now: Instant) -> CloseRank {
+    pub fn eviction_rank(&self, now: Instant) -> EvictionRank {
         let since = self
             .command_began_at
             .get()
             .unwrap_or(self.last_used_at.get());
         let age = now.saturating_duration_since(since);
         let is_silent = !self.has_sent_command.get() || self.has_begun_command();
-        let order = match is_silent {
-            true if age > YOUNG_LIMIT => CloseOrder::SilentForLong,
-            true if age > ARRIVING_LIMIT => CloseOrder::Silent,
-            true => CloseOrder::Arriving,
-            false if age > COMMAND_LIMIT => CloseOrder::UnusedForLong,
-            false => CloseOrder::BetweenCommands,
+        let priority = match is_silent {
+            true if age > SILENT_AGE => EvictionPriority::LongSilent,
+            true if age > ARRIVAL_GRACE => EvictionPriority::Silent,
+            true => EvictionPriority::JustConnected,
+            false if age > COMMAND_TIMEOUT => EvictionPriority::LongUnused,
+            false => EvictionPriority::BetweenCommands,
         };
-        CloseRank { order, since }
+        EvictionRank { priority, since }
     }
 
     /// Closes the connection for another, as soon as no response is pending.
@@ -147,11 +147,11 @@
 
 impl ResponseStream for Client {
     fn begin_streaming(&self) -> bool {
-        let is_alone = self.pending_responses.get() == 1 && !self.has_unparsed_input.get();
-        if is_alone {
+        let is_only_request = self.pending_responses.get() == 1 && !self.has_unparsed_input.get();
+        if is_only_request {
             self.is_streaming.set(true);
             self.changed.notify_one();
         }
-        is_alone
+        is_only_request
     }
 }
--- a/crates/router-runtime/src/downstream/close.rs
+++ b/crates/router-runtime/src/downstream/close.rs
@@ -3,7 +3,7 @@
 use super::connections::ClientConnections;
 use crate::environment::{Environment, ReadStream, Stream};
 use crate::mutation::hooks;
-use crate::resp::READ_SIZE;
+use crate::resp::READ_BYTES;
 use std::io;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -13,7 +13,7 @@
 /// How much is read and discarded after the last response that ends a connection, so that the error is not lost with unread bytes.
 const MAX_DISCARD_BYTES: usize = 256 * 1024;
 /// How long a client has to read the last response before its connection is closed.
-const DISCARD_LIMIT: Duration = Duration::from_millis(500);
+const DISCARD_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl<E: Environment> ClientConnections<E> {
     /// Returns once a client that is not being read has disconnected. Guards against requests for nobody: the end of
@@ -31,7 +31,7 @@
             // However it ends, the connection is closed now.
             let _ = self
                 .environment
-                .timeout(DISCARD_LIMIT, self.disconnected(&stream.split().0))
+                .timeout(DISCARD_TIMEOUT, self.disconnected(&stream.split().0))
                 .await;
         }
     }
@@ -41,7 +41,7 @@
     pub(super) async fn close_after_discard(&self, mut stream: E::Stream) {
         let discard = async {
             let mut left = MAX_DISCARD_BYTES;
-            let mut bytes = [0; READ_SIZE];
+            let mut bytes = [0; READ_BYTES];
             stream.shutdown().await?;
             while let count @ 1.. = stream.read(&mut bytes).await? {
                 left = left.saturating_sub(count);
@@ -52,6 +52,6 @@
             io::Result::Ok(())
         };
         // However it ends, the connection is closed now.
-        let _ = self.environment.timeout(DISCARD_LIMIT, discard).await;
+        let _ = self.environment.timeout(DISCARD_TIMEOUT, discard).await;
     }
 }
--- a/crates/router-runtime/src/downstream/commands.rs
+++ b/crates/router-runtime/src/downstream/commands.rs
@@ -100,12 +100,12 @@
         let names = &self.config.names;
         let class = command
             .field("c")
-            .and_then(|name| position(&names.classes, name))
+            .and_then(|name| name_index(&names.classes, name))
             .ok_or(RequestError::UnknownClass)?;
         let settings = &self.config.classes[class];
         // A client that says nothing, or more than its class allows, has the time of its class. One with less than a
         // millisecond left says 0, which is no error: its connection carries further requests.
-        let wait = match command.number("d").transpose()? {
+        let timeout = match command.number("d").transpose()? {
             Some(millis) => Micros::from_millis(millis).min(settings.deadline),
             None => settings.deadline,
         };
@@ -118,10 +118,10 @@
             class: ClassId(class),
             tenant: command
                 .field("t")
-                .and_then(|name| position(&names.tenants, name))
+                .and_then(|name| name_index(&names.tenants, name))
                 .map(TenantId),
             key: ring_key(command.key()),
-            wait,
+            timeout,
             cost_hint,
             retry: command.field("r") == Some("1"),
             command,
@@ -136,7 +136,7 @@
 }
 
 /// The place of a name among the names of the settings.
-fn position(names: &[String], name: &str) -> Option<usize> {
+fn name_index(names: &[String], name: &str) -> Option<usize> {
     names.iter().position(|known| known == name)
 }
 
--- a/crates/router-runtime/src/downstream/connection.rs
+++ b/crates/router-runtime/src/downstream/connection.rs
@@ -2,9 +2,9 @@
 
 use super::IdleConnection;
 use super::client::Client;
+use super::close_log::CloseReason;
 use super::commands::error_line;
-use super::connections::{ACCEPT_PAUSE, ClientConnections};
-use super::end_log::ConnectionEnd;
+use super::connections::{CAPACITY_RETRY_INTERVAL, ClientConnections};
 use super::read_plan::{CommandInput, ReadEnd, ReadPlan};
 use super::responses::PendingResponse;
 use crate::environment::{Environment, Stream};
@@ -24,7 +24,7 @@
 const MAX_READ_BYTES: usize = 64 * 1024;
 
 /// A connection on which no more is read.
-struct Served<S> {
+struct ServedConnection<S> {
     stream: S,
     end: ReadEnd,
 }
@@ -38,11 +38,12 @@
     ) {
         loop {
             let IdleConnection { stream, unread, .. } = idle_connection;
-            let Served { stream, end } = self.serve_until_idle(stream, unread, client).await;
+            let ServedConnection { stream, end } =
+                self.serve_until_idle(stream, unread, client).await;
             let unread = match end {
-                ReadEnd::Disconnected | ReadEnd::Done => return,
-                ReadEnd::DoneUnread => return self.close_after_discard(stream).await,
-                ReadEnd::Finished => return self.close_unread(stream).await,
+                ReadEnd::Disconnected | ReadEnd::Close => return,
+                ReadEnd::CloseAfterDiscard => return self.close_after_discard(stream).await,
+                ReadEnd::Shutdown => return self.close_unread(stream).await,
                 ReadEnd::HandOver(unread) => unread,
             };
             match self.hand_over(IdleConnection {
@@ -54,7 +55,7 @@
                 Err(back) => idle_connection = back,
             }
             // The successor has just gone, and the state of this process is about to say so.
-            self.environment.sleep(ACCEPT_PAUSE).await;
+            self.environment.sleep(CAPACITY_RETRY_INTERVAL).await;
         }
     }
 
@@ -64,10 +65,10 @@
         mut stream: E::Stream,
         unread: BytesMut,
         client: &Rc<Client>,
-    ) -> Served<E::Stream> {
+    ) -> ServedConnection<E::Stream> {
         if stream.set_nodelay().is_err() {
             let end = ReadEnd::Disconnected;
-            return Served { stream, end };
+            return ServedConnection { stream, end };
         }
         let end = {
             let (mut reader, writer) = stream.split();
@@ -81,7 +82,7 @@
                 // The client has stopped reading, or an answer broke off.
                 end = &mut writing => {
                     if let Err(end) = end {
-                        self.log_end(end, client, 0);
+                        self.log_close(end, client, 0);
                     }
                     ReadEnd::Disconnected
                 }
@@ -99,7 +100,7 @@
             }
             end
         };
-        Served { stream, end }
+        ServedConnection { stream, end }
     }
 
     /// Reads commands until no more are to be read.
@@ -159,9 +160,9 @@
                 () = self.disconnected(stream) => return ControlFlow::Break(ReadEnd::Disconnected),
             }
             if is_last {
-                self.log_end(ConnectionEnd::MalformedCommand, client, input.buffer.len());
+                self.log_close(CloseReason::MalformedCommand, client, input.buffer.len());
                 client.is_closing.set(true);
-                return ControlFlow::Break(ReadEnd::DoneUnread);
+                return ControlFlow::Break(ReadEnd::CloseAfterDiscard);
             }
         }
         ControlFlow::Continue(())
@@ -190,14 +191,14 @@
         tokio::select! {
             biased;
             read = read => match read {
-                Ok(count) if count > 0 => self.bytes_read(input, count, client),
+                Ok(count) if count > 0 => self.record_read(input, count, client),
                 _ => return ControlFlow::Break(ReadEnd::Disconnected),
             },
             end = std::future::ready(plan.early_end), if has_early_end => {
-                return ControlFlow::Break(end.unwrap_or(ReadEnd::Done));
+                return ControlFlow::Break(end.unwrap_or(ReadEnd::Close));
             }
             () = self.environment.sleep_until(deadline), if has_deadline => {
-                return ControlFlow::Break(ReadEnd::Done);
+                return ControlFlow::Break(ReadEnd::Close);
             }
             () = client.changed.notified() => {}
             () = self.config.write_memory.freed(), if !has_memory => {}
@@ -205,7 +206,7 @@
         ControlFlow::Continue(())
     }
 
-    fn bytes_read(&self, input: &mut CommandInput, count: usize, client: &Client) {
+    fn record_read(&self, input: &mut CommandInput, count: usize, client: &Client) {
         let now = self.environment.now();
         if let Some(memory) = &mut input.memory {
             memory.add(count);
--- a/crates/router-runtime/src/downstream/connections.rs
+++ b/crates/router-runtime/src/downstream/connections.rs
@@ -2,7 +2,7 @@
 
 use super::IdleConnection;
 use super::client::Client;
-use super::end_log::EndLog;
+use super::close_log::CloseLog;
 use crate::environment::Environment;
 use crate::memory_budget::MemoryBudget;
 use crate::metrics::RouterMetrics;
@@ -21,17 +21,17 @@
 /// How often idle clients are counted.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// Idle clients may hold one in so many places: the others are for clients that want one now.
-const IDLE_PLACES_DIVISOR: usize = 4;
+const IDLE_CONNECTIONS_DIVISOR: usize = 4;
 /// Connections in the listener's queue are accepted within this time each.
-const QUEUED_ACCEPT_LIMIT: Duration = Duration::from_millis(1);
+const QUEUED_ACCEPT_TIMEOUT: Duration = Duration::from_millis(1);
 /// The rest of the queue is given up after so many failures on end.
 const MAX_QUEUED_ACCEPT_FAILURES: u32 = 10;
 /// How long to leave the listener alone after it failed, out of descriptors for instance ...
-const FIRST_ACCEPT_PAUSE: Duration = Duration::from_millis(1);
+const INITIAL_ACCEPT_BACKOFF: Duration = Duration::from_millis(1);
 /// ... which doubles so many times with each failure on end.
-const MAX_ACCEPT_PAUSE_DOUBLINGS: u32 = 4;
+const MAX_ACCEPT_BACKOFF_DOUBLINGS: u32 = 4;
 /// How long to wait for a place where all are taken.
-pub(super) const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+pub(super) const CAPACITY_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Takes connections over from this process.
 type Successor<S> = mpsc::UnboundedSender<IdleConnection<S>>;
@@ -66,7 +66,7 @@
     successor: RefCell<Option<Successor<E::Stream>>>,
     /// A connection has ended.
     ended: Notify,
-    pub(super) end_log: EndLog,
+    pub(super) close_log: CloseLog,
     /// The process ends: nothing more is read.
     is_finishing: Cell<bool>,
 }
@@ -82,7 +82,7 @@
             accepted: RefCell::default(),
             successor: RefCell::default(),
             ended: Notify::new(),
-            end_log: EndLog::default(),
+            close_log: CloseLog::default(),
             is_finishing: Cell::new(false),
         })
     }
@@ -92,7 +92,7 @@
     pub async fn accept(self: &Rc<Self>, listener: &E::Listener) {
         let mut failure_count = 0;
         loop {
-            self.start_accepted_when_room().await;
+            self.start_accepted_when_below_limit().await;
             match self.environment.accept(listener).await {
                 Ok(stream) => {
                     failure_count = 0;
@@ -114,23 +114,23 @@
     /// shortages pass in a moment.
     async fn accept_failed(&self, error: &io::Error, earlier_failures: u32) {
         if !concerns_one_connection(error) {
-            self.make_room();
-            let doublings = earlier_failures.min(MAX_ACCEPT_PAUSE_DOUBLINGS);
-            let pause = FIRST_ACCEPT_PAUSE * (1 << doublings);
-            self.environment.sleep(pause).await;
+            self.evict_idle_client();
+            let doublings = earlier_failures.min(MAX_ACCEPT_BACKOFF_DOUBLINGS);
+            let backoff = INITIAL_ACCEPT_BACKOFF * (1 << doublings);
+            self.environment.sleep(backoff).await;
         }
     }
 
     /// Starts the accepted connection, if there is one, once there is a place for it.
-    async fn start_accepted_when_room(self: &Rc<Self>) {
+    async fn start_accepted_when_below_limit(self: &Rc<Self>) {
         if self.accepted.borrow().is_none() {
             return;
         }
         while self.count() >= self.config.max_connections {
-            self.make_room();
+            self.evict_idle_client();
             let _ = self
                 .environment
-                .timeout(ACCEPT_PAUSE, self.ended.notified())
+                .timeout(CAPACITY_RETRY_INTERVAL, self.ended.notified())
                 .await;
         }
         self.start_accepted();
@@ -143,7 +143,7 @@
         let mut failure_count = 0;
         while let Ok(accepted) = self
             .environment
-            .timeout(QUEUED_ACCEPT_LIMIT, self.environment.accept(listener))
+            .timeout(QUEUED_ACCEPT_TIMEOUT, self.environment.accept(listener))
             .await
         {
             match accepted {
@@ -192,8 +192,8 @@
         }
     }
 
-    /// Closes one client without pending responses, unless one is closing already. [`Client::close_rank`] says which.
-    fn make_room(&self) {
+    /// Closes one client without pending responses, unless one is closing already. [`Client::eviction_rank`] says which.
+    fn evict_idle_client(&self) {
         let now = self.environment.now();
         let open = self.open.borrow();
         let without_pending: Vec<&Rc<Client>> = open
@@ -205,7 +205,7 @@
         }
         let first = without_pending
             .into_iter()
-            .min_by_key(|client| client.close_rank(now));
+            .min_by_key(|client| client.eviction_rank(now));
         if let Some(client) = first {
             client.evict();
         }
@@ -227,7 +227,7 @@
         let mut idle: Vec<&Rc<Client>> =
             open.values().filter(|client| client.is_idle(now)).collect();
         idle.sort_by_key(|client| client.last_used_at.get());
-        let allowed = self.config.max_connections / IDLE_PLACES_DIVISOR;
+        let allowed = self.config.max_connections / IDLE_CONNECTIONS_DIVISOR;
         let excess = idle.len().saturating_sub(allowed);
         for client in idle.into_iter().take(excess) {
             client.close();
@@ -242,7 +242,7 @@
     }
 
     /// Sets who takes idle connections over, where the state of the process says so.
-    pub fn hand_over_to(self: &Rc<Self>, successor: Option<Successor<E::Stream>>) {
+    pub fn set_successor(self: &Rc<Self>, successor: Option<Successor<E::Stream>>) {
         *self.successor.borrow_mut() = successor;
         self.start_accepted();
     }
--- a/crates/router-runtime/src/downstream/read_plan.rs
+++ b/crates/router-runtime/src/downstream/read_plan.rs
@@ -1,34 +1,34 @@
 //! Whether and how long a client is read on, as its connection and the process stand.
 
-use super::client::{COMMAND_LIMIT, Client};
+use super::client::{COMMAND_TIMEOUT, Client};
 use super::connections::ClientConnections;
 use crate::clock::duration;
 use crate::environment::Environment;
 use crate::memory_budget::MemoryReservation;
 use crate::mutation::hooks;
-use crate::resp::{CommandReader, READ_SIZE};
+use crate::resp::{CommandReader, READ_BYTES};
 use bytes::BytesMut;
 use process_lifecycle::{FIRST_COMMAND_GRACE, IdleConnectionPolicy};
 use std::ops::ControlFlow;
 use std::time::{Duration, Instant};
 
 /// A client that sends no command for this long is closed; many keep an unused connection for good.
-const IDLE_LIMIT: Duration = Duration::from_secs(30);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 /// How long a command may take to arrive but for a write's value: clients are allowed 2 s, and the network delays pieces.
-const HEAD_LIMIT: Duration = Duration::from_millis(3_000);
+const COMMAND_HEAD_TIMEOUT: Duration = Duration::from_millis(3_000);
 /// How long a write's value may pause.
-const VALUE_PAUSE_LIMIT: Duration = Duration::from_secs(10);
+const VALUE_STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Why no more is read from a client.
 pub(super) enum ReadEnd {
     /// It has disconnected.
     Disconnected,
     /// Pending responses are written, and then the connection is closed.
-    Done,
+    Close,
     /// The same, and the client may still be sending what will not be read: after an error, or while the router is drained.
-    DoneUnread,
+    CloseAfterDiscard,
     /// The same, and the process ends.
-    Finished,
+    Shutdown,
     /// It is idle, with what was read of a command that is not whole yet: for the successor.
     HandOver(BytesMut),
 }
@@ -90,13 +90,15 @@
         }
         let lifecycle = self.lifecycle();
         if lifecycle.is_handed_over() || !lifecycle.is_drained() {
-            client.is_stopped.set(false);
+            client.is_closing_for_drain.set(false);
             return !lifecycle.is_handed_over();
         }
         let may_finish = !client.has_pending_responses() || client.has_begun_command();
-        let stops = !may_finish && !lifecycle.may_read_more(self.config.requests.now());
-        client.is_stopped.set(client.is_stopped.get() || stops);
-        !client.is_stopped.get()
+        let must_close = !may_finish && !lifecycle.may_read_more(self.config.requests.now());
+        client
+            .is_closing_for_drain
+            .set(client.is_closing_for_drain.get() || must_close);
+        !client.is_closing_for_drain.get()
     }
 
     /// Decides what happens before the next bytes are read, or that none are.
@@ -113,7 +115,7 @@
             client.command_began_at.set(Some(self.environment.now()));
         }
         if self.is_finishing() {
-            return ControlFlow::Break(ReadEnd::Finished);
+            return ControlFlow::Break(ReadEnd::Shutdown);
         }
         let policy = self.lifecycle().idle_connection_policy();
         let has_pending = client.has_pending_responses();
@@ -123,9 +125,9 @@
             let unread = reader.into_unread(std::mem::take(&mut input.buffer));
             return ControlFlow::Break(ReadEnd::HandOver(unread));
         }
-        if client.is_stopped.get() && !has_pending {
+        if client.is_closing_for_drain.get() && !has_pending {
             // Its client sends the rest of the pipeline again.
-            return ControlFlow::Break(ReadEnd::DoneUnread);
+            return ControlFlow::Break(ReadEnd::CloseAfterDiscard);
         }
         self.reserve(input);
         let has_memory = input.has_memory();
@@ -144,14 +146,14 @@
 
     /// Makes room for the rest of the command, and counts a long write against the write memory.
     fn reserve(&self, input: &mut CommandInput) {
-        let missing = input.reader.missing(&input.buffer);
-        if missing > READ_SIZE && input.memory.is_none() {
+        let missing = input.reader.missing_bytes(&input.buffer);
+        if missing > READ_BYTES && input.memory.is_none() {
             let arrived = input.reader.held_bytes() + input.buffer.len();
             input.memory = Some(self.config.write_memory.reserve(arrived));
         }
         input
             .buffer
-            .reserve(input.reader.wanted_room(&input.buffer));
+            .reserve(input.reader.wanted_capacity(&input.buffer));
         if input.reader.is_in_value() && input.value_progress_at.is_none() {
             input.value_progress_at = Some(self.environment.now());
         }
@@ -166,16 +168,16 @@
     ) -> Option<Instant> {
         let last_used_at = client.last_used_at.get();
         if let Some(began_at) = client.command_began_at.get() {
-            let value_deadline = input.value_progress_at.map(|at| at + VALUE_PAUSE_LIMIT);
-            return Some(value_deadline.unwrap_or(began_at + HEAD_LIMIT));
+            let value_deadline = input.value_progress_at.map(|at| at + VALUE_STALL_TIMEOUT);
+            return Some(value_deadline.unwrap_or(began_at + COMMAND_HEAD_TIMEOUT));
         }
-        if is_newcomer(policy, client) {
+        if awaits_first_command(policy, client) {
             return Some(last_used_at + duration(FIRST_COMMAND_GRACE));
         }
         if !client.has_sent_command.get() {
-            return Some(last_used_at + COMMAND_LIMIT);
+            return Some(last_used_at + COMMAND_TIMEOUT);
         }
-        (!client.has_pending_responses()).then(|| last_used_at + IDLE_LIMIT)
+        (!client.has_pending_responses()).then(|| last_used_at + IDLE_TIMEOUT)
     }
 }
 
@@ -191,12 +193,12 @@
     );
     let is_closing = client.is_closing.get() || !is_kept;
     let may_close = is_closing
-        && !is_newcomer(policy, client)
+        && !awaits_first_command(policy, client)
         && !client.has_pending_responses()
         && input.is_empty();
-    let is_done = may_close || client.is_evicted.get();
+    let must_close = may_close || client.is_evicted.get();
     hooks::early_end(
-        is_done.then_some(ReadEnd::Done),
+        must_close.then_some(ReadEnd::Close),
         is_closing,
         client.pending_responses.get(),
         ReadEnd::Disconnected,
@@ -204,6 +206,6 @@
 }
 
 /// Whether a client has sent nothing yet while connections are being closed: its first command is waited for.
-fn is_newcomer(policy: IdleConnectionPolicy, client: &Client) -> bool {
+fn awaits_first_command(policy: IdleConnectionPolicy, client: &Client) -> bool {
     !client.has_sent_command.get() && policy == IdleConnectionPolicy::Close
 }
--- a/crates/router-runtime/src/downstream/responses.rs
+++ b/crates/router-runtime/src/downstream/responses.rs
@@ -1,12 +1,12 @@
 //! Responses on one connection, written in the order of its commands.
 
 use super::client::Client;
+use super::close_log::CloseReason;
 use super::connections::ClientConnections;
-use super::end_log::ConnectionEnd;
 use crate::environment::{Environment, Stream};
 use crate::metrics::{RequestEnd, RouterMetrics};
 use crate::mutation::hooks;
-use crate::request::{Answer, BodyPiece, Response};
+use crate::request::{Answer, BodyChunk, Response};
 use bytes::Bytes;
 use load_balancer::{ClassId, RequestId};
 use std::rc::Rc;
@@ -15,7 +15,7 @@
 use tokio::sync::{mpsc, oneshot};
 
 /// A client that reads nothing of its response for this long is given up; slow ones pause for seconds.
-const WRITE_STALL_LIMIT: Duration = Duration::from_secs(10);
+const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The response to one command, in its place among the others.
 pub(super) enum PendingResponse {
@@ -69,7 +69,7 @@
         mut writer: <E::Stream as Stream>::Writer<'_>,
         mut responses: mpsc::Receiver<PendingResponse>,
         client: &Client,
-    ) -> Result<(), ConnectionEnd> {
+    ) -> Result<(), CloseReason> {
         while let Some(pending) = responses.recv().await {
             let answer = match pending {
                 PendingResponse::Ready(bytes) | PendingResponse::Last(bytes) => {
@@ -87,8 +87,8 @@
             } = answer;
             let bytes = hooks::response_bytes(bytes);
             self.write(&mut writer, &bytes).await?;
-            for piece in rest {
-                self.write(&mut writer, &piece).await?;
+            for chunk in rest {
+                self.write(&mut writer, &chunk).await?;
             }
             client.response_written(self.environment.now());
         }
@@ -101,7 +101,7 @@
         writer: &mut <E::Stream as Stream>::Writer<'_>,
         awaited: AwaitedResponse,
         client: &Client,
-    ) -> Result<Answer, ConnectionEnd> {
+    ) -> Result<Answer, CloseReason> {
         let AwaitedResponse {
             mut record,
             response,
@@ -124,7 +124,7 @@
                 let line = Bytes::from_static(b"-ERR failed\r\n");
                 (RequestEnd::Failed, Ok(Answer::short(line)))
             }
-            Response::Streamed(mut pieces) => match self.stream(writer, &mut pieces).await {
+            Response::Streamed(mut chunks) => match self.stream(writer, &mut chunks).await {
                 Ok(last) => (RequestEnd::Served, Ok(Answer::short(last))),
                 // The end of the connection tells the client that the answer is not whole. No other request waits on it.
                 Err(end) => (RequestEnd::Failed, Err(end)),
@@ -139,13 +139,13 @@
         &self,
         writer: &mut <E::Stream as Stream>::Writer<'_>,
         bytes: &[u8],
-    ) -> Result<(), ConnectionEnd> {
+    ) -> Result<(), CloseReason> {
         let mut written = 0;
         while written < bytes.len() {
             let write = writer.write(&bytes[written..]);
-            match self.environment.timeout(WRITE_STALL_LIMIT, write).await {
+            match self.environment.timeout(WRITE_STALL_TIMEOUT, write).await {
                 Ok(Ok(count)) if count > 0 => written += count,
-                _ => return Err(ConnectionEnd::ClientStalled),
+                _ => return Err(CloseReason::ClientStalled),
             }
         }
         Ok(())
@@ -155,14 +155,14 @@
     async fn stream(
         &self,
         writer: &mut <E::Stream as Stream>::Writer<'_>,
-        pieces: &mut mpsc::Receiver<BodyPiece>,
-    ) -> Result<Bytes, ConnectionEnd> {
-        while let Some(piece) = pieces.recv().await {
-            match piece {
-                BodyPiece::Last(bytes) => return Ok(bytes),
-                BodyPiece::More(bytes) => self.write(writer, &bytes).await?,
+        chunks: &mut mpsc::Receiver<BodyChunk>,
+    ) -> Result<Bytes, CloseReason> {
+        while let Some(chunk) = chunks.recv().await {
+            match chunk {
+                BodyChunk::Last(bytes) => return Ok(bytes),
+                BodyChunk::More(bytes) => self.write(writer, &bytes).await?,
             }
         }
-        Err(ConnectionEnd::AnswerBrokenOff)
+        Err(CloseReason::AnswerBrokenOff)
     }
 }
--- a/crates/router-runtime/src/memory_budget.rs
+++ b/crates/router-runtime/src/memory_budget.rs
@@ -5,25 +5,25 @@
 //! all of it. Past the budget only the value that began first is read on, by at most one value, so that one always
 //! ends; the others wait. The budget relies on one thread: no borrow crosses an await.
 
-use crate::resp::MAX_VALUE;
+use crate::resp::MAX_VALUE_BYTES;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// The budget is one part in so many of the memory beyond [`BASE_BYTES`].
+/// The budget is one part in so many of the memory beyond [`RESERVED_BYTES`].
 const BUDGET_DIVISOR: usize = 3;
 /// What the process needs besides, the buffers of its connections included.
-const BASE_BYTES: usize = 16 * 1024 * 1024;
+const RESERVED_BYTES: usize = 16 * 1024 * 1024;
 /// The smallest budget, however little memory there is: two of the longest values.
-const MIN_BUDGET_BYTES: usize = 2 * MAX_VALUE;
+const MIN_BUDGET_BYTES: usize = 2 * MAX_VALUE_BYTES;
 
 /// The budget of one process.
 #[derive(Debug)]
 pub struct MemoryBudget {
     limit_bytes: usize,
     used_bytes: Cell<usize>,
-    last_number: Cell<u64>,
+    last_sequence: Cell<u64>,
     /// Values that are not whole yet, in the order in which they began.
     unfinished: RefCell<BTreeSet<u64>>,
     freed: Notify,
@@ -33,14 +33,14 @@
 #[derive(Debug)]
 pub struct MemoryReservation {
     budget: Rc<MemoryBudget>,
-    number: u64,
+    sequence: u64,
     bytes: usize,
 }
 
 impl MemoryBudget {
     /// The budget of a process that may use this much memory, in bytes.
-    pub fn of_memory(bytes: usize) -> Rc<MemoryBudget> {
-        let share = bytes.saturating_sub(BASE_BYTES) / BUDGET_DIVISOR;
+    pub fn for_process_memory(bytes: usize) -> Rc<MemoryBudget> {
+        let share = bytes.saturating_sub(RESERVED_BYTES) / BUDGET_DIVISOR;
         MemoryBudget::new(share.max(MIN_BUDGET_BYTES))
     }
 
@@ -49,7 +49,7 @@
         Rc::new(MemoryBudget {
             limit_bytes,
             used_bytes: Cell::new(0),
-            last_number: Cell::new(0),
+            last_sequence: Cell::new(0),
             unfinished: RefCell::default(),
             freed: Notify::new(),
         })
@@ -57,12 +57,12 @@
 
     /// A value begins of which so many bytes have arrived.
     pub fn reserve(self: &Rc<Self>, arrived: usize) -> MemoryReservation {
-        let number = self.last_number.get() + 1;
-        self.last_number.set(number);
-        self.unfinished.borrow_mut().insert(number);
+        let sequence = self.last_sequence.get() + 1;
+        self.last_sequence.set(sequence);
+        self.unfinished.borrow_mut().insert(sequence);
         let mut reservation = MemoryReservation {
             budget: self.clone(),
-            number,
+            sequence,
             bytes: 0,
         };
         reservation.add(arrived);
@@ -89,8 +89,8 @@
         self.unfinished.borrow().len()
     }
 
-    fn is_first_unfinished(&self, number: u64) -> bool {
-        self.unfinished.borrow().first() == Some(&number)
+    fn is_oldest_unfinished(&self, sequence: u64) -> bool {
+        self.unfinished.borrow().first() == Some(&sequence)
     }
 }
 
@@ -100,8 +100,8 @@
         let budget = &self.budget;
         // Whole values are passed on and give their memory back: the first needs no more than one value past the limit.
         budget.used_bytes() < budget.limit_bytes
-            || budget.used_bytes() < budget.limit_bytes + MAX_VALUE
-                && budget.is_first_unfinished(self.number)
+            || budget.used_bytes() < budget.limit_bytes + MAX_VALUE_BYTES
+                && budget.is_oldest_unfinished(self.sequence)
     }
 
     /// More of it has arrived.
@@ -112,7 +112,7 @@
 
     /// It is whole: its memory stays in use until it is dropped.
     pub fn complete(&self) {
-        self.budget.unfinished.borrow_mut().remove(&self.number);
+        self.budget.unfinished.borrow_mut().remove(&self.sequence);
         self.budget.freed.notify_waiters();
     }
 }
--- a/crates/router-runtime/src/mutation/hooks.rs
+++ b/crates/router-runtime/src/mutation/hooks.rs
@@ -287,9 +287,9 @@
     pub(crate) fn after_failed_flight(self, now: Micros) -> Option<ClientRequest> {
         #[cfg(feature = "mutations")]
         if is_active(Mutation::Stampedes) {
-            let wait = self.deadline.since(now);
+            let timeout = self.deadline.since(now);
             return Some(ClientRequest {
-                wait,
+                timeout,
                 ..self.request
             });
         }
--- a/crates/router-runtime/src/request.rs
+++ b/crates/router-runtime/src/request.rs
@@ -17,7 +17,7 @@
     /// Its place on the consistent-hash ring.
     pub key: u64,
     /// How long its client waits.
-    pub wait: Micros,
+    pub timeout: Micros,
     /// How long its client expects it to take.
     pub cost_hint: Option<Micros>,
     /// Whether its client has sent it before.
@@ -64,7 +64,7 @@
     Served(Answer),
     /// A long answer, passed on as it arrives. Only where a single client waits for it, and for nothing else on its
     /// connection.
-    Streamed(mpsc::Receiver<BodyPiece>),
+    Streamed(mpsc::Receiver<BodyChunk>),
     /// Rejected: a retry does no harm, and the client may send it after this time.
     Rejected(Option<Micros>),
     /// Failed: it may have run.
@@ -73,7 +73,7 @@
 
 /// One piece of a streamed answer.
 #[derive(Debug)]
-pub enum BodyPiece {
+pub enum BodyChunk {
     /// More follows. Where none does, the answer is broken off.
     More(Bytes),
     /// The end of the answer.
--- a/crates/router-runtime/src/resp.rs
+++ b/crates/router-runtime/src/resp.rs
@@ -13,11 +13,11 @@
 pub use reply::{LoadReportText, Reply, ReplyReader};
 
 /// The largest value that the protocol allows, in bytes.
-pub const MAX_VALUE: usize = 4 * 1024 * 1024;
+pub const MAX_VALUE_BYTES: usize = 4 * 1024 * 1024;
 /// A long value is held in pieces of so many bytes, each in a block of its own.
-pub const PIECE_BYTES: usize = 64 * 1024;
+pub const CHUNK_BYTES: usize = 64 * 1024;
 /// Room for one read, in bytes: the usual response comes in one, and so does what a peer wrote behind it.
-pub const READ_SIZE: usize = 4 * 1024;
+pub const READ_BYTES: usize = 4 * 1024;
 
 /// Why the rest of a connection cannot be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
--- a/crates/router-runtime/src/resp/command.rs
+++ b/crates/router-runtime/src/resp/command.rs
@@ -1,7 +1,7 @@
 //! A client's command: read, and written for a cache server.
 
-use super::frame::{LINE_END, bulk, header, number};
-use super::{MAX_VALUE, PIECE_BYTES, READ_SIZE, RespError};
+use super::frame::{LINE_END, parse_bulk_string, parse_header, parse_number};
+use super::{CHUNK_BYTES, MAX_VALUE_BYTES, READ_BYTES, RespError};
 use crate::memory_budget::MemoryReservation;
 use bytes::{Buf, Bytes, BytesMut};
 use std::io::Write;
@@ -12,13 +12,13 @@
 /// answer commands of other names with an error.
 const MAX_ARGUMENTS: usize = 8;
 /// The longest name of a command, in bytes.
-const MAX_NAME: usize = 32;
+const MAX_NAME_BYTES: usize = 32;
 /// The longest key, in bytes.
-const MAX_KEY: usize = 256;
+const MAX_KEY_BYTES: usize = 256;
 /// The longest id, in bytes.
-const MAX_ID: usize = 64;
+const MAX_ID_BYTES: usize = 64;
 /// The longest list of fields, in bytes.
-const MAX_FIELDS: usize = 1024;
+const MAX_FIELDS_BYTES: usize = 1024;
 
 /// Places of the arguments of a read or a write.
 const KEY: usize = 1;
@@ -27,9 +27,9 @@
 const VALUE: usize = 4;
 
 /// Room for the header of a argument, in bytes.
-const ARGUMENT_HEADER_ROOM: usize = 16;
+const MAX_ARGUMENT_HEADER_BYTES: usize = 16;
 /// Room for the header of a command and a longer `d` field, in bytes.
-const COMMAND_ROOM: usize = 64;
+const COMMAND_OVERHEAD_BYTES: usize = 64;
 
 /// Why arguments make no read or write that a cache server can use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -87,7 +87,7 @@
     head: Bytes,
     frame: CommandFrame,
     /// Bytes of the value that are still to be taken.
-    left: usize,
+    remaining_bytes: usize,
 }
 
 impl CommandReader {
@@ -97,17 +97,17 @@
     /// When the bytes are no command: nothing that follows can be read.
     pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<CommandFrame>, RespError> {
         if self.long_write.is_some() {
-            return self.next_long(buffer);
+            return self.next_long_chunk(buffer);
         }
         if self.argument_count == 0 && !self.read_header(buffer)? {
             return Ok(None);
         }
         while self.arguments.len() < self.argument_count {
-            if self.begin_long(buffer)? {
-                return self.next_long(buffer);
+            if self.begin_long_value(buffer)? {
+                return self.next_long_chunk(buffer);
             }
-            let max = self.max_argument(buffer);
-            let Some(argument) = bulk(buffer, self.position, max)? else {
+            let max = self.max_argument_bytes(buffer);
+            let Some(argument) = parse_bulk_string(buffer, self.position, max)? else {
                 return Ok(None);
             };
             let length = argument.bytes.ok_or(RespError::Malformed)?.len();
@@ -130,19 +130,19 @@
     }
 
     /// Takes what stands before a long value off the buffer; false if none is next.
-    fn begin_long(&mut self, buffer: &mut BytesMut) -> Result<bool, RespError> {
+    fn begin_long_value(&mut self, buffer: &mut BytesMut) -> Result<bool, RespError> {
         let is_value = self.is_in_value() && self.argument_count == VALUE + 1;
-        if !is_value || self.max_argument(buffer) != MAX_VALUE {
+        if !is_value || self.max_argument_bytes(buffer) != MAX_VALUE_BYTES {
             return Ok(false);
         }
-        let header = header(&buffer[self.position..], b'$')?;
+        let header = parse_header(&buffer[self.position..], b'$')?;
         let Some((header, size)) = header.and_then(|header| Some((header, header.number?))) else {
             return Ok(false);
         };
-        if size <= PIECE_BYTES {
+        if size <= CHUNK_BYTES {
             return Ok(false);
         }
-        if size > MAX_VALUE {
+        if size > MAX_VALUE_BYTES {
             return Err(RespError::TooLarge);
         }
         let head = Bytes::copy_from_slice(&buffer[..self.position + header.length]);
@@ -151,24 +151,27 @@
         self.long_write = Some(LongWrite {
             head,
             frame,
-            left: size,
+            remaining_bytes: size,
         });
         Ok(true)
     }
 
     /// Takes the pieces of a long value that are full off the buffer, and the command once it is whole.
-    fn next_long(&mut self, buffer: &mut BytesMut) -> Result<Option<CommandFrame>, RespError> {
+    fn next_long_chunk(
+        &mut self,
+        buffer: &mut BytesMut,
+    ) -> Result<Option<CommandFrame>, RespError> {
         let Some(write) = &mut self.long_write else {
             return Ok(None);
         };
-        while write.left > 0 {
-            let piece = write.left.min(PIECE_BYTES);
-            if buffer.len() < piece {
+        while write.remaining_bytes > 0 {
+            let chunk = write.remaining_bytes.min(CHUNK_BYTES);
+            if buffer.len() < chunk {
                 return Ok(None);
             }
-            let bytes = buffer.split_to(piece).freeze();
+            let bytes = buffer.split_to(chunk).freeze();
             write.frame.long_value.push(bytes);
-            write.left -= piece;
+            write.remaining_bytes -= chunk;
         }
         match buffer.get(..LINE_END.len()) {
             Some(LINE_END) => buffer.advance(LINE_END.len()),
@@ -183,7 +186,7 @@
         if buffer.is_empty() {
             return Ok(false);
         }
-        let Some(header) = header(buffer, b'*')? else {
+        let Some(header) = parse_header(buffer, b'*')? else {
             return Ok(false);
         };
         match header.number {
@@ -198,16 +201,16 @@
     }
 
     /// How long the next argument may be, in bytes.
-    fn max_argument(&self, buffer: &[u8]) -> usize {
+    fn max_argument_bytes(&self, buffer: &[u8]) -> usize {
         let name = self.arguments.first().map(|range| &buffer[range.clone()]);
         let is_write = name.is_some_and(is_write_name);
         match self.arguments.len() {
-            0 => MAX_NAME,
-            KEY => MAX_KEY,
-            ID => MAX_ID,
-            FIELDS => MAX_FIELDS,
-            VALUE if is_write => MAX_VALUE,
-            _ => MAX_ID,
+            0 => MAX_NAME_BYTES,
+            KEY => MAX_KEY_BYTES,
+            ID => MAX_ID_BYTES,
+            FIELDS => MAX_FIELDS_BYTES,
+            VALUE if is_write => MAX_VALUE_BYTES,
+            _ => MAX_ID_BYTES,
         }
     }
 
@@ -234,29 +237,29 @@
         let length = write.head.len() + value_length + buffer.len();
         let mut unread = BytesMut::with_capacity(length);
         unread.extend_from_slice(&write.head);
-        for piece in write.frame.long_value {
-            unread.extend_from_slice(&piece);
+        for chunk in write.frame.long_value {
+            unread.extend_from_slice(&chunk);
         }
         unread.extend_from_slice(&buffer);
         unread
     }
 
     /// How much room the buffer needs beside what it holds, to read on.
-    pub fn wanted_room(&self, buffer: &[u8]) -> usize {
+    pub fn wanted_capacity(&self, buffer: &[u8]) -> usize {
         match &self.long_write {
             // To the end of a piece and no further, so that the piece fills its block.
-            Some(write) if write.left > 0 => {
-                let piece = write.left.min(PIECE_BYTES);
-                piece.saturating_sub(buffer.len()).max(1)
+            Some(write) if write.remaining_bytes > 0 => {
+                let chunk = write.remaining_bytes.min(CHUNK_BYTES);
+                chunk.saturating_sub(buffer.len()).max(1)
             }
-            _ => READ_SIZE.max(self.missing(buffer).min(PIECE_BYTES)),
+            _ => READ_BYTES.max(self.missing_bytes(buffer).min(CHUNK_BYTES)),
         }
     }
 
     /// How many bytes the argument on its way still needs, as far as that is known.
-    pub fn missing(&self, buffer: &[u8]) -> usize {
+    pub fn missing_bytes(&self, buffer: &[u8]) -> usize {
         if let Some(write) = &self.long_write {
-            return (write.left + LINE_END.len()).saturating_sub(buffer.len());
+            return (write.remaining_bytes + LINE_END.len()).saturating_sub(buffer.len());
         }
         if self.argument_count == 0 {
             return 0;
@@ -264,14 +267,14 @@
         let Some(rest) = buffer.get(self.position..) else {
             return 0;
         };
-        let Ok(Some(header)) = header(rest, b'$') else {
+        let Ok(Some(header)) = parse_header(rest, b'$') else {
             return 0;
         };
         let Some(size) = header.number else {
             return 0;
         };
         let line_end = LINE_END.len();
-        let end = self.position + header.length + size.min(MAX_VALUE) + line_end;
+        let end = self.position + header.length + size.min(MAX_VALUE_BYTES) + line_end;
         end.saturating_sub(buffer.len())
     }
 }
@@ -395,13 +398,13 @@
     /// The value of a field that is a number, of digits alone; what is more than fits is the largest.
     pub fn number(&self, name: &str) -> Option<Result<u64, CommandError>> {
         let text = self.field(name)?;
-        Some(number(text.as_bytes()).ok_or(CommandError::Number))
+        Some(parse_number(text.as_bytes()).ok_or(CommandError::Number))
     }
 
     /// The command for a cache server: unchanged but for the field `d`, how long the router will wait, in milliseconds.
-    pub fn encode(&self, wait_ms: u64) -> EncodedCommand {
-        let fields = self.fields_with_wait(wait_ms);
-        let long_value = self.long_value_pieces();
+    pub fn encode(&self, timeout_ms: u64) -> EncodedCommand {
+        let fields = self.fields_with_timeout(timeout_ms);
+        let long_value = self.long_value_chunks();
         let inline_count = if long_value.is_empty() {
             self.arguments.len()
         } else {
@@ -410,9 +413,9 @@
         let inline_arguments = &self.arguments[..inline_count];
         let arguments_size: usize = inline_arguments
             .iter()
-            .map(|argument| argument.len() + ARGUMENT_HEADER_ROOM)
+            .map(|argument| argument.len() + MAX_ARGUMENT_HEADER_BYTES)
             .sum();
-        let mut head = Vec::with_capacity(arguments_size + COMMAND_ROOM);
+        let mut head = Vec::with_capacity(arguments_size + COMMAND_OVERHEAD_BYTES);
         // Writing to a vector does not fail.
         let argument_count = if self.is_write() {
             VALUE + 1
@@ -420,8 +423,8 @@
             FIELDS + 1
         };
         let _ = write!(head, "*{argument_count}\r\n");
-        for (place, argument) in inline_arguments.iter().enumerate() {
-            let argument = if place == FIELDS {
+        for (index, argument) in inline_arguments.iter().enumerate() {
+            let argument = if index == FIELDS {
                 fields.as_bytes()
             } else {
                 argument
@@ -441,21 +444,21 @@
     }
 
     /// The pieces of a value that is not copied behind its head.
-    fn long_value_pieces(&self) -> &[Bytes] {
+    fn long_value_chunks(&self) -> &[Bytes] {
         let inline = self.arguments.get(VALUE..).unwrap_or_default();
         match inline {
-            [value] if value.len() > READ_SIZE => inline,
+            [value] if value.len() > READ_BYTES => inline,
             _ => &self.long_value,
         }
     }
 
-    fn fields_with_wait(&self, wait_ms: u64) -> String {
+    fn fields_with_timeout(&self, timeout_ms: u64) -> String {
         let fields: Vec<String> = self
             .fields()
             .split(',')
             .map(|pair| {
                 if pair.starts_with("d=") {
-                    format!("d={wait_ms}")
+                    format!("d={timeout_ms}")
                 } else {
                     pair.to_string()
                 }
--- a/crates/router-runtime/src/resp/frame.rs
+++ b/crates/router-runtime/src/resp/frame.rs
@@ -5,7 +5,7 @@
 use super::RespError;
 
 /// The longest header, its end left out, in bytes.
-const MAX_HEADER: usize = 24;
+const MAX_HEADER_BYTES: usize = 24;
 
 /// Bytes at the end of each line and each bulk string.
 pub(super) const LINE_END: &[u8] = b"\r\n";
@@ -21,7 +21,7 @@
 
 /// A bulk string that is whole.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Bulk<'a> {
+pub(super) struct BulkString<'a> {
     /// Its bytes; `None` for a null.
     pub bytes: Option<&'a [u8]>,
     /// Where it ends in the buffer.
@@ -29,7 +29,7 @@
 }
 
 /// The length of the first line, its end left out; an error if it is longer than `max`.
-pub(super) fn line(bytes: &[u8], max: usize) -> Result<Option<usize>, RespError> {
+pub(super) fn first_line_length(bytes: &[u8], max: usize) -> Result<Option<usize>, RespError> {
     let seen = &bytes[..bytes.len().min(max)];
     match seen.windows(2).position(|pair| pair == LINE_END) {
         Some(length) => Ok(Some(length)),
@@ -39,17 +39,17 @@
 }
 
 /// The first header, of this kind.
-pub(super) fn header(bytes: &[u8], kind: u8) -> Result<Option<Header>, RespError> {
+pub(super) fn parse_header(bytes: &[u8], kind: u8) -> Result<Option<Header>, RespError> {
     if bytes.first().is_some_and(|&first| first != kind) {
         return Err(RespError::Malformed);
     }
-    let Some(length) = line(bytes, MAX_HEADER)? else {
+    let Some(length) = first_line_length(bytes, MAX_HEADER_BYTES)? else {
         return Ok(None);
     };
     let number = match bytes.get(1..length) {
         Some(b"-1") => None,
         Some(digits) => {
-            let number = number(digits).ok_or(RespError::Malformed)?;
+            let number = parse_number(digits).ok_or(RespError::Malformed)?;
             Some(usize::try_from(number).unwrap_or(usize::MAX))
         }
         None => return Err(RespError::Malformed),
@@ -61,7 +61,7 @@
 }
 
 /// A number of digits alone: no sign, no space. More than fits is the largest number.
-pub(super) fn number(digits: &[u8]) -> Option<u64> {
+pub(super) fn parse_number(digits: &[u8]) -> Option<u64> {
     if digits.is_empty() || !digits.iter().all(u8::is_ascii_digit) {
         return None;
     }
@@ -74,13 +74,17 @@
 }
 
 /// The bulk string at this place, of at most `max` bytes.
-pub(super) fn bulk(bytes: &[u8], at: usize, max: usize) -> Result<Option<Bulk<'_>>, RespError> {
-    let Some(header) = header(&bytes[at..], b'$')? else {
+pub(super) fn parse_bulk_string(
+    bytes: &[u8],
+    at: usize,
+    max: usize,
+) -> Result<Option<BulkString<'_>>, RespError> {
+    let Some(header) = parse_header(&bytes[at..], b'$')? else {
         return Ok(None);
     };
     let start = at + header.length;
     let Some(size) = header.number else {
-        return Ok(Some(Bulk {
+        return Ok(Some(BulkString {
             bytes: None,
             end: start,
         }));
@@ -91,7 +95,7 @@
     let value_end = start + size;
     let end = value_end + LINE_END.len();
     match bytes.get(value_end..end) {
-        Some(LINE_END) => Ok(Some(Bulk {
+        Some(LINE_END) => Ok(Some(BulkString {
             bytes: Some(&bytes[start..value_end]),
             end,
         })),
--- a/crates/router-runtime/src/resp/long_value.rs
+++ b/crates/router-runtime/src/resp/long_value.rs
@@ -2,11 +2,11 @@
 
 use super::frame::LINE_END;
 use super::reply::{Reply, ReplyReader};
-use super::{MAX_VALUE, PIECE_BYTES, READ_SIZE, RespError, frame};
+use super::{CHUNK_BYTES, MAX_VALUE_BYTES, READ_BYTES, RespError, frame};
 use bytes::{Bytes, BytesMut};
 
 /// A longer value is passed on as it arrives, in bytes; others once they are whole.
-const LONG_VALUE: usize = 64 * 1024;
+const LONG_VALUE_THRESHOLD_BYTES: usize = 64 * 1024;
 
 /// The beginning of a reply with a long value.
 #[derive(Debug)]
@@ -30,31 +30,31 @@
 #[derive(Debug)]
 pub struct LongValueReader {
     /// Bytes of the value that have not come yet.
-    left: usize,
+    remaining_bytes: usize,
     /// Reads what is behind it.
     tail: ReplyReader,
 }
 
 impl LongValue {
-    /// Takes the beginning of a reply with a long value off the buffer, once [`READ_SIZE`] bytes of the value have
+    /// Takes the beginning of a reply with a long value off the buffer, once [`READ_BYTES`] bytes of the value have
     /// come. Guards against a corrupted length before a short value: what was passed on cannot be asked for again.
     pub fn begin(buffer: &mut BytesMut) -> Option<LongValue> {
-        let array = frame::header(buffer, b'*').ok()??;
-        if array.number != Some(ReplyReader::ITEMS) {
+        let array = frame::parse_header(buffer, b'*').ok()??;
+        if array.number != Some(ReplyReader::ITEM_COUNT) {
             return None;
         }
-        let value = frame::header(&buffer[array.length..], b'$').ok()??;
+        let value = frame::parse_header(&buffer[array.length..], b'$').ok()??;
         let size = value.number?;
-        let is_long = size > LONG_VALUE && size <= MAX_VALUE;
+        let is_long = size > LONG_VALUE_THRESHOLD_BYTES && size <= MAX_VALUE_BYTES;
         let value_at = array.length + value.length;
-        if !is_long || buffer.len() < value_at + READ_SIZE {
+        if !is_long || buffer.len() < value_at + READ_BYTES {
             return None;
         }
         Some(LongValue {
             head: buffer.split_to(value_at).freeze(),
             reader: LongValueReader {
-                left: size,
-                tail: ReplyReader::behind_value(),
+                remaining_bytes: size,
+                tail: ReplyReader::after_value(),
             },
         })
     }
@@ -66,9 +66,9 @@
     /// # Errors
     /// When the rest cannot be read: the reply is broken off.
     pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<ValuePart>, RespError> {
-        if self.left > 0 {
-            let length = self.left.min(buffer.len());
-            self.left -= length;
+        if self.remaining_bytes > 0 {
+            let length = self.remaining_bytes.min(buffer.len());
+            self.remaining_bytes -= length;
             let part = (length > 0).then(|| ValuePart::Bytes(buffer.split_to(length).freeze()));
             return Ok(part);
         }
@@ -86,29 +86,35 @@
     ///
     /// # Errors
     /// As for [`LongValueReader::next`].
-    pub fn next_full(&mut self, buffer: &mut BytesMut) -> Result<Option<ValuePart>, RespError> {
-        let piece = self.left.min(PIECE_BYTES);
-        if buffer.len() < piece {
+    pub fn next_full_chunk(
+        &mut self,
+        buffer: &mut BytesMut,
+    ) -> Result<Option<ValuePart>, RespError> {
+        let chunk = self.remaining_bytes.min(CHUNK_BYTES);
+        if buffer.len() < chunk {
             return Ok(None);
         }
-        if piece > 0 {
-            self.left -= piece;
-            return Ok(Some(ValuePart::Bytes(buffer.split_to(piece).freeze())));
+        if chunk > 0 {
+            self.remaining_bytes -= chunk;
+            return Ok(Some(ValuePart::Bytes(buffer.split_to(chunk).freeze())));
         }
         self.next(buffer)
     }
 
     /// How many bytes are to be read next of a value that is held.
-    pub fn wanted(&self, buffer: &[u8]) -> usize {
-        match self.left {
-            0 => READ_SIZE,
-            left => left.min(PIECE_BYTES).saturating_sub(buffer.len()).max(1),
+    pub fn next_read_bytes(&self, buffer: &[u8]) -> usize {
+        match self.remaining_bytes {
+            0 => READ_BYTES,
+            remaining_bytes => remaining_bytes
+                .min(CHUNK_BYTES)
+                .saturating_sub(buffer.len())
+                .max(1),
         }
     }
 
     /// Whether all but the load report has come.
     pub fn has_value(&self) -> bool {
-        self.left == 0 && self.tail.has_value()
+        self.remaining_bytes == 0 && self.tail.has_value()
     }
 
     /// The end of the reply with a null for the load report that never came.
--- a/crates/router-runtime/src/resp/reply.rs
+++ b/crates/router-runtime/src/resp/reply.rs
@@ -1,16 +1,16 @@
 //! A cache server's reply to one command: a value or receipt, or an error, with its load report.
 
-use super::frame::{LINE_END, bulk, header, is_printable, line};
-use super::{MAX_VALUE, RespError};
+use super::frame::{LINE_END, first_line_length, is_printable, parse_bulk_string, parse_header};
+use super::{MAX_VALUE_BYTES, RespError};
 use bytes::{Bytes, BytesMut};
 use load_balancer::CacheStatus;
 
 /// The longest error line, in bytes: an error with a load report.
-const MAX_ERROR: usize = 512;
+const MAX_ERROR_LINE_BYTES: usize = 512;
 /// The longest load report, in bytes.
-const MAX_REPORT: usize = 256;
+const MAX_REPORT_BYTES: usize = 256;
 /// The longest cache status, in bytes: one short word.
-const MAX_CACHE_STATUS: usize = 16;
+const MAX_CACHE_STATUS_BYTES: usize = 16;
 
 /// The text of a load report, where one came: printable, and no longer than a peer's line.
 pub type LoadReportText = Option<Bytes>;
@@ -58,10 +58,10 @@
 
 impl ReplyReader {
     /// Items in the array of a reply: value, cache status, load report.
-    pub(super) const ITEMS: usize = 3;
+    pub(super) const ITEM_COUNT: usize = 3;
 
     /// A reader for what stands behind a long value: the end of its line, cache status and load report.
-    pub(super) fn behind_value() -> Self {
+    pub(super) fn after_value() -> Self {
         ReplyReader {
             position: LINE_END.len(),
             part: ReplyPart::CacheStatus,
@@ -100,10 +100,10 @@
     }
 
     fn read_header(&mut self, buffer: &[u8]) -> Result<bool, RespError> {
-        let Some(header) = header(buffer, b'*')? else {
+        let Some(header) = parse_header(buffer, b'*')? else {
             return Ok(false);
         };
-        if header.number != Some(Self::ITEMS) {
+        if header.number != Some(Self::ITEM_COUNT) {
             return Err(RespError::Malformed);
         }
         self.position = header.length;
@@ -112,7 +112,7 @@
     }
 
     fn read_value(&mut self, buffer: &[u8]) -> Result<bool, RespError> {
-        let Some(value) = bulk(buffer, self.position, MAX_VALUE)? else {
+        let Some(value) = parse_bulk_string(buffer, self.position, MAX_VALUE_BYTES)? else {
             return Ok(false);
         };
         if value.bytes.is_none() {
@@ -124,7 +124,7 @@
     }
 
     fn read_cache_status(&mut self, buffer: &[u8]) -> Result<bool, RespError> {
-        let Some(word) = bulk(buffer, self.position, MAX_CACHE_STATUS)? else {
+        let Some(word) = parse_bulk_string(buffer, self.position, MAX_CACHE_STATUS_BYTES)? else {
             return Ok(false);
         };
         self.cache_status = match word.bytes {
@@ -144,7 +144,7 @@
     /// Reads the load report, and with it the whole reply. One that cannot be read counts as none; what is left in the
     /// buffer then tells that the connection is of no further use.
     fn read_report(&self, buffer: &mut BytesMut) -> Option<Reply> {
-        let (end, length) = match bulk(buffer, self.position, MAX_REPORT) {
+        let (end, length) = match parse_bulk_string(buffer, self.position, MAX_REPORT_BYTES) {
             Ok(None) => return None,
             Ok(Some(report)) => match report.bytes {
                 None => (report.end, None),
@@ -176,7 +176,7 @@
 
 /// Takes an error line off the buffer if it is whole. A load report may stand last in it, after a space.
 fn error_reply(buffer: &mut BytesMut) -> Result<Option<Reply>, RespError> {
-    let Some(length) = line(buffer, MAX_ERROR)? else {
+    let Some(length) = first_line_length(buffer, MAX_ERROR_LINE_BYTES)? else {
         return Ok(None);
     };
     let text = buffer
--- a/crates/router-runtime/src/runtime.rs
+++ b/crates/router-runtime/src/runtime.rs
@@ -51,7 +51,7 @@
         let upstream = UpstreamPools::new(
             setup.upstream_limits,
             setup.report_format,
-            MemoryBudget::of_memory(setup.memory_bytes),
+            MemoryBudget::for_process_memory(setup.memory_bytes),
             metrics.clone(),
             environment.clone(),
         );
@@ -77,7 +77,7 @@
             max_connections: setup.upstream_limits.max_connections,
             lifecycle: lifecycle.clone(),
             metrics,
-            write_memory: MemoryBudget::of_memory(setup.memory_bytes),
+            write_memory: MemoryBudget::for_process_memory(setup.memory_bytes),
         };
         let clients = ClientConnections::new(downstream, environment.clone());
         // Before the first request, so that none finds an empty ring.
@@ -220,13 +220,13 @@
 
     /// Another process has taken over the listener: connections are handed over as they become idle.
     pub fn hand_over_to(&self, successor: mpsc::UnboundedSender<IdleConnection<E::Stream>>) {
-        self.clients.hand_over_to(Some(successor));
+        self.clients.set_successor(Some(successor));
         self.apply_lifecycle_event(LifecycleEvent::SuccessorServes);
     }
 
     /// That other process has gone: this one serves on.
     pub fn successor_lost(&self) {
-        self.clients.hand_over_to(None);
+        self.clients.set_successor(None);
         self.apply_lifecycle_event(LifecycleEvent::SuccessorLost);
     }
 
--- a/crates/router-runtime/src/runtime/shutdown.rs
+++ b/crates/router-runtime/src/runtime/shutdown.rs
@@ -55,7 +55,7 @@
         self.apply_lifecycle_event(LifecycleEvent::Terminate);
         let report = self.finish(schedule).await;
         // No connection is handed over any more.
-        self.clients.hand_over_to(None);
+        self.clients.set_successor(None);
         report
     }
 
--- a/crates/router-runtime/src/upstream/attempt.rs
+++ b/crates/router-runtime/src/upstream/attempt.rs
@@ -4,7 +4,7 @@
 use super::pool::UpstreamPools;
 use crate::environment::Environment;
 use crate::mutation::hooks;
-use crate::request::{Answer, BodyPiece};
+use crate::request::{Answer, BodyChunk};
 use crate::resp::Command;
 use load_balancer::{
     AttemptNumber, CacheStatus, ConnectionUse, LoadReport, Micros, Outcome, RequestId, ServerId,
@@ -78,7 +78,7 @@
 /// Who receives a long value.
 pub enum BodyConsumer {
     /// A client, piece by piece.
-    Stream(mpsc::Sender<BodyPiece>),
+    Stream(mpsc::Sender<BodyChunk>),
     /// Several clients, or one that waits for more than this value; once it is whole. Told when nobody waits any more.
     Buffer(Rc<Notify>),
     /// Nobody waits for it.
--- a/crates/router-runtime/src/upstream/response.rs
+++ b/crates/router-runtime/src/upstream/response.rs
@@ -9,9 +9,9 @@
 use crate::environment::Environment;
 use crate::memory_budget::MemoryReservation;
 use crate::mutation::hooks;
-use crate::request::{Answer, BodyPiece};
+use crate::request::{Answer, BodyChunk};
 use crate::resp::{
-    LoadReportText, LongValue, LongValueReader, READ_SIZE, Reply, ReplyReader, ValuePart,
+    LoadReportText, LongValue, LongValueReader, READ_BYTES, Reply, ReplyReader, ValuePart,
 };
 use bytes::Bytes;
 use load_balancer::{ConnectionUse, LoadReport, Outcome, ServerId};
@@ -46,7 +46,7 @@
     /// When its command was written.
     sent_at: Instant,
     long: LongValue,
-    pieces: mpsc::Sender<BodyPiece>,
+    pieces: mpsc::Sender<BodyChunk>,
 }
 
 /// The client of a streamed value has disconnected.
@@ -93,7 +93,7 @@
                 Err(_) => return connection_lost(true),
             }
             let pause = response_started.then(|| self.pause_limit(&reader));
-            let read = connection.read(READ_SIZE);
+            let read = connection.read(READ_BYTES);
             match self.read_more(read, context, pause).await {
                 ReadEnd::Received => response_started = true,
                 ReadEnd::Extended => {}
@@ -176,7 +176,7 @@
         let mut rest = Vec::new();
         let mut memory = self.answer_memory.reserve(connection.received.len());
         let reply = loop {
-            match reader.next_full(&mut connection.received) {
+            match reader.next_full_chunk(&mut connection.received) {
                 Ok(Some(ValuePart::Last(reply))) => break reply,
                 Ok(Some(ValuePart::Bytes(piece))) => {
                     rest.push(piece);
@@ -221,7 +221,7 @@
         while !memory.may_read_more() {
             self.answer_memory.freed().await;
         }
-        let wanted = reader.wanted(&connection.received);
+        let wanted = reader.next_read_bytes(&connection.received);
         let count = connection.read_at_most(wanted).await?;
         memory.add(count);
         Ok(count)
@@ -281,7 +281,7 @@
         let result = self.result(reply);
         if let Some(last) = &result.answer
             && pieces
-                .send(BodyPiece::Last(last.bytes.clone()))
+                .send(BodyChunk::Last(last.bytes.clone()))
                 .await
                 .is_err()
         {
@@ -299,7 +299,7 @@
     /// Sends a piece to the client, at the client's pace. The first stall is reported.
     async fn send_piece(
         &self,
-        pieces: &mpsc::Sender<BodyPiece>,
+        pieces: &mpsc::Sender<BodyChunk>,
         piece: Bytes,
         on_stall: &mut Option<impl FnOnce()>,
     ) -> Result<(), ClientGone> {
@@ -320,7 +320,7 @@
         };
         reserved
             .map_err(|_| ClientGone)?
-            .send(BodyPiece::More(piece));
+            .send(BodyChunk::More(piece));
         Ok(())
     }
 
--- a/crates/router-runtime/tests/memory_budget.rs
+++ b/crates/router-runtime/tests/memory_budget.rs
@@ -1,16 +1,16 @@
 //! The memory of long writes: who is read on past the budget, and that it is given back.
 
 use router_runtime::memory_budget::MemoryBudget;
-use router_runtime::resp::MAX_VALUE;
+use router_runtime::resp::MAX_VALUE_BYTES;
 
 #[test]
-fn past_the_budget_the_first_that_began_is_read_on_and_no_other() {
+fn over_budget_only_the_oldest_unfinished_value_may_be_read() {
     let budget = MemoryBudget::new(100);
     let (mut first, mut second) = (budget.reserve(40), budget.reserve(40));
     assert!(first.may_read_more() && second.may_read_more());
     second.add(30);
     assert!(first.may_read_more() && !second.may_read_more());
-    first.add(MAX_VALUE - 100);
+    first.add(MAX_VALUE_BYTES - 100);
     assert!(first.may_read_more());
     first.add(100);
     first.complete();
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn what_ends_in_any_way_gives_its_memory_back() {
+fn a_dropped_reservation_returns_its_memory() {
     let budget = MemoryBudget::new(100);
     let (first, second) = (budget.reserve(150), budget.reserve(1));
     assert!(!second.may_read_more());
@@ -35,10 +35,10 @@
 }
 
 #[test]
-fn a_small_machine_holds_two_of_the_longest_values() {
-    assert_eq!(MemoryBudget::of_memory(0).limit_bytes(), 8 << 20);
+fn the_smallest_budget_holds_two_values_of_maximum_size() {
+    assert_eq!(MemoryBudget::for_process_memory(0).limit_bytes(), 8 << 20);
     assert_eq!(
-        MemoryBudget::of_memory(192 << 20).limit_bytes(),
+        MemoryBudget::for_process_memory(192 << 20).limit_bytes(),
         (176 << 20) / 3
     );
 }
--- a/crates/router-runtime/tests/resp_command.rs
+++ b/crates/router-runtime/tests/resp_command.rs
@@ -8,13 +8,13 @@
 use proptest::prelude::*;
 use redis_protocol::resp2::decode::decode_bytes;
 use redis_protocol::resp2::types::BytesFrame;
-use router_runtime::resp::{Command, CommandReader, PIECE_BYTES, RespError};
-use support::{framed, in_pieces};
+use router_runtime::resp::{CHUNK_BYTES, Command, CommandReader, RespError};
+use support::{encode_array, feed_in_chunks};
 
 /// The limits of commands: arguments, bytes of a name, bytes of a header.
 const MAX_ARGUMENTS: usize = 8;
-const MAX_NAME: usize = 32;
-const MAX_HEADER: usize = 24;
+const MAX_NAME_BYTES: usize = 32;
+const MAX_HEADER_BYTES: usize = 24;
 
 fn command_of(text: &[u8]) -> Result<Option<Vec<Bytes>>, RespError> {
     let frame = CommandReader::default().next(&mut BytesMut::from(text))?;
@@ -24,13 +24,13 @@
 proptest! {
     /// However commands are cut into reads, they come out as they went in.
     #[test]
-    fn commands_come_out_whole_however_they_are_cut(
-        commands in vec(vec(vec(any::<u8>(), 0..=MAX_NAME), 1..=MAX_ARGUMENTS), 1..5),
-        cuts in vec(1_usize..40, 1..8),
+    fn commands_parse_the_same_in_any_chunking(
+        commands in vec(vec(vec(any::<u8>(), 0..=MAX_NAME_BYTES), 1..=MAX_ARGUMENTS), 1..5),
+        chunk_sizes in vec(1_usize..40, 1..8),
     ) {
-        let text: Vec<u8> = commands.iter().flat_map(|arguments| framed(arguments)).collect();
+        let text: Vec<u8> = commands.iter().flat_map(|arguments| encode_array(arguments)).collect();
         let mut reader = CommandReader::default();
-        let taken = in_pieces(&text, &cuts, |buffer| reader.next(buffer)).unwrap();
+        let taken = feed_in_chunks(&text, &chunk_sizes, |buffer| reader.next(buffer)).unwrap();
         let taken: Vec<Vec<Vec<u8>>> =
             taken.iter().map(|frame| frame.arguments.iter().map(|argument| argument.to_vec()).collect()).collect();
         prop_assert_eq!(taken, commands);
@@ -39,7 +39,7 @@
     /// Of arbitrary bytes a reader takes nothing that a library of the protocol would not take for the same, and
     /// it holds on to a bounded number of them.
     #[test]
-    fn nothing_is_taken_that_is_no_command(
+    fn accepted_input_is_also_valid_resp2(
         text in "[*$0-9+:a-]{0,4}(\r\n)?[*$0-9a-z-]{0,6}(\r\n)?[$0-9a-z-]{0,6}(\r\n)?",
     ) {
         let library = decode_bytes(&Bytes::from(text.clone().into_bytes()));
@@ -52,18 +52,18 @@
 
 /// A long value comes out as it went in, in full pieces, and what is off the buffer is unread again for a successor.
 #[test]
-fn a_long_value_comes_out_whole_in_pieces() {
-    let value: Vec<u8> = (0..3 * PIECE_BYTES + 17)
+fn a_long_value_is_read_in_full_chunks() {
+    let value: Vec<u8> = (0..3 * CHUNK_BYTES + 17)
         .map(|number| number as u8)
         .collect();
     let arguments = [&b"C.SET"[..], b"k", b"id", b"c=put,d=5", &value].map(<[u8]>::to_vec);
-    let text = framed(&arguments);
+    let text = encode_array(&arguments);
     for cut in [1_000, 4_096, 65_536, 200_000] {
         let mut reader = CommandReader::default();
         let mut buffer = BytesMut::new();
         let mut frames = Vec::new();
-        for piece in text.chunks(cut) {
-            buffer.extend_from_slice(piece);
+        for chunk in text.chunks(cut) {
+            buffer.extend_from_slice(chunk);
             frames.extend(reader.next(&mut buffer).unwrap());
         }
         let [frame] = &frames[..] else {
@@ -71,7 +71,7 @@
         };
         assert_eq!(frame.arguments, arguments[..4]);
         assert!(frame.long_value.concat() == value, "cut by {cut}");
-        let is_full = |piece: &Bytes| piece.len() == PIECE_BYTES;
+        let is_full = |chunk: &Bytes| chunk.len() == CHUNK_BYTES;
         assert!(frame.long_value[..3].iter().all(is_full));
         let encoded = Command::new(frame.clone()).unwrap().encode(5);
         let sent = [
@@ -83,14 +83,14 @@
         assert!(sent == text, "cut by {cut}");
     }
     let mut reader = CommandReader::default();
-    let mut buffer = BytesMut::from(&text[..2 * PIECE_BYTES + 300]);
+    let mut buffer = BytesMut::from(&text[..2 * CHUNK_BYTES + 300]);
     assert_eq!(reader.next(&mut buffer), Ok(None));
-    assert_eq!(reader.held_bytes(), 2 * PIECE_BYTES);
-    assert!(reader.into_unread(buffer) == text[..2 * PIECE_BYTES + 300]);
+    assert_eq!(reader.held_bytes(), 2 * CHUNK_BYTES);
+    assert!(reader.into_unread(buffer) == text[..2 * CHUNK_BYTES + 300]);
 }
 
 #[test]
-fn too_much_is_turned_away_by_its_header() {
+fn oversized_and_malformed_commands_are_rejected_early() {
     let large = |text: &str| {
         assert_eq!(
             command_of(text.as_bytes()),
@@ -104,7 +104,7 @@
     large("*2\r\n$5\r\nC.GET\r\n$60000000\r\n");
     large("*5\r\n$5\r\nC.GET\r\n$1\r\nk\r\n$1\r\ni\r\n$1\r\nf\r\n$65\r\n");
     large("*5\r\n$5\r\nC.SET\r\n$1\r\nk\r\n$1\r\ni\r\n$1\r\nf\r\n$4194305\r\n");
-    large(&format!("*{}", "1".repeat(MAX_HEADER)));
+    large(&format!("*{}", "1".repeat(MAX_HEADER_BYTES)));
     let malformed = |text: &str| {
         assert_eq!(
             command_of(text.as_bytes()),
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn only_what_a_cache_server_can_use_is_a_command() {
+fn commands_with_invalid_arguments_or_fields_are_rejected() {
     let new = |arguments: [&str; 4]| {
         Command::new(
             arguments
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn only_the_wait_changes_on_the_way_to_a_cache_server() {
+fn encoding_changes_only_the_timeout_field() {
     let arguments = ["C.SET", "k1", "id1", "c=put,t=acme,d=480,k=5c0f", "v"]
         .map(Bytes::from)
         .to_vec();
--- a/crates/router-runtime/tests/resp_reply.rs
+++ b/crates/router-runtime/tests/resp_reply.rs
@@ -6,7 +6,7 @@
 use proptest::collection::vec;
 use proptest::prelude::*;
 use router_runtime::resp::{Reply, ReplyReader, RespError};
-use support::{framed, in_pieces};
+use support::{encode_array, feed_in_chunks};
 
 fn reply_of(text: &[u8]) -> Result<Option<Reply>, RespError> {
     ReplyReader::default().next(&mut BytesMut::from(text))
@@ -15,31 +15,31 @@
 proptest! {
     /// What cuts do not change: whether an answer is one, and which.
     #[test]
-    fn answers_are_the_same_however_they_are_cut(
+    fn replies_parse_the_same_in_any_chunking(
         value in vec(any::<u8>(), 0..200),
-        spoil in any::<Option<(usize, u8)>>(),
-        cuts in vec(1_usize..40, 1..8),
+        corrupted_byte in any::<Option<(usize, u8)>>(),
+        chunk_sizes in vec(1_usize..40, 1..8),
     ) {
-        let mut text = framed(&[value, b"hit".to_vec(), b"util=0.5".to_vec()]);
-        if let Some((place, byte)) = spoil {
+        let mut text = encode_array(&[value, b"hit".to_vec(), b"util=0.5".to_vec()]);
+        if let Some((place, byte)) = corrupted_byte {
             let place = place % text.len();
             text[place] = byte;
         }
         let whole = reply_of(&text);
         let mut reader = ReplyReader::default();
         let mut first = None;
-        let pieces = in_pieces(&text, &cuts, |buffer| {
+        let chunks = feed_in_chunks(&text, &chunk_sizes, |buffer| {
             Ok(if first.is_none() { first = reader.next(buffer)?; None::<()> } else { None })
         });
         match whole {
-            Err(error) => prop_assert_eq!(pieces, Err(error)),
+            Err(error) => prop_assert_eq!(chunks, Err(error)),
             Ok(whole) => prop_assert_eq!(first, whole),
         }
     }
 }
 
 #[test]
-fn a_report_is_told_apart_wherever_it_stands() {
+fn load_reports_are_found_in_every_kind_of_reply() {
     let report = |text: &[u8]| match reply_of(text) {
         Ok(Some(Reply::Served { report, .. } | Reply::Failed(report) | Reply::Busy(report))) => {
             report
@@ -47,7 +47,7 @@
         other => panic!("{other:?}"),
     };
     let util = Some(Bytes::from_static(b"util=0.5,queue=2"));
-    let good = framed(&[b"v".to_vec(), b"hit".to_vec(), b"util=0.5,queue=2".to_vec()]);
+    let good = encode_array(&[b"v".to_vec(), b"hit".to_vec(), b"util=0.5,queue=2".to_vec()]);
     assert_eq!(report(&good), util);
     assert_eq!(report(b"-ERR failed util=0.5,queue=2\r\n"), util);
     assert_eq!(report(b"-BUSY util=0.5,queue=2\r\n"), util);
--- a/crates/router-runtime/tests/support/mod.rs
+++ b/crates/router-runtime/tests/support/mod.rs
@@ -4,7 +4,7 @@
 use router_runtime::resp::RespError;
 
 /// Arguments as an array of bulk strings.
-pub fn framed(arguments: &[Vec<u8>]) -> Vec<u8> {
+pub fn encode_array(arguments: &[Vec<u8>]) -> Vec<u8> {
     let mut out = format!("*{}\r\n", arguments.len()).into_bytes();
     for argument in arguments {
         out.extend_from_slice(format!("${}\r\n", argument.len()).as_bytes());
@@ -15,16 +15,16 @@
 }
 
 /// What a reader takes from bytes that come in pieces, each as long as the next of `cuts` says.
-pub fn in_pieces<T>(
+pub fn feed_in_chunks<T>(
     text: &[u8],
-    cuts: &[usize],
+    chunk_sizes: &[usize],
     mut next: impl FnMut(&mut BytesMut) -> Result<Option<T>, RespError>,
 ) -> Result<Vec<T>, RespError> {
     let (mut buffer, mut taken, mut rest) = (BytesMut::new(), Vec::new(), text);
-    let mut cuts = cuts.iter().cycle();
+    let mut chunk_sizes = chunk_sizes.iter().cycle();
     while !rest.is_empty() {
-        let (piece, after) = rest.split_at(rest.len().min(*cuts.next().expect("a cut")));
-        buffer.extend_from_slice(piece);
+        let (chunk, after) = rest.split_at(rest.len().min(*chunk_sizes.next().expect("a cut")));
+        buffer.extend_from_slice(chunk);
         rest = after;
         while let Some(item) = next(&mut buffer)? {
             taken.push(item);
