--- a/crates/request-coalescing/src/coalescer.rs
+++ b/crates/request-coalescing/src/coalescer.rs
@@ -133,9 +133,9 @@
             !class.latency.is_slow() && age > class.latency.hung_after()
         };
         let mut joinable = self.table.joinable(read);
-        let youngest = joinable.next();
+        let newest = joinable.next();
         let older_count = joinable.count();
-        if let Some((id, flight)) = youngest
+        if let Some((id, flight)) = newest
             && (older_count >= self.bounds.replacement_flights || !is_hung(flight))
         {
             return if flight.waiters.len() >= self.bounds.waiters_per_flight {
@@ -147,7 +147,7 @@
         if self.table.flights_of_key(read.key).len() >= self.bounds.flights_per_key {
             return ReadDecision::Bypass;
         }
-        if youngest.is_some() {
+        if newest.is_some() {
             ReadDecision::OpenReplacement
         } else {
             ReadDecision::Open
@@ -176,7 +176,7 @@
     /// At the write's begin, open flights may bring the value from before it. At its end, flights opened meanwhile may
     /// have reached the server first.
     fn on_write(&mut self, key: &[u8]) {
-        self.counters.closed += self.table.close_to_newcomers(key);
+        self.counters.closed += self.table.close_to_further_reads(key);
     }
 
     /// Removes a waiter; its flight ends with the last one, and is shortened if this one had the latest deadline.
--- a/crates/request-coalescing/src/flight_table.rs
+++ b/crates/request-coalescing/src/flight_table.rs
@@ -180,7 +180,7 @@
     }
 
     /// Closes all flights of a key to newcomers; returns how many were open.
-    pub fn close_to_newcomers(&mut self, key: &[u8]) -> u64 {
+    pub fn close_to_further_reads(&mut self, key: &[u8]) -> u64 {
         let mut closed_count = 0;
         for id in self.by_key.get(key).map_or(&[][..], Vec::as_slice) {
             if let Some(flight) = self.flights.get_mut(id)
