--- a/crates/router-runtime/src/dispatcher.rs
+++ b/crates/router-runtime/src/dispatcher.rs
@@ -1,8 +1,10 @@
-//! The one caller of the decision library: facts become its events, and its actions are carried out.
+//! The only caller of the load balancer: turns what happens into its events and executes its
+//! actions.
 //!
-//! The dispatcher owns the timers, the open requests and their attempts. It guarantees that each attempt ends once and
-//! each request has one final response. It decides nothing. It relies on one thread: its state is borrowed within a
-//! call and never across an await.
+//! The dispatcher owns the timers, the open requests and their attempts. It guarantees that each
+//! attempt ends exactly once and that each request gets exactly one final response. All decisions
+//! are made by the load balancer. The dispatcher is single-threaded: its state is borrowed only
+//! within a call, never across an await.
 
 mod attempts;
 mod open_requests;
@@ -32,14 +34,14 @@
 struct State {
     router: Router,
     requests: OpenRequests,
-    /// Events for the decision library that it has not handled yet.
+    /// Events that the load balancer has not handled yet.
     events: VecDeque<Event>,
-    /// An event is being handled: events that its actions cause wait their turn.
+    /// Set while an event is being handled: events caused by its actions are queued.
     is_handling: bool,
     timers: TimerQueue,
 }
 
-/// See the module.
+/// Feeds events to the load balancer and executes its actions; see the module documentation.
 pub struct Dispatcher<E: Environment> {
     environment: E,
     state: RefCell<State>,
@@ -47,12 +49,12 @@
     clock: Clock<E>,
     timer_set: Notify,
     subscription_wanted: Notify,
-    /// Called when there are events for the stage, while nothing of the dispatcher is borrowed.
+    /// Called when there are events for the stage, while no part of the dispatcher is borrowed.
     stage_listener: RefCell<Option<Rc<dyn Fn()>>>,
 }
 
 impl<E: Environment> Dispatcher<E> {
-    /// A dispatcher without requests.
+    /// Creates a dispatcher without requests.
     pub fn new(router: Router, upstream: Rc<UpstreamPools<E>>, environment: E) -> Rc<Self> {
         let state = State {
             router,
@@ -72,12 +74,12 @@
         })
     }
 
-    /// Now, on the decision library's clock.
+    /// The current time on the load balancer's clock.
     pub fn now(&self) -> Micros {
         self.clock.now()
     }
 
-    /// The instant of a point in time of that clock.
+    /// Converts a time on the load balancer's clock to an instant.
     pub fn instant(&self, at: Micros) -> Instant {
         self.clock.instant(at)
     }
@@ -122,7 +124,8 @@
         }));
     }
 
-    /// Nobody waits for a request. Its attempts in flight run on to their end, but for those whose long value is held.
+    /// Abandons a request that no client waits for. Its attempts in flight continue, except those
+    /// that buffer a long value.
     fn abandon(self: &Rc<Self>, id: RequestId) {
         let is_pending = self.state.borrow_mut().requests.abandon(id);
         if is_pending {
@@ -131,7 +134,7 @@
         }
     }
 
-    /// Answers all pending requests as failed: the process ends.
+    /// Answers all pending requests as failed when the process ends.
     pub fn fail_all(self: &Rc<Self>) {
         let unanswered = self.state.borrow().requests.unanswered();
         for id in unanswered {
@@ -143,12 +146,12 @@
         }
     }
 
-    /// What a server may be used for; `None`: it is unknown.
+    /// The availability of a server; `None` if the server is unknown.
     pub fn availability(&self, server: &ServerId) -> Option<Availability> {
         self.state.borrow().router.availability(server)
     }
 
-    /// Applies an operator's override to a server.
+    /// Applies an admin override to a server.
     pub fn apply_admin_override(self: &Rc<Self>, server: ServerId, admin_override: AdminOverride) {
         self.handle(match admin_override {
             AdminOverride::Disabled => Event::ServerDisabled { server },
@@ -156,7 +159,7 @@
         });
     }
 
-    /// All overrides of operators.
+    /// All admin overrides.
     pub fn admin_overrides(&self) -> Vec<(ServerId, AdminOverride)> {
         self.state
             .borrow()
@@ -166,12 +169,12 @@
             .collect()
     }
 
-    /// What the decision library has learnt so far.
+    /// What the load balancer has learned so far.
     pub fn warm_state(&self) -> WarmState {
         self.state.borrow().router.warm_state()
     }
 
-    /// Takes over what another process of this router has learnt.
+    /// Restores what another process of this router has learned.
     pub fn restore_warm_state(&self, warm_state: WarmState) {
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
@@ -183,27 +186,27 @@
         duration(self.state.borrow().router.idle_connection_lifetime())
     }
 
-    /// The decision library's present estimates.
+    /// The load balancer's current estimates.
     pub fn diagnostics(&self) -> Diagnostics {
         self.state.borrow().router.diagnostics()
     }
 
-    /// How many listed servers are avoided now.
+    /// The number of listed servers that are currently avoided.
     pub fn avoided_endpoints(&self) -> usize {
         self.state.borrow().router.avoided_endpoints()
     }
 
-    /// The list of servers, or the watch on it, has changed.
+    /// Reports a change of the endpoint list or of the watch on it.
     pub fn endpoints_changed(self: &Rc<Self>, update: EndpointUpdate, endpoints: Vec<Endpoint>) {
         self.handle(Event::EndpointsChanged { update, endpoints });
     }
 
-    /// Returns when the decision library subscribes to the list of servers.
+    /// Completes when the load balancer subscribes to the endpoint list.
     pub fn subscription_wanted(&self) -> impl Future<Output = ()> {
         self.subscription_wanted.notified()
     }
 
-    /// Fires the timers, for as long as the process runs.
+    /// Fires timers when they are due, until the process ends.
     pub async fn run_timers(self: Rc<Self>) {
         let environment = &self.environment;
         loop {
@@ -224,7 +227,8 @@
         self.state.borrow_mut().timers.pop_due(now)
     }
 
-    /// Gives the decision library an event and carries out its actions, and so on with the events that these cause.
+    /// Passes an event to the load balancer and executes the resulting actions, then does the same
+    /// for the events that these actions cause.
     fn handle(self: &Rc<Self>, event: Event) {
         let mut state = self.state.borrow_mut();
         state.events.push_back(event);
@@ -286,7 +290,7 @@
         self.state.borrow_mut().requests.remove_if_finished(id);
     }
 
-    /// What the dispatcher and the decision library remember.
+    /// Counts of the state that the dispatcher and the load balancer keep.
     pub fn resource_usage(&self) -> ResourceUsage {
         let state = self.state.borrow();
         let tracked = state.router.tracked_counts();
@@ -315,7 +319,7 @@
     }
 }
 
-/// Cancels an attempt that has not ended.
+/// Cancels an attempt unless it has ended.
 fn cancel(state: &mut State, id: RequestId, attempt: AttemptNumber) {
     let Some(request) = state.requests.get_mut(id) else {
         return;
