--- a/crates/router-runtime/src/dispatcher/timers.rs
+++ b/crates/router-runtime/src/dispatcher/timers.rs
@@ -1,28 +1,28 @@
-//! The timers that the decision library has set, by the instant at which they fire.
+//! The load balancer's pending timers, ordered by the instant at which they fire.
 
 use crate::mutation::hooks;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::time::Instant;
 
-/// Timers that have not fired yet.
+/// A queue of timers that have not fired yet.
 #[derive(Default)]
 pub struct TimerQueue {
     timers: BinaryHeap<Reverse<(Instant, u64)>>,
 }
 
 impl TimerQueue {
-    /// Sets a timer; `token` names it to the decision library.
+    /// Sets a timer; `token` identifies it to the load balancer.
     pub fn set(&mut self, at: Instant, token: u64) {
         self.timers.push(Reverse((at, token)));
     }
 
-    /// When the next one fires.
+    /// When the next timer fires.
     pub fn next(&self) -> Option<Instant> {
         self.timers.peek().map(|timer| timer.0.0)
     }
 
-    /// Takes the next one that is due, and gives its token.
+    /// Removes the next timer that is due and returns its token.
     pub fn pop_due(&mut self, now: Instant) -> Option<u64> {
         if self.next()? > now {
             return None;
@@ -34,7 +34,7 @@
         Some(token)
     }
 
-    /// How many are set.
+    /// The number of pending timers.
     pub fn len(&self) -> usize {
         self.timers.len()
     }
