--- a/crates/router-runtime/src/dispatcher/open_requests.rs
+++ b/crates/router-runtime/src/dispatcher/open_requests.rs
@@ -1,6 +1,6 @@
-//! The requests that are open: each until it has its response and its last attempt has ended.
+//! The open requests. A request is open until it has its response and its last attempt has ended.
 //!
-//! Each request gets one final response: its sink is taken by the first.
+//! The first response takes the request's sink, so that each request gets exactly one.
 
 use crate::mutation::hooks;
 use crate::request::{Response, ResponseStream};
@@ -14,41 +14,42 @@
 use std::time::Instant;
 use tokio::sync::{Notify, oneshot};
 
-/// Who gets the final response.
+/// The recipient of a final response.
 pub enum ResponseSink {
-    /// A client.
+    /// The client.
     Client(oneshot::Sender<Response>),
-    /// A client; the end of its write is a [`StageEvent`].
+    /// The client; the end of its write is also reported as a [`StageEvent`].
     Write(oneshot::Sender<Response>),
-    /// The stage that has opened a shared request, by a [`StageEvent`].
+    /// The stage that opened a shared request, by a [`StageEvent`].
     Stage,
 }
 
-/// A request that is open.
+/// An open request.
 pub struct OpenRequest {
-    /// What its attempts send.
+    /// The command that its attempts send.
     pub command: Rc<Command>,
     /// Its deadline.
     pub expires: Micros,
-    /// The end of attempts without a timeout of their own, for a shared request: it moves with the clients that join.
+    /// For a shared request, the deadline of attempts without a timeout of their own. It moves as
+    /// clients join.
     pub shared_attempt_deadline: Option<Rc<Cell<Instant>>>,
-    /// Taken by the final response.
+    /// The recipient of the final response; `None` once the request has it or is abandoned.
     pub sink: Option<ResponseSink>,
-    /// The connection of its client; of a shared one, that of the client that opened it.
+    /// The connection of its client; for a shared request, that of the client that opened it.
     pub connection: Rc<dyn ResponseStream>,
-    /// Told when nobody waits for the response any more.
+    /// Notified when no client waits for the response any more.
     pub abandoned: Rc<Notify>,
-    /// One for each attempt so far, `None` once it has ended. Sending on it cancels the attempt.
+    /// The cancellation channel of each attempt so far; `None` once the attempt has ended.
     pub attempts: Vec<Option<oneshot::Sender<()>>>,
 }
 
 impl OpenRequest {
-    /// Whether a stage has opened it for several clients, and waits for its response.
+    /// Whether a stage has opened it for several clients and waits for its response.
     pub fn is_shared(&self) -> bool {
         matches!(self.sink, Some(ResponseSink::Stage))
     }
 
-    /// Adds an attempt, with what cancels it; `None`: it has ended already.
+    /// Adds an attempt with its cancellation channel; `None` if the attempt has already ended.
     pub fn add_attempt(&mut self, cancel: Option<oneshot::Sender<()>>) -> AttemptNumber {
         let number = AttemptNumber(self.attempts.len() as u32);
         self.attempts.push(cancel);
@@ -65,26 +66,26 @@
     }
 }
 
-/// All open requests of this process, and the events that stages have still to take.
+/// All open requests of this process, and the events not yet taken by the stages.
 #[derive(Default)]
 pub struct OpenRequests {
-    /// No client chooses these names, so that a fast hash is safe.
+    /// Clients do not choose these ids, so that a fast unkeyed hash is safe.
     requests: FxHashMap<RequestId, OpenRequest>,
-    /// Ids of clients' requests that wait for their response.
+    /// Client-chosen ids of the requests that wait for their response.
     client_ids: HashSet<Rc<[u8]>>,
     last_id: u32,
     stage_events: VecDeque<StageEvent>,
 }
 
 impl OpenRequests {
-    /// A new name for a request.
+    /// Allocates a request id.
     pub fn next_id(&mut self) -> RequestId {
         self.last_id = self.last_id.wrapping_add(1);
         RequestId(self.last_id)
     }
 
-    /// Claims a client's id until the response; `None` if it is in use. The id is copied: a part of the command would
-    /// keep all that was read with it.
+    /// Claims a client-chosen id until the response; `None` if the id is in use. The id is copied, as a
+    /// slice of the command would keep the whole read buffer in memory.
     pub fn claim_client_id(&mut self, id: &[u8]) -> Option<Rc<[u8]>> {
         if self.client_ids.contains(id) {
             return None;
@@ -94,7 +95,7 @@
         Some(id)
     }
 
-    /// Frees a client's id.
+    /// Releases a client-chosen id.
     pub fn release_client_id(&mut self, id: &[u8]) {
         self.client_ids.remove(id);
     }
@@ -109,12 +110,12 @@
         self.requests.get(&id)
     }
 
-    /// An open request, to be changed.
+    /// An open request, mutable.
     pub fn get_mut(&mut self, id: RequestId) -> Option<&mut OpenRequest> {
         self.requests.get_mut(&id)
     }
 
-    /// Takes the sink of a request: from here on it waits for nothing.
+    /// Takes the sink of a request, which then waits for no response any more.
     pub fn take_sink(&mut self, id: RequestId) -> Option<ResponseSink> {
         let request = self.requests.get_mut(&id)?;
         let sink = request.sink.take()?;
@@ -128,7 +129,7 @@
         Some(sink)
     }
 
-    /// Nobody waits for a request any more; whether somebody did.
+    /// Abandons a request; returns whether it still waited for its response.
     pub fn abandon(&mut self, id: RequestId) -> bool {
         let is_pending = self.take_sink(id).is_some();
         if let Some(request) = self.requests.get(&id).filter(|_| is_pending) {
@@ -137,11 +138,11 @@
         is_pending
     }
 
-    /// The one place where a request gets its final response.
+    /// Sends a request its final response. Nothing else does.
     pub fn respond(&mut self, id: RequestId, response: Response) {
         match self.take_sink(id) {
             Some(ResponseSink::Client(client) | ResponseSink::Write(client)) => {
-                // A client that disconnects at this moment is noticed by its connection.
+                // If the client disconnects at this moment, its connection notices.
                 let _ = client.send(response);
             }
             Some(ResponseSink::Stage) => {
@@ -155,7 +156,7 @@
         }
     }
 
-    /// Removes a request that is over.
+    /// Removes a request if it has its response and no attempt is in flight.
     pub fn remove_if_finished(&mut self, id: RequestId) {
         let is_finished = self.requests.get(&id).is_some_and(OpenRequest::is_finished);
         if hooks::is_removed(is_finished) {
@@ -163,7 +164,7 @@
         }
     }
 
-    /// The requests that wait for their response, in the order of their ids.
+    /// The requests that wait for their response, ordered by id.
     pub fn unanswered(&self) -> Vec<RequestId> {
         let mut unanswered: Vec<RequestId> = self
             .requests
@@ -175,27 +176,27 @@
         unanswered
     }
 
-    /// A further attempt of a shared request is sent.
+    /// Reports to the stage that a further attempt of a shared request is sent.
     pub fn shared_retried(&mut self, id: RequestId) {
         self.stage_events.push_back(StageEvent::Retried(id));
     }
 
-    /// The next event for the stage.
+    /// Removes and returns the next event for the stage.
     pub fn pop_stage_event(&mut self) -> Option<StageEvent> {
         self.stage_events.pop_front()
     }
 
-    /// Whether the stage has events to take.
+    /// Whether there are events for the stage.
     pub fn has_stage_events(&self) -> bool {
         !self.stage_events.is_empty()
     }
 
-    /// How many clients' ids wait for their response.
+    /// The number of client-chosen ids that wait for their response.
     pub fn unanswered_count(&self) -> usize {
         self.client_ids.len()
     }
 
-    /// How many requests are open.
+    /// The number of open requests.
     pub fn len(&self) -> usize {
         self.requests.len()
     }
