--- a/crates/router-runtime/src/dispatcher/attempts.rs
+++ b/crates/router-runtime/src/dispatcher/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: sent as the decision library says, ended once each.
+//! Attempts: started when the load balancer asks for them, and ended exactly once each.
 
 use super::open_requests::OpenRequest;
 use super::{Dispatcher, State};
@@ -14,30 +14,30 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
-/// What the decision library wants sent.
+/// The parameters of an attempt that the load balancer asks for.
 pub(super) struct AttemptParams {
     /// The request.
     pub id: RequestId,
-    /// Where it goes.
+    /// The cache server.
     pub server: ServerId,
-    /// How long the attempt may take; `None`: until the request's deadline.
+    /// How long the attempt may take; `None` for until the request's deadline.
     pub timeout: Option<Micros>,
-    /// How long writing it may take until the last byte; past that nothing is sent.
+    /// The time within which its last byte must be written; later, it is not sent.
     pub write_within: Option<Micros>,
 }
 
-/// An attempt that is in flight.
+/// An attempt in flight.
 struct InFlightAttempt {
     id: RequestId,
     number: AttemptNumber,
     started: Micros,
     cancelled: oneshot::Receiver<()>,
-    /// Its last byte has been written.
+    /// Whether its last byte has been written.
     is_sent: Rc<Cell<bool>>,
 }
 
 impl<E: Environment> Dispatcher<E> {
-    /// Starts an attempt. Nothing goes out for a request that has its response or no time left.
+    /// Starts an attempt, unless the request already has its response or has no time left.
     pub(super) fn send(self: &Rc<Self>, state: &mut State, params: AttemptParams) {
         let Some(request) = state.requests.get_mut(params.id) else {
             return;
@@ -87,7 +87,8 @@
         self.run_attempt(attempt(), in_flight);
     }
 
-    /// Runs an attempt. The task ends with the attempt, at the latest at its limit, or when it is cancelled.
+    /// Spawns the task of an attempt. It ends with the attempt, when the attempt is cancelled, or
+    /// at the latest at the attempt's limit.
     fn run_attempt(
         self: &Rc<Self>,
         attempt: impl Future<Output = AttemptResult> + 'static,
@@ -98,7 +99,8 @@
             let result = tokio::select! {
                 biased;
                 result = attempt => result,
-                // After `client_stalled` the attempt is recorded as ended; the task only forwards the rest.
+                // After `client_stalled` the attempt is recorded as ended; the task only forwards
+                // the rest.
                 Ok(()) = in_flight.cancelled => match in_flight.is_sent.get() {
                     true => Outcome::Cancelled.into(),
                     false => Outcome::NotSent.into(),
@@ -113,7 +115,8 @@
         });
     }
 
-    /// The one place where an attempt ends. The first that serves gives the request its response.
+    /// Ends an attempt. Nothing else does. The first attempt that is served gives the request its
+    /// response.
     fn attempt_ended(
         self: &Rc<Self>,
         id: RequestId,
@@ -148,7 +151,8 @@
         self.remove_if_finished(id);
     }
 
-    /// Marks an attempt as ended and passes its response on; whether the request has its response.
+    /// Marks an attempt as ended and forwards its response; returns whether the request has its
+    /// response.
     fn record_attempt_end(
         &self,
         id: RequestId,
@@ -193,7 +197,7 @@
             if request.is_shared() || !request.connection.begin_streaming() {
                 return BodyConsumer::Buffer(request.abandoned.clone());
             }
-            // One piece on its way beside the one that is read: the server goes at the client's pace.
+            // The channel holds one chunk, so that the server is read at the client's pace.
             let (pieces, body) = mpsc::channel(1);
             state.requests.respond(id, Response::Streamed(body));
             pieces
@@ -212,7 +216,7 @@
     }
 }
 
-/// When an attempt that starts now ends at the latest.
+/// The deadline of an attempt that starts now.
 fn attempt_deadline(request: &OpenRequest, params: &AttemptParams, started: Micros) -> Micros {
     match params.timeout {
         Some(timeout) => started.plus(timeout).min(request.expires),
@@ -220,7 +224,7 @@
     }
 }
 
-/// The end of an attempt that is not started.
+/// Records an attempt that is not started, and returns the event of its end.
 fn not_sent_event(request: &mut OpenRequest, id: RequestId) -> Event {
     let number = request.add_attempt(None);
     Event::AttemptEnded(AttemptEnd {
