--- a/crates/router-runtime/src/dispatcher/open_requests.rs
+++ b/crates/router-runtime/src/dispatcher/open_requests.rs
@@ -84,8 +84,8 @@
         RequestId(self.last_id)
     }
 
-    /// Claims a client-chosen id until the response; `None` if the id is in use. The id is copied, as a
-    /// slice of the command would keep the whole read buffer in memory.
+    /// Claims a client-chosen id until the response; `None` if the id is in use. The id is copied,
+    /// as a slice of the command would keep the whole read buffer in memory.
     pub fn claim_client_id(&mut self, id: &[u8]) -> Option<Rc<[u8]>> {
         if self.client_ids.contains(id) {
             return None;
