--- a/crates/router-runtime/src/downstream.rs
+++ b/crates/router-runtime/src/downstream.rs
@@ -1,6 +1,7 @@
-//! Connections of clients: who gets one, commands in, and responses out in the order of the commands.
+//! Client connections: accepting them, reading commands, and writing the responses in command
+//! order.
 //!
-//! The connections rely on one thread: no borrow crosses an await.
+//! The connections are single-threaded: no borrow is held across an await.
 
 mod client;
 mod close;
@@ -15,19 +16,20 @@
 
 pub use connections::{ClientConnections, DownstreamConfig};
 
-/// A client's connection without pending responses, to be served by another process.
+/// A client connection without pending responses, either just accepted or handed over between
+/// processes.
 #[derive(Debug)]
 pub struct IdleConnection<S> {
-    /// The connection; what the client has sent since is still to be read.
+    /// The connection. What the client has sent since is still to be read from it.
     pub stream: S,
-    /// What was read of a command that is not whole yet.
+    /// Bytes read of an incomplete command.
     pub unread: BytesMut,
-    /// It has sent a whole command before.
+    /// Whether the client has sent a complete command on it.
     pub has_sent_command: bool,
 }
 
 impl<S> IdleConnection<S> {
-    /// A connection that has just been accepted.
+    /// A connection that was just accepted.
     fn accepted(stream: S) -> Self {
         IdleConnection {
             stream,
