--- a/crates/router-runtime/src/downstream/client.rs
+++ b/crates/router-runtime/src/downstream/client.rs
@@ -1,4 +1,5 @@
-//! The state of one client's connection, as its two halves and the set of connections share it.
+//! The state of one client connection, shared by its reading and writing halves and by the set of
+//! connections.
 
 use crate::request::ResponseStream;
 use load_balancer::RequestId;
@@ -7,69 +8,73 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// A client that sends nothing for this long after it connected is closed. One that has sent no command for this long
-/// since its last response is closed before others when room is needed.
+/// A client that sends nothing for this long after it connected is closed. One that has sent no
+/// command for this long since its last response is evicted before others.
 pub(super) const COMMAND_TIMEOUT: Duration = Duration::from_secs(2);
-/// A client that has sent nothing so soon after it connected may be about to.
+/// The age from which a connection without a complete command is evicted first; on a younger one, a
+/// command may still be on its way.
 const SILENT_AGE: Duration = Duration::from_millis(500);
-/// A client that connected within this time most likely has its command on the way: closed now, it would lose it.
+/// A client that connected within this time most likely has a command on its way, which would be
+/// lost if the connection were closed.
 const ARRIVAL_GRACE: Duration = Duration::from_millis(100);
 /// A client that has sent no command for this long since its last response is idle.
 const IDLE_AFTER: Duration = Duration::from_millis(100);
 
-/// Which idle client is closed first to make room for another.
+/// The order in which clients are evicted to make room for another; the first variant goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionPriority {
-    /// It had its time to send a command and has not.
+    /// It has not completed a command for longer than `SILENT_AGE`.
     LongSilent,
-    /// It has sent no command for long.
+    /// It has sent no command for longer than `COMMAND_TIMEOUT` since its last response.
     LongUnused,
-    /// It has sent no whole command yet.
+    /// It has not completed a command for longer than `ARRIVAL_GRACE`.
     Silent,
-    /// It is idle between commands. Closed, it loses nothing.
+    /// It is idle between commands, and loses nothing when closed.
     BetweenCommands,
-    /// It has just connected. Last, so that connections of a crowd do not close each other.
+    /// It has just connected, or its command has just begun. Last, so that a burst of new
+    /// connections does not evict itself.
     JustConnected,
 }
 
-/// Where a client stands among those that may be closed: the smallest is closed first.
+/// The position of a client in the order of eviction: the smallest is evicted first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct EvictionRank {
     priority: EvictionPriority,
-    /// When it connected, was last used, or its unfinished command began.
+    /// When its incomplete command began, or else when it connected or was last used.
     since: Instant,
 }
 
-/// See the module.
+/// The state of one client connection; see the module documentation.
 pub(super) struct Client {
     /// To be closed as soon as no response is pending.
     pub is_closing: Cell<bool>,
-    /// Told when the connection is to look at its state and the process's again.
+    /// Notified when the state of the connection or of the process has changed.
     pub changed: Notify,
-    /// Responses that are not written yet.
+    /// The number of responses that are not written yet.
     pub pending_responses: Cell<usize>,
-    /// The one pending response is streamed: nothing is read.
+    /// The only pending response is being streamed, and nothing is read.
     pub is_streaming: Cell<bool>,
-    /// Bytes of a further command were read.
+    /// Bytes of a further command have been read.
     pub has_unparsed_input: Cell<bool>,
-    /// It has sent a whole command.
+    /// The client has sent a complete command.
     pub has_sent_command: Cell<bool>,
-    /// When a command began to arrive that is not whole yet.
+    /// When the incomplete command began to arrive.
     pub command_began_at: Cell<Option<Instant>>,
-    /// Commands so far that are not for a router.
+    /// The number of unknown commands so far.
     pub unknown_commands: Cell<u32>,
-    /// When it connected or was last read from or written to.
+    /// When the client connected or was last read from or written to.
     pub last_used_at: Cell<Instant>,
     /// Requests that wait for their response.
     pub pending_requests: RefCell<BTreeSet<RequestId>>,
-    /// Never idle while the router is drained: once no response is pending it is closed.
+    /// The router is drained and the client never became idle: it is closed once no response is
+    /// pending.
     pub is_closing_for_drain: Cell<bool>,
-    /// Its place is wanted for another: the rest of a command is not waited for.
+    /// The connection makes room for another: the rest of a command is not waited for.
     pub is_evicted: Cell<bool>,
 }
 
 impl Client {
-    /// A client that connects now.
+    /// The state of a client that connects now.
     pub fn new(has_sent_command: bool, now: Instant) -> Self {
         Client {
             is_closing: Cell::new(false),
@@ -92,7 +97,7 @@
         self.pending_responses.get() > 0
     }
 
-    /// A response was written.
+    /// Records that a response was written.
     pub fn response_written(&self, now: Instant) {
         self.pending_responses.set(self.pending_responses.get() - 1);
         self.is_streaming.set(false);
@@ -100,12 +105,12 @@
         self.changed.notify_one();
     }
 
-    /// Whether it has sent a part of a command.
+    /// Whether the client has sent a part of a command.
     pub fn has_begun_command(&self) -> bool {
         self.command_began_at.get().is_some()
     }
 
-    /// Whether it is idle between commands, and not closing yet.
+    /// Whether the client is idle between commands, and not closing yet.
     pub fn is_idle(&self, now: Instant) -> bool {
         let is_at_rest = !self.has_pending_responses()
             && !self.has_begun_command()
@@ -114,7 +119,7 @@
         is_at_rest && now.saturating_duration_since(self.last_used_at.get()) > IDLE_AFTER
     }
 
-    /// Where it stands among the clients that may be closed.
+    /// The position in the order of eviction.
     pub fn eviction_rank(&self, now: Instant) -> EvictionRank {
         let since = self
             .command_began_at
@@ -132,7 +137,7 @@
         EvictionRank { priority, since }
     }
 
-    /// Closes the connection for another, as soon as no response is pending.
+    /// Closes the connection to make room for another, as soon as no response is pending.
     pub fn evict(&self) {
         self.is_evicted.set(true);
         self.close();
