--- a/crates/router-runtime/src/downstream/close_log.rs
+++ b/crates/router-runtime/src/downstream/close_log.rs
@@ -1,4 +1,4 @@
-//! Log lines for clients' connections that the router ends while requests may be lost with them.
+//! Log lines for client connections that the router closes while requests may be lost with them.
 
 use super::client::Client;
 use super::connections::ClientConnections;
@@ -7,17 +7,17 @@
 use std::fmt;
 use std::time::{Duration, Instant};
 
-/// At most one line in this time; the ends between are counted in the next one.
+/// At most one line is written per interval; closes in between are counted in the next line.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Why the router ends a client's connection.
+/// Why the router closes a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CloseReason {
-    /// A streamed answer broke off: its client is told by the end of the connection.
+    /// A streamed answer broke off; closing the connection tells the client so.
     AnswerBrokenOff,
-    /// The client reads nothing of its answer.
+    /// The client has stopped reading its answer.
     ClientStalled,
-    /// A command is malformed: what follows it cannot be told apart.
+    /// A command is malformed, so that the start of the next one is unknown.
     MalformedCommand,
 }
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// When the last line was written, and how many ends are not logged since.
+/// When the last line was written, and how many closes are not logged since.
 #[derive(Default)]
 pub(super) struct CloseLog {
     logged_at: Cell<Option<Instant>>,
@@ -39,7 +39,8 @@
 }
 
 impl<E: Environment> ClientConnections<E> {
-    /// Logs that the router ends a connection. `unread`: bytes that were read from it and not taken.
+    /// Logs that the router closes a connection. `unread` is the number of bytes that were read
+    /// from it and not parsed.
     pub(super) fn log_close(&self, reason: CloseReason, client: &Client, unread: usize) {
         let now = self.environment.now();
         let log = &self.close_log;
