--- a/crates/router-runtime/src/downstream/commands.rs
+++ b/crates/router-runtime/src/downstream/commands.rs
@@ -1,4 +1,5 @@
-//! What a client's command asks for: a request to the stages, or a response from here.
+//! Handles the commands of clients: reads and writes are submitted to the request stages, others
+//! are answered directly.
 
 use super::client::Client;
 use super::connections::ClientConnections;
@@ -12,31 +13,32 @@
 use md5::{Digest, Md5};
 use std::rc::Rc;
 
-/// How many commands that are not for a router, as client libraries send them at the start, close a connection.
+/// The number of unknown commands at which a connection is closed. Client libraries send some when
+/// they connect.
 const MAX_UNKNOWN_COMMANDS: u32 = 8;
 
-/// The length of a key that is a number in hexadecimal digits.
+/// The length of a key that is a hexadecimal number, in digits.
 const HEX_KEY_LENGTH: usize = 16;
 
-/// Why a command is no request. Its text goes to the client after `ERR`.
+/// Why a command is not a valid request. The text is sent to the client after `ERR`.
 #[derive(Debug, thiserror::Error)]
 enum RequestError {
     /// The command is malformed.
     #[error(transparent)]
     Command(#[from] CommandError),
-    /// The settings do not name its class.
+    /// The settings do not define its class.
     #[error("unknown class")]
     UnknownClass,
     /// Its class is keyed, and it has no idempotency key.
     #[error("a keyed class wants k")]
     NoIdempotencyKey,
-    /// A request of the same id is pending.
+    /// A request with the same id is pending.
     #[error("a request of this id is open")]
     DuplicateId,
 }
 
 impl<E: Environment> ClientConnections<E> {
-    /// Takes a whole command, and gives its response or what to wait for.
+    /// Handles a complete command; returns its response, or where it will arrive.
     pub(super) fn take_command(
         &self,
         frame: CommandFrame,
@@ -49,7 +51,8 @@
         match &frame.arguments[0].to_ascii_uppercase()[..] {
             b"C.GET" | b"C.SET" => match self.submit(frame, client, memory) {
                 Ok(awaited) => PendingResponse::Awaited(awaited),
-                // No fault of this connection: its client sends again what was lost with another one.
+                // The connection stays open: the client may be resending what it lost with another
+                // connection.
                 Err(error @ RequestError::DuplicateId) => {
                     PendingResponse::Ready(error_line(&format!("ERR {error}")))
                 }
@@ -91,7 +94,7 @@
         Ok(AwaitedResponse { record, response })
     }
 
-    /// The request that a command asks for.
+    /// Builds the request from a command.
     fn client_request(
         &self,
         command: Command,
@@ -103,8 +106,9 @@
             .and_then(|name| name_index(&names.classes, name))
             .ok_or(RequestError::UnknownClass)?;
         let settings = &self.config.classes[class];
-        // A client that says nothing, or more than its class allows, has the time of its class. One with less than a
-        // millisecond left says 0, which is no error: its connection carries further requests.
+        // Without a `d` field, or with more than the class allows, the deadline of the class
+        // applies. A client with less than a millisecond left sends 0, which is not an error, as
+        // its connection carries further requests.
         let timeout = match command.number("d").transpose()? {
             Some(millis) => Micros::from_millis(millis).min(settings.deadline),
             None => settings.deadline,
@@ -130,17 +134,18 @@
     }
 }
 
-/// An error for the client; the text begins with its kind, as `ERR`.
+/// An error reply to the client; the text begins with its kind, such as `ERR`.
 pub(super) fn error_line(text: &str) -> Bytes {
     Bytes::from(format!("-{text}\r\n"))
 }
 
-/// The place of a name among the names of the settings.
+/// The index of a name in the settings.
 fn name_index(names: &[String], name: &str) -> Option<usize> {
     names.iter().position(|known| known == name)
 }
 
-/// A key as a number: its hexadecimal digits, or what its MD5 digest ends with; the same at every router.
+/// The position of a key on the ring: the key itself as a hexadecimal number, or the last 8 bytes
+/// of its MD5 digest. It is the same at every router.
 fn ring_key(key: &[u8]) -> u64 {
     let digits = std::str::from_utf8(key)
         .ok()
