--- a/crates/router-runtime/src/downstream/connection.rs
+++ b/crates/router-runtime/src/downstream/connection.rs
@@ -1,4 +1,4 @@
-//! One client's connection: commands are read and taken until it ends or is handed over.
+//! Serves one client connection: reads and handles commands until it ends or is handed over.
 
 use super::IdleConnection;
 use super::client::Client;
@@ -18,12 +18,13 @@
 use tokio::io::{AsyncRead, AsyncReadExt};
 use tokio::sync::mpsc;
 
-/// How many commands on one connection wait for their responses; past this the next ones stay unread.
+/// How many commands on one connection may wait for their responses; further ones stay unread.
 const MAX_PIPELINED_COMMANDS: usize = 64;
-/// How much is read at a time: what one client sends in one go does not exceed the write memory by more.
+/// The most that is read at a time, in bytes. One client exceeds the write memory by no more than
+/// this.
 const MAX_READ_BYTES: usize = 64 * 1024;
 
-/// A connection on which no more is read.
+/// A connection from which no more is read.
 struct ServedConnection<S> {
     stream: S,
     end: ReadEnd,
@@ -54,12 +55,14 @@
                 Ok(()) => return,
                 Err(back) => idle_connection = back,
             }
-            // The successor has just gone, and the state of this process is about to say so.
+            // The successor has just ended, and the lifecycle of this process is about to reflect
+            // it.
             self.environment.sleep(CAPACITY_RETRY_INTERVAL).await;
         }
     }
 
-    /// Reads commands and writes responses side by side, until no more is read and the pending ones are written.
+    /// Reads commands and writes responses concurrently, until reading ends and the pending
+    /// responses are written.
     async fn serve_until_idle(
         &self,
         mut stream: E::Stream,
@@ -92,7 +95,7 @@
                     biased;
                     _ = &mut writing => {}
                     () = self.disconnected(&reader) => {
-                        // It may still read an error, but waits for no requests.
+                        // The client may still read an error reply, but waits for no requests.
                         self.abandon_requests(client);
                         let _ = writing.await;
                     }
@@ -103,7 +106,7 @@
         ServedConnection { stream, end }
     }
 
-    /// Reads commands until no more are to be read.
+    /// Reads commands until reading ends.
     async fn read_commands(
         &self,
         stream: &mut <E::Stream as Stream>::Reader<'_>,
@@ -130,7 +133,8 @@
         }
     }
 
-    /// Takes the commands that have arrived whole, as long as this client's next one is taken.
+    /// Handles the commands that have arrived completely, as long as the client's next one may be
+    /// read.
     async fn take_commands(
         &self,
         stream: &<E::Stream as Stream>::Reader<'_>,
@@ -168,8 +172,9 @@
         ControlFlow::Continue(())
     }
 
-    /// Reads more of the next command, or waits for what ends or changes the plan. Reading goes first: a command that
-    /// has arrived is served, also when the connection is to close.
+    /// Reads more of the next command, or waits for an event that ends or changes the plan. Reading
+    /// takes precedence: a command that has arrived is served even if the connection is about to be
+    /// closed.
     async fn read_more(
         &self,
         stream: &mut <E::Stream as Stream>::Reader<'_>,
@@ -220,8 +225,8 @@
     }
 }
 
-/// Reads what has arrived. From the moment on in which an answer is streamed nothing is read: the connection may end
-/// with that, and its client sends again what was not read.
+/// Reads what has arrived, but nothing while an answer is streamed: the connection may end with the
+/// answer, and the client resends what was not read.
 async fn read_unless_streaming(
     stream: &mut (impl AsyncRead + Unpin),
     buffer: &mut BytesMut,
@@ -231,14 +236,14 @@
     let read = limited.read_buf(buffer);
     tokio::pin!(read);
     poll_fn(|cx| match client.is_streaming.get() {
-        // Polled again when the end of the stream is told by `Client::changed`.
+        // Polled again after the stream, as its end notifies `Client::changed`.
         true => Poll::Pending,
         false => read.as_mut().poll(cx),
     })
     .await
 }
 
-/// The last response on a connection whose bytes are no command.
+/// The last response on a connection whose input is not a valid command.
 fn protocol_error(error: &RespError) -> Bytes {
     error_line(match error {
         RespError::TooLarge => "ERR command too large",
