--- a/crates/router-runtime/src/downstream/connections.rs
+++ b/crates/router-runtime/src/downstream/connections.rs
@@ -1,4 +1,5 @@
-//! The set of clients' connections: accepted from the listener, closed to make room, handed over to a successor.
+//! The set of client connections: accepted from the listener, evicted to make room, and handed over
+//! to a successor.
 
 use super::IdleConnection;
 use super::client::Client;
@@ -18,61 +19,63 @@
 use std::time::Duration;
 use tokio::sync::{Notify, mpsc};
 
-/// How often idle clients are counted.
+/// How often the number of idle clients is checked.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Idle clients may hold one in so many places: the others are for clients that want one now.
+/// Idle clients may hold at most the connection limit divided by this; the rest is left to active
+/// clients.
 const IDLE_CONNECTIONS_DIVISOR: usize = 4;
-/// Connections in the listener's queue are accepted within this time each.
+/// How long to wait for each connection in the listener's backlog.
 const QUEUED_ACCEPT_TIMEOUT: Duration = Duration::from_millis(1);
-/// The rest of the queue is given up after so many failures on end.
+/// How many consecutive failures are retried before the rest of the backlog is abandoned.
 const MAX_QUEUED_ACCEPT_FAILURES: u32 = 10;
-/// How long to leave the listener alone after it failed, out of descriptors for instance ...
+/// The first backoff after accepting has failed, for example because no file descriptor was left.
 const INITIAL_ACCEPT_BACKOFF: Duration = Duration::from_millis(1);
-/// ... which doubles so many times with each failure on end.
+/// How many times consecutive failures double the backoff.
 const MAX_ACCEPT_BACKOFF_DOUBLINGS: u32 = 4;
-/// How long to wait for a place where all are taken.
+/// How long to wait for a free connection slot, or for the lifecycle to change, before checking
+/// again.
 pub(super) const CAPACITY_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Takes connections over from this process.
+/// The channel to the successor, which takes over connections of this process.
 type Successor<S> = mpsc::UnboundedSender<IdleConnection<S>>;
 
-/// What the connections need besides the environment.
+/// Configuration and dependencies of the client connections, besides the environment.
 pub struct DownstreamConfig {
-    /// Takes the requests.
+    /// The stage that handles the requests.
     pub requests: Rc<dyn RequestStage>,
     /// Names of classes and tenants.
     pub names: Rc<Names>,
-    /// Classes of the settings, in the order of their names.
+    /// Settings of the classes, in the order of their names.
     pub classes: Vec<Class>,
-    /// How many connections may be open.
+    /// The connection limit.
     pub max_connections: usize,
-    /// The state of this process.
+    /// The lifecycle of this process.
     pub lifecycle: Rc<Cell<Lifecycle>>,
-    /// Where requests are counted.
+    /// The request metrics.
     pub metrics: Rc<RouterMetrics>,
-    /// Memory for long writes.
+    /// The memory budget for long writes.
     pub write_memory: Rc<MemoryBudget>,
 }
 
-/// See the module.
+/// The set of client connections; see the module documentation.
 pub struct ClientConnections<E: Environment> {
     pub(super) environment: E,
     pub(super) config: DownstreamConfig,
-    /// By order of arrival, so that iteration is deterministic.
+    /// Keyed by order of arrival, so that iteration is deterministic.
     open: RefCell<BTreeMap<u64, Rc<Client>>>,
     last_id: Cell<u64>,
-    /// Taken off the listener and not started, for want of a place.
+    /// Accepted, but not started yet, as the connection limit is reached.
     accepted: RefCell<Option<E::Stream>>,
     successor: RefCell<Option<Successor<E::Stream>>>,
-    /// A connection has ended.
+    /// Notified when a connection has ended.
     ended: Notify,
     pub(super) close_log: CloseLog,
-    /// The process ends: nothing more is read.
+    /// Set when the process ends: nothing more is read.
     is_finishing: Cell<bool>,
 }
 
 impl<E: Environment> ClientConnections<E> {
-    /// No connections yet.
+    /// Creates an empty set.
     pub fn new(config: DownstreamConfig, environment: E) -> Rc<Self> {
         Rc::new(ClientConnections {
             environment,
@@ -87,8 +90,8 @@
         })
     }
 
-    /// Accepts clients, for as long as it is polled. Past the limit the next ones wait until there is room. Dropped at
-    /// any moment, it loses no connection.
+    /// Accepts clients for as long as it is polled. At the connection limit, further clients wait
+    /// until there is room. Cancel-safe: dropping the future loses no connection.
     pub async fn accept(self: &Rc<Self>, listener: &E::Listener) {
         let mut failure_count = 0;
         loop {
@@ -110,8 +113,8 @@
         }
     }
 
-    /// Makes room and waits, unless the error was that of one connection. The time of the requests that wait runs on: most
-    /// shortages pass in a moment.
+    /// Evicts a client and backs off, unless the error concerned a single connection. The backoff
+    /// is short: requests keep losing time meanwhile, and most shortages are brief.
     async fn accept_failed(&self, error: &io::Error, earlier_failures: u32) {
         if !concerns_one_connection(error) {
             self.evict_idle_client();
@@ -121,7 +124,8 @@
         }
     }
 
-    /// Starts the accepted connection, if there is one, once there is a place for it.
+    /// Starts the accepted connection, if there is one, once the number of connections is below the
+    /// limit.
     async fn start_accepted_when_below_limit(self: &Rc<Self>) {
         if self.accepted.borrow().is_none() {
             return;
@@ -136,8 +140,9 @@
         self.start_accepted();
     }
 
-    /// Accepts what is left in the listener's queue, before that is closed: its connections would be reset. They may be
-    /// more than there are places for, as long as there are descriptors: no others follow.
+    /// Accepts what is left in the listener's backlog before the listener is closed, which would
+    /// reset those connections. They may exceed the connection limit while file descriptors last,
+    /// as no others follow.
     pub async fn accept_queued(self: &Rc<Self>, listener: &E::Listener) {
         self.start_accepted();
         let mut failure_count = 0;
@@ -176,7 +181,8 @@
         ));
         self.open.borrow_mut().insert(id, client.clone());
         let connections = self.clone();
-        // The task owns the connection and ends with it: closed, handed over, or finished with the process.
+        // The task owns the connection and ends with it: when it is closed or handed over, or when
+        // the process ends.
         self.environment.spawn(async move {
             connections.serve(idle_connection, &client).await;
             connections.abandon_requests(&client);
@@ -185,14 +191,15 @@
         });
     }
 
-    /// The client waits for its requests no more.
+    /// Reports that the client no longer waits for its requests.
     pub(super) fn abandon_requests(&self, client: &Client) {
         for id in client.pending_requests.take() {
             self.config.requests.client_disconnected(id);
         }
     }
 
-    /// Closes one client without pending responses, unless one is closing already. [`Client::eviction_rank`] says which.
+    /// Evicts one client without pending responses, the first by [`Client::eviction_rank`], unless
+    /// one is closing already.
     fn evict_idle_client(&self) {
         let now = self.environment.now();
         let open = self.open.borrow();
@@ -211,9 +218,10 @@
         }
     }
 
-    /// Keeps idle clients to a quarter of the places, and closes those that have been idle for longest, for as long as
-    /// the process runs. Guards against clients that keep their connections unused: where a front limits connections to
-    /// fewer than there are places, no other client could connect.
+    /// Limits idle clients to a quarter of the connection limit by closing those that have been
+    /// idle for longest, until the process ends. Without this, clients that keep unused connections
+    /// could lock out all others where a proxy in front of the router allows fewer connections than
+    /// the router.
     pub async fn close_idle(self: Rc<Self>) {
         loop {
             self.environment.sleep(IDLE_CHECK_INTERVAL).await;
@@ -234,20 +242,20 @@
         }
     }
 
-    /// The state of the process has changed: each connection looks at it again.
+    /// Lets each connection check the lifecycle again, as it has changed.
     pub fn lifecycle_changed(&self) {
         for client in self.open.borrow().values() {
             client.changed.notify_one();
         }
     }
 
-    /// Sets who takes idle connections over, where the state of the process says so.
+    /// Sets the successor that takes over idle connections when the lifecycle calls for it.
     pub fn set_successor(self: &Rc<Self>, successor: Option<Successor<E::Stream>>) {
         *self.successor.borrow_mut() = successor;
         self.start_accepted();
     }
 
-    /// Hands an idle connection over; gives it back if there is no successor.
+    /// Hands an idle connection over; returns it if there is no successor.
     pub(super) fn hand_over(
         &self,
         idle_connection: IdleConnection<E::Stream>,
@@ -258,33 +266,34 @@
         }
     }
 
-    /// The process ends: nothing more is read, and connections are closed as soon as their responses are written.
+    /// Stops reading, as the process ends. Connections are closed as soon as their responses are
+    /// written.
     pub fn finish(&self) {
         self.is_finishing.set(true);
         self.lifecycle_changed();
     }
 
-    /// Whether the process ends.
+    /// Whether the process ends, so that nothing more is read.
     pub(super) fn is_finishing(&self) -> bool {
         self.is_finishing.get()
     }
 
-    /// The state of the process.
+    /// The lifecycle of the process.
     pub(super) fn lifecycle(&self) -> Lifecycle {
         self.config.lifecycle.get()
     }
 
-    /// Where requests are counted.
+    /// The request metrics.
     pub fn metrics(&self) -> &Rc<RouterMetrics> {
         &self.config.metrics
     }
 
-    /// How many connections are open.
+    /// The number of open connections.
     pub fn count(&self) -> usize {
         self.open.borrow().len()
     }
 
-    /// Returns when all connections are closed or handed over.
+    /// Completes when all connections are closed or handed over.
     pub async fn all_ended(&self) {
         while !self.open.borrow().is_empty() {
             self.ended.notified().await;
