--- a/crates/router-runtime/src/downstream/read_plan.rs
+++ b/crates/router-runtime/src/downstream/read_plan.rs
@@ -1,4 +1,5 @@
-//! Whether and how long a client is read on, as its connection and the process stand.
+//! Decides whether and for how long a client connection is read, from the state of the connection
+//! and of the process.
 
 use super::client::{COMMAND_TIMEOUT, Client};
 use super::connections::ClientConnections;
@@ -12,41 +13,45 @@
 use std::ops::ControlFlow;
 use std::time::{Duration, Instant};
 
-/// A client that sends no command for this long is closed; many keep an unused connection for good.
+/// A client that sends no command for this long is closed, as many clients never close unused
+/// connections.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// How long a command may take to arrive but for a write's value: clients are allowed 2 s, and the network delays pieces.
+/// How long a command, without a write's value, may take to arrive: clients are allowed 2 s, and
+/// the network adds delays.
 const COMMAND_HEAD_TIMEOUT: Duration = Duration::from_millis(3_000);
-/// How long a write's value may pause.
+/// The longest pause while a write's value arrives.
 const VALUE_STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Why no more is read from a client.
+/// Why reading from a client connection ends.
 pub(super) enum ReadEnd {
-    /// It has disconnected.
+    /// The client has disconnected.
     Disconnected,
-    /// Pending responses are written, and then the connection is closed.
+    /// The connection is closed once its pending responses are written.
     Close,
-    /// The same, and the client may still be sending what will not be read: after an error, or while the router is drained.
+    /// Like `Close`, but further input is discarded first, as the client may still be sending:
+    /// after an error, or while the router is drained.
     CloseAfterDiscard,
-    /// The same, and the process ends.
+    /// Like `Close`, as the process ends; further input stays unread.
     Shutdown,
-    /// It is idle, with what was read of a command that is not whole yet: for the successor.
+    /// The connection is idle and is handed over to the successor, with the bytes read of an
+    /// incomplete command.
     HandOver(BytesMut),
 }
 
-/// What has been read of the next command.
+/// The input read so far for the next command.
 pub(super) struct CommandInput {
-    /// Reads it.
+    /// The parser.
     pub reader: CommandReader,
-    /// What has arrived and is not taken yet.
+    /// Bytes that have arrived and are not parsed yet.
     pub buffer: BytesMut,
-    /// Memory of a long write.
+    /// The memory of a long write.
     pub memory: Option<MemoryReservation>,
-    /// When the last byte of a write's value arrived.
+    /// When bytes of a write's value last arrived.
     pub value_progress_at: Option<Instant>,
 }
 
 impl CommandInput {
-    /// Nothing but what was read before.
+    /// Input that begins with bytes read before.
     pub fn new(unread: BytesMut) -> Self {
         CommandInput {
             reader: CommandReader::default(),
@@ -56,7 +61,8 @@
         }
     }
 
-    /// Whether nothing of a further command was read. Full pieces of a long value are off the buffer.
+    /// Whether no byte of a further command has been read. Full chunks of a long value are not in
+    /// the buffer.
     pub fn is_empty(&self) -> bool {
         self.buffer.is_empty() && !self.reader.is_in_value()
     }
@@ -69,21 +75,22 @@
     }
 }
 
-/// What happens before the next bytes are read.
+/// How the next bytes are read.
 pub(super) struct ReadPlan {
-    /// The client's next command is taken.
+    /// Whether the client's next command may be read.
     pub may_read: bool,
-    /// The write memory has room for more of the command.
+    /// Whether the write memory has room for more of the command.
     pub has_memory: bool,
-    /// The connection ends unless bytes are there already.
+    /// How reading ends unless bytes have already arrived.
     pub early_end: Option<ReadEnd>,
-    /// When the connection ends without further bytes.
+    /// When the connection is closed unless further bytes arrive.
     pub deadline: Option<Instant>,
 }
 
 impl<E: Environment> ClientConnections<E> {
-    /// Whether this client's next command is taken. While the router is drained a command that has begun is, and one
-    /// that comes while no response is pending; a client that is never idle is stopped after a while.
+    /// Whether the client's next command may be read. While the router is drained, this holds for a
+    /// command that has begun, and for one that arrives while no response is pending; a client that
+    /// never becomes idle is refused after a while.
     pub(super) fn may_take_command(&self, client: &Client) -> bool {
         if self.is_finishing() {
             return false;
@@ -101,7 +108,7 @@
         !client.is_closing_for_drain.get()
     }
 
-    /// Decides what happens before the next bytes are read, or that none are.
+    /// Decides how the next bytes are read, or that reading ends.
     pub(super) fn plan_read(
         &self,
         input: &mut CommandInput,
@@ -109,7 +116,8 @@
     ) -> ControlFlow<ReadEnd, ReadPlan> {
         client.has_unparsed_input.set(!input.is_empty());
         if input.buffer.is_empty() {
-            // An idle client keeps no buffer of the size of its last command.
+            // Releases the buffer, so that an idle client does not keep one of the size of its last
+            // command.
             input.buffer = BytesMut::new();
         } else if !client.has_begun_command() {
             client.command_began_at.set(Some(self.environment.now()));
@@ -126,7 +134,7 @@
             return ControlFlow::Break(ReadEnd::HandOver(unread));
         }
         if client.is_closing_for_drain.get() && !has_pending {
-            // Its client sends the rest of the pipeline again.
+            // The client sends the rest of its pipeline again.
             return ControlFlow::Break(ReadEnd::CloseAfterDiscard);
         }
         self.reserve(input);
@@ -144,7 +152,8 @@
         })
     }
 
-    /// Makes room for the rest of the command, and counts a long write against the write memory.
+    /// Reserves buffer capacity for the rest of the command, and counts a long write against the
+    /// write memory.
     fn reserve(&self, input: &mut CommandInput) {
         let missing = input.reader.missing_bytes(&input.buffer);
         if missing > READ_BYTES && input.memory.is_none() {
@@ -159,7 +168,8 @@
         }
     }
 
-    /// When a client is closed that sends nothing more; `None`: pending responses keep its connection open.
+    /// When a client that sends nothing more is closed; `None` while pending responses keep its
+    /// connection open.
     fn read_deadline(
         &self,
         input: &CommandInput,
@@ -181,7 +191,7 @@
     }
 }
 
-/// How the connection ends unless bytes of a command are there already.
+/// How reading ends unless bytes of a command have already arrived.
 fn early_end(
     input: &CommandInput,
     policy: IdleConnectionPolicy,
@@ -205,7 +215,7 @@
     )
 }
 
-/// Whether a client has sent nothing yet while connections are being closed: its first command is waited for.
+/// Whether the first command of a client is still waited for while connections are being closed.
 fn awaits_first_command(policy: IdleConnectionPolicy, client: &Client) -> bool {
     !client.has_sent_command.get() && policy == IdleConnectionPolicy::Close
 }
