--- a/crates/router-runtime/src/downstream/responses.rs
+++ b/crates/router-runtime/src/downstream/responses.rs
@@ -1,4 +1,4 @@
-//! Responses on one connection, written in the order of its commands.
+//! Writes the responses of one connection in the order of its commands.
 
 use super::client::Client;
 use super::close_log::CloseReason;
@@ -14,28 +14,30 @@
 use tokio::io::AsyncWriteExt;
 use tokio::sync::{mpsc, oneshot};
 
-/// A client that reads nothing of its response for this long is given up; slow ones pause for seconds.
+/// A client that reads nothing of its response for this long is disconnected; slow clients pause
+/// for seconds.
 const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The response to one command, in its place among the others.
+/// The response to one command, queued in command order.
 pub(super) enum PendingResponse {
-    /// Known.
+    /// It is known.
     Ready(Bytes),
-    /// Known, and the last: what follows it on the connection cannot be told apart or is not worth reading.
+    /// It is known, and the last one: the input after it cannot be parsed or need not be read.
     Last(Bytes),
-    /// To be waited for.
+    /// It is waited for.
     Awaited(AwaitedResponse),
 }
 
-/// The response to a request that was taken.
+/// The response to a submitted request.
 pub(super) struct AwaitedResponse {
-    /// Counts the request.
+    /// Counts the request in the metrics.
     pub record: RequestRecord,
-    /// Gets the response.
+    /// Receives the response.
     pub response: oneshot::Receiver<Response>,
 }
 
-/// Counts a request that was taken, at its end. Dropped without one, its client has disconnected.
+/// Counts a submitted request in the metrics when it ends. If this is dropped without an end, the
+/// client has disconnected.
 pub(super) struct RequestRecord {
     id: RequestId,
     class: ClassId,
@@ -44,7 +46,7 @@
 }
 
 impl RequestRecord {
-    /// A request is taken.
+    /// Counts a request that begins.
     pub fn begin(id: RequestId, class: ClassId, metrics: Rc<RouterMetrics>) -> Self {
         metrics.request_started();
         RequestRecord {
@@ -63,7 +65,8 @@
 }
 
 impl<E: Environment> ClientConnections<E> {
-    /// Writes responses in the order of the commands, until there are no more. An error ends the connection.
+    /// Writes responses in the order of the commands, until the channel is closed. An error ends
+    /// the connection.
     pub(super) async fn write_responses(
         &self,
         mut writer: <E::Stream as Stream>::Writer<'_>,
@@ -79,7 +82,7 @@
                     self.await_response(&mut writer, awaited, client).await?
                 }
             };
-            // The memory is given back once the answer is written.
+            // The memory is released once the answer is written.
             let Answer {
                 bytes,
                 rest,
@@ -95,7 +98,7 @@
         Ok(())
     }
 
-    /// Waits for a response and gives it, or what is left of a streamed one.
+    /// Waits for a response and returns it; of a streamed one, returns the last chunk.
     async fn await_response(
         &self,
         writer: &mut <E::Stream as Stream>::Writer<'_>,
@@ -106,7 +109,8 @@
             mut record,
             response,
         } = awaited;
-        // The sender is never dropped without a response; should it be, the client must not wait.
+        // The sender is never dropped without a response; if it were, the client must not wait
+        // forever.
         let response = response.await.unwrap_or(Response::Failed);
         client.pending_requests.borrow_mut().remove(&record.id);
         let (end, answer) = match response {
@@ -126,7 +130,8 @@
             }
             Response::Streamed(mut chunks) => match self.stream(writer, &mut chunks).await {
                 Ok(last) => (RequestEnd::Served, Ok(Answer::short(last))),
-                // The end of the connection tells the client that the answer is not whole. No other request waits on it.
+                // Closing the connection tells the client that the answer is incomplete. No other
+                // request waits on it.
                 Err(end) => (RequestEnd::Failed, Err(end)),
             },
         };
@@ -151,7 +156,7 @@
         Ok(())
     }
 
-    /// Writes a streamed answer but for its last piece, which is given back.
+    /// Writes a streamed answer except for its last chunk, which is returned.
     async fn stream(
         &self,
         writer: &mut <E::Stream as Stream>::Writer<'_>,
