--- a/crates/router-runtime/src/resp.rs
+++ b/crates/router-runtime/src/resp.rs
@@ -1,7 +1,8 @@
-//! RESP2 as clients and cache servers speak it: commands, replies and long values, read from a buffer as it fills.
+//! Incremental RESP2 parsers for the commands of clients, the replies of cache servers, and long
+//! values.
 //!
-//! The readers are free of I/O. They look at each byte about once however the bytes come, and turn away what is too
-//! large by its header.
+//! The readers do no I/O. They look at each byte about once however the input is split, and reject
+//! an oversized frame by its header.
 
 mod command;
 mod frame;
@@ -14,18 +15,19 @@
 
 /// The largest value that the protocol allows, in bytes.
 pub const MAX_VALUE_BYTES: usize = 4 * 1024 * 1024;
-/// A long value is held in pieces of so many bytes, each in a block of its own.
+/// The size of the chunks in which a long value is held, in bytes. Each chunk has its own
+/// allocation.
 pub const CHUNK_BYTES: usize = 64 * 1024;
-/// Room for one read, in bytes: the usual response comes in one, and so does what a peer wrote behind it.
+/// The room for one read, in bytes: a typical response and what a peer wrote behind it fit in one.
 pub const READ_BYTES: usize = 4 * 1024;
 
-/// Why the rest of a connection cannot be read.
+/// Why the rest of a connection's input cannot be parsed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RespError {
     /// A frame is larger than the protocol allows.
     #[error("frame too large")]
     TooLarge,
-    /// The bytes are no frame, or none that may stand here.
+    /// The bytes are not a frame, or not one that is allowed here.
     #[error("not RESP2")]
     Malformed,
 }
