--- a/crates/router-runtime/src/resp/command.rs
+++ b/crates/router-runtime/src/resp/command.rs
@@ -1,4 +1,4 @@
-//! A client's command: read, and written for a cache server.
+//! The commands of clients: parsed, and encoded for a cache server.
 
 use super::frame::{LINE_END, parse_bulk_string, parse_header, parse_number};
 use super::{CHUNK_BYTES, MAX_VALUE_BYTES, READ_BYTES, RespError};
@@ -8,10 +8,10 @@
 use std::ops::Range;
 use std::rc::Rc;
 
-/// The most arguments of a command, its name included: name, key, id and fields, then a value. Some more are read to
-/// answer commands of other names with an error.
+/// The most arguments of a command, its name included. A read or write has name, key, id and
+/// fields, then a value; more are accepted to answer other commands with an error.
 const MAX_ARGUMENTS: usize = 8;
-/// The longest name of a command, in bytes.
+/// The longest command name, in bytes.
 const MAX_NAME_BYTES: usize = 32;
 /// The longest key, in bytes.
 const MAX_KEY_BYTES: usize = 256;
@@ -20,40 +20,40 @@
 /// The longest list of fields, in bytes.
 const MAX_FIELDS_BYTES: usize = 1024;
 
-/// Places of the arguments of a read or a write.
+/// Indexes of the arguments of a read or a write.
 const KEY: usize = 1;
 const ID: usize = 2;
 const FIELDS: usize = 3;
 const VALUE: usize = 4;
 
-/// Room for the header of a argument, in bytes.
+/// The capacity reserved for the header of an argument, in bytes.
 const MAX_ARGUMENT_HEADER_BYTES: usize = 16;
-/// Room for the header of a command and a longer `d` field, in bytes.
+/// The capacity reserved for the header of a command and a longer `d` field, in bytes.
 const COMMAND_OVERHEAD_BYTES: usize = 64;
 
-/// Why arguments make no read or write that a cache server can use.
+/// Why arguments are not a read or write that a cache server accepts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CommandError {
-    /// A read has four arguments with its name, a write five.
+    /// A read needs four arguments including its name, a write five.
     #[error("wrong number of arguments")]
     ArgumentCount,
-    /// Key, id or fields are empty or not printable ASCII without spaces.
+    /// The key, the id or the fields are empty, or are not printable ASCII without spaces.
     #[error("malformed arguments")]
     Arguments,
-    /// The fields are no list of names and values, each name once.
+    /// The fields are not a list of names and values in which each name occurs once.
     #[error("malformed fields")]
     Fields,
-    /// A field that is a number has other characters than digits.
+    /// A numeric field contains characters other than digits.
     #[error("malformed number")]
     Number,
 }
 
-/// A whole command as it arrived.
+/// A complete command as it arrived.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CommandFrame {
-    /// Its arguments, its name first; without a long value.
+    /// The arguments, the name first; without a long value.
     pub arguments: Vec<Bytes>,
-    /// The value of a write if it is long, in the pieces in which it is held.
+    /// The value of a write if it is long, in chunks.
     pub long_value: Vec<Bytes>,
 }
 
@@ -66,35 +66,35 @@
     }
 }
 
-/// Reads one command after the other.
+/// Parses commands one after the other.
 #[derive(Debug, Default)]
 pub struct CommandReader {
-    /// Words of the command on its way; 0 before its header.
+    /// The number of arguments of the current command; 0 before its header is parsed.
     argument_count: usize,
-    /// Where each argument that has been read whole lies.
+    /// The ranges of the parsed arguments in the buffer.
     arguments: Vec<Range<usize>>,
-    /// Where the next argument begins.
+    /// Where the next argument begins in the buffer.
     position: usize,
-    /// The long value on its way, behind arguments that are off the buffer.
+    /// The write whose long value is arriving; its other arguments are no longer in the buffer.
     long_write: Option<LongWrite>,
 }
 
-/// A write whose long value is on its way. Guards against memory for bytes that have not arrived: the value is held in
-/// pieces that are full, each in a block of its own.
+/// A write whose long value is arriving. The value is held in full chunks, each in its own
+/// allocation, so that no memory is held for bytes that have not arrived.
 #[derive(Debug)]
 struct LongWrite {
-    /// All before the value, as it arrived.
+    /// All bytes before the value, as they arrived.
     head: Bytes,
     frame: CommandFrame,
-    /// Bytes of the value that are still to be taken.
+    /// Bytes of the value that are not taken off the buffer yet.
     remaining_bytes: usize,
 }
 
 impl CommandReader {
-    /// Takes the next command off the buffer, as its arguments, if it is whole.
+    /// Takes the next command off the buffer if it is complete.
     ///
     /// # Errors
-    /// When the bytes are no command: nothing that follows can be read.
+    /// If the bytes are not a command; what follows them cannot be parsed.
     pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<CommandFrame>, RespError> {
         if self.long_write.is_some() {
             return self.next_long_chunk(buffer);
@@ -118,7 +118,7 @@
         Ok(Some(self.take_arguments(buffer).into()))
     }
 
-    /// Takes the arguments that have been read off the buffer.
+    /// Takes the parsed arguments off the buffer.
     fn take_arguments(&mut self, buffer: &mut BytesMut) -> Vec<Bytes> {
         let bytes = buffer.split_to(self.position).freeze();
         self.argument_count = 0;
@@ -129,7 +129,8 @@
             .collect()
     }
 
-    /// Takes what stands before a long value off the buffer; false if none is next.
+    /// Takes the bytes before a long value off the buffer; returns false if the next argument is
+    /// not one.
     fn begin_long_value(&mut self, buffer: &mut BytesMut) -> Result<bool, RespError> {
         let is_value = self.is_in_value() && self.argument_count == VALUE + 1;
         if !is_value || self.max_argument_bytes(buffer) != MAX_VALUE_BYTES {
@@ -156,7 +157,8 @@
         Ok(true)
     }
 
-    /// Takes the pieces of a long value that are full off the buffer, and the command once it is whole.
+    /// Takes the full chunks of a long value off the buffer; returns the command once it is
+    /// complete.
     fn next_long_chunk(
         &mut self,
         buffer: &mut BytesMut,
@@ -181,7 +183,7 @@
         Ok(self.long_write.take().map(|write| write.frame))
     }
 
-    /// Reads the number of arguments; false if it has not arrived yet.
+    /// Parses the number of arguments; returns false if it has not arrived yet.
     fn read_header(&mut self, buffer: &BytesMut) -> Result<bool, RespError> {
         if buffer.is_empty() {
             return Ok(false);
@@ -200,7 +202,7 @@
         }
     }
 
-    /// How long the next argument may be, in bytes.
+    /// The maximum length of the next argument, in bytes.
     fn max_argument_bytes(&self, buffer: &[u8]) -> usize {
         let name = self.arguments.first().map(|range| &buffer[range.clone()]);
         let is_write = name.is_some_and(is_write_name);
@@ -214,12 +216,12 @@
         }
     }
 
-    /// Whether the value of a write is on its way: all that comes before it is whole.
+    /// Whether the value of a write is arriving: all arguments before it are complete.
     pub fn is_in_value(&self) -> bool {
         self.arguments.len() == VALUE || self.long_write.is_some()
     }
 
-    /// Bytes of the command on its way that are off the buffer.
+    /// Bytes of the current command's value that are no longer in the buffer.
     pub fn held_bytes(&self) -> usize {
         let pieces = self
             .long_write
@@ -228,7 +230,8 @@
         pieces.map(Bytes::len).sum()
     }
 
-    /// All that was read of the command on its way, as it arrived: what is off the buffer, and the buffer.
+    /// All bytes read of the current command, as they arrived: those taken off the buffer, and the
+    /// buffer.
     pub fn into_unread(self, buffer: BytesMut) -> BytesMut {
         let value_length = self.held_bytes();
         let Some(write) = self.long_write else {
@@ -244,10 +247,10 @@
         unread
     }
 
-    /// How much room the buffer needs beside what it holds, to read on.
+    /// How much free capacity the buffer needs for the next read, in bytes.
     pub fn wanted_capacity(&self, buffer: &[u8]) -> usize {
         match &self.long_write {
-            // To the end of a piece and no further, so that the piece fills its block.
+            // To the end of a chunk and no further, so that the chunk fills its allocation.
             Some(write) if write.remaining_bytes > 0 => {
                 let chunk = write.remaining_bytes.min(CHUNK_BYTES);
                 chunk.saturating_sub(buffer.len()).max(1)
@@ -256,7 +259,7 @@
         }
     }
 
-    /// How many bytes the argument on its way still needs, as far as that is known.
+    /// How many bytes the current argument still needs; 0 if that is not known.
     pub fn missing_bytes(&self, buffer: &[u8]) -> usize {
         if let Some(write) = &self.long_write {
             return (write.remaining_bytes + LINE_END.len()).saturating_sub(buffer.len());
@@ -283,27 +286,28 @@
 #[derive(Clone, Debug)]
 pub struct Command {
     arguments: Vec<Bytes>,
-    /// A long value, in pieces.
+    /// A long value, in chunks.
     long_value: Vec<Bytes>,
-    /// The memory of a long value, given back with it.
+    /// The memory of a long value, released together with it.
     memory: Option<Rc<MemoryReservation>>,
 }
 
-/// A command as it is written to a cache server.
+/// A command encoded for a cache server.
 #[derive(Clone, Debug)]
 pub struct EncodedCommand {
-    /// The command; without its value if that is long.
+    /// The command, without its value if that is long.
     pub head: Vec<u8>,
-    /// The pieces of a long value, to be written behind the head from where they lie, and then the end of a line.
+    /// The chunks of a long value. They are written after the head without copying, followed by a
+    /// line end.
     pub long_value: Vec<Bytes>,
 }
 
 impl Command {
-    /// A command of this frame with one argument at least: its name, key, id, list of fields, and its value if it is a
-    /// write.
+    /// Builds a command from a frame with at least one argument: name, key, id, list of fields, and
+    /// the value of a write.
     ///
     /// # Errors
-    /// When a cache server could not use it.
+    /// If a cache server would not accept it.
     pub fn new(frame: impl Into<CommandFrame>) -> Result<Command, CommandError> {
         let CommandFrame {
             arguments,
@@ -333,7 +337,7 @@
         Ok(command)
     }
 
-    /// The same command, which keeps the memory of its long value reserved.
+    /// Attaches the memory reservation of the command's long value.
     pub fn with_memory(mut self, memory: Option<MemoryReservation>) -> Command {
         self.memory = memory.map(Rc::new);
         self
@@ -356,23 +360,23 @@
         std::str::from_utf8(&self.arguments[FIELDS]).unwrap_or_default()
     }
 
-    /// The client's id of the request.
+    /// The client-chosen id of the request.
     pub fn id(&self) -> &Bytes {
         &self.arguments[ID]
     }
 
-    /// Whether it is a write.
+    /// Whether the command is a write.
     pub fn is_write(&self) -> bool {
         self.arguments.len() > VALUE || !self.long_value.is_empty()
     }
 
-    /// Its key.
+    /// The key.
     pub fn key(&self) -> &Bytes {
         &self.arguments[KEY]
     }
 
-    /// What tells this read from others of its class and key: its fields in one order, but for the ignored ones. Empty
-    /// for most.
+    /// What distinguishes this read from others of its class and key: its fields in sorted order,
+    /// without the ignored ones. Empty for most reads.
     pub fn variant(&self, is_ignored: impl Fn(&str) -> bool) -> Vec<u8> {
         let mut fields: Vec<&str> = self
             .fields()
@@ -395,13 +399,15 @@
             .map(|pair| pair.1)
     }
 
-    /// The value of a field that is a number, of digits alone; what is more than fits is the largest.
+    /// The value of a numeric field, of digits alone; a number that does not fit becomes the
+    /// largest one.
     pub fn number(&self, name: &str) -> Option<Result<u64, CommandError>> {
         let text = self.field(name)?;
         Some(parse_number(text.as_bytes()).ok_or(CommandError::Number))
     }
 
-    /// The command for a cache server: unchanged but for the field `d`, how long the router will wait, in milliseconds.
+    /// Encodes the command for a cache server. Only the field `d` changes, to how long the router
+    /// will wait, in milliseconds.
     pub fn encode(&self, timeout_ms: u64) -> EncodedCommand {
         let fields = self.fields_with_timeout(timeout_ms);
         let long_value = self.long_value_chunks();
@@ -443,7 +449,7 @@
         }
     }
 
-    /// The pieces of a value that is not copied behind its head.
+    /// The chunks of a value that is not copied into the head.
     fn long_value_chunks(&self) -> &[Bytes] {
         let inline = self.arguments.get(VALUE..).unwrap_or_default();
         match inline {
