--- a/crates/router-runtime/src/resp/frame.rs
+++ b/crates/router-runtime/src/resp/frame.rs
@@ -1,34 +1,34 @@
-//! The frames of RESP2: lines, headers and bulk strings at the beginning of a buffer.
+//! Parsers for RESP2 lines, headers and bulk strings at the beginning of a buffer.
 //!
-//! Each function gives `None` while what it reads is not whole.
+//! Each function returns `None` while its input is incomplete.
 
 use super::RespError;
 
-/// The longest header, its end left out, in bytes.
+/// The longest header without its line end, in bytes.
 const MAX_HEADER_BYTES: usize = 24;
 
-/// Bytes at the end of each line and each bulk string.
+/// The terminator of lines and bulk strings.
 pub(super) const LINE_END: &[u8] = b"\r\n";
 
-/// A header: the kind, a number and the end of the line.
+/// A header: a type byte, a number and a line end.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Header {
-    /// Its number; `None` for -1, a null.
+    /// The number; `None` for -1, a null.
     pub number: Option<usize>,
-    /// Its length with the end of the line, in bytes.
+    /// The length including the line end, in bytes.
     pub length: usize,
 }
 
-/// A bulk string that is whole.
+/// A complete bulk string.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct BulkString<'a> {
-    /// Its bytes; `None` for a null.
+    /// The bytes; `None` for a null.
     pub bytes: Option<&'a [u8]>,
-    /// Where it ends in the buffer.
+    /// Where it ends in the buffer, its terminator included.
     pub end: usize,
 }
 
-/// The length of the first line, its end left out; an error if it is longer than `max`.
+/// The length of the first line without its end; an error if it is longer than `max` bytes.
 pub(super) fn first_line_length(bytes: &[u8], max: usize) -> Result<Option<usize>, RespError> {
     let seen = &bytes[..bytes.len().min(max)];
     match seen.windows(2).position(|pair| pair == LINE_END) {
@@ -38,7 +38,7 @@
     }
 }
 
-/// The first header, of this kind.
+/// Parses a header with this type byte.
 pub(super) fn parse_header(bytes: &[u8], kind: u8) -> Result<Option<Header>, RespError> {
     if bytes.first().is_some_and(|&first| first != kind) {
         return Err(RespError::Malformed);
@@ -60,7 +60,8 @@
     }))
 }
 
-/// A number of digits alone: no sign, no space. More than fits is the largest number.
+/// Parses an unsigned decimal number, without sign or spaces. A number that does not fit becomes
+/// the largest one.
 pub(super) fn parse_number(digits: &[u8]) -> Option<u64> {
     if digits.is_empty() || !digits.iter().all(u8::is_ascii_digit) {
         return None;
@@ -73,7 +74,7 @@
     Some(number)
 }
 
-/// The bulk string at this place, of at most `max` bytes.
+/// Parses the bulk string at offset `at`, of at most `max` bytes.
 pub(super) fn parse_bulk_string(
     bytes: &[u8],
     at: usize,
@@ -104,7 +105,7 @@
     }
 }
 
-/// Whether a byte is printable ASCII, a space included.
+/// Whether a byte is printable ASCII, spaces included.
 pub(super) fn is_printable(byte: &u8) -> bool {
     (b' '..=b'~').contains(byte)
 }
