--- a/crates/router-runtime/src/resp/long_value.rs
+++ b/crates/router-runtime/src/resp/long_value.rs
@@ -1,43 +1,44 @@
-//! A long value of a reply, read without holding it.
+//! Long values of replies, read without holding them whole.
 
 use super::frame::LINE_END;
 use super::reply::{Reply, ReplyReader};
 use super::{CHUNK_BYTES, MAX_VALUE_BYTES, READ_BYTES, RespError, frame};
 use bytes::{Bytes, BytesMut};
 
-/// A longer value is passed on as it arrives, in bytes; others once they are whole.
+/// Values longer than this, in bytes, are passed on as they arrive; others once they are complete.
 const LONG_VALUE_THRESHOLD_BYTES: usize = 64 * 1024;
 
 /// The beginning of a reply with a long value.
 #[derive(Debug)]
 pub struct LongValue {
-    /// The reply up to the value, taken off the buffer.
+    /// The bytes of the reply before the value.
     pub head: Bytes,
-    /// Reads the rest.
+    /// Reads the rest of the reply.
     pub reader: LongValueReader,
 }
 
-/// The next part of a long value.
+/// The next part of a reply with a long value.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ValuePart {
     /// Bytes of the value.
     Bytes(Bytes),
-    /// All behind the value, whole: the end of the reply.
+    /// The end of the reply, complete: everything after the value.
     Last(Reply),
 }
 
-/// Reads a long value behind its header.
+/// Reads a long value after its header, and the rest of the reply.
 #[derive(Debug)]
 pub struct LongValueReader {
-    /// Bytes of the value that have not come yet.
+    /// Bytes of the value that have not arrived yet.
     remaining_bytes: usize,
-    /// Reads what is behind it.
+    /// Parses what follows the value.
     tail: ReplyReader,
 }
 
 impl LongValue {
-    /// Takes the beginning of a reply with a long value off the buffer, once [`READ_BYTES`] bytes of the value have
-    /// come. Guards against a corrupted length before a short value: what was passed on cannot be asked for again.
+    /// Takes the beginning of a reply with a long value off the buffer, once [`READ_BYTES`] bytes
+    /// of the value have arrived. Waiting for them detects a corrupted length before a short value:
+    /// once a part of the reply is passed on, the request cannot be retried.
     pub fn begin(buffer: &mut BytesMut) -> Option<LongValue> {
         let array = frame::parse_header(buffer, b'*').ok()??;
         if array.number != Some(ReplyReader::ITEM_COUNT) {
@@ -61,10 +62,10 @@
 }
 
 impl LongValueReader {
-    /// Takes what has come off the buffer.
+    /// Takes what has arrived off the buffer.
     ///
     /// # Errors
-    /// When the rest cannot be read: the reply is broken off.
+    /// If the rest cannot be parsed: the reply is broken off.
     pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<ValuePart>, RespError> {
         if self.remaining_bytes > 0 {
             let length = self.remaining_bytes.min(buffer.len());
@@ -82,7 +83,8 @@
         Ok(self.tail.next(buffer)?.map(ValuePart::Last))
     }
 
-    /// The same for a value that is held: pieces are taken once they are full, so that each fills its block.
+    /// Like [`LongValueReader::next`], for a value that is held: chunks are taken once they are
+    /// full, so that each fills its allocation.
     ///
     /// # Errors
     /// As for [`LongValueReader::next`].
@@ -101,7 +103,7 @@
         self.next(buffer)
     }
 
-    /// How many bytes are to be read next of a value that is held.
+    /// How many bytes to read next of a value that is held.
     pub fn next_read_bytes(&self, buffer: &[u8]) -> usize {
         match self.remaining_bytes {
             0 => READ_BYTES,
@@ -112,12 +114,12 @@
         }
     }
 
-    /// Whether all but the load report has come.
+    /// Whether all but the load report has arrived.
     pub fn has_value(&self) -> bool {
         self.remaining_bytes == 0 && self.tail.has_value()
     }
 
-    /// The end of the reply with a null for the load report that never came.
+    /// The end of the reply, with a null for the load report that never arrived.
     pub fn without_report(&self, buffer: &BytesMut) -> Reply {
         self.tail.served_without_report(buffer)
     }
