--- a/crates/router-runtime/src/resp/reply.rs
+++ b/crates/router-runtime/src/resp/reply.rs
@@ -1,28 +1,29 @@
-//! A cache server's reply to one command: a value or receipt, or an error, with its load report.
+//! The reply of a cache server to one command: a value or receipt, or an error, with its load
+//! report.
 
 use super::frame::{LINE_END, first_line_length, is_printable, parse_bulk_string, parse_header};
 use super::{MAX_VALUE_BYTES, RespError};
 use bytes::{Bytes, BytesMut};
 use load_balancer::CacheStatus;
 
-/// The longest error line, in bytes: an error with a load report.
+/// The longest error line, in bytes, a load report included.
 const MAX_ERROR_LINE_BYTES: usize = 512;
 /// The longest load report, in bytes.
 const MAX_REPORT_BYTES: usize = 256;
-/// The longest cache status, in bytes: one short word.
+/// The longest cache status, in bytes.
 const MAX_CACHE_STATUS_BYTES: usize = 16;
 
-/// The text of a load report, where one came: printable, and no longer than a peer's line.
+/// The text of a load report, if one was sent: printable, and no longer than an error line.
 pub type LoadReportText = Option<Bytes>;
 
-/// What a cache server replied.
+/// The reply of a cache server.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Reply {
     /// A value or a receipt.
     Served {
-        /// The reply as it goes to the client.
+        /// The reply as it is forwarded to the client.
         bytes: Bytes,
-        /// How the read went, where the server said it.
+        /// The cache status, if the server sent one.
         cache_status: Option<CacheStatus>,
         /// The load report.
         report: LoadReportText,
@@ -33,16 +34,16 @@
     Busy(LoadReportText),
 }
 
-/// Reads one reply.
+/// Parses one reply.
 #[derive(Debug, Default)]
 pub struct ReplyReader {
-    /// Where the parts that have been read whole end.
+    /// Where the parsed parts end in the buffer.
     position: usize,
     part: ReplyPart,
     cache_status: Option<CacheStatus>,
 }
 
-/// The part of a reply that is read next.
+/// The part of a reply that is parsed next.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum ReplyPart {
     /// An error line, or the header of an array.
@@ -50,7 +51,7 @@
     Header,
     /// The value or receipt.
     Value,
-    /// How the read went.
+    /// The cache status.
     CacheStatus,
     /// The load report.
     Report,
@@ -60,7 +61,7 @@
     /// Items in the array of a reply: value, cache status, load report.
     pub(super) const ITEM_COUNT: usize = 3;
 
-    /// A reader for what stands behind a long value: the end of its line, cache status and load report.
+    /// A reader for what follows a long value: the line end, the cache status and the load report.
     pub(super) fn after_value() -> Self {
         ReplyReader {
             position: LINE_END.len(),
@@ -69,16 +70,16 @@
         }
     }
 
-    /// Whether value and cache status are whole: what is missing is the load report.
+    /// Whether the value and the cache status are complete, and only the load report is missing.
     pub fn has_value(&self) -> bool {
         self.part == ReplyPart::Report
     }
 
-    /// Takes the reply off the buffer if it is whole. A value that is too large or does not end where it should is an
-    /// error as soon as that shows.
+    /// Takes the reply off the buffer if it is complete. A value that is too large or not
+    /// terminated correctly is an error as soon as that is known.
     ///
     /// # Errors
-    /// When the bytes are no reply: nothing that follows can be read.
+    /// If the bytes are not a reply; what follows them cannot be parsed.
     pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<Reply>, RespError> {
         if self.part == ReplyPart::Header {
             match buffer.first() {
@@ -141,8 +142,8 @@
         Ok(true)
     }
 
-    /// Reads the load report, and with it the whole reply. One that cannot be read counts as none; what is left in the
-    /// buffer then tells that the connection is of no further use.
+    /// Parses the load report and returns the complete reply. A malformed report counts as none;
+    /// what is left in the buffer then shows that the connection cannot be reused.
     fn read_report(&self, buffer: &mut BytesMut) -> Option<Reply> {
         let (end, length) = match parse_bulk_string(buffer, self.position, MAX_REPORT_BYTES) {
             Ok(None) => return None,
@@ -163,7 +164,7 @@
         })
     }
 
-    /// The reply with a null for the load report that cannot be read or never came.
+    /// The reply, with a null for a load report that is malformed or never arrived.
     pub fn served_without_report(&self, buffer: &BytesMut) -> Reply {
         let bytes = Bytes::from([&buffer[..self.position], b"$-1\r\n"].concat());
         Reply::Served {
@@ -174,7 +175,7 @@
     }
 }
 
-/// Takes an error line off the buffer if it is whole. A load report may stand last in it, after a space.
+/// Takes an error line off the buffer if it is complete. Its last word may be a load report.
 fn error_reply(buffer: &mut BytesMut) -> Result<Option<Reply>, RespError> {
     let Some(length) = first_line_length(buffer, MAX_ERROR_LINE_BYTES)? else {
         return Ok(None);
@@ -186,7 +187,7 @@
     if !text.iter().all(is_printable) {
         return Err(RespError::Malformed);
     }
-    // The last word of the error's own text reads as no report later.
+    // If the last word belongs to the error's text, it is not parsed as a report later.
     let report = text
         .iter()
         .rposition(|&byte| byte == b' ')
