--- a/crates/router-runtime/src/resp.rs
+++ b/crates/router-runtime/src/resp.rs
@@ -25,9 +25,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RespError {
     /// A frame is larger than the protocol allows.
-    #[error("frame too large")]
+    #[error("RESP2 frame exceeds the size limit")]
     TooLarge,
     /// The bytes are not a frame, or not one that is allowed here.
-    #[error("not RESP2")]
+    #[error("malformed RESP2 frame")]
     Malformed,
 }
