--- a/crates/router-runtime/src/coalescing_stage.rs
+++ b/crates/router-runtime/src/coalescing_stage.rs
@@ -1,8 +1,8 @@
-//! The stage that coalesces reads: reads that ask for the same share a flight.
+//! The request stage that coalesces reads: identical reads share a flight.
 //!
-//! It keeps the response channels of the waiters and carries out what [`request_coalescing`] decides. Without rules it
-//! passes requests on and nothing else. It relies on one thread: its state is borrowed within a call and never across
-//! an await.
+//! It holds the response channels of the waiters and executes the decisions of
+//! [`request_coalescing`]. Without rules it only passes requests on. It is single-threaded: its
+//! state is borrowed only within a call, never across an await.
 
 use crate::dispatcher::Dispatcher;
 use crate::environment::Environment;
@@ -19,8 +19,8 @@
 use std::time::Instant;
 use tokio::sync::{Notify, oneshot};
 
-/// Fields of the protocol that do not change an answer: class (compared apart), tenant, deadline, cost hint, retry
-/// and idempotency key.
+/// Protocol fields that do not change an answer: class (compared separately), tenant, deadline,
+/// cost hint, retry and idempotency key.
 const IGNORED_FIELDS: [&str; 6] = ["c", "t", "d", "h", "r", "k"];
 
 /// The field that names the tenant.
@@ -29,7 +29,7 @@
 /// A read that waits for a flight.
 struct Waiter {
     response: oneshot::Sender<Response>,
-    /// The client's id, claimed until the response.
+    /// The client-chosen id, claimed until the response.
     client_id: Rc<[u8]>,
     request: hooks::WaiterRequest,
 }
@@ -37,20 +37,20 @@
 struct State {
     coalescer: Coalescer,
     waiters: FxHashMap<RequestId, Waiter>,
-    /// Empty between events; kept for its capacity.
+    /// Empty between events; kept to reuse its capacity.
     actions: Vec<Action>,
 }
 
-/// What the stage needs where coalescing is on.
+/// The state of the stage when coalescing is enabled.
 struct Coalescing {
     rules: CoalescingRules,
     may_cancel: bool,
     state: RefCell<State>,
-    /// The earliest deadline of a waiter has moved forward.
+    /// Notified when the earliest deadline of all waiters becomes earlier.
     deadline_moved: Notify,
 }
 
-/// What an event is about, for the actions that it causes.
+/// The data of an event that its actions need.
 enum EventPayload {
     None,
     /// The read that has arrived.
@@ -78,27 +78,27 @@
     }
 }
 
-/// How many reads wait for how many flights, and what coalescing has done since the start.
+/// Counters of coalescing, and how many reads and flights are pending.
 pub struct CoalescingUsage {
     /// Counts since the start of the process.
     pub counters: Counters,
-    /// Reads that wait now.
+    /// Reads that currently wait.
     pub waiters: usize,
-    /// Flights that reads wait for now.
+    /// Flights that reads currently wait for.
     pub flights: usize,
 }
 
-/// See the module.
+/// The coalescing stage; see the module documentation.
 pub struct CoalescingStage<E: Environment> {
     environment: E,
     dispatcher: Rc<Dispatcher<E>>,
-    /// `None`: coalescing is off.
+    /// `None` if coalescing is disabled.
     coalescing: Option<Coalescing>,
 }
 
 impl<E: Environment> CoalescingStage<E> {
-    /// A stage that coalesces by these rules, or passes all requests on. `may_cancel`: attempts for nobody are
-    /// cancelled.
+    /// Creates a stage that coalesces by these rules, or passes all requests on if there are none.
+    /// With `may_cancel`, attempts that no client waits for are cancelled.
     pub fn new(
         dispatcher: Rc<Dispatcher<E>>,
         rules: Option<CoalescingRules>,
@@ -150,7 +150,7 @@
         Some(SubmittedRequest { id, response })
     }
 
-    /// Answers waiters whose own deadline passes, for as long as the process runs.
+    /// Answers waiters at their own deadlines, until the process ends.
     pub async fn run(self: Rc<Self>) {
         let Some(coalescing) = &self.coalescing else {
             return;
@@ -174,7 +174,7 @@
         Some(self.dispatcher.instant(deadline))
     }
 
-    /// Takes what has happened to flights since the last call.
+    /// Handles the events that the dispatcher has queued for the stage.
     fn take_stage_events(&self) {
         let Some(coalescing) = &self.coalescing else {
             return;
@@ -197,12 +197,13 @@
         }
     }
 
-    /// A write begins or ends: later reads on its key do not join flights that began before.
+    /// Called when a write begins or ends: later reads on its key do not join flights that began
+    /// before.
     fn separate_reads(&self, coalescing: &Coalescing, key: &[u8]) {
         hooks::separate_reads(|| self.handle(coalescing, Event::Write { key }, EventPayload::None));
     }
 
-    /// Gives the coalescer an event and carries out its actions.
+    /// Passes an event to the coalescer and executes the resulting actions.
     fn handle(&self, coalescing: &Coalescing, event: Event<'_>, mut payload: EventPayload) {
         let now = self.dispatcher.now();
         let mut actions = std::mem::take(&mut coalescing.state.borrow_mut().actions);
@@ -250,7 +251,7 @@
         }
     }
 
-    /// The one place where a waiter gets its final response.
+    /// Sends a waiter its final response. Nothing else does.
     fn answer_waiter(
         &self,
         coalescing: &Coalescing,
@@ -261,7 +262,7 @@
         let Some(waiter) = coalescing.remove_waiter(id) else {
             return;
         };
-        // Always `None` in service: see `mutation::hooks`.
+        // Always `None` without the feature `mutations`; see `mutation::hooks`.
         if response.is_some()
             && outcome != FlightOutcome::Served
             && let Some(request) = waiter.request.after_failed_flight(self.dispatcher.now())
@@ -278,11 +279,11 @@
             (FlightOutcome::Rejected(after), _) => Response::Rejected(after),
             _ => Response::Failed,
         };
-        // A client that disconnects at this moment is noticed by its connection.
+        // If the client disconnects at this moment, its connection notices.
         let _ = waiter.response.send(response);
     }
 
-    /// What coalescing has done and how many reads wait now; `None` where it is off.
+    /// The counters and the current usage; `None` if coalescing is disabled.
     pub fn usage(&self) -> Option<CoalescingUsage> {
         let state = self.coalescing.as_ref()?.state.borrow();
         let usage = state.coalescer.usage();
@@ -359,7 +360,7 @@
         hooks::is_coalesced(is_coalesced.unwrap_or(false))
     }
 
-    /// What tells a read from others of its class and key.
+    /// What distinguishes a read from others of its class and key.
     fn variant(&self, request: &ClientRequest) -> Vec<u8> {
         request.command.variant(|field| {
             let by_tenant = field == TENANT_FIELD && self.rules.per_tenant;
@@ -376,7 +377,8 @@
         self.state.borrow_mut().waiters.remove(&id)
     }
 
-    /// Wakes the task that waits for the earliest deadline of a waiter, if that is earlier now.
+    /// Wakes the task that waits for the earliest deadline of all waiters, if that has become
+    /// earlier.
     fn wake_if_earlier_than(&self, deadline_before: Option<Micros>) {
         let deadline = self.state.borrow().coalescer.next_deadline();
         if deadline.is_some_and(|deadline| deadline_before.is_none_or(|before| deadline < before)) {
