--- a/crates/router-runtime/src/stage.rs
+++ b/crates/router-runtime/src/stage.rs
@@ -1,25 +1,26 @@
-//! The interface between the stages that a request passes: connection, stages, dispatcher.
+//! The interface between the stages of request processing: connections, stages, dispatcher.
 //!
-//! Requests go down by [`RequestStage`]; responses come back on [`SubmittedRequest::response`]. A stage that opens
-//! requests of its own for several clients learns of them by [`StageEvent`].
+//! Requests are passed down by [`RequestStage`]; responses come back on
+//! [`SubmittedRequest::response`]. A stage that opens shared requests for several clients is told
+//! about them by [`StageEvent`]s.
 
 use crate::request::{ClientRequest, Response, SubmittedRequest};
 use bytes::Bytes;
 use load_balancer::{Micros, RequestId};
 
-/// One stage on the way of a request, as the stage before it sees it.
+/// One stage of request processing, as the stage before it sees it.
 pub trait RequestStage {
-    /// Takes a request. `None` if a request of the same client's id is pending.
+    /// Submits a request. Returns `None` if a request with the same client-chosen id is pending.
     fn submit(&self, request: ClientRequest) -> Option<SubmittedRequest>;
 
-    /// The client of a pending request has disconnected.
+    /// Reports that the client of a pending request has disconnected.
     fn client_disconnected(&self, id: RequestId);
 
-    /// Now, on the decision library's clock.
+    /// The current time on the load balancer's clock.
     fn now(&self) -> Micros;
 }
 
-/// What a stage learns from the dispatcher, in the order in which it happened.
+/// An event that the dispatcher reports to a stage, in the order of occurrence.
 pub enum StageEvent {
     /// A write on this key has ended.
     WriteEnded(Bytes),
