--- a/crates/router-runtime/src/memory_budget.rs
+++ b/crates/router-runtime/src/memory_budget.rs
@@ -1,9 +1,10 @@
-//! Memory for long values that are held: one budget for writes and one for answers, counted by the bytes that have
-//! arrived.
+//! Memory budgets for long values that are held, one for writes and one for answers, counted by the
+//! bytes that have arrived.
 //!
-//! Guards against more values on their way than fit in memory, and against a deadlock in which unfinished ones hold
-//! all of it. Past the budget only the value that began first is read on, by at most one value, so that one always
-//! ends; the others wait. The budget relies on one thread: no borrow crosses an await.
+//! A budget keeps more values from arriving than fit in memory, and keeps unfinished values from
+//! deadlocking by holding all of it. Past the budget, only the oldest unfinished value is read on,
+//! by at most one maximum-size value, so that one always finishes; the others wait. The budget is
+//! single-threaded: no borrow is held across an await.
 
 use crate::resp::MAX_VALUE_BYTES;
 use std::cell::{Cell, RefCell};
@@ -11,25 +12,25 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// The budget is one part in so many of the memory beyond [`RESERVED_BYTES`].
+/// The budget is the memory beyond `RESERVED_BYTES`, divided by this.
 const BUDGET_DIVISOR: usize = 3;
-/// What the process needs besides, the buffers of its connections included.
+/// Memory that the process needs for all else, including the buffers of its connections.
 const RESERVED_BYTES: usize = 16 * 1024 * 1024;
-/// The smallest budget, however little memory there is: two of the longest values.
+/// The smallest budget, whatever the memory of the process: two values of maximum size.
 const MIN_BUDGET_BYTES: usize = 2 * MAX_VALUE_BYTES;
 
-/// The budget of one process.
+/// A memory budget of one process.
 #[derive(Debug)]
 pub struct MemoryBudget {
     limit_bytes: usize,
     used_bytes: Cell<usize>,
     last_sequence: Cell<u64>,
-    /// Values that are not whole yet, in the order in which they began.
+    /// The sequence numbers of unfinished values, the oldest first.
     unfinished: RefCell<BTreeSet<u64>>,
     freed: Notify,
 }
 
-/// The memory of one value, given back when it is dropped.
+/// The memory reserved for one value, released on drop.
 #[derive(Debug)]
 pub struct MemoryReservation {
     budget: Rc<MemoryBudget>,
@@ -44,7 +45,7 @@
         MemoryBudget::new(share.max(MIN_BUDGET_BYTES))
     }
 
-    /// A budget of so many bytes.
+    /// A budget of `limit_bytes`.
     pub fn new(limit_bytes: usize) -> Rc<MemoryBudget> {
         Rc::new(MemoryBudget {
             limit_bytes,
@@ -55,7 +56,7 @@
         })
     }
 
-    /// A value begins of which so many bytes have arrived.
+    /// Begins a reservation for a value of which `arrived` bytes have arrived.
     pub fn reserve(self: &Rc<Self>, arrived: usize) -> MemoryReservation {
         let sequence = self.last_sequence.get() + 1;
         self.last_sequence.set(sequence);
@@ -69,7 +70,8 @@
         reservation
     }
 
-    /// Returns when memory has been given back, or another value may be the first.
+    /// Completes when memory has been released, or when another value may be the oldest unfinished
+    /// one.
     pub async fn freed(&self) {
         self.freed.notified().await;
     }
@@ -79,12 +81,12 @@
         self.limit_bytes
     }
 
-    /// What is in use, in bytes.
+    /// The memory in use, in bytes.
     pub fn used_bytes(&self) -> usize {
         self.used_bytes.get()
     }
 
-    /// Values that are not whole yet.
+    /// The number of unfinished values.
     pub fn unfinished_count(&self) -> usize {
         self.unfinished.borrow().len()
     }
@@ -98,19 +100,20 @@
     /// Whether more of this value may be read.
     pub fn may_read_more(&self) -> bool {
         let budget = &self.budget;
-        // Whole values are passed on and give their memory back: the first needs no more than one value past the limit.
+        // Finished values are passed on and release their memory, so the oldest unfinished one
+        // needs at most one value past the limit.
         budget.used_bytes() < budget.limit_bytes
             || budget.used_bytes() < budget.limit_bytes + MAX_VALUE_BYTES
                 && budget.is_oldest_unfinished(self.sequence)
     }
 
-    /// More of it has arrived.
+    /// Records that more of the value has arrived.
     pub fn add(&mut self, bytes: usize) {
         self.bytes += bytes;
         self.budget.used_bytes.set(self.budget.used_bytes() + bytes);
     }
 
-    /// It is whole: its memory stays in use until it is dropped.
+    /// Marks the value as finished; its memory stays in use until the reservation is dropped.
     pub fn complete(&self) {
         self.budget.unfinished.borrow_mut().remove(&self.sequence);
         self.budget.freed.notify_waiters();
