--- a/crates/router-runtime/src/request.rs
+++ b/crates/router-runtime/src/request.rs
@@ -1,4 +1,4 @@
-//! A client's request and its response, as connections, stages and the dispatcher pass them on.
+//! Client requests and their responses, as connections, stages and the dispatcher pass them on.
 
 use crate::memory_budget::MemoryReservation;
 use crate::resp::Command;
@@ -7,47 +7,47 @@
 use std::rc::Rc;
 use tokio::sync::{mpsc, oneshot};
 
-/// A request as its client sent it. The dispatcher gives it its [`RequestId`].
+/// A request as its client sent it. The dispatcher assigns its [`RequestId`].
 #[derive(Clone)]
 pub struct ClientRequest {
-    /// Its class, by its place in the settings.
+    /// The class, by its index in the settings.
     pub class: ClassId,
-    /// Its tenant; `None`: none, or one that the settings do not name.
+    /// The tenant; `None` if there is none, or if the settings do not define it.
     pub tenant: Option<TenantId>,
-    /// Its place on the consistent-hash ring.
+    /// The position on the consistent-hash ring.
     pub key: u64,
-    /// How long its client waits.
+    /// How long the client waits for the response.
     pub timeout: Micros,
-    /// How long its client expects it to take.
+    /// How long the client expects the request to take.
     pub cost_hint: Option<Micros>,
-    /// Whether its client has sent it before.
+    /// Whether the client has sent the request before.
     pub retry: bool,
     /// The command for the cache server.
     pub command: Command,
-    /// Where its response goes.
+    /// The connection that receives the response.
     pub connection: Rc<dyn ResponseStream>,
 }
 
-/// A client's connection, as the way of a streamed answer.
+/// A client connection that can receive a streamed answer.
 pub trait ResponseStream {
-    /// Begins to stream an answer, if no other request of this connection would be lost with one that breaks off. Until
-    /// its end no further command is read.
+    /// Begins to stream an answer, unless another request of this connection would be lost if the
+    /// answer broke off; returns whether it does. No further command is read until the stream ends.
     fn begin_streaming(&self) -> bool;
 }
 
-/// The whole answer of a cache server.
+/// A complete answer of a cache server.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// The answer as it goes to the client, or the beginning of a long one.
+    /// The answer as it is sent to the client, or the beginning of a long one.
     pub bytes: Bytes,
-    /// The further pieces of a long one.
+    /// The further chunks of a long answer.
     pub rest: Vec<Bytes>,
-    /// The memory of a long one, given back once it is written to all its clients.
+    /// The memory of a long answer, released once it is written to all its clients.
     pub memory: Option<Rc<MemoryReservation>>,
 }
 
 impl Answer {
-    /// An answer that counts against no budget.
+    /// An answer that counts against no memory budget.
     pub fn short(bytes: Bytes) -> Answer {
         Answer {
             bytes,
@@ -57,33 +57,33 @@
     }
 }
 
-/// The one final response to a request.
+/// The final response to a request.
 #[derive(Debug)]
 pub enum Response {
     /// Served by a cache server.
     Served(Answer),
-    /// A long answer, passed on as it arrives. Only where a single client waits for it, and for nothing else on its
-    /// connection.
+    /// A long answer, passed on as it arrives. Used only if a single client waits for it and has no
+    /// other request pending on its connection.
     Streamed(mpsc::Receiver<BodyChunk>),
-    /// Rejected: a retry does no harm, and the client may send it after this time.
+    /// Rejected: the client may safely send the request again, after this time if there is one.
     Rejected(Option<Micros>),
-    /// Failed: it may have run.
+    /// Failed: the request may have been executed.
     Failed,
 }
 
-/// One piece of a streamed answer.
+/// One chunk of a streamed answer.
 #[derive(Debug)]
 pub enum BodyChunk {
-    /// More follows. Where none does, the answer is broken off.
+    /// More follows. If none does, the answer is broken off.
     More(Bytes),
-    /// The end of the answer.
+    /// The last chunk of the answer.
     Last(Bytes),
 }
 
-/// A request that was taken.
+/// A submitted request.
 pub struct SubmittedRequest {
-    /// Names it within this process.
+    /// Its id within this process.
     pub id: RequestId,
-    /// Gets its response, once.
+    /// Receives its response, exactly once.
     pub response: oneshot::Receiver<Response>,
 }
