--- a/crates/router-runtime/tests/memory_budget.rs
+++ b/crates/router-runtime/tests/memory_budget.rs
@@ -1,4 +1,4 @@
-//! The memory of long writes: who is read on past the budget, and that it is given back.
+//! The memory budget: which values may be read past the limit, and that memory is released.
 
 use router_runtime::memory_budget::MemoryBudget;
 use router_runtime::resp::MAX_VALUE_BYTES;
@@ -16,7 +16,7 @@
     first.complete();
     assert!(
         !second.may_read_more(),
-        "it is the first now, and one more value is in memory already"
+        "it is the oldest now, but a whole value past the limit is still in memory"
     );
     drop(first);
     assert!(second.may_read_more());
