--- a/crates/router-runtime/tests/resp_command.rs
+++ b/crates/router-runtime/tests/resp_command.rs
@@ -1,5 +1,5 @@
-//! Commands of clients: read as they were sent however they are cut, turned away when they are too large or none, and
-//! written for a cache server.
+//! Client commands: parsed the same however the input is split, rejected if oversized or malformed,
+//! and encoded for a cache server.
 
 mod support;
 
@@ -11,7 +11,7 @@
 use router_runtime::resp::{CHUNK_BYTES, Command, CommandReader, RespError};
 use support::{encode_array, feed_in_chunks};
 
-/// The limits of commands: arguments, bytes of a name, bytes of a header.
+/// Limits of commands: the number of arguments, and the bytes of a name and of a header.
 const MAX_ARGUMENTS: usize = 8;
 const MAX_NAME_BYTES: usize = 32;
 const MAX_HEADER_BYTES: usize = 24;
@@ -22,7 +22,7 @@
 }
 
 proptest! {
-    /// However commands are cut into reads, they come out as they went in.
+    /// Commands parse to what was encoded, however the bytes are split into reads.
     #[test]
     fn commands_parse_the_same_in_any_chunking(
         commands in vec(vec(vec(any::<u8>(), 0..=MAX_NAME_BYTES), 1..=MAX_ARGUMENTS), 1..5),
@@ -36,8 +36,8 @@
         prop_assert_eq!(taken, commands);
     }
 
-    /// Of arbitrary bytes a reader takes nothing that a library of the protocol would not take for the same, and
-    /// it holds on to a bounded number of them.
+    /// Of arbitrary bytes, the reader accepts nothing that another RESP2 parser would reject or
+    /// read differently.
     #[test]
     fn accepted_input_is_also_valid_resp2(
         text in "[*$0-9+:a-]{0,4}(\r\n)?[*$0-9a-z-]{0,6}(\r\n)?[$0-9a-z-]{0,6}(\r\n)?",
@@ -50,7 +50,8 @@
     }
 }
 
-/// A long value comes out as it went in, in full pieces, and what is off the buffer is unread again for a successor.
+/// A long value is read unchanged and in full chunks, and the bytes taken off the buffer can be
+/// restored for a successor.
 #[test]
 fn a_long_value_is_read_in_full_chunks() {
     let value: Vec<u8> = (0..3 * CHUNK_BYTES + 17)
@@ -58,11 +59,11 @@
         .collect();
     let arguments = [&b"C.SET"[..], b"k", b"id", b"c=put,d=5", &value].map(<[u8]>::to_vec);
     let text = encode_array(&arguments);
-    for cut in [1_000, 4_096, 65_536, 200_000] {
+    for chunk_size in [1_000, 4_096, 65_536, 200_000] {
         let mut reader = CommandReader::default();
         let mut buffer = BytesMut::new();
         let mut frames = Vec::new();
-        for chunk in text.chunks(cut) {
+        for chunk in text.chunks(chunk_size) {
             buffer.extend_from_slice(chunk);
             frames.extend(reader.next(&mut buffer).unwrap());
         }
@@ -70,7 +71,10 @@
             panic!("{} frames", frames.len());
         };
         assert_eq!(frame.arguments, arguments[..4]);
-        assert!(frame.long_value.concat() == value, "cut by {cut}");
+        assert!(
+            frame.long_value.concat() == value,
+            "chunks of {chunk_size} bytes"
+        );
         let is_full = |chunk: &Bytes| chunk.len() == CHUNK_BYTES;
         assert!(frame.long_value[..3].iter().all(is_full));
         let encoded = Command::new(frame.clone()).unwrap().encode(5);
@@ -80,7 +84,7 @@
             &b"\r\n"[..],
         ]
         .concat();
-        assert!(sent == text, "cut by {cut}");
+        assert!(sent == text, "chunks of {chunk_size} bytes");
     }
     let mut reader = CommandReader::default();
     let mut buffer = BytesMut::from(&text[..2 * CHUNK_BYTES + 300]);
@@ -91,35 +95,35 @@
 
 #[test]
 fn oversized_and_malformed_commands_are_rejected_early() {
-    let large = |text: &str| {
+    let assert_too_large = |text: &str| {
         assert_eq!(
             command_of(text.as_bytes()),
             Err(RespError::TooLarge),
             "{text}"
         )
     };
-    large("*9\r\n");
-    large("*99999999999999999999999\r\n");
-    large("*1\r\n$33\r\n");
-    large("*2\r\n$5\r\nC.GET\r\n$60000000\r\n");
-    large("*5\r\n$5\r\nC.GET\r\n$1\r\nk\r\n$1\r\ni\r\n$1\r\nf\r\n$65\r\n");
-    large("*5\r\n$5\r\nC.SET\r\n$1\r\nk\r\n$1\r\ni\r\n$1\r\nf\r\n$4194305\r\n");
-    large(&format!("*{}", "1".repeat(MAX_HEADER_BYTES)));
-    let malformed = |text: &str| {
+    assert_too_large("*9\r\n");
+    assert_too_large("*99999999999999999999999\r\n");
+    assert_too_large("*1\r\n$33\r\n");
+    assert_too_large("*2\r\n$5\r\nC.GET\r\n$60000000\r\n");
+    assert_too_large("*5\r\n$5\r\nC.GET\r\n$1\r\nk\r\n$1\r\ni\r\n$1\r\nf\r\n$65\r\n");
+    assert_too_large("*5\r\n$5\r\nC.SET\r\n$1\r\nk\r\n$1\r\ni\r\n$1\r\nf\r\n$4194305\r\n");
+    assert_too_large(&format!("*{}", "1".repeat(MAX_HEADER_BYTES)));
+    let assert_malformed = |text: &str| {
         assert_eq!(
             command_of(text.as_bytes()),
             Err(RespError::Malformed),
             "{text}"
         )
     };
-    malformed("GET x\r\n");
-    malformed("*0\r\n");
-    malformed("*-1\r\n");
-    malformed("*+1\r\n");
-    malformed("*1\r\n*1\r\n");
-    malformed("*1\r\n$-1\r\n");
-    malformed("*1\r\n$-7\r\n");
-    malformed("*1\r\n$3\r\nabcde\r\n");
+    assert_malformed("GET x\r\n");
+    assert_malformed("*0\r\n");
+    assert_malformed("*-1\r\n");
+    assert_malformed("*+1\r\n");
+    assert_malformed("*1\r\n*1\r\n");
+    assert_malformed("*1\r\n$-1\r\n");
+    assert_malformed("*1\r\n$-7\r\n");
+    assert_malformed("*1\r\n$3\r\nabcde\r\n");
 }
 
 #[test]
