--- a/crates/router-runtime/tests/resp_reply.rs
+++ b/crates/router-runtime/tests/resp_reply.rs
@@ -1,4 +1,5 @@
-//! Replies of cache servers: the same however they are cut, with their load report wherever it stands.
+//! Replies of cache servers: parsed the same however the input is split, with their load report in
+//! each kind of reply.
 
 mod support;
 
@@ -13,7 +14,7 @@
 }
 
 proptest! {
-    /// What cuts do not change: whether an answer is one, and which.
+    /// Splitting the input changes neither whether a reply is valid nor its contents.
     #[test]
     fn replies_parse_the_same_in_any_chunking(
         value in vec(any::<u8>(), 0..200),
@@ -21,9 +22,9 @@
         chunk_sizes in vec(1_usize..40, 1..8),
     ) {
         let mut text = encode_array(&[value, b"hit".to_vec(), b"util=0.5".to_vec()]);
-        if let Some((place, byte)) = corrupted_byte {
-            let place = place % text.len();
-            text[place] = byte;
+        if let Some((index, byte)) = corrupted_byte {
+            let index = index % text.len();
+            text[index] = byte;
         }
         let whole = reply_of(&text);
         let mut reader = ReplyReader::default();
@@ -44,11 +45,11 @@
         Ok(Some(Reply::Served { report, .. } | Reply::Failed(report) | Reply::Busy(report))) => {
             report
         }
-        other => panic!("{other:?}"),
+        other => panic!("no complete reply: {other:?}"),
     };
     let util = Some(Bytes::from_static(b"util=0.5,queue=2"));
-    let good = encode_array(&[b"v".to_vec(), b"hit".to_vec(), b"util=0.5,queue=2".to_vec()]);
-    assert_eq!(report(&good), util);
+    let served = encode_array(&[b"v".to_vec(), b"hit".to_vec(), b"util=0.5,queue=2".to_vec()]);
+    assert_eq!(report(&served), util);
     assert_eq!(report(b"-ERR failed util=0.5,queue=2\r\n"), util);
     assert_eq!(report(b"-BUSY util=0.5,queue=2\r\n"), util);
     assert_eq!(report(b"-BUSY\r\n"), None);
