--- a/crates/router-runtime/tests/support/mod.rs
+++ b/crates/router-runtime/tests/support/mod.rs
@@ -1,9 +1,9 @@
-//! Frames, and bytes that come in pieces.
+//! Encodes frames and feeds bytes to a reader in chunks.
 
 use bytes::BytesMut;
 use router_runtime::resp::RespError;
 
-/// Arguments as an array of bulk strings.
+/// Encodes arguments as an array of bulk strings.
 pub fn encode_array(arguments: &[Vec<u8>]) -> Vec<u8> {
     let mut out = format!("*{}\r\n", arguments.len()).into_bytes();
     for argument in arguments {
@@ -14,7 +14,8 @@
     out
 }
 
-/// What a reader takes from bytes that come in pieces, each as long as the next of `cuts` says.
+/// Returns what a reader takes from `text`, which is fed to it in chunks whose sizes cycle through
+/// `chunk_sizes`.
 pub fn feed_in_chunks<T>(
     text: &[u8],
     chunk_sizes: &[usize],
@@ -23,7 +24,10 @@
     let (mut buffer, mut taken, mut rest) = (BytesMut::new(), Vec::new(), text);
     let mut chunk_sizes = chunk_sizes.iter().cycle();
     while !rest.is_empty() {
-        let (chunk, after) = rest.split_at(rest.len().min(*chunk_sizes.next().expect("a cut")));
+        let (chunk, after) = rest.split_at(
+            rest.len()
+                .min(*chunk_sizes.next().expect("at least one chunk size")),
+        );
         buffer.extend_from_slice(chunk);
         rest = after;
         while let Some(item) = next(&mut buffer)? {
