--- a/crates/request-coalescing/benches/waiters.rs
+++ b/crates/request-coalescing/benches/waiters.rs
@@ -1,4 +1,5 @@
-//! The cost of the decisions for one waiter: it joins, and it is answered. `cargo bench -p request-coalescing`.
+//! Measures the cost of the coalescer's decisions for one waiter, from joining a flight to its
+//! answer. Run with `cargo bench -p request-coalescing`.
 #![allow(missing_docs)] // A program.
 
 use criterion::{BenchmarkId, Criterion, Throughput, criterion_group, criterion_main};
@@ -6,7 +7,8 @@
 use request_coalescing::*;
 use std::hint::black_box;
 
-/// Opens one flight, lets `waiters` share it and serves it. Ids are consecutive from `first_id` on.
+/// Opens one flight, lets `waiters` reads share it, and serves it. Ids are consecutive from
+/// `first_id` on.
 fn serve_one_flight(
     coalescer: &mut Coalescer,
     first_id: u32,
