--- a/crates/request-coalescing/src/coalescer.rs
+++ b/crates/request-coalescing/src/coalescer.rs
@@ -1,8 +1,10 @@
-//! The coalescing decisions: which reads share a flight, for how long, and what each waiter is answered.
+//! The coalescing decisions: which reads share a flight, for how long, and what each waiter is
+//! answered.
 //!
-//! A read joins the youngest open flight for the same class, key and variant. Without one, or if that one hangs, it
-//! opens a flight; past a bound it bypasses coalescing. A write on a key closes the key's flights to newcomers. A
-//! served answer goes to the waiters of the flight and to those of earlier flights for the same read.
+//! A read joins the newest open flight for the same class, key and variant. If there is none, or if
+//! that one hangs, it opens a flight; past a bound it bypasses coalescing. A write on a key closes
+//! the key's flights to further reads. A served answer goes to the waiters of the flight and to
+//! those of earlier flights for the same read.
 
 use crate::counters::{Counters, Usage};
 use crate::event::{Action, Event, FlightId, FlightOutcome, Read};
@@ -19,13 +21,13 @@
     Join(FlightId),
     /// It opens the only flight for this read.
     Open,
-    /// It opens a flight beside a hung one.
+    /// It opens a flight in addition to a hung one.
     OpenReplacement,
     /// It is forwarded as a request of its own.
     Bypass,
 }
 
-/// What the coalescer knows of a request class.
+/// The coalescer's state of a request class.
 #[derive(Debug)]
 struct ClassState {
     latency: LatencyTracker,
@@ -34,7 +36,8 @@
 
 /// Decides which identical reads share one upstream request (singleflight).
 ///
-/// It has no clock and no I/O: [`Coalescer::handle`] takes events with their time and returns actions.
+/// It has no clock and no I/O: [`Coalescer::handle`] takes events with their time and returns
+/// actions.
 #[derive(Debug)]
 pub struct Coalescer {
     bounds: Bounds,
@@ -45,7 +48,8 @@
 }
 
 impl Coalescer {
-    /// A coalescer without flights. `classes` has one entry for each class of the deployment, indexed by its id.
+    /// Creates a coalescer without flights. `classes` has one entry for each class of the
+    /// deployment, indexed by class id.
     pub fn new(bounds: Bounds, classes: &[ClassSettings]) -> Coalescer {
         let classes = classes.iter().map(|class| ClassState {
             latency: LatencyTracker::new(class.latency_objective),
@@ -60,7 +64,8 @@
         }
     }
 
-    /// Gives rejected waiters a Retry-After of at most `most`; `None`: none is given.
+    /// Gives rejected waiters a Retry-After of at most `max_retry_after`; with `None`, none is
+    /// given.
     pub fn with_max_retry_after(self, max_retry_after: Option<Micros>) -> Coalescer {
         Coalescer {
             retry_after: RetryAfter {
@@ -70,7 +75,7 @@
         }
     }
 
-    /// Takes one event that happens at `now` and appends the actions it causes.
+    /// Handles one event that happens at `now` and appends the actions it causes.
     pub fn handle(&mut self, now: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
         match event {
             Event::Read(read) => self.on_read(now, &read, actions),
@@ -82,7 +87,7 @@
         }
     }
 
-    /// The first deadline of all waiters: when [`Event::DeadlineReached`] is expected.
+    /// The earliest deadline of all waiters, at which [`Event::DeadlineReached`] is expected.
     pub fn next_deadline(&self) -> Option<Micros> {
         self.table.next_deadline()
     }
@@ -92,7 +97,7 @@
         self.counters
     }
 
-    /// Waiters and flights at the moment.
+    /// The current number of waiters and flights.
     pub fn usage(&self) -> Usage {
         Usage {
             waiters: self.table.waiter_count(),
@@ -171,15 +176,16 @@
         actions.push(Action::Open { flight });
     }
 
-    /// Closes the key's flights, so that no read sees a value from before a write that it follows.
+    /// Closes the key's flights, so that no read sees a value from before a write that precedes it.
     ///
-    /// At the write's begin, open flights may bring the value from before it. At its end, flights opened meanwhile may
-    /// have reached the server first.
+    /// When the write begins, open flights may return the value from before it. When it ends,
+    /// flights opened meanwhile may have reached the server before it.
     fn on_write(&mut self, key: &[u8]) {
         self.counters.closed += self.table.close_to_further_reads(key);
     }
 
-    /// Removes a waiter; its flight ends with the last one, and is shortened if this one had the latest deadline.
+    /// Removes a waiter. Its flight ends with the last one, and is shortened if this one had the
+    /// latest deadline.
     fn remove_waiter(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let Some(waiter) = self.table.remove_waiter(id) else {
             return;
@@ -190,7 +196,8 @@
         if flight.waiters.is_empty() {
             self.withdraw(now, waiter.flight, actions);
         } else if waiter.expires == flight.expires {
-            // Only then does the scan of all waiters run: of those whose deadline is reached none has the latest.
+            // Scans all waiters, but only in this case: a waiter that expires normally does not have
+            // the latest deadline.
             if let Some(expires) = self.table.shorten_to_waiters(waiter.flight) {
                 actions.push(Action::Shorten {
                     flight: waiter.flight,
@@ -208,7 +215,7 @@
         actions.push(Action::Withdraw { flight: id });
     }
 
-    /// Rejects waiters at their deadline: a read is idempotent, so that the client may send it again.
+    /// Rejects waiters at their deadline. A read is idempotent, so the client may send it again.
     fn on_deadline_reached(&mut self, now: Micros, actions: &mut Vec<Action>) {
         while let Some(id) = self.table.first_expired(now) {
             self.counters.expired += 1;
@@ -221,8 +228,8 @@
         }
     }
 
-    /// Rejects the waiters for whom the retry comes too late. The one with the latest deadline stays: the decision
-    /// library has allowed the retry for it.
+    /// Rejects the waiters for whom the retry comes too late. The one with the latest deadline
+    /// stays, as the load balancer has allowed the retry for it.
     fn on_retried(&mut self, now: Micros, id: FlightId, actions: &mut Vec<Action>) {
         let Some(flight) = self.table.flight(id) else {
             return;
@@ -246,8 +253,8 @@
         }
     }
 
-    /// Answers all waiters of a flight. A served answer also ends the earlier flights for the same read: it was
-    /// produced after their waiters asked.
+    /// Answers all waiters of a flight. A served answer also ends the earlier flights for the same
+    /// read, as it was produced after their waiters asked.
     fn on_ended(
         &mut self,
         now: Micros,
