--- a/crates/request-coalescing/src/counters.rs
+++ b/crates/request-coalescing/src/counters.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-/// How much the coalescer keeps state for at the moment.
+/// How much state the coalescer currently keeps.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
     /// Reads that wait for a flight.
@@ -11,7 +11,7 @@
     pub flights: usize,
 }
 
-/// Counts since the start of the process. The text form is a stable line for operators.
+/// Counts since the start of the process. The text form is stable, as operators read it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Flights opened, replacements included.
@@ -22,13 +22,14 @@
     pub bypassed: u64,
     /// Flights opened to replace a hung one; `second` in the text form.
     pub replacements: u64,
-    /// Flights closed to newcomers by a write.
+    /// Flights closed to further reads by a write.
     pub closed: u64,
     /// Flights cancelled when their last waiter left.
     pub withdrawn: u64,
     /// Waiters rejected at their own deadline.
     pub expired: u64,
-    /// Waiters rejected as a retry of their flight could not end in time for them; `outrun` in the text form.
+    /// Waiters rejected because a retry of their flight could not end in time for them; `outrun` in
+    /// the text form.
     pub retry_too_late: u64,
 }
 
