--- a/crates/request-coalescing/src/event.rs
+++ b/crates/request-coalescing/src/event.rs
@@ -2,7 +2,8 @@
 
 use load_balancer::{ClassId, Micros, RequestId, TenantId};
 
-/// Identifies a flight by the request of the decision library that carries it: the id of its first waiter.
+/// Identifies a flight by the load balancer's request that carries it, which has the id of the
+/// flight's first waiter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FlightId(pub RequestId);
 
@@ -13,34 +14,34 @@
     pub id: RequestId,
     /// Its request class.
     pub class: ClassId,
-    /// The tenant that sends it.
+    /// The tenant that sends it, if any.
     pub tenant: Option<TenantId>,
-    /// The key, as writes name it too.
+    /// The key; a write on the same key affects this read.
     pub key: &'a [u8],
-    /// The variant: all other fields that change the answer, in a form that is equal for identical reads.
+    /// The variant: all other fields that change the answer, encoded equally for identical reads.
     pub variant: &'a [u8],
     /// Its deadline: when its client stops waiting.
     pub expires: Micros,
 }
 
-/// How a flight, or a waiter's part in it, ends.
+/// How a flight, or the wait of a single waiter, ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FlightOutcome {
-    /// With an answer of a cache server.
+    /// Served with an answer of a cache server.
     Served,
-    /// Rejected, with a Retry-After where one is given.
+    /// Rejected, with a Retry-After if one is given.
     Rejected(Option<Micros>),
     /// Failed, without a Retry-After.
     Failed,
 }
 
-/// What happens.
+/// An event for the coalescer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event<'a> {
-    /// A read that may share a flight arrives. Exactly one [`Action::Open`], [`Action::Join`] or [`Action::Bypass`]
-    /// follows.
+    /// A read that may share a flight arrives. Exactly one [`Action::Open`], [`Action::Join`] or
+    /// [`Action::Bypass`] follows.
     Read(Read<'a>),
-    /// A write on this key is accepted, or has ended with any outcome. Both moments are reported.
+    /// A write on this key is accepted, or has ended with any outcome. Both times are reported.
     Write {
         /// The key.
         key: &'a [u8],
@@ -62,11 +63,12 @@
         /// Its outcome.
         outcome: FlightOutcome,
     },
-    /// The time of [`Coalescer::next_deadline`](crate::Coalescer::next_deadline) is reached.
+    /// The time returned by [`Coalescer::next_deadline`](crate::Coalescer::next_deadline) is
+    /// reached.
     DeadlineReached,
 }
 
-/// What the caller has to do, in the order returned.
+/// An action for the caller, to be executed in the order returned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Send the read of this event upstream as a new flight.
@@ -74,7 +76,7 @@
         /// The flight.
         flight: FlightId,
     },
-    /// The read of this event waits for an existing flight. The decision library is notified.
+    /// The read of this event waits for an existing flight. The load balancer is to be notified.
     Join {
         /// The flight.
         flight: FlightId,
@@ -88,15 +90,16 @@
         /// The read.
         id: RequestId,
     },
-    /// Send a waiter its final answer; if it is served, the answer of the flight that [`Event::FlightEnded`] names.
+    /// Send a waiter its final answer. If it is served, it is the answer of the flight named by
+    /// [`Event::FlightEnded`].
     Answer {
         /// The waiter.
         id: RequestId,
         /// Its outcome.
         outcome: FlightOutcome,
     },
-    /// Bring the flight's deadline forward, as the waiter with the latest one has left. The decision library is
-    /// notified.
+    /// Make the flight's deadline earlier, as the waiter with the latest one has left. The load
+    /// balancer is to be notified.
     Shorten {
         /// The flight.
         flight: FlightId,
