--- a/crates/request-coalescing/src/flight_table.rs
+++ b/crates/request-coalescing/src/flight_table.rs
@@ -1,4 +1,5 @@
-//! Flights and their waiters, by id, by key and by deadline. State alone: the coalescer decides.
+//! Flights and their waiters, indexed by id, by key and by deadline. This is state alone; decisions
+//! are made by the coalescer.
 
 use crate::event::{FlightId, Read};
 use load_balancer::{ClassId, Micros, RequestId};
@@ -27,9 +28,10 @@
     pub opened_at: Micros,
     /// The latest deadline of its waiters.
     pub expires: Micros,
-    /// Whether newcomers may join.
+    /// Whether further reads may join.
     pub is_open: bool,
-    /// Never empty while the flight is in the table, except between the removal of a waiter and of its flight.
+    /// Never empty while the flight is in the table, except between the removal of its last waiter
+    /// and its own.
     pub waiters: Vec<RequestId>,
 }
 
@@ -39,7 +41,7 @@
         self.class == other.class && self.variant == other.variant
     }
 
-    /// Whether this read may wait for the flight. The keys are equal already.
+    /// Whether this read may wait for the flight. The caller has already compared the keys.
     pub fn accepts(&self, read: &Read<'_>) -> bool {
         self.is_open && self.class == read.class && *self.variant == *read.variant
     }
@@ -48,13 +50,14 @@
 /// All flights and waiters at the moment.
 #[derive(Debug, Default)]
 pub(crate) struct FlightTable {
-    /// Keyed, like `waiters`, by ids that no client chooses: a hash without a secret is safe.
+    /// Keyed, like `waiters`, by ids that no client chooses, so that an unkeyed hash is safe.
     flights: FxHashMap<FlightId, Flight>,
     waiters: FxHashMap<RequestId, Waiter>,
-    /// The flights of each key, the youngest last. Clients choose keys: the hash is keyed with a secret.
+    /// The flights of each key, the newest last. Clients choose keys, so the hash is keyed with a
+    /// secret.
     by_key: HashMap<Box<[u8]>, Vec<FlightId>>,
     by_deadline: BTreeSet<(Micros, RequestId)>,
-    /// Flights opened so far.
+    /// The number of flights opened so far.
     opened_count: u64,
 }
 
@@ -75,12 +78,12 @@
         self.waiters.get(&id)
     }
 
-    /// The flights of a key, the youngest last.
+    /// The flights of a key, the newest last.
     pub fn flights_of_key(&self, key: &[u8]) -> &[FlightId] {
         self.by_key.get(key).map_or(&[], Vec::as_slice)
     }
 
-    /// The flights of a key that a read may join, the youngest first.
+    /// The flights of a key that a read may join, the newest first.
     pub fn joinable(&self, read: &Read<'_>) -> impl Iterator<Item = (FlightId, &Flight)> {
         self.flights_of_key(read.key)
             .iter()
@@ -94,12 +97,12 @@
         self.flights.values().map(|flight| flight.opened_at).min()
     }
 
-    /// The first deadline of all waiters.
+    /// The earliest deadline of all waiters.
     pub fn next_deadline(&self) -> Option<Micros> {
         self.by_deadline.first().map(|&(expires, _)| expires)
     }
 
-    /// The waiter with the first deadline, if that is reached.
+    /// The waiter with the earliest deadline, if that is reached.
     pub fn first_expired(&self, now: Micros) -> Option<RequestId> {
         self.by_deadline
             .first()
@@ -132,7 +135,8 @@
         id
     }
 
-    /// Adds the read to a flight's waiters; returns the flight's deadline, which covers the read's.
+    /// Adds the read to a flight's waiters; returns the flight's deadline, which is at least the
+    /// read's.
     pub fn add_waiter(&mut self, id: FlightId, read: &Read<'_>) -> Option<Micros> {
         let flight = self.flights.get_mut(&id)?;
         flight.expires = flight.expires.max(read.expires);
@@ -147,7 +151,7 @@
         Some(flight.expires)
     }
 
-    /// Removes a waiter. Its flight stays, without waiters if this was the last one.
+    /// Removes a waiter. Its flight stays in the table, without waiters if this was the last one.
     pub fn remove_waiter(&mut self, id: RequestId) -> Option<Waiter> {
         let waiter = self.waiters.remove(&id)?;
         self.by_deadline.remove(&(waiter.expires, id));
@@ -162,7 +166,7 @@
         Some(waiter)
     }
 
-    /// Removes a flight with all of its waiters, which the returned flight still names.
+    /// Removes a flight with all of its waiters; the returned flight still lists them.
     pub fn remove_flight(&mut self, id: FlightId) -> Option<Flight> {
         let flight = self.flights.remove(&id)?;
         if let Some(flights) = self.by_key.get_mut(&flight.key) {
@@ -179,7 +183,7 @@
         Some(flight)
     }
 
-    /// Closes all flights of a key to newcomers; returns how many were open.
+    /// Closes all flights of a key to further reads; returns how many were open.
     pub fn close_to_further_reads(&mut self, key: &[u8]) -> u64 {
         let mut closed_count = 0;
         for id in self.by_key.get(key).map_or(&[][..], Vec::as_slice) {
@@ -193,7 +197,8 @@
         closed_count
     }
 
-    /// Sets a flight's deadline to the latest one of its waiters; returns it if that is earlier than before.
+    /// Sets a flight's deadline to the latest one of its waiters; returns it if that is earlier
+    /// than before.
     pub fn shorten_to_waiters(&mut self, id: FlightId) -> Option<Micros> {
         let flight = self.flights.get_mut(&id)?;
         let latest = flight
