--- a/crates/request-coalescing/src/latency_tracker.rs
+++ b/crates/request-coalescing/src/latency_tracker.rs
@@ -1,54 +1,56 @@
-//! How long the flights of one class take, and from which age on one of them counts as hung.
+//! Tracks how long the flights of one class take, and from which age a flight counts as hung.
 
 use load_balancer::Micros;
 
-/// Latencies kept. Most are cache hits: the window is wide enough to hold some misses, so that a miss does not count
-/// as hung.
+/// The number of latencies kept. Most are cache hits: the window is wide enough to hold some
+/// misses, so that a miss does not count as hung.
 const WINDOW_COUNT: usize = 256;
-/// Latencies before the first estimate, and from one estimate to the next: sorting once in a while costs less than an
-/// ordered tree.
+/// The number of latencies before the first estimate, and between two estimates: sorting
+/// occasionally costs less than an ordered tree.
 const ESTIMATE_INTERVAL_COUNT: usize = 8;
-/// A flight older than this multiple of the long latency hangs.
+/// A flight hangs if it is older than this multiple of the second-longest latency.
 const HUNG_RATIO: f64 = 2.0;
 /// The lowest age at which a flight counts as hung: shorter delays come from scheduling.
 const HUNG_AFTER_MINIMUM: Micros = Micros::from_millis(10);
-/// Flights over which the share of hung ones is averaged.
+/// The number of flights over which the share of hung ones is averaged.
 const HUNG_SHARE_SPAN_COUNT: f64 = 32.0;
-/// Above this share of hung flights the class as a whole is slow, and replacing flights only adds load.
+/// Above this share of hung flights, the class as a whole is slow, and replacing flights would only
+/// add load.
 const SLOW_CLASS_SHARE: f64 = 0.1;
 
-/// Estimates of one class's latencies.
+/// Estimates from one class's latencies.
 #[derive(Clone, Copy, Debug)]
 struct Estimate {
     /// The median.
     median: Micros,
-    /// The second longest: the longest may have hung itself.
+    /// The second longest, as the longest may itself be that of a hung flight.
     second_longest: Micros,
 }
 
 /// Tracks the latencies of one request class.
 #[derive(Debug)]
 pub struct LatencyTracker {
-    /// Up to [`LatencyTracker::WINDOW_COUNT`] latest latencies; a ring buffer once it is full.
+    /// The latest latencies, up to [`LatencyTracker::WINDOW_COUNT`]; a ring buffer once full.
     window: Vec<Micros>,
-    /// Latencies recorded so far.
+    /// The number of latencies recorded so far.
     recorded: usize,
     /// `None` until enough latencies are recorded.
     estimate: Option<Estimate>,
-    /// Share of flights that hung until they ended unserved; exponentially smoothed.
+    /// The share of flights that hung and ended unserved, exponentially smoothed.
     hung_share: f64,
     latency_objective: Micros,
 }
 
 impl LatencyTracker {
-    /// Latencies that an estimate is made of at most.
+    /// The maximum number of latencies in an estimate.
     pub const WINDOW_COUNT: usize = WINDOW_COUNT;
-    /// Latencies before the first estimate.
+    /// The number of latencies before the first estimate.
     pub const FIRST_ESTIMATE_COUNT: usize = ESTIMATE_INTERVAL_COUNT;
     /// The lowest result of [`LatencyTracker::hung_after`] once there is an estimate.
     pub const HUNG_AFTER_MINIMUM: Micros = HUNG_AFTER_MINIMUM;
 
-    /// A tracker without latencies: until there are enough, a flight hangs past the class's latency objective.
+    /// Creates a tracker without latencies. Until there are enough, a flight counts as hung past
+    /// the class's latency objective.
     pub fn new(latency_objective: Micros) -> LatencyTracker {
         LatencyTracker {
             window: Vec::new(),
@@ -75,7 +77,7 @@
         }
     }
 
-    /// Records the age of a flight that ended without being served; it counts only if the flight hung.
+    /// Records the age of a flight that ended unserved; it counts only if the flight hung.
     pub fn record_unserved(&mut self, age: Micros) {
         if age > self.hung_after() {
             self.hung_share += (1.0 - self.hung_share) / HUNG_SHARE_SPAN_COUNT;
