--- a/crates/request-coalescing/src/lib.rs
+++ b/crates/request-coalescing/src/lib.rs
@@ -1,12 +1,15 @@
 //! Request coalescing (singleflight): decides which identical reads share one upstream request.
 //!
-//! The crate has no I/O and no clock: events with their time go in, actions come out. It stands between the downstream
-//! connections and the decision library, which still chooses servers and decides on retries and rejections.
+//! The crate has no I/O and no clock: events with their time go in, actions come out. It is used
+//! between the downstream connections and the load balancer, which still chooses servers and
+//! decides on retries and rejections.
 //!
-//! A *flight* is one request of the decision library that one or more *waiters* share. It is opened for its first
-//! waiter and ends with its answer or with its last waiter. No value is cached beyond that.
+//! A *flight* is one request of the load balancer that one or more *waiters* share. It is opened
+//! for its first waiter, and ends with its answer or when its last waiter leaves. No value is
+//! cached beyond that.
 //!
-//! A read *bypasses* coalescing ([`Action::Bypass`]) where a bound is reached: it is forwarded as a request of its own.
+//! A read *bypasses* coalescing ([`Action::Bypass`]) when a bound is reached: it is forwarded as a
+//! request of its own.
 //!
 //! ```
 //! use request_coalescing::*;
@@ -33,7 +36,8 @@
 //! assert_eq!(actions[0], Action::Open { flight });
 //! assert!(matches!(actions[1], Action::Join { flight: f, .. } if f == flight));
 //! actions.clear();
-//! coalescer.handle(now, Event::FlightEnded { flight, outcome: FlightOutcome::Served }, &mut actions);
+//! let ended = Event::FlightEnded { flight, outcome: FlightOutcome::Served };
+//! coalescer.handle(now, ended, &mut actions);
 //! assert_eq!(actions.len(), 2);
 //! ```
 
