--- a/crates/request-coalescing/src/retry_after.rs
+++ b/crates/request-coalescing/src/retry_after.rs
@@ -1,25 +1,27 @@
-//! When a rejected waiter may send its read again (Retry-After).
+//! Computes when a rejected waiter may send its read again (Retry-After).
 
 use load_balancer::{Micros, RequestId};
 
 /// The shortest Retry-After.
 const MIN_RETRY_AFTER: Micros = Micros::from_millis(1);
-/// The longest estimate, as a part of the maximum: spreading at most doubles it.
+/// The longest estimate, as a fraction of the maximum: spreading at most doubles it.
 const MAX_ESTIMATE_RATIO: f64 = 0.5;
-/// 2^32 over the golden ratio: multiples of it, modulo 2^32, spread evenly whatever their count.
+/// 2^32 divided by the golden ratio. Its multiples modulo 2^32 are spread evenly, whatever their
+/// count.
 const GOLDEN_RATIO_MULTIPLIER: u32 = 0x9E37_79B9;
 
 /// Computes the Retry-After of each rejected waiter.
 #[derive(Debug)]
 pub(crate) struct RetryAfter {
-    /// The longest one; `None`: none is given.
+    /// The longest Retry-After; `None` if none is given.
     pub maximum: Option<Micros>,
 }
 
 impl RetryAfter {
-    /// The Retry-After for one waiter: between `estimate` and twice that, by its id.
+    /// The Retry-After for one waiter, between `estimate` and twice that, chosen by its id.
     ///
-    /// Waiters that are rejected together do not return together: consecutive ids spread evenly over the interval.
+    /// Consecutive ids are spread evenly over the interval, so that waiters rejected together do
+    /// not return together.
     pub fn spread(&self, id: RequestId, estimate: Option<Micros>) -> Option<Micros> {
         let maximum = self.maximum?;
         let shortest = estimate
