--- a/crates/request-coalescing/src/settings.rs
+++ b/crates/request-coalescing/src/settings.rs
@@ -1,14 +1,16 @@
-//! The `[joining]` table of the operator file: its form, its checks, and the rules it yields for a deployment.
+//! The `[joining]` table of the operator file: its format, its validation, and the rules derived
+//! from it for a deployment.
 
 use load_balancer::{Class, Idempotency, Micros, deployment::Deployment};
 use serde::Deserialize;
 
-/// The highest value of a bound; a higher one is taken for a slip of the pen.
+/// The highest allowed value of a bound; a higher one is most likely a typing error.
 const MAX_BOUND: usize = 1_000_000;
-/// Fields that every read is told apart by, and that no file may ignore: class, tenant and idempotency key.
+/// Fields that always distinguish reads and must not be ignored: class, tenant and idempotency key.
 const REQUIRED_FIELDS: [&str; 3] = ["c", "t", "k"];
 
-/// Bounds on memory and on the load of one key. Past each of the first three a read bypasses coalescing.
+/// Bounds on memory and on the load of one key. When one of the first three is reached, a read
+/// bypasses coalescing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Bounds {
@@ -18,7 +20,8 @@
     pub waiters_per_flight: usize,
     /// Flights of one key together, over all variants and classes.
     pub flights_per_key: usize,
-    /// Open flights for one read beside the first: each replaces a hung one. `second_flights` in the file.
+    /// Open flights for one read in addition to the first, each replacing a hung one.
+    /// `second_flights` in the file.
     #[serde(rename = "second_flights")]
     pub replacement_flights: usize,
 }
@@ -36,7 +39,8 @@
 
 impl Bounds {
     /// # Errors
-    /// [`SettingsError::BoundOutOfRange`] for the first bound that is zero where it must not be, or too high.
+    /// [`SettingsError::BoundOutOfRange`] for the first bound that is zero where it must not be, or
+    /// too high.
     fn check(&self) -> Result<(), SettingsError> {
         let rows = [
             ("waiters", self.waiters, 1),
@@ -61,13 +65,14 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct CoalescingFile {
-    /// Names of the classes whose reads are coalesced; empty: coalescing is off.
+    /// Names of the classes whose reads are coalesced. If empty, coalescing is disabled.
     pub classes: Vec<String>,
-    /// Names of command fields that do not change the answer, beside those that the protocol defines so.
+    /// Names of command fields that do not change the answer, in addition to those defined by the
+    /// protocol.
     pub ignore: Vec<String>,
     /// Whether reads of different tenants never share a flight.
     pub per_tenant: bool,
-    /// Bounds; each that is left out has its default.
+    /// Bounds; omitted ones have their default.
     pub bounds: Bounds,
 }
 
@@ -89,7 +94,7 @@
     }
 }
 
-/// A checked `[joining]` table, in the terms of a deployment.
+/// A validated `[joining]` table, resolved against a deployment.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CoalescingRules {
     /// Whether a class's reads are coalesced, indexed by class id.
@@ -146,10 +151,10 @@
 }
 
 impl CoalescingFile {
-    /// The rules for this deployment; `None` where coalescing is off.
+    /// The rules for this deployment; `None` if coalescing is disabled.
     ///
     /// # Errors
-    /// The first problem, in the order classes, bounds, ignored fields.
+    /// The first error found, in the order classes, bounds, ignored fields.
     pub fn rules(&self, deployment: &Deployment) -> Result<Option<CoalescingRules>, SettingsError> {
         let is_coalesced = self.coalesced_classes(deployment)?;
         self.bounds.check()?;
@@ -169,7 +174,8 @@
         }))
     }
 
-    /// Whether each class of the deployment is named; an error for a name that is unknown or not idempotent.
+    /// Whether each class of the deployment is coalesced. A name that is unknown or not idempotent
+    /// is an error.
     fn coalesced_classes(&self, deployment: &Deployment) -> Result<Vec<bool>, SettingsError> {
         let known = &deployment.names.classes;
         let classes = &deployment.settings.classes;
