--- a/crates/request-coalescing/tests/coalescer/any_event_order.rs
+++ b/crates/request-coalescing/tests/coalescer/any_event_order.rs
@@ -41,22 +41,22 @@
     ]
 }
 
-/// What the specification goes by of a read.
+/// What the model remembers of a read.
 struct ReadRecord {
     key: u8,
     variant: u8,
-    /// The step at which it arrives.
+    /// The number of the step at which it arrives.
     arrived_at: usize,
     expires: Micros,
 }
 
-/// Plays steps on a coalescer and keeps what its answers have to agree with.
+/// Applies steps to a coalescer and tracks the state that its actions must agree with.
 struct Model {
     harness: Harness,
     reads: BTreeMap<u32, ReadRecord>,
     waiting: BTreeSet<u32>,
     flights: BTreeSet<u32>,
-    /// The step of the last write on each key; 0: none.
+    /// The number of the step of the last write on each key; 0 if there is none.
     last_write: [usize; 3],
 }
 
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Plays one step, numbered from 1, and checks all that it causes.
+    /// Applies one step, numbered from 1, and checks all actions that it causes.
     fn apply(&mut self, number: usize, step: &Step) -> TestCaseResult {
         let id = number as u32;
         let mut ended = None;
@@ -146,7 +146,8 @@
         }))
     }
 
-    /// Passes time, stopping at each deadline; each waiter answered there has exactly that deadline.
+    /// Advances the clock, stopping at each deadline; each waiter answered there must have exactly
+    /// that deadline.
     fn advance(&mut self, millis: u16) -> Result<Vec<Action>, TestCaseError> {
         let end = self.harness.now.plus(ms(u64::from(millis)));
         let mut actions = Vec::new();
@@ -168,7 +169,8 @@
         Ok(actions)
     }
 
-    /// Checks one action of the step with this id, and takes note of it. `ended` is the flight that the step ended.
+    /// Checks one action of the step with this id, and updates the model. `ended` is the flight
+    /// that the step ended.
     fn check(
         &mut self,
         step_id: u32,
@@ -190,18 +192,22 @@
                 prop_assert_eq!((read.key, read.variant), (first.key, first.variant));
                 prop_assert!(
                     first.arrived_at > self.last_write[usize::from(read.key)],
-                    "from before a write"
+                    "joined a flight from before a write"
                 );
                 prop_assert!(expires >= read.expires);
             }
             Action::Bypass { id } => prop_assert_eq!(id.0, step_id),
             Action::Answer { id, outcome } => {
-                prop_assert!(self.waiting.remove(&id.0), "answered twice, or unasked");
+                prop_assert!(
+                    self.waiting.remove(&id.0),
+                    "answered twice or never waiting"
+                );
                 let read = &self.reads[&id.0];
                 let time_passes = matches!(step, Step::Advance { .. });
                 prop_assert!(time_passes || self.harness.now <= read.expires);
                 if outcome == FlightOutcome::Served {
-                    let first = &self.reads[&ended.expect("a flight")];
+                    let first =
+                        &self.reads[&ended.expect("a served answer comes with an ended flight")];
                     prop_assert_eq!((read.key, read.variant), (first.key, first.variant));
                 }
             }
@@ -211,7 +217,7 @@
         Ok(())
     }
 
-    /// Lets all deadlines pass; nothing is left then.
+    /// Advances past all deadlines, after which no state may be left.
     fn finish(mut self) -> TestCaseResult {
         while let Some(due) = self.harness.coalescer.next_deadline() {
             self.harness.now = due;
@@ -230,8 +236,9 @@
 }
 
 proptest! {
-    /// Whatever happens: each read has one answer, none later than its deadline, none from a flight for another read
-    /// or from before a write that it follows; flights without waiters are withdrawn, and nothing is left.
+    /// In any order of events, each read has exactly one answer, not later than its deadline, and
+    /// never from a flight for another read or from before a write that precedes it. Flights
+    /// without waiters are withdrawn, and no state is left at the end.
     #[test]
     fn each_read_is_answered_once_in_time_and_from_no_older_flight(
         steps in prop::collection::vec(step(), 1..200)
@@ -244,7 +251,8 @@
     }
 }
 
-/// The case that `proptest-regressions` holds, whatever the strategy makes of its seed.
+/// The case stored in `proptest-regressions`, kept as a test of its own because its seed may come
+/// to generate other steps.
 #[test]
 fn a_read_whose_deadline_passes_between_two_events_is_answered_at_its_deadline() {
     let steps = [
@@ -259,6 +267,6 @@
     for (index, step) in steps.iter().enumerate() {
         model.apply(index + 1, step).expect("the invariants hold");
     }
-    assert!(model.waiting.is_empty(), "answered");
-    model.finish().expect("nothing is left");
+    assert!(model.waiting.is_empty(), "the read is answered");
+    model.finish().expect("no state is left");
 }
