--- a/crates/request-coalescing/tests/coalescer/bounds.rs
+++ b/crates/request-coalescing/tests/coalescer/bounds.rs
@@ -25,7 +25,7 @@
     assert_eq!(
         harness.read_of(6, b"key", b"y", 1_000),
         bypass(6),
-        "the key has its flights"
+        "the key has reached its limit of flights"
     );
     assert_eq!(
         harness.read_of(7, b"other", b"", 1_000),
@@ -34,13 +34,13 @@
     assert_eq!(
         harness.read_of(8, b"third", b"", 1_000),
         bypass(8),
-        "enough wait in all"
+        "the total number of waiters is at its limit"
     );
     assert_eq!(harness.coalescer.counters().bypassed, 3);
     harness.ended(7, FlightOutcome::Served);
     assert_eq!(
         harness.read_of(9, b"third", b"", 1_000),
         Action::Open { flight: flight(9) },
-        "there is room again"
+        "below the limits again"
     );
 }
