--- a/crates/request-coalescing/tests/coalescer/flight_sharing.rs
+++ b/crates/request-coalescing/tests/coalescer/flight_sharing.rs
@@ -24,7 +24,7 @@
         Action::Open {
             flight: flight(501)
         },
-        "no value is kept"
+        "the answer is not cached"
     );
 }
 
