--- a/crates/request-coalescing/tests/coalescer/harness.rs
+++ b/crates/request-coalescing/tests/coalescer/harness.rs
@@ -1,4 +1,4 @@
-//! A coalescer with a clock of its own, driven event by event.
+//! A test harness that drives a coalescer event by event, with a simulated clock.
 
 use load_balancer::{ClassId, Micros, RequestId, TenantId};
 use request_coalescing::*;
@@ -57,7 +57,7 @@
         actions[0]
     }
 
-    /// A read of the key `key` that waits for one second.
+    /// Sends a read of the key `key` whose deadline is in one second.
     pub fn read(&mut self, id: u32) -> Action {
         self.read_of(id, b"key", b"", 1_000)
     }
