--- a/crates/request-coalescing/tests/coalescer/hung_flights.rs
+++ b/crates/request-coalescing/tests/coalescer/hung_flights.rs
@@ -1,4 +1,4 @@
-//! A flight that hangs is replaced, once.
+//! A hung flight is replaced, but only once.
 
 use crate::harness::*;
 use request_coalescing::*;
@@ -12,7 +12,7 @@
     assert_eq!(
         joins(harness.read(2)),
         Some(1),
-        "twice what is long, and no more"
+        "an age of exactly twice the long latency does not count as hung"
     );
     harness.advance(1);
     assert_eq!(harness.read(3), Action::Open { flight: flight(3) });
@@ -21,13 +21,13 @@
     assert_eq!(
         joins(harness.read(5)),
         Some(3),
-        "a third one would be too many"
+        "a replacement is not replaced"
     );
     let actions = harness.ended(3, FlightOutcome::Served);
     assert_eq!(
         answers(&actions).len(),
         5,
-        "those of the hanging one have the answer too"
+        "the waiters of the hung flight are answered too"
     );
     assert_eq!(withdrawn(&actions), [1]);
     assert_eq!(harness.coalescer.counters().replacements, 1);
