--- a/crates/request-coalescing/tests/coalescer/main.rs
+++ b/crates/request-coalescing/tests/coalescer/main.rs
@@ -1,4 +1,5 @@
-//! The coalescer's decisions on their own: which reads share a flight, and what each waiter is answered.
+//! Tests of the coalescer's decisions: which reads share a flight, and what each waiter is
+//! answered.
 
 mod any_event_order;
 mod bounds;
