--- a/crates/request-coalescing/tests/coalescer/retries.rs
+++ b/crates/request-coalescing/tests/coalescer/retries.rs
@@ -25,7 +25,8 @@
     );
 }
 
-/// What the decision library allowed for the one with the most time is not taken from it a moment later.
+/// The load balancer allowed the retry for the waiter with the latest deadline, so that this one is
+/// not rejected.
 #[test]
 fn the_waiter_with_the_latest_deadline_keeps_its_retry() {
     let mut harness = Harness::new();
