--- a/crates/request-coalescing/tests/coalescer/waiter_deadlines.rs
+++ b/crates/request-coalescing/tests/coalescer/waiter_deadlines.rs
@@ -9,9 +9,13 @@
     let mut harness = Harness::new();
     harness.read(1);
     let Action::Join { expires, .. } = harness.read_of(2, b"key", b"", 50) else {
-        panic!("joined")
+        panic!("the read did not join the flight")
     };
-    assert_eq!(expires, harness.now.plus(ms(1_000)), "not shortened");
+    assert_eq!(
+        expires,
+        harness.now.plus(ms(1_000)),
+        "the flight keeps its later deadline"
+    );
     assert_eq!(
         harness.coalescer.next_deadline(),
         Some(harness.now.plus(ms(50)))
@@ -39,7 +43,7 @@
     let mut harness = Harness::new();
     harness.read(1);
     let Action::Join { expires, .. } = harness.read_of(2, b"key", b"", 4_000) else {
-        panic!("joined")
+        panic!("the read did not join the flight")
     };
     assert_eq!(expires, harness.now.plus(ms(4_000)));
 }
@@ -71,7 +75,7 @@
     assert_eq!(
         harness.event(Event::ClientDisconnected { id: RequestId(4) }),
         [],
-        "said twice"
+        "a repeated disconnect has no effect"
     );
 }
 
@@ -106,7 +110,7 @@
         []
     );
     let Action::Join { expires, .. } = harness.read_of(4, b"key", b"", 400) else {
-        panic!("joined")
+        panic!("the read did not join the flight")
     };
     assert_eq!(expires, start.plus(ms(500)));
     assert_eq!(
