--- a/crates/request-coalescing/tests/coalescer/write_ordering.rs
+++ b/crates/request-coalescing/tests/coalescer/write_ordering.rs
@@ -1,4 +1,4 @@
-//! No read sees a value from before a write that it follows.
+//! No read sees a value from before a write that precedes it.
 
 use crate::harness::*;
 use request_coalescing::*;
@@ -11,23 +11,28 @@
     assert_eq!(
         harness.read(2),
         Action::Open { flight: flight(2) },
-        "after its begin"
+        "after the write has begun"
+    );
+    assert_eq!(
+        joins(harness.read(3)),
+        Some(2),
+        "reads after the write share a flight"
     );
-    assert_eq!(joins(harness.read(3)), Some(2), "those after it share");
     harness.write();
     assert_eq!(
         harness.read(4),
         Action::Open { flight: flight(4) },
-        "after its end"
+        "after the write has ended"
     );
     assert_eq!(
         answers(&harness.ended(1, FlightOutcome::Served)),
         [(1, FlightOutcome::Served)],
-        "what it was opened for it still serves"
+        "the closed flight still serves its own waiters"
     );
 }
 
-/// The second flight is younger than what the first's waiters asked for, but not the other way round.
+/// The waiters of an earlier flight may be served by the answer of a later one, but not the other
+/// way round.
 #[test]
 fn an_answer_serves_earlier_flights_and_never_later_ones() {
     let mut harness = Harness::new();
@@ -48,11 +53,11 @@
             waiters: 1,
             flights: 1
         },
-        "the flight of 3 goes on"
+        "the flight of read 3 continues"
     );
     assert_eq!(
         answers(&harness.ended(1, FlightOutcome::Served)),
         [],
-        "it is over"
+        "the earlier flight has already ended"
     );
 }
