--- a/crates/request-coalescing/tests/latency_tracker.rs
+++ b/crates/request-coalescing/tests/latency_tracker.rs
@@ -1,4 +1,4 @@
-//! How latencies become the age at which a flight counts as hung.
+//! How latencies determine the age at which a flight counts as hung.
 
 use load_balancer::Micros;
 use request_coalescing::LatencyTracker;
@@ -19,7 +19,7 @@
     assert_eq!(tracker.median(), Some(ms(15)));
 }
 
-/// Of a hundred answers one is a fetch: a fetch must not look like a hang.
+/// One answer in a hundred is an origin fetch, which must not count as a hung flight.
 #[test]
 fn few_long_latencies_count_and_a_single_one_does_not() {
     let mut tracker = LatencyTracker::new(ms(100));
@@ -49,7 +49,10 @@
     };
     assert!(!is_slow_with_one_hung_in(25));
     assert!(is_slow_with_one_hung_in(5));
-    assert!(!is_slow_with_one_hung_in(25), "and back");
+    assert!(
+        !is_slow_with_one_hung_in(25),
+        "the share of hung flights falls again"
+    );
 }
 
 #[test]
