--- a/crates/request-coalescing/tests/operator_texts.rs
+++ b/crates/request-coalescing/tests/operator_texts.rs
@@ -1,4 +1,5 @@
-//! What operators write and read keeps its words: the keys of `[joining.bounds]`, the errors, the line of counters.
+//! Texts that operators write and read are stable: the keys of `[joining.bounds]`, the error
+//! messages, and the line of counters.
 
 use request_coalescing::{Bounds, Counters, SettingsError};
 use serde::Deserialize;
