--- a/crates/router-runtime/src/upstream/attempt.rs
+++ b/crates/router-runtime/src/upstream/attempt.rs
@@ -5,7 +5,7 @@
 use super::pool::UpstreamPools;
 use crate::environment::Environment;
 use crate::mutation::hooks;
-use crate::request::{Answer, BodyPiece};
+use crate::request::{Answer, BodyChunk};
 use crate::resp::Command;
 use load_balancer::{
     AttemptNumber, CacheStatus, ConnectionUse, LoadReport, Micros, Outcome, RequestId, ServerId,
@@ -81,7 +81,7 @@
 /// What to do with a long value.
 pub enum BodyConsumer {
     /// Stream it to one client, piece by piece.
-    Stream(mpsc::Sender<BodyPiece>),
+    Stream(mpsc::Sender<BodyChunk>),
     /// Buffer it until it is complete: several clients wait for it, or one client that waits for
     /// other values as well. Notified when no client waits any more.
     Buffer(Rc<Notify>),
