--- a/crates/admin-api/src/server.rs
+++ b/crates/admin-api/src/server.rs
@@ -18,7 +18,7 @@
 
 /// Connections at a time; their descriptors are of those that the router reserves. One more replaces the oldest: a
 /// request is answered within milliseconds, so that a connection which is open for long has sent none.
-pub const MAX_CONNECTION_COUNT: usize = 24;
+pub const MAX_CONNECTIONS: usize = 24;
 /// Time from the accept until the connection is closed. Operators' tools wait 1 s for an answer.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(6);
 /// Delay after a failed accept, out of descriptors for instance.
@@ -35,7 +35,7 @@
             continue;
         };
         connections.retain(|task| !task.is_finished());
-        if connections.len() >= MAX_CONNECTION_COUNT
+        if connections.len() >= MAX_CONNECTIONS
             && let Some(oldest) = connections.pop_front()
         {
             oldest.abort();
--- a/crates/cache-router/benches/joining.rs
+++ b/crates/cache-router/benches/coalescing.rs
@@ -5,7 +5,7 @@
 //! there. Then 10,000 reads wait for one flight: memory and CPU for each.
 //!
 //! ```text
-//! cargo bench -p cache-router --bench joining
+//! cargo bench -p cache-router --bench coalescing
 //! ```
 //! A first argument sets the seconds of load for each row (6).
 #![allow(missing_docs)] // A program.
@@ -17,8 +17,8 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 use test_support::{
-    Behavior, CacheServer, Client, Discovery, Fleet, RouterProcess, command, configuration, entry,
-    list, wait_until,
+    Behavior, CacheServer, Client, Discovery, Fleet, RouterProcess, configuration, encode_command,
+    endpoint_entry, endpoint_list, wait_until,
 };
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -31,15 +31,16 @@
 const HOT_KEY_COUNT: usize = 10;
 const REQUESTS_PER_SECOND: f64 = 2_000.0;
 /// Time for which a server caches a key.
-const TIME_TO_LIVE: Duration = Duration::from_secs(4);
+const CACHE_TTL: Duration = Duration::from_secs(4);
 /// Time of a fetch from the origin.
-const FETCH_TIME: Duration = Duration::from_millis(300);
+const ORIGIN_FETCH_TIME: Duration = Duration::from_millis(300);
 /// Fetches that the origin works on at a time.
-const CONCURRENT_FETCH_COUNT: usize = 128;
+const MAX_CONCURRENT_FETCHES: usize = 128;
 /// Time of a hit.
 const HIT_TIME: Duration = Duration::from_micros(500);
 const DEADLINE_MS: u64 = 2_000;
-const READS: &str = "[joining]\nclasses = [\"read\"]\nbounds = { waiters_per_flight = 20000 }\n";
+const COALESCE_READS: &str =
+    "[joining]\nclasses = [\"read\"]\nbounds = { waiters_per_flight = 20000 }\n";
 const WAITER_COUNT: usize = 10_000;
 /// Commands that may be pending on one connection.
 const PIPELINE_DEPTH: usize = 64;
@@ -58,7 +59,7 @@
 impl Upstream {
     fn new() -> Upstream {
         Upstream {
-            origin: Semaphore::new(CONCURRENT_FETCH_COUNT),
+            origin: Semaphore::new(MAX_CONCURRENT_FETCHES),
             requests: AtomicUsize::new(0),
             fetches: AtomicUsize::new(0),
             hot_fetches: AtomicUsize::new(0),
@@ -72,7 +73,7 @@
             self.hot_fetches.fetch_add(1, Ordering::Relaxed);
         }
         let _slot = self.origin.acquire().await.map_err(io::Error::other)?;
-        tokio::time::sleep(FETCH_TIME).await;
+        tokio::time::sleep(ORIGIN_FETCH_TIME).await;
         Ok(())
     }
 }
@@ -130,7 +131,7 @@
             "hit"
         } else {
             upstream.fetch(key).await?;
-            let expiry = Instant::now() + TIME_TO_LIVE;
+            let expiry = Instant::now() + CACHE_TTL;
             expiries
                 .lock()
                 .expect("expiries")
@@ -197,7 +198,7 @@
 }
 
 /// SplitMix64, to a number in [0, 1).
-fn unit(state: &mut u64) -> f64 {
+fn next_unit_interval(state: &mut u64) -> f64 {
     *state = state.wrapping_add(0x9E37_79B9_7F4A_7C15);
     let mut z = *state;
     z = (z ^ (z >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
@@ -205,8 +206,8 @@
     ((z ^ (z >> 31)) >> 11) as f64 / (1_u64 << 53) as f64
 }
 
-fn start(known: &[String], operator_file: &str) -> Fleet {
-    let discovery = Discovery::start(list(7, false, &[]));
+fn start_router_with_operator_file(known: &[String], operator_file: &str) -> Fleet {
+    let discovery = Discovery::start(endpoint_list(7, false, &[]));
     let mut configuration = configuration(discovery.addr, known);
     configuration["settings"]["limits"]["cancel"] = true.into();
     configuration["limits"]["sockets"] = 4_096.into();
@@ -224,7 +225,7 @@
             let addr = listener.local_addr().expect("an address");
             // Ends with the runtime, at the end of the row.
             runtime.spawn(serve(listener, upstream.clone()));
-            entry(&format!("s-{index}"), addr, "up")
+            endpoint_entry(&format!("s-{index}"), addr, "up")
         })
         .collect()
 }
@@ -257,12 +258,12 @@
     for number in 0..count {
         let intended_start = start + Duration::from_secs_f64(number as f64 / REQUESTS_PER_SECOND);
         tokio::time::sleep_until(intended_start.into()).await;
-        let draw = unit(&mut random);
+        let draw = next_unit_interval(&mut random);
         let rank = shares.partition_point(|&share| share < draw);
         let key = format!("{:016x}", rank.min(KEY_COUNT - 1));
         let id = format!("id-{number}");
         let fields = format!("c=read,t=acme,d={DEADLINE_MS}");
-        let bytes = command(&["C.GET", &key, &id, &fields]);
+        let bytes = encode_command(&["C.GET", &key, &id, &fields]);
         let results = results.clone();
         tasks.push(tokio::spawn(async move {
             request(router, bytes, intended_start, &results).await
@@ -274,7 +275,7 @@
 }
 
 /// One row: load of this skew for so many seconds, with or without joining.
-fn measure_load(skew: f64, joins: bool, seconds: f64) -> String {
+fn measure_load(skew: f64, coalesces: bool, seconds: f64) -> String {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
         .enable_all()
@@ -282,7 +283,8 @@
         .expect("threads");
     let upstream = Arc::new(Upstream::new());
     let known = start_servers(&runtime, &upstream);
-    let Fleet { router, .. } = start(&known, if joins { READS } else { "" });
+    let Fleet { router, .. } =
+        start_router_with_operator_file(&known, if coalesces { COALESCE_READS } else { "" });
     let shares = cumulative_shares(skew);
     let results: Arc<Mutex<ClientResults>> = Arc::default();
     let count = (REQUESTS_PER_SECOND * seconds) as usize;
@@ -291,42 +293,44 @@
     let cpu_us = (router.cpu_ns() - cpu_before) as f64 / 1e3 / count as f64;
     let mut results = results.lock().expect("results");
     results.latencies.sort_unstable();
-    let load = |counter: &AtomicUsize| counter.load(Ordering::Relaxed);
+    let value = |counter: &AtomicUsize| counter.load(Ordering::Relaxed);
     format!(
         "| {skew:.1} | {} | {count} | {:.1} % | {} | {} | {} | {:.1} | {:.0} | {cpu_us:.1} |",
-        if joins { "on" } else { "off" },
+        if coalesces { "on" } else { "off" },
         100.0 * results.latencies.len() as f64 / count as f64,
-        load(&upstream.requests),
-        load(&upstream.fetches),
-        load(&upstream.hot_fetches),
+        value(&upstream.requests),
+        value(&upstream.fetches),
+        value(&upstream.hot_fetches),
         results.percentile_ms(0.5),
         results.percentile_ms(0.99),
     )
 }
 
-fn clients(router: &RouterProcess) -> Vec<Client> {
+fn connect_clients(router: &RouterProcess) -> Vec<Client> {
     let mut clients: Vec<Client> = (0..WAITER_COUNT.div_ceil(PIPELINE_DEPTH))
         .map(|_| router.client())
         .collect();
     for client in &mut clients {
-        client.write(&command(&["PING"]));
+        client.write(&encode_command(&["PING"]));
         client.read_reply().expect("an answer");
     }
     clients
 }
 
-/// Each of the clients sends what `bytes` makes of its number and a place, as many as may wait.
-fn send(clients: &mut [Client], bytes: impl Fn(usize) -> Vec<u8>) {
+/// Each of the clients sends what `bytes` makes of its number and a position, as many as may wait.
+fn send_from_all(clients: &mut [Client], command: impl Fn(usize) -> Vec<u8>) {
     let mut left = WAITER_COUNT;
     for client in clients {
         let count = left.min(PIPELINE_DEPTH);
-        let all: Vec<u8> = (0..count).flat_map(|place| bytes(left - place)).collect();
-        client.write(&all);
+        let pipeline: Vec<u8> = (0..count)
+            .flat_map(|position| command(left - position))
+            .collect();
+        client.write(&pipeline);
         left -= count;
     }
 }
 
-fn answers(clients: &mut [Client]) -> usize {
+fn count_served(clients: &mut [Client]) -> usize {
     let mut left = WAITER_COUNT;
     let mut served = 0;
     for client in clients {
@@ -342,35 +346,36 @@
 fn measure_waiters() {
     let server = CacheServer::start("s-a");
     server.set_default_behavior(Behavior::ServeOnceGateOpens);
-    let Fleet { router, .. } = start(&[server.entry("up")], READS);
-    let mut clients = clients(&router);
+    let Fleet { router, .. } =
+        start_router_with_operator_file(&[server.entry("up")], COALESCE_READS);
+    let mut clients = connect_clients(&router);
     // What the same number of commands costs that nobody waits for.
-    let cpu = router.cpu_ns();
-    send(&mut clients, |_| command(&["PING"]));
-    answers(&mut clients);
-    let pings = router.cpu_ns() - cpu;
-    let memory = router.memory_kb();
-    let cpu = router.cpu_ns();
+    let cpu_ns = router.cpu_ns();
+    send_from_all(&mut clients, |_| encode_command(&["PING"]));
+    count_served(&mut clients);
+    let ping_cpu_ns = router.cpu_ns() - cpu_ns;
+    let memory_kb = router.memory_kb();
+    let cpu_ns = router.cpu_ns();
     let read = |number: usize| {
-        command(&[
+        encode_command(&[
             "C.GET",
             "7f3a9c21e0b4d655",
             &format!("{number:016x}"),
             "c=read,t=acme,d=4000",
         ])
     };
-    send(&mut clients, read);
+    send_from_all(&mut clients, read);
     wait_until("all wait", || {
         router.log_coalescing_counters();
         std::thread::sleep(Duration::from_millis(20));
-        router.log_has(&format!("now {WAITER_COUNT} waiters"))
+        router.log_contains(&format!("now {WAITER_COUNT} waiters"))
     });
-    let added_kb = router.memory_kb() - memory;
+    let added_kb = router.memory_kb() - memory_kb;
     server.open_gate();
-    assert_eq!(answers(&mut clients), WAITER_COUNT);
-    let reads = router.cpu_ns() - cpu;
+    assert_eq!(count_served(&mut clients), WAITER_COUNT);
+    let read_cpu_ns = router.cpu_ns() - cpu_ns;
     assert_eq!(server.commands().len(), 1);
-    let each = |all: u64| all as f64 / 1e3 / WAITER_COUNT as f64;
+    let each_us = |total_ns: u64| total_ns as f64 / 1e3 / WAITER_COUNT as f64;
     println!(
         "\n{WAITER_COUNT} reads that waited for one flight, on {} connections:",
         clients.len()
@@ -381,9 +386,9 @@
     );
     println!(
         "CPU {:.2} us each with reading and writing, {:.2} us for as many PINGs: {:.2} us more",
-        each(reads),
-        each(pings),
-        each(reads.saturating_sub(pings))
+        each_us(read_cpu_ns),
+        each_us(ping_cpu_ns),
+        each_us(read_cpu_ns.saturating_sub(ping_cpu_ns))
     );
 }
 
@@ -394,15 +399,15 @@
         .find_map(|word| word.parse().ok())
         .unwrap_or(6.0);
     println!(
-        "{KEY_COUNT} keys by Zipf, {REQUESTS_PER_SECOND} reads a second, a fetch takes {FETCH_TIME:?}, kept for {TIME_TO_LIVE:?}\n"
+        "{KEY_COUNT} keys by Zipf, {REQUESTS_PER_SECOND} reads a second, a fetch takes {ORIGIN_FETCH_TIME:?}, kept for {CACHE_TTL:?}\n"
     );
     println!(
         "| skew | joining | reads | served | upstream | fetches | of the {HOT_KEY_COUNT} hottest keys | p50 ms | p99 ms | CPU us a read |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     for skew in [0.8, 1.0, 1.2] {
-        for joins in [false, true] {
-            println!("{}", measure_load(skew, joins, seconds));
+        for coalesces in [false, true] {
+            println!("{}", measure_load(skew, coalesces, seconds));
         }
     }
     measure_waiters();
--- a/crates/cache-router/src/admin_state.rs
+++ b/crates/cache-router/src/admin_state.rs
@@ -24,9 +24,9 @@
     /// Where overrides are saved; `None`: nowhere.
     store: Option<StateStore>,
     /// Overrides were written, or failed to be: they are to be synced to the disk, or written again.
-    saved: Notify,
+    save_attempted: Notify,
     /// The last write or sync failed.
-    has_failed_to_save: Cell<bool>,
+    last_save_failed: Cell<bool>,
     /// Other processes of this router, which get each change. One that has ended is dropped at the next change.
     peers: RefCell<Vec<mpsc::UnboundedSender<Message>>>,
     /// No predecessor process serves: there is none, it knows that this one serves, or it has ended.
@@ -43,8 +43,8 @@
         Rc::new(AdminState {
             runtime,
             store,
-            saved: Notify::new(),
-            has_failed_to_save: Cell::new(false),
+            save_attempted: Notify::new(),
+            last_save_failed: Cell::new(false),
             peers: RefCell::default(),
             has_taken_over: Cell::new(!has_predecessor),
         })
@@ -105,12 +105,12 @@
         };
         let saved = store.save(state);
         self.log_save(store, saved);
-        self.saved.notify_one();
+        self.save_attempted.notify_one();
     }
 
     /// Notes whether the overrides are stored. Failures on end are logged once, and so is their end.
     fn log_save(&self, store: &StateStore, saved: Result<(), StoreError>) {
-        let had_failed = self.has_failed_to_save.replace(saved.is_err());
+        let had_failed = self.last_save_failed.replace(saved.is_err());
         match saved {
             Err(error) if !had_failed => {
                 eprintln!("asterport: {}: {error}", store.path().display());
@@ -127,18 +127,18 @@
             return;
         };
         loop {
-            self.saved.notified().await;
-            while self.has_failed_to_save.get() {
+            self.save_attempted.notified().await;
+            while self.last_save_failed.get() {
                 tokio::time::sleep(SAVE_RETRY_PAUSE).await;
                 self.save();
             }
-            let syncing = store.clone();
+            let store_to_sync = store.clone();
             // The task does not panic; it is not aborted.
-            if let Ok(synced) = spawn_blocking(move || syncing.sync()).await
+            if let Ok(synced) = spawn_blocking(move || store_to_sync.sync()).await
                 && synced.is_err()
             {
                 self.log_save(&store, synced);
-                self.saved.notify_one();
+                self.save_attempted.notify_one();
             }
         }
     }
--- a/crates/cache-router/src/configuration.rs
+++ b/crates/cache-router/src/configuration.rs
@@ -198,15 +198,15 @@
             }
         }
         Value::Array(items) => {
-            let items: Vec<String> = items.iter().map(plain_text).collect();
+            let items: Vec<String> = items.iter().map(scalar_text).collect();
             pairs.push((path.to_string(), items.join(",")));
         }
-        scalar => pairs.push((path.to_string(), plain_text(scalar))),
+        scalar => pairs.push((path.to_string(), scalar_text(scalar))),
     }
 }
 
 /// A value as text: a string without its quotes, all else as in JSON.
-fn plain_text(value: &Value) -> String {
+fn scalar_text(value: &Value) -> String {
     value
         .as_str()
         .map_or_else(|| value.to_string(), str::to_string)
--- a/crates/cache-router/src/hand_over.rs
+++ b/crates/cache-router/src/hand_over.rs
@@ -21,7 +21,7 @@
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// A connection on its way to the successor process.
-type HandedOver = IdleConnection<TcpStream>;
+type ClientConnection = IdleConnection<TcpStream>;
 
 /// What hands this process's service over.
 pub struct HandOver {
@@ -115,7 +115,7 @@
     async fn serve_successor(&self, channel: &HandoverChannel) -> SuccessorOutcome {
         self.runtime.share_connection_slots(true);
         let mut changes = self.admin_state.subscribe();
-        let (sender, mut idle_connections) = mpsc::unbounded_channel::<HandedOver>();
+        let (sender, mut idle_connections) = mpsc::unbounded_channel::<ClientConnection>();
         let mut sender = Some(sender);
         // A connection whose hand-over has failed: this process serves it on.
         let mut returned = None;
@@ -158,7 +158,7 @@
     fn handle(
         &self,
         (message, _): Received,
-        sender: &mut Option<mpsc::UnboundedSender<HandedOver>>,
+        sender: &mut Option<mpsc::UnboundedSender<ClientConnection>>,
     ) -> Result<(), ChannelError> {
         match message {
             Message::SuccessorServes => {
@@ -178,7 +178,7 @@
 
 async fn send_connection(
     channel: &HandoverChannel,
-    connection: &HandedOver,
+    connection: &ClientConnection,
 ) -> Result<(), ChannelError> {
     let message = Message::Connection {
         unread: connection.unread.to_vec(),
--- a/crates/cache-router/src/operator_file.rs
+++ b/crates/cache-router/src/operator_file.rs
@@ -98,7 +98,7 @@
         let tables: Tables = match toml::from_str(text) {
             Ok(tables) => tables,
             Err(source) => {
-                let line = line_of(text, source.span().map_or(0, |span| span.start));
+                let line = line_number(text, source.span().map_or(0, |span| span.start));
                 return Err(OperatorFileError::Toml { path, line, source });
             }
         };
@@ -111,7 +111,7 @@
 }
 
 /// Number of the line, from 1, that holds the byte at `offset`.
-fn line_of(text: &str, offset: usize) -> usize {
+fn line_number(text: &str, offset: usize) -> usize {
     let before = text.get(..offset).unwrap_or_default();
     before.matches('\n').count() + 1
 }
--- a/crates/cache-router/src/process.rs
+++ b/crates/cache-router/src/process.rs
@@ -154,7 +154,7 @@
         };
         let endpoints = initial_endpoints(&mut configuration, state.endpoint_list.take());
         let endpoint_count = endpoints.endpoint_count();
-        let runtime = build_runtime(&configuration, settings.router_rules, endpoints)?;
+        let runtime = build_runtime(&configuration, settings.runtime_settings, endpoints)?;
         restore(&runtime, state);
         let listener = open_listener(configuration.listen)?;
         let local_addr = listener.local_addr().map_err(StartError::LocalAddress)?;
@@ -201,12 +201,12 @@
 /// All that the process reads before it starts, checked.
 struct StartSettings {
     configuration: Configuration,
-    router_rules: RouterRules,
+    runtime_settings: RuntimeSettings,
     writes_summary: bool,
 }
 
 /// What the runtime is told besides addresses, limits and endpoints.
-struct RouterRules {
+struct RuntimeSettings {
     deployment: Deployment,
     seed: u64,
     coalescing: Option<CoalescingRules>,
@@ -227,7 +227,7 @@
         };
         Ok(StartSettings {
             configuration,
-            router_rules: RouterRules {
+            runtime_settings: RuntimeSettings {
                 deployment,
                 seed,
                 coalescing,
@@ -277,17 +277,17 @@
 
 fn build_runtime(
     configuration: &Configuration,
-    rules: RouterRules,
+    settings: RuntimeSettings,
     initial_endpoints: EndpointList,
 ) -> Result<Rc<Runtime>, StartError> {
     let config = RouterConfig {
-        deployment: rules.deployment,
-        seed: rules.seed,
+        deployment: settings.deployment,
+        seed: settings.seed,
         discovery: configuration.discovery,
         initial_endpoints,
         memory_bytes: configuration.limits.memory_bytes(),
         descriptor_limit: configuration.limits.descriptors,
-        coalescing: rules.coalescing,
+        coalescing: settings.coalescing,
     };
     match RouterRuntime::new(TokioEnvironment, config) {
         Ok(runtime) => Ok(Rc::new(runtime)),
--- a/crates/cache-router/src/takeover.rs
+++ b/crates/cache-router/src/takeover.rs
@@ -75,12 +75,12 @@
     while result.is_ok() {
         result = tokio::select! {
             received = receiver.receive() => match received.and_then(interpret) {
-                Ok(Some(FromPredecessor::Connection(connection))) => {
+                Ok(Some(PredecessorMessage::Connection(connection))) => {
                     adopted_count += 1;
                     runtime.adopt_connection(connection);
                     Ok(())
                 }
-                Ok(Some(FromPredecessor::Change(message))) => {
+                Ok(Some(PredecessorMessage::AdminChange(message))) => {
                     admin_state.apply_from_peer(message);
                     Ok(())
                 }
@@ -95,15 +95,15 @@
 }
 
 /// What the process that serves sends.
-enum FromPredecessor {
+enum PredecessorMessage {
     /// A client's connection.
     Connection(IdleConnection<TcpStream>),
     /// A change that operators made there.
-    Change(Message),
+    AdminChange(Message),
 }
 
 /// What a message means; `None` for a connection that is broken.
-fn interpret(received: Received) -> Result<Option<FromPredecessor>, ChannelError> {
+fn interpret(received: Received) -> Result<Option<PredecessorMessage>, ChannelError> {
     match received {
         (
             Message::Connection {
@@ -115,7 +115,7 @@
             let stream = client_stream(descriptor).ok();
             let unread = BytesMut::from(&unread[..]);
             Ok(stream.map(|stream| {
-                FromPredecessor::Connection(IdleConnection {
+                PredecessorMessage::Connection(IdleConnection {
                     stream,
                     unread,
                     has_sent_command,
@@ -123,7 +123,7 @@
             }))
         }
         (message @ (Message::Override(..) | Message::Drained(_)), _) => {
-            Ok(Some(FromPredecessor::Change(message)))
+            Ok(Some(PredecessorMessage::AdminChange(message)))
         }
         _ => Err(MessageError::Unexpected.into()),
     }
--- a/crates/cache-router/tests/client_connections.rs
+++ b/crates/cache-router/tests/client_connections.rs
@@ -12,7 +12,7 @@
     let mut client = router.client();
     client.send("read", "00000000000000aa", 15_000);
     client.send("read", "00000000000000bb", 15_000);
-    client.write(&command(&["PING"]));
+    client.write(&encode_command(&["PING"]));
     // The server replies to the second while the first is pending: no request waits behind another.
     wait_until("both are at the server", || server.commands().len() == 2);
     assert_eq!(server.connections().accepted, 2);
@@ -25,16 +25,21 @@
 #[test]
 fn nothing_is_sent_upstream_for_a_disconnected_client() {
     let key = "7f3a9c21e0b4d655";
-    let PairFleet {
+    let TwoServerFleet {
         owner,
         other,
         router,
         ..
-    } = start_router_and_pair(key);
+    } = start_router_with_two_servers(key);
     owner.set_default_behavior(Behavior::StaySilent);
     let before = owner.commands().len();
     let mut leaving = router.client();
-    leaving.write(&command(&["C.GET", key, "left", "c=read,t=acme,d=15000"]));
+    leaving.write(&encode_command(&[
+        "C.GET",
+        key,
+        "left",
+        "c=read,t=acme,d=15000",
+    ]));
     wait_until("it is at the server", || owner.commands().len() > before);
     leaving.disconnect();
     let mut client = router.client();
@@ -53,15 +58,18 @@
 }
 
 /// Commands that are none for a cache server; all but the last ones are complete.
-fn bad_commands() -> Vec<(&'static str, Vec<u8>)> {
-    let get = |id: &str, fields: &str| command(&["C.GET", "00000000000000aa", id, fields]);
+fn malformed_commands() -> Vec<(&'static str, Vec<u8>)> {
+    let get = |id: &str, fields: &str| encode_command(&["C.GET", "00000000000000aa", id, fields]);
     let long = "x".repeat(100);
     vec![
-        ("no arguments", command(&["C.GET"])),
-        ("no fields", command(&["C.GET", "00000000000000aa", "id"])),
+        ("no arguments", encode_command(&["C.GET"])),
+        (
+            "no fields",
+            encode_command(&["C.GET", "00000000000000aa", "id"]),
+        ),
         (
             "a value too many",
-            command(&[
+            encode_command(&[
                 "C.GET",
                 "00000000000000aa",
                 "id",
@@ -71,7 +79,7 @@
         ),
         (
             "no value",
-            command(&["C.SET", "00000000000000aa", "id", "c=put,t=acme,d=400,k=1"]),
+            encode_command(&["C.SET", "00000000000000aa", "id", "c=put,t=acme,d=400,k=1"]),
         ),
         ("no class", get("id", "t=acme,d=400")),
         ("an unknown class", get("id", "c=unknown,t=acme,d=400")),
@@ -97,17 +105,17 @@
         ),
         (
             "no key",
-            command(&["C.GET", "", "id", "c=read,t=acme,d=400"]),
+            encode_command(&["C.GET", "", "id", "c=read,t=acme,d=400"]),
         ),
         (
             "no idempotency key",
-            command(&["C.SET", "00000000000000aa", "id", "c=put,t=acme,d=400", "v"]),
+            encode_command(&["C.SET", "00000000000000aa", "id", "c=put,t=acme,d=400", "v"]),
         ),
         (
             "a large value",
             b"*5\r\n$5\r\nC.SET\r\n$1\r\nk\r\n$2\r\nid\r\n$5\r\nc=put\r\n$4194305\r\n".to_vec(),
         ),
-        ("an empty name", command(&[""])),
+        ("an empty name", encode_command(&[""])),
         ("no RESP", b"GET x\r\n".to_vec()),
         (
             "a length past all bounds",
@@ -128,7 +136,7 @@
 fn a_malformed_command_gets_an_error_and_closes_its_connection() {
     let server = CacheServer::start("s-a");
     let Fleet { mut router, .. } = start_router(&[&server]);
-    for (what, bytes) in bad_commands() {
+    for (what, bytes) in malformed_commands() {
         let mut client = router.client();
         client.write_until_closed(&bytes);
         let start = Instant::now();
@@ -164,19 +172,19 @@
 fn a_huge_deadline_is_capped_by_the_class() {
     let server = CacheServer::start("s-a");
     let Fleet { mut router, .. } = start_router(&[&server]);
-    for wait in [u64::MAX.to_string(), "9".repeat(60)] {
+    for deadline_ms in [u64::MAX.to_string(), "9".repeat(60)] {
         let mut client = router.client();
-        client.write(&command(&[
+        client.write(&encode_command(&[
             "C.GET",
             "00000000000000aa",
             "id",
-            &format!("c=read,t=acme,d={wait}"),
+            &format!("c=read,t=acme,d={deadline_ms}"),
         ]));
         assert!(client.read_reply().unwrap().contains("s-a"));
     }
     for arguments in server.commands() {
-        let wait: u64 = arguments[3].rsplit("d=").next().unwrap().parse().unwrap();
-        assert!((1..=4_000).contains(&wait), "{wait}");
+        let deadline_ms: u64 = arguments[3].rsplit("d=").next().unwrap().parse().unwrap();
+        assert!((1..=4_000).contains(&deadline_ms), "{deadline_ms}");
     }
     assert!(router.is_running());
 }
@@ -184,20 +192,20 @@
 /// A retry with less than a millisecond left says `d=0`. Guards against its error ending the connection and losing the
 /// requests around it.
 #[test]
-fn a_request_without_time_left_loses_no_request_of_its_pipeline() {
+fn an_expired_request_does_not_affect_the_rest_of_its_pipeline() {
     let server = CacheServer::start("s-a");
     let Fleet { mut router, .. } = start_router(&[&server]);
-    for (before, behind) in [(0, 1), (1, 1), (9, 10), (20, 43)] {
+    for (before, after) in [(0, 1), (1, 1), (9, 10), (20, 43)] {
         for late in [
-            command(&["C.GET", "00000000000000aa", "late", "c=read,t=acme,d=0"]),
-            command(&[
+            encode_command(&["C.GET", "00000000000000aa", "late", "c=read,t=acme,d=0"]),
+            encode_command(&[
                 "C.SET",
                 "00000000000000aa",
                 "late",
                 "c=put,t=acme,d=0,k=1",
                 "v",
             ]),
-            command(&[
+            encode_command(&[
                 "C.SET",
                 "00000000000000aa",
                 "late",
@@ -207,10 +215,10 @@
         ] {
             let mut client = router.client();
             let mut bytes = Vec::new();
-            for number in 0..before + 1 + behind {
+            for number in 0..before + 1 + after {
                 match number == before {
                     true => bytes.extend_from_slice(&late),
-                    false => bytes.extend(command(&[
+                    false => bytes.extend(encode_command(&[
                         "C.GET",
                         &format!("{number:016x}"),
                         &format!("id{number}"),
@@ -219,7 +227,7 @@
                 }
             }
             client.write(&bytes);
-            for number in 0..before + 1 + behind {
+            for number in 0..before + 1 + after {
                 let reply = client.read_reply().expect("a reply");
                 match number == before {
                     true => assert!(reply.starts_with("-BUSY"), "{reply}"),
@@ -290,13 +298,13 @@
     let server = CacheServer::start("s-a");
     server.set_behavior("00000000000000aa", Behavior::ServeOnceGateOpens);
     let Fleet { router, .. } = start_router(&[&server]);
-    let bytes = command(&["C.GET", "00000000000000aa", "same", "c=read,t=acme,d=4000"]);
+    let bytes = encode_command(&["C.GET", "00000000000000aa", "same", "c=read,t=acme,d=4000"]);
     let (mut first, mut second) = (router.client(), router.client());
     first.write(&bytes);
     wait_until("it is at the server", || server.commands().len() == 1);
     second.write(&bytes);
     // The requests around it on its connection are answered as well.
-    let around = |key: &str, id: &str| command(&["C.GET", key, id, "c=read,t=acme,d=4000"]);
+    let around = |key: &str, id: &str| encode_command(&["C.GET", key, id, "c=read,t=acme,d=4000"]);
     second.write(&around("00000000000000cc", "before"));
     second.write(&bytes);
     second.write(&around("00000000000000dd", "behind"));
@@ -312,7 +320,7 @@
     // It is free after a disconnect as well.
     let mut leaving = router.client();
     server.set_behavior("00000000000000bb", Behavior::StaySilent);
-    let left = command(&["C.GET", "00000000000000bb", "left", "c=read,t=acme,d=4000"]);
+    let left = encode_command(&["C.GET", "00000000000000bb", "left", "c=read,t=acme,d=4000"]);
     leaving.write(&left);
     wait_until("it is at the server", || server.commands().len() == 5);
     drop(leaving);
@@ -326,7 +334,7 @@
 
 /// A client that never sends a complete command is closed in time; one that has sent one keeps its connection.
 #[test]
-fn clients_that_stay_silent_or_send_half_a_command_are_closed() {
+fn clients_that_send_no_complete_command_are_disconnected() {
     let server = CacheServer::start("s-a");
     let Fleet { router, .. } = start_router(&[&server]);
     let (mut silent, mut half, mut active, mut stuck) = (
@@ -354,16 +362,16 @@
 
 /// Hundreds of silent connections take neither the descriptors of active clients nor their service.
 #[test]
-fn active_clients_are_served_beside_many_silent_ones() {
+fn active_clients_are_served_despite_many_silent_ones() {
     let server = CacheServer::start("s-a");
-    let discovery = Discovery::start(list(7, false, &[]));
+    let discovery = Discovery::start(endpoint_list(7, false, &[]));
     let mut config = configuration(discovery.addr, &[server.entry("up")]);
     config["limits"]["sockets"] = 96.into();
-    let mut router = RouterProcess::start_after(&config, "ulimit -n 96;");
+    let mut router = RouterProcess::start_with_shell_commands(&config, "ulimit -n 96;");
     let mut active: Vec<Client> = (0..4).map(|_| router.client()).collect();
-    let mut crowd = Vec::new();
+    let mut silent_clients = Vec::new();
     for round in 0..30 {
-        crowd.extend((0..20).map(|_| router.client()));
+        silent_clients.extend((0..20).map(|_| router.client()));
         for client in &mut active {
             // One that the router closed between two requests comes anew.
             client.send("read", "00000000000000aa", 4_000);
@@ -377,7 +385,7 @@
     }
     assert!(router.is_running());
     assert!(
-        !router.log_has("accepting a client"),
+        !router.log_contains("accepting a client"),
         "it never ran out of descriptors"
     );
     wait_until("the crowd is closed", || router.descriptors() < 30);
@@ -386,7 +394,7 @@
 #[test]
 fn a_client_over_the_limit_replaces_the_longest_idle() {
     let server = CacheServer::start("s-a");
-    let discovery = Discovery::start(list(7, false, &[]));
+    let discovery = Discovery::start(endpoint_list(7, false, &[]));
     let mut config = configuration(discovery.addr, &[server.entry("up")]);
     config["limits"]["sockets"] = 56.into();
     let router = RouterProcess::start(&config);
@@ -398,15 +406,17 @@
 }
 
 #[test]
-fn running_out_of_descriptors_does_not_end_the_process() {
+fn running_out_of_descriptors_does_not_stop_the_process() {
     let server = CacheServer::start("s-a");
-    let discovery = Discovery::start(list(7, false, &[]));
-    let mut router = RouterProcess::start_after(
+    let discovery = Discovery::start(endpoint_list(7, false, &[]));
+    let mut router = RouterProcess::start_with_shell_commands(
         &configuration(discovery.addr, &[server.entry("up")]),
         "ulimit -n 24;",
     );
     let mut clients: Vec<Client> = (0..40).map(|_| router.client()).collect();
-    wait_until("it has run out", || router.log_has("accepting a client"));
+    wait_until("it has run out", || {
+        router.log_contains("accepting a client")
+    });
     clients.truncate(2);
     assert!(
         router
@@ -428,7 +438,7 @@
 #[test]
 fn new_clients_of_a_full_router_are_served() {
     let server = CacheServer::start("s-a");
-    let discovery = Discovery::start(list(7, false, &[]));
+    let discovery = Discovery::start(endpoint_list(7, false, &[]));
     let mut config = configuration(discovery.addr, &[server.entry("up")]);
     // Slots for 24 clients.
     config["limits"]["sockets"] = 96.into();
@@ -437,20 +447,20 @@
         let mut idle: Vec<Client> = (0..24).map(|_| router.client()).collect();
         let pong = Some("+PONG\r\n");
         for client in &mut idle {
-            client.write(&command(&["PING"]));
+            client.write(&encode_command(&["PING"]));
             assert_eq!(client.read_reply().as_deref(), pong);
         }
         let start = Instant::now();
-        let mut newcomers: Vec<Client> = (0..6).map(|_| router.client()).collect();
+        let mut new_clients: Vec<Client> = (0..6).map(|_| router.client()).collect();
         // The last is answered once all are accepted and have made room for themselves.
         let mut last = router.client();
-        last.write(&command(&["PING"]));
+        last.write(&encode_command(&["PING"]));
         let _ = last.read_reply();
         // On a machine that stood still meanwhile they had their time.
         let in_time = start.elapsed().as_millis() < 80;
-        for (number, client) in newcomers.iter_mut().enumerate().filter(|_| in_time) {
-            client.write_until_closed(&command(&["PING"]));
-            assert_eq!(client.read_reply().as_deref(), pong, "newcomer {number}");
+        for (number, client) in new_clients.iter_mut().enumerate().filter(|_| in_time) {
+            client.write_until_closed(&encode_command(&["PING"]));
+            assert_eq!(client.read_reply().as_deref(), pong, "new client {number}");
         }
         in_time
     });
@@ -460,19 +470,19 @@
 #[test]
 fn idle_clients_keep_a_quarter_of_the_connection_slots() {
     let server = CacheServer::start("s-a");
-    let discovery = Discovery::start(list(7, false, &[]));
+    let discovery = Discovery::start(endpoint_list(7, false, &[]));
     let mut config = configuration(discovery.addr, &[server.entry("up")]);
     // Slots for 24 clients.
     config["limits"]["sockets"] = 96.into();
     let router = RouterProcess::start(&config);
-    let few = router.descriptors();
+    let baseline = router.descriptors();
     let mut clients: Vec<Client> = (0..22).map(|_| router.client()).collect();
     for client in &mut clients {
         assert!(client.request("read", "00000000000000aa").contains("s-a"));
     }
     // A few of the slots are connections to the server.
     wait_until("most places are free", || {
-        router.descriptors() <= few + 6 + 4
+        router.descriptors() <= baseline + 6 + 4
     });
     assert_eq!(
         clients[0].read_reply(),
--- a/crates/cache-router/tests/client_disconnects.rs
+++ b/crates/cache-router/tests/client_disconnects.rs
@@ -4,7 +4,7 @@
 use test_support::*;
 
 /// The ids of the commands that have reached a server.
-fn ids(server: &CacheServer) -> Vec<String> {
+fn received_ids(server: &CacheServer) -> Vec<String> {
     server
         .commands()
         .into_iter()
@@ -12,24 +12,28 @@
         .collect()
 }
 
-fn get(key: &str, id: &str) -> Vec<u8> {
-    command(&["C.GET", key, id, "c=read,t=acme,d=15000"])
+fn encode_read(key: &str, id: &str) -> Vec<u8> {
+    encode_command(&["C.GET", key, id, "c=read,t=acme,d=15000"])
 }
 
 const KEY: &str = "7f3a9c21e0b4d655";
 
-/// A router that knows one server, to which connections are established once the fillers are dropped.
-fn router_of_a_hung_server() -> (
+/// A router that knows one server, to which connections are established once the filling connections are dropped.
+fn start_router_with_unresponsive_server() -> (
     RouterProcess,
     Discovery,
     std::net::TcpListener,
     Vec<std::net::TcpStream>,
 ) {
-    let (silent, fillers) = unresponsive_listener();
-    let discovery = Discovery::start(list(7, false, &[]));
+    let (silent_listener, backlog_connections) = unresponsive_listener();
+    let discovery = Discovery::start(endpoint_list(7, false, &[]));
     let mut config = configuration(
         discovery.addr,
-        &[entry("s-a", silent.local_addr().unwrap(), "up")],
+        &[endpoint_entry(
+            "s-a",
+            silent_listener.local_addr().unwrap(),
+            "up",
+        )],
     );
     config["settings"]["limits"]["dial_timeout"] = 15.0.into();
     for class in config["settings"]["request_classes"]
@@ -40,30 +44,31 @@
     }
     let router =
         RouterProcess::start_with_operator_file(&config, "[summary]\nevery_second = true\n");
-    (router, discovery, silent, fillers)
+    (router, discovery, silent_listener, backlog_connections)
 }
 
 #[test]
-fn a_connection_established_after_the_disconnect_carries_nothing_and_is_pooled() {
-    let (router, discovery, silent, fillers) = router_of_a_hung_server();
+fn a_connection_established_after_the_disconnect_is_pooled_unused() {
+    let (router, discovery, silent_listener, backlog_connections) =
+        start_router_with_unresponsive_server();
     let mut leaving = router.client();
-    leaving.write(&command(&["PING"]));
+    leaving.write(&encode_command(&["PING"]));
     assert_eq!(leaving.read_reply().as_deref(), Some("+PONG\r\n"));
     wait_until("the router watches", || !discovery.calls().is_empty());
     let before = router.descriptors();
-    leaving.write(&get(KEY, "left"));
+    leaving.write(&encode_read(KEY, "left"));
     wait_until("it dials", || router.descriptors() > before);
     // The router has seen the disconnect before the connection can be established.
     leaving.disconnect();
-    drop(fillers);
-    let server = CacheServer::on("s-a", silent);
-    wait_until("the connection is up", || router.log_has(" opened=1 "));
+    drop(backlog_connections);
+    let server = CacheServer::start_on("s-a", silent_listener);
+    wait_until("the connection is up", || router.log_contains(" opened=1 "));
     let mut client = router.client();
-    client.write(&get(KEY, "stayed"));
+    client.write(&encode_read(KEY, "stayed"));
     assert!(client.read_reply().unwrap().contains("s-a"));
-    assert_eq!(ids(&server), ["stayed"]);
+    assert_eq!(received_ids(&server), ["stayed"]);
     wait_until("it went out on that connection", || {
-        router.log_has(" written=1 ")
+        router.log_contains(" written=1 ")
     });
     assert_eq!(
         router
@@ -81,7 +86,7 @@
 fn a_request_waiting_for_a_connection_slot_is_not_sent_after_the_disconnect() {
     let server = CacheServer::start("s-a");
     server.set_default_behavior(Behavior::StaySilent);
-    let discovery = Discovery::start(list(7, false, &[]));
+    let discovery = Discovery::start(endpoint_list(7, false, &[]));
     let mut config = configuration(discovery.addr, &[server.entry("up")]);
     // Slots for two clients and two connections to cache servers.
     config["limits"]["sockets"] = 52.into();
@@ -98,7 +103,7 @@
     client.send("once", KEY, 15_000);
     wait_until("both places are taken", || server.commands().len() == 2);
     let mut leaving = router.client();
-    leaving.write(&get(KEY, "left"));
+    leaving.write(&encode_read(KEY, "left"));
     leaving.disconnect();
     server.set_default_behavior(Behavior::Serve);
     server.close_connections();
@@ -106,12 +111,12 @@
         client.read_reply().unwrap().starts_with("-ERR")
             && client.read_reply().unwrap().starts_with("-ERR")
     );
-    client.write(&get(KEY, "stayed"));
+    client.write(&encode_read(KEY, "stayed"));
     assert!(client.read_reply().unwrap().contains("s-a"));
     assert!(
-        !ids(&server).contains(&"left".to_string()),
+        !received_ids(&server).contains(&"left".to_string()),
         "{:?}",
-        ids(&server)
+        received_ids(&server)
     );
 }
 
@@ -121,25 +126,28 @@
     let Fleet { router, discovery } = start_router(&[&server]);
     server.set_behavior(KEY, Behavior::ServeOnceGateOpens);
     let mut client = router.client();
-    client.write(&get(KEY, "before"));
+    client.write(&encode_read(KEY, "before"));
     wait_until("it is at the server", || server.commands().len() == 1);
-    let anew = server
+    let restarted = server
         .entry("up")
         .replace(r#""born_ms":0"#, r#""born_ms":1700000000000"#);
-    discovery.write_to_watch(&format!("{}\n", list(8, false, &[anew, new.entry("up")])));
+    discovery.write_to_watch(&format!(
+        "{}\n",
+        endpoint_list(8, false, &[restarted, new.entry("up")])
+    ));
     // Requests for one key after another, until a reply of the new server shows that the list is applied.
     let (mut other, mut key) = (router.client(), 0);
     wait_until("the list is known", || {
         key += 1;
-        let asked = format!("{key:016x}");
+        let probe_key = format!("{key:016x}");
         // What is not the new server's hangs at the other, and tells nothing.
-        server.set_behavior(&asked, Behavior::Reply(value_reply("old")));
-        other.request("read", &asked).contains("s-b")
+        server.set_behavior(&probe_key, Behavior::Reply(value_reply("old")));
+        other.request("read", &probe_key).contains("s-b")
     });
     let opened = server.connections().accepted;
     server.open_gate();
     assert!(client.read_reply().unwrap().contains("s-a"));
-    let used = |id: &str| {
+    let connection_of = |id: &str| {
         server
             .recorded_commands()
             .into_iter()
@@ -151,13 +159,13 @@
     std::thread::sleep(std::time::Duration::from_millis(100));
     // As many at once as there may be pooled connections.
     for number in 0..=opened {
-        client.write(&get("000000000000aaaa", &format!("after-{number}")));
-        client.write(&get(KEY, &format!("same-{number}")));
+        client.write(&encode_read("000000000000aaaa", &format!("after-{number}")));
+        client.write(&encode_read(KEY, &format!("same-{number}")));
     }
     for _ in 0..=opened {
         assert!(client.read_reply().is_some() && client.read_reply().is_some());
     }
-    let before = used("before");
+    let before = connection_of("before");
     assert!(
         server
             .recorded_commands()
@@ -168,32 +176,36 @@
 
 /// The end of the stream follows commands that are not read, since the pipeline is full.
 #[test]
-fn a_disconnect_behind_a_full_pipeline_is_seen() {
-    let (router, _discovery, silent, fillers) = router_of_a_hung_server();
+fn a_disconnect_behind_a_full_pipeline_is_detected() {
+    let (router, _discovery, silent_listener, backlog_connections) =
+        start_router_with_unresponsive_server();
     let mut leaving = router.client();
-    (0..100).for_each(|number| leaving.write(&get(KEY, &format!("left-{number}"))));
+    (0..100).for_each(|number| leaving.write(&encode_read(KEY, &format!("left-{number}"))));
     // Long before the deadline of the first request, without a reply.
     leaving.disconnect();
-    drop(fillers);
-    let server = CacheServer::on("s-a", silent);
+    drop(backlog_connections);
+    let server = CacheServer::start_on("s-a", silent_listener);
     // A request that nobody waits for keeps its share of the server until its connection is established.
     let mut client = router.client();
     wait_until("the server is free", || {
         client.request("read", KEY).contains("s-a")
     });
     assert!(
-        ids(&server).iter().all(|id| !id.starts_with("left")),
+        received_ids(&server)
+            .iter()
+            .all(|id| !id.starts_with("left")),
         "{:?}",
-        ids(&server)
+        received_ids(&server)
     );
 }
 
 /// The error is still sent, but the requests before it are cancelled.
 #[test]
-fn a_disconnect_after_a_malformed_command_is_seen() {
-    let (router, _discovery, silent, fillers) = router_of_a_hung_server();
+fn a_disconnect_after_a_malformed_command_is_detected() {
+    let (router, _discovery, silent_listener, backlog_connections) =
+        start_router_with_unresponsive_server();
     let mut leaving = router.client();
-    leaving.write(&get(KEY, "left"));
+    leaving.write(&encode_read(KEY, "left"));
     leaving.write(b"what?\r\n");
     let start = std::time::Instant::now();
     leaving.shutdown_write();
@@ -202,10 +214,10 @@
         b"-ERR failed\r\n-ERR protocol error\r\n"
     );
     assert!(start.elapsed().as_secs() < 10, "long before its time is up");
-    drop(fillers);
-    let server = CacheServer::on("s-a", silent);
+    drop(backlog_connections);
+    let server = CacheServer::start_on("s-a", silent_listener);
     let mut client = router.client();
-    client.write(&get(KEY, "stayed"));
+    client.write(&encode_read(KEY, "stayed"));
     assert!(client.read_reply().unwrap().contains("s-a"));
-    assert_eq!(ids(&server), ["stayed"]);
+    assert_eq!(received_ids(&server), ["stayed"]);
 }
--- a/crates/cache-router/tests/coalesced_reads.rs
+++ b/crates/cache-router/tests/coalesced_reads.rs
@@ -7,46 +7,46 @@
 
 /// Starts a router with this operator file that knows these cache servers.
 fn start_router_with_operator_file(
-    operator: &str,
+    operator_file: &str,
     servers: &[&CacheServer],
     change: impl FnOnce(&mut serde_json::Value),
 ) -> Fleet {
-    let discovery = Discovery::start(list(7, false, &[]));
+    let discovery = Discovery::start(endpoint_list(7, false, &[]));
     let known: Vec<String> = servers.iter().map(|server| server.entry("up")).collect();
     let mut config = configuration(discovery.addr, &known);
     config["settings"]["limits"]["cancel"] = true.into();
     change(&mut config);
-    let router = RouterProcess::start_with_operator_file(&config, operator);
+    let router = RouterProcess::start_with_operator_file(&config, operator_file);
     wait_until("the router watches", || !discovery.calls().is_empty());
     Fleet { router, discovery }
 }
 
-fn two_tenants(config: &mut serde_json::Value) {
+fn configure_two_tenants(config: &mut serde_json::Value) {
     let customer =
         |name: &str| serde_json::json!({"name": name, "quota_per_s": 100.0, "share": 0.5});
     config["settings"]["customers"] = serde_json::json!([customer("acme"), customer("bima")]);
 }
 
-const READS: &str = "[joining]\nclasses = [\"read\"]\n";
+const COALESCE_READS: &str = "[joining]\nclasses = [\"read\"]\n";
 
-fn joining(servers: &[&CacheServer]) -> Fleet {
-    start_router_with_operator_file(READS, servers, |_| {})
+fn start_coalescing_router(servers: &[&CacheServer]) -> Fleet {
+    start_router_with_operator_file(COALESCE_READS, servers, |_| {})
 }
 
-fn fields(client: usize, number: usize, wait_ms: u64) -> Vec<u8> {
+fn encode_read(client: usize, number: usize, deadline_ms: u64) -> Vec<u8> {
     let (id, fields) = (
         format!("crowd-{client}-{number}"),
-        format!("c=read,t=acme,d={wait_ms}"),
+        format!("c=read,t=acme,d={deadline_ms}"),
     );
-    command(&["C.GET", KEY, &id, &fields])
+    encode_command(&["C.GET", KEY, &id, &fields])
 }
 
 /// Sends 500 reads for the key over 50 connections.
-fn crowd(router: &RouterProcess, wait_ms: u64) -> Vec<Client> {
+fn send_many_reads(router: &RouterProcess, deadline_ms: u64) -> Vec<Client> {
     let mut clients: Vec<Client> = (0..50).map(|_| router.client()).collect();
-    for (place, client) in clients.iter_mut().enumerate() {
+    for (index, client) in clients.iter_mut().enumerate() {
         let bytes: Vec<u8> = (0..10)
-            .flat_map(|number| fields(place, number, wait_ms))
+            .flat_map(|number| encode_read(index, number, deadline_ms))
             .collect();
         client.write(&bytes);
     }
@@ -54,16 +54,16 @@
 }
 
 /// Reads their replies: how many are served, and how many declined.
-fn answers(clients: &mut [Client]) -> (usize, usize) {
-    let (mut served, mut refused) = (0, 0);
+fn count_replies(clients: &mut [Client]) -> (usize, usize) {
+    let (mut served, mut rejected) = (0, 0);
     for client in clients {
         for _ in 0..10 {
             let answer = client.read_reply().expect("an answer");
             served += usize::from(answer.starts_with('*'));
-            refused += usize::from(answer.starts_with("-BUSY "));
+            rejected += usize::from(answer.starts_with("-BUSY "));
         }
     }
-    (served, refused)
+    (served, rejected)
 }
 
 /// Waits until so many reads wait for a flight.
@@ -79,14 +79,14 @@
 }
 
 #[test]
-fn five_hundred_identical_reads_at_once_are_one_fetch() {
+fn five_hundred_concurrent_identical_reads_share_one_fetch() {
     let server = CacheServer::start("s-a");
     server.set_behavior(KEY, Behavior::ServeOnceGateOpens);
-    let Fleet { router, .. } = joining(&[&server]);
-    let mut clients = crowd(&router, 4_000);
+    let Fleet { router, .. } = start_coalescing_router(&[&server]);
+    let mut clients = send_many_reads(&router, 4_000);
     wait_for_waiters(&router, 500);
     server.open_gate();
-    assert_eq!(answers(&mut clients), (500, 0));
+    assert_eq!(count_replies(&mut clients), (500, 0));
     assert_eq!(server.commands().len(), 1);
     assert!(
         clients[0].request("read", KEY).starts_with('*'),
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn invalid_coalescing_rules_end_the_start_in_one_line() {
+fn invalid_coalescing_rules_prevent_the_start_with_a_one_line_error() {
     let rows = [
         (
             "classes = [\"put\"]",
@@ -135,12 +135,12 @@
 #[test]
 fn a_failed_flight_is_retried_once_for_all_waiters() {
     let (a, b) = (CacheServer::start("s-a"), CacheServer::start("s-b"));
-    let owner = if key_is_at(&a, &b) { &a } else { &b };
+    let owner = if owns_key(&a, &b) { &a } else { &b };
     owner.set_behavior(KEY, Behavior::ReplyAfter(300, b"-BUSY\r\n".to_vec()));
-    let Fleet { router, .. } = joining(&[&a, &b]);
-    let mut clients = crowd(&router, 4_000);
-    assert_eq!(answers(&mut clients), (500, 0));
-    let of_key = |server: &CacheServer| {
+    let Fleet { router, .. } = start_coalescing_router(&[&a, &b]);
+    let mut clients = send_many_reads(&router, 4_000);
+    assert_eq!(count_replies(&mut clients), (500, 0));
+    let attempts_for_key = |server: &CacheServer| {
         server
             .commands()
             .iter()
@@ -148,12 +148,12 @@
             .count()
     };
     // Reads after the reply start another flight; none has a flight of its own.
-    let sent = of_key(&a) + of_key(&b);
+    let sent = attempts_for_key(&a) + attempts_for_key(&b);
     assert!((2..20).contains(&sent), "{sent}");
 }
 
 /// Whether the first of two servers owns the key.
-fn key_is_at(a: &CacheServer, b: &CacheServer) -> bool {
+fn owns_key(a: &CacheServer, b: &CacheServer) -> bool {
     let Fleet { router, .. } = start_router(&[a, b]);
     assert!(router.client().request("read", KEY).contains("s-"));
     !a.commands().is_empty()
@@ -163,12 +163,12 @@
 fn each_waiter_expires_at_its_own_deadline_and_the_latest_extends_the_flight() {
     let server = CacheServer::start("s-a");
     server.set_behavior(KEY, Behavior::ReplyAfter(1_500, value_reply("s-a")));
-    let Fleet { router, .. } = joining(&[&server]);
+    let Fleet { router, .. } = start_coalescing_router(&[&server]);
     let start = Instant::now();
     let (mut first, mut second) = (router.client(), router.client());
-    first.write(&fields(0, 0, 300));
+    first.write(&encode_read(0, 0, 300));
     wait_for_waiters(&router, 1);
-    second.write(&fields(1, 0, 4_000));
+    second.write(&encode_read(1, 0, 4_000));
     assert!(first.read_reply().expect("an answer").starts_with("-BUSY "));
     let elapsed_ms = start.elapsed().as_millis();
     assert!((300..1_400).contains(&elapsed_ms), "{elapsed_ms}");
@@ -180,11 +180,11 @@
 fn a_flight_continues_without_its_leader_and_is_cancelled_without_waiters() {
     let server = CacheServer::start("s-a");
     server.set_behavior(KEY, Behavior::ServeOnceGateOpens);
-    let Fleet { router, .. } = joining(&[&server]);
+    let Fleet { router, .. } = start_coalescing_router(&[&server]);
     let (mut leader, mut other) = (router.client(), router.client());
-    leader.write(&fields(0, 0, 4_000));
+    leader.write(&encode_read(0, 0, 4_000));
     wait_for_waiters(&router, 1);
-    other.write(&fields(1, 0, 4_000));
+    other.write(&encode_read(1, 0, 4_000));
     wait_for_waiters(&router, 2);
     drop(leader);
     wait_for_waiters(&router, 1);
@@ -194,7 +194,7 @@
     // The next flight has no waiter left.
     server.set_behavior(KEY, Behavior::StaySilent);
     let mut alone = router.client();
-    alone.write(&fields(2, 0, 4_000));
+    alone.write(&encode_read(2, 0, 4_000));
     wait_until("it is out", || server.commands().len() == 2);
     let ended = server.connections().closed;
     drop(alone);
@@ -204,9 +204,9 @@
 }
 
 #[test]
-fn reads_after_a_hanging_flight_start_a_second_and_no_third() {
+fn reads_after_a_hanging_flight_start_one_replacement_flight() {
     let server = CacheServer::start("s-a");
-    let Fleet { router, .. } = joining(&[&server]);
+    let Fleet { router, .. } = start_coalescing_router(&[&server]);
     let mut client = router.client();
     for key in 0..80 {
         assert!(
@@ -220,7 +220,7 @@
     let mut clients = Vec::new();
     for number in 0..6 {
         let mut client = router.client();
-        client.write(&fields(number, 0, 3_000));
+        client.write(&encode_read(number, 0, 3_000));
         clients.push(client);
         std::thread::sleep(Duration::from_millis(200));
     }
@@ -236,21 +236,21 @@
 }
 
 #[test]
-fn a_read_after_a_write_has_a_reply_of_its_own() {
-    for write in [value_reply("s-a"), b"-ERR failed\r\n".to_vec()] {
+fn a_read_after_a_write_does_not_join_an_earlier_flight() {
+    for write_reply in [value_reply("s-a"), b"-ERR failed\r\n".to_vec()] {
         let server = CacheServer::start("s-a");
         server.set_behavior(KEY, Behavior::ServeOnceGateOpens);
-        let Fleet { router, .. } = joining(&[&server]);
+        let Fleet { router, .. } = start_coalescing_router(&[&server]);
         let mut clients: Vec<Client> = (0..4).map(|_| router.client()).collect();
-        clients[0].write(&fields(0, 0, 4_000));
+        clients[0].write(&encode_read(0, 0, 4_000));
         wait_until("it is out", || server.commands().len() == 1);
-        server.set_behavior(KEY, Behavior::Reply(write.clone()));
+        server.set_behavior(KEY, Behavior::Reply(write_reply.clone()));
         let reply = clients[1].request("put", KEY);
-        assert_eq!(reply.as_bytes().first(), write.first());
+        assert_eq!(reply.as_bytes().first(), write_reply.first());
         server.set_behavior(KEY, Behavior::ServeOnceGateOpens);
-        clients[2].write(&fields(2, 0, 4_000));
+        clients[2].write(&encode_read(2, 0, 4_000));
         wait_for_waiters(&router, 2);
-        clients[3].write(&fields(3, 0, 4_000));
+        clients[3].write(&encode_read(3, 0, 4_000));
         wait_for_waiters(&router, 3);
         let reads = || {
             server
@@ -261,9 +261,9 @@
         };
         wait_until("those after the write are out", || reads() == 2);
         server.open_gate();
-        for place in [0, 2, 3] {
+        for index in [0, 2, 3] {
             assert!(
-                clients[place]
+                clients[index]
                     .read_reply()
                     .expect("an answer")
                     .starts_with('*')
@@ -274,26 +274,26 @@
 }
 
 #[test]
-fn a_large_reply_reaches_all_waiters_and_slow_readers_delay_nobody() {
+fn a_large_reply_reaches_all_waiters_despite_slow_readers() {
     let server = CacheServer::start("s-a");
     server.set_behavior(
         KEY,
         Behavior::ReplyAfter(1_000, value_reply(&"x".repeat(65_536))),
     );
-    let Fleet { router, .. } = joining(&[&server]);
-    let mut deaf: Vec<Client> = (0..10).map(|_| router.client()).collect();
-    for (place, client) in deaf.iter_mut().enumerate() {
+    let Fleet { router, .. } = start_coalescing_router(&[&server]);
+    let mut slow_readers: Vec<Client> = (0..10).map(|_| router.client()).collect();
+    for (index, client) in slow_readers.iter_mut().enumerate() {
         let bytes: Vec<u8> = (0..60)
-            .flat_map(|number| fields(1_000 + place, number, 4_000))
+            .flat_map(|number| encode_read(1_000 + index, number, 4_000))
             .collect();
         client.write(&bytes);
     }
-    let mut clients = crowd(&router, 4_000);
+    let mut clients = send_many_reads(&router, 4_000);
     let before = router.memory_kb();
-    assert_eq!(answers(&mut clients), (500, 0));
+    assert_eq!(count_replies(&mut clients), (500, 0));
     // 1,100 waiters, of which 600 do not read: copies for these alone would take 39 MB.
-    let grown = router.memory_kb().saturating_sub(before);
-    assert!(grown < 20_000, "{grown} KB");
+    let growth_kb = router.memory_kb().saturating_sub(before);
+    assert!(growth_kb < 20_000, "{growth_kb} KB");
     assert!(server.commands().len() < 10, "{}", server.commands().len());
 }
 
@@ -301,27 +301,30 @@
 fn at_sigterm_all_waiters_of_a_flight_are_answered() {
     let server = CacheServer::start("s-a");
     server.set_behavior(KEY, Behavior::ServeOnceGateOpens);
-    let Fleet { mut router, .. } = joining(&[&server]);
-    let mut clients = crowd(&router, 4_000);
+    let Fleet { mut router, .. } = start_coalescing_router(&[&server]);
+    let mut clients = send_many_reads(&router, 4_000);
     wait_for_waiters(&router, 500);
     router.terminate();
     server.open_gate();
-    assert_eq!(answers(&mut clients), (500, 0));
+    assert_eq!(count_replies(&mut clients), (500, 0));
     assert!(router.wait().success());
-    assert!(router.log_has("stopped, all answered"));
+    assert!(router.log_contains("stopped, all answered"));
 }
 
 #[test]
 fn a_flight_survives_its_servers_drain_and_a_list_change() {
     let (a, b) = (CacheServer::start("s-a"), CacheServer::start("s-b"));
-    let owner = if key_is_at(&a, &b) { &a } else { &b };
+    let owner = if owns_key(&a, &b) { &a } else { &b };
     owner.set_behavior(KEY, Behavior::ServeOnceGateOpens);
     let before = owner.commands().len();
-    let Fleet { router, discovery } = joining(&[&a, &b]);
-    let mut clients = crowd(&router, 4_000);
+    let Fleet { router, discovery } = start_coalescing_router(&[&a, &b]);
+    let mut clients = send_many_reads(&router, 4_000);
     wait_for_waiters(&router, 500);
     wait_until("the flight is out", || owner.commands().len() > before);
-    discovery.write_to_watch(&format!("{}\n", list(8, false, &[owner.entry("draining")])));
+    discovery.write_to_watch(&format!(
+        "{}\n",
+        endpoint_list(8, false, &[owner.entry("draining")])
+    ));
     let (mut other, mut key) = (router.client(), 0);
     wait_until("the drain is known", || {
         let had = owner.commands().len();
@@ -337,10 +340,10 @@
         owner.commands().len() == had
     });
     let mut late = router.client();
-    late.write(&fields(99, 0, 4_000));
+    late.write(&encode_read(99, 0, 4_000));
     wait_for_waiters(&router, 501);
     owner.open_gate();
-    assert_eq!(answers(&mut clients), (500, 0));
+    assert_eq!(count_replies(&mut clients), (500, 0));
     assert!(late.read_reply().expect("an answer").contains(&owner.name));
     assert_eq!(
         owner.commands()[before..]
@@ -355,15 +358,15 @@
 fn reads_over_the_waiter_limit_are_not_coalesced() {
     let server = CacheServer::start("s-a");
     server.set_behavior(KEY, Behavior::ServeOnceGateOpens);
-    let operator = format!("{READS}bounds = {{ waiters_per_flight = 3 }}\n");
-    let Fleet { router, .. } = start_router_with_operator_file(&operator, &[&server], |_| {});
+    let operator_file = format!("{COALESCE_READS}bounds = {{ waiters_per_flight = 3 }}\n");
+    let Fleet { router, .. } = start_router_with_operator_file(&operator_file, &[&server], |_| {});
     let mut clients: Vec<Client> = (0..5).map(|_| router.client()).collect();
-    for (place, client) in clients.iter_mut().enumerate() {
-        client.write(&fields(place, 0, 4_000));
+    for (index, client) in clients.iter_mut().enumerate() {
+        client.write(&encode_read(index, 0, 4_000));
         wait_until("it is taken", || {
-            place < 3 || server.commands().len() == place - 1
+            index < 3 || server.commands().len() == index - 1
         });
-        if place == 2 {
+        if index == 2 {
             wait_for_waiters(&router, 3);
         }
     }
@@ -380,8 +383,9 @@
 fn reads_are_coalesced_unless_a_field_differs() {
     let server = CacheServer::start("s-a");
     server.set_behavior(KEY, Behavior::ServeOnceGateOpens);
-    let operator = format!("{READS}ignore = [\"trace\"]\nper_tenant = true\n");
-    let Fleet { router, .. } = start_router_with_operator_file(&operator, &[&server], two_tenants);
+    let operator_file = format!("{COALESCE_READS}ignore = [\"trace\"]\nper_tenant = true\n");
+    let Fleet { router, .. } =
+        start_router_with_operator_file(&operator_file, &[&server], configure_two_tenants);
     let mut client = router.client();
     let reads = [
         "c=read,t=acme,d=4000",
@@ -391,8 +395,13 @@
         "d=4000,size=2,c=read,t=acme",
         "c=read,t=bima,d=4000",
     ];
-    for (place, fields) in reads.iter().enumerate() {
-        client.write(&command(&["C.GET", KEY, &format!("id-{place}"), fields]));
+    for (index, fields) in reads.iter().enumerate() {
+        client.write(&encode_command(&[
+            "C.GET",
+            KEY,
+            &format!("id-{index}"),
+            fields,
+        ]));
     }
     wait_for_waiters(&router, reads.len());
     wait_until("all are out", || server.commands().len() >= 3);
@@ -409,40 +418,36 @@
 #[test]
 fn waiters_without_time_for_a_retry_fail_with_the_first_attempt() {
     let (a, b) = (CacheServer::start("s-a"), CacheServer::start("s-b"));
-    let (owner, other) = if key_is_at(&a, &b) {
-        (&a, &b)
-    } else {
-        (&b, &a)
-    };
+    let (owner, other) = if owns_key(&a, &b) { (&a, &b) } else { (&b, &a) };
     owner.set_behavior(KEY, Behavior::ReplyAfter(1_000, b"-BUSY\r\n".to_vec()));
     other.set_behavior(KEY, Behavior::ReplyAfter(1_000, value_reply("s-b")));
-    let Fleet { router, .. } = start_router_with_operator_file(READS, &[&a, &b], |config| {
-        // A further attempt needs a fifth of this.
-        config["settings"]["request_classes"][0]["target"] = 4.0.into();
-    });
+    let Fleet { router, .. } =
+        start_router_with_operator_file(COALESCE_READS, &[&a, &b], |config| {
+            // A further attempt needs a fifth of this.
+            config["settings"]["request_classes"][0]["target"] = 4.0.into();
+        });
     let (mut long, mut short) = (router.client(), router.client());
-    long.write(&fields(0, 0, 4_000));
-    short.write(&fields(1, 0, 1_400));
+    long.write(&encode_read(0, 0, 4_000));
+    short.write(&encode_read(1, 0, 1_400));
     assert!(short.read_reply().expect("an answer").starts_with("-BUSY "));
     assert!(long.read_reply().expect("an answer").starts_with('*'));
     router.log_coalescing_counters();
-    wait_until("it tells", || router.log_has(" 0 expired, 1 outrun"));
+    wait_until("it tells", || router.log_contains(" 0 expired, 1 outrun"));
 }
 
 #[test]
-fn a_list_that_moves_the_key_leaves_the_flight_and_routes_the_next_read() {
+fn a_list_that_moves_the_key_keeps_the_flight_and_routes_the_next_read() {
     let (a, b) = (CacheServer::start("s-a"), CacheServer::start("s-b"));
-    let (owner, other) = if key_is_at(&a, &b) {
-        (&a, &b)
-    } else {
-        (&b, &a)
-    };
+    let (owner, other) = if owns_key(&a, &b) { (&a, &b) } else { (&b, &a) };
     let before = owner.commands().len();
     other.set_behavior(KEY, Behavior::ServeOnceGateOpens);
-    let Fleet { router, discovery } = joining(&[other]);
-    let mut clients = crowd(&router, 4_000);
+    let Fleet { router, discovery } = start_coalescing_router(&[other]);
+    let mut clients = send_many_reads(&router, 4_000);
     wait_for_waiters(&router, 500);
-    discovery.write_to_watch(&format!("{}\n", list(8, false, &[owner.entry("up")])));
+    discovery.write_to_watch(&format!(
+        "{}\n",
+        endpoint_list(8, false, &[owner.entry("up")])
+    ));
     let (mut writer, mut key) = (router.client(), 0);
     wait_until("the owner is known", || {
         key += 1;
@@ -453,28 +458,30 @@
         );
         owner.commands().len() > before
     });
-    let of_key = || {
+    let attempts_for_key = || {
         owner.commands()[before..]
             .iter()
             .filter(|arguments| arguments[1] == KEY)
             .count()
     };
-    assert_eq!(of_key(), 0);
+    assert_eq!(attempts_for_key(), 0);
     other.open_gate();
-    assert_eq!(answers(&mut clients), (500, 0));
+    assert_eq!(count_replies(&mut clients), (500, 0));
     assert!(router.client().request("read", KEY).contains(&owner.name));
-    assert_eq!(of_key(), 1);
+    assert_eq!(attempts_for_key(), 1);
 }
 
 /// How many of 60 reads of `acme` are sent upstream at once, after 150 of this tenant have shared one flight.
-fn room_after_a_crowd_of(tenant: &str) -> usize {
+fn reads_sent_after_coalesced_reads_of(tenant: &str) -> usize {
     let server = CacheServer::start("s-a");
     server.set_behavior(KEY, Behavior::ServeOnceGateOpens);
-    let Fleet { router, .. } = start_router_with_operator_file(READS, &[&server], two_tenants);
+    let Fleet { router, .. } =
+        start_router_with_operator_file(COALESCE_READS, &[&server], configure_two_tenants);
     let mut clients: Vec<Client> = (0..15).map(|_| router.client()).collect();
-    for (place, client) in clients.iter_mut().enumerate() {
+    for (index, client) in clients.iter_mut().enumerate() {
         let fields = format!("c=read,t={tenant},d=4000");
-        let read = |number| command(&["C.GET", KEY, &format!("crowd-{place}-{number}"), &fields]);
+        let read =
+            |number| encode_command(&["C.GET", KEY, &format!("crowd-{index}-{number}"), &fields]);
         client.write(&(0..10).flat_map(read).collect::<Vec<u8>>());
     }
     wait_for_waiters(&router, 150);
@@ -486,7 +493,7 @@
     let before = server.commands().len();
     let mut client = router.client();
     let read = |key| {
-        command(&[
+        encode_command(&[
             "C.GET",
             &format!("{key:016x}"),
             &format!("id-{key}"),
@@ -497,7 +504,7 @@
     wait_until("all are taken", || {
         router.log_coalescing_counters();
         std::thread::sleep(Duration::from_millis(5));
-        router.log_has("joining: 61 flights, 149 joined")
+        router.log_contains("joining: 61 flights, 149 joined")
     });
     let line = router
         .log
@@ -519,7 +526,10 @@
 
 #[test]
 fn each_waiter_counts_for_its_own_tenant() {
-    let (own, other) = (room_after_a_crowd_of("acme"), room_after_a_crowd_of("bima"));
+    let (own, other) = (
+        reads_sent_after_coalesced_reads_of("acme"),
+        reads_sent_after_coalesced_reads_of("bima"),
+    );
     assert!(
         0 < own && own < other,
         "{own} after its own crowd, {other} after the other's"
--- a/crates/cache-router/tests/endpoint_discovery.rs
+++ b/crates/cache-router/tests/endpoint_discovery.rs
@@ -5,8 +5,8 @@
 /// Each way in which a watch is lost is followed by a new call, which continues from the last version.
 #[test]
 fn a_lost_watch_is_reopened_from_the_last_version() {
-    type Lose = fn(&Discovery);
-    let lose: [(&str, Lose); 4] = [
+    type LoseWatch = fn(&Discovery);
+    let cases: [(&str, LoseWatch); 4] = [
         ("its end", |d| d.close_watch()),
         ("a malformed line", |d| {
             d.write_to_watch("{\"seq\":9,\"hosts\":[{\"host\":7}]}\n")
@@ -14,7 +14,7 @@
         ("no JSON", |d| d.write_to_watch("what?\n")),
         ("silence", |d| d.set_silent(true)),
     ];
-    for (what, lost) in lose {
+    for (what, lose_watch) in cases {
         let (old, new) = (CacheServer::start("s-a"), CacheServer::start("s-b"));
         let Fleet {
             mut router,
@@ -25,9 +25,9 @@
             "{what}: {:?}",
             discovery.calls()
         );
-        discovery.write_to_watch(&format!("{}\n", list(8, false, &[])));
-        discovery.set_initial_list(list(12, true, &[new.entry("up")]));
-        lost(&discovery);
+        discovery.write_to_watch(&format!("{}\n", endpoint_list(8, false, &[])));
+        discovery.set_initial_list(endpoint_list(12, true, &[new.entry("up")]));
+        lose_watch(&discovery);
         wait_until(what, || discovery.calls().len() >= 2);
         assert!(
             discovery.calls()[1].contains("after=8 "),
@@ -39,14 +39,17 @@
             client.request("read", "00000000000000aa").contains("s-b")
         });
         assert!(router.is_running(), "{what}");
-        assert!(router.log_has("discovery watch lost: "), "{what}: logged");
+        assert!(
+            router.log_contains("discovery watch lost: "),
+            "{what}: logged"
+        );
     }
 }
 
 #[test]
 fn a_refused_watch_is_retried() {
     let server = CacheServer::start("s-a");
-    let discovery = Discovery::start(list(7, false, &[]));
+    let discovery = Discovery::start(endpoint_list(7, false, &[]));
     discovery.set_failing(true);
     let router = RouterProcess::start(&configuration(discovery.addr, &[server.entry("up")]));
     wait_until("it calls again", || discovery.calls().len() >= 3);
@@ -59,7 +62,7 @@
     );
     discovery.set_failing(false);
     let new = CacheServer::start("s-b");
-    discovery.set_initial_list(list(9, true, &[new.entry("up")]));
+    discovery.set_initial_list(endpoint_list(9, true, &[new.entry("up")]));
     let mut client = router.client();
     wait_until("the new list", || {
         client.request("read", "00000000000000aa").contains("s-b")
@@ -67,12 +70,12 @@
 }
 
 #[test]
-fn a_line_may_come_in_pieces() {
+fn a_line_may_arrive_in_pieces() {
     let (old, new) = (CacheServer::start("s-a"), CacheServer::start("s-b"));
     let Fleet { router, discovery } = start_router(&[&old]);
     let line = format!(
         "{}\n\n",
-        list(8, false, &[new.entry("up"), old.entry("removed")])
+        endpoint_list(8, false, &[new.entry("up"), old.entry("removed")])
     );
     let (first, rest) = line.split_at(31);
     discovery.write_to_watch(first);
@@ -92,7 +95,7 @@
     assert!(client.request("read", "00000000000000aa").contains("s-a"));
     discovery.write_to_watch(&format!(
         "{}\n",
-        list(8, false, &[entry("s-a", new.addr, "up")])
+        endpoint_list(8, false, &[endpoint_entry("s-a", new.addr, "up")])
     ));
     wait_until("the new address", || {
         client.request("read", "00000000000000aa").contains("moved")
@@ -102,13 +105,16 @@
 #[test]
 fn a_draining_server_gets_no_new_requests() {
     let key = "7f3a9c21e0b4d655";
-    let PairFleet {
+    let TwoServerFleet {
         owner,
         other,
         router,
         discovery,
-    } = start_router_and_pair(key);
-    discovery.write_to_watch(&format!("{}\n", list(8, false, &[owner.entry("draining")])));
+    } = start_router_with_two_servers(key);
+    discovery.write_to_watch(&format!(
+        "{}\n",
+        endpoint_list(8, false, &[owner.entry("draining")])
+    ));
     let mut client = router.client();
     wait_until("its key moves", || {
         client.request("read", key).contains(&other.name)
@@ -129,7 +135,7 @@
         CacheServer::start("s-b"),
         CacheServer::start("s-c"),
     ];
-    let discovery = Discovery::start(list(7, false, &[]));
+    let discovery = Discovery::start(endpoint_list(7, false, &[]));
     let mut config = configuration(discovery.addr, &[servers[0].entry("up")]);
     // The state of a removed server stays while it may still have requests, and goes soon after.
     for class in config["settings"]["request_classes"]
@@ -143,34 +149,34 @@
     wait_until("the router watches", || !discovery.calls().is_empty());
     let mut client = router.client();
     let mut seq = 8;
-    let mut before = 0;
+    let mut baseline_kb = 0;
     for round in 0..8 {
         for number in 0..400 {
             let name = |number: usize| format!("server-{number:05}");
-            let here = round * 400 + number + 1;
-            let (old, new) = (name(here - 1), name(here));
+            let newest = round * 400 + number + 1;
+            let (old, new) = (name(newest - 1), name(newest));
             let changed = [
-                entry(&old, servers[(here - 1) % 3].addr, "removed"),
-                entry(&new, servers[here % 3].addr, "up"),
+                endpoint_entry(&old, servers[(newest - 1) % 3].addr, "removed"),
+                endpoint_entry(&new, servers[newest % 3].addr, "up"),
                 servers[0].entry("removed"),
             ];
-            discovery.write_to_watch(&format!("{}\n", list(seq, false, &changed)));
+            discovery.write_to_watch(&format!("{}\n", endpoint_list(seq, false, &changed)));
             seq += 1;
             if number % 20 == 0 {
-                let owner = &servers[here % 3].name;
+                let owner = &servers[newest % 3].name;
                 wait_until("the newest serves", || {
                     client
-                        .request("read", &format!("{here:016x}"))
+                        .request("read", &format!("{newest:016x}"))
                         .contains(owner.as_str())
                 });
             }
         }
         if round == 2 {
-            before = router.memory_kb();
+            baseline_kb = router.memory_kb();
         }
     }
-    let grown = router.memory_kb().saturating_sub(before);
-    assert!(grown < 1_500, "grown by {grown} KB");
+    let growth_kb = router.memory_kb().saturating_sub(baseline_kb);
+    assert!(growth_kb < 1_500, "grown by {growth_kb} KB");
     assert!(router.descriptors() < 40, "{}", router.descriptors());
 }
 
@@ -178,15 +184,18 @@
 /// call is answered by then, with an agent also if the first call hangs. Where discovery is polled a call may wait longer.
 #[test]
 fn a_silent_watch_is_reopened_in_time_in_every_discovery_mode() {
-    let run = |mode: &'static str, hangs: usize| {
+    let run = |mode: &'static str, hanging_calls: usize| {
         let (old, new) = (CacheServer::start("s-a"), CacheServer::start("s-b"));
-        let discovery = Discovery::start(list(7, false, &[]));
+        let discovery = Discovery::start(endpoint_list(7, false, &[]));
         let mut config = configuration(discovery.addr, &[old.entry("up")]);
         config["settings"]["discovery"] = mode.into();
         let router = RouterProcess::start(&config);
         wait_until("the router watches", || !discovery.calls().is_empty());
         // It has heard of this: from here on there is silence.
-        discovery.write_to_watch(&format!("{}\n", list(8, false, &[new.entry("up")])));
+        discovery.write_to_watch(&format!(
+            "{}\n",
+            endpoint_list(8, false, &[new.entry("up")])
+        ));
         let mut client = router.client();
         let mut key = 0;
         wait_until("the list is known", || {
@@ -197,8 +206,8 @@
         });
         discovery.set_silent(true);
         let start = std::time::Instant::now();
-        discovery.hang_next_calls(hangs);
-        discovery.set_initial_list(list(9, true, &[new.entry("up")]));
+        discovery.hang_next_calls(hanging_calls);
+        discovery.set_initial_list(endpoint_list(9, true, &[new.entry("up")]));
         wait_until("the old server is gone", || {
             (0..16).all(|key| {
                 client
@@ -213,14 +222,14 @@
         );
         assert_eq!(
             discovery.calls().len(),
-            2 + hangs,
+            2 + hanging_calls,
             "{mode}: {:?}",
             discovery.calls()
         );
     };
-    let both = [("subscribe", 0), ("automatic", 1)]
-        .map(|(mode, hangs)| std::thread::spawn(move || run(mode, hangs)));
-    both.into_iter()
+    let runs = [("subscribe", 0), ("automatic", 1)]
+        .map(|(mode, hanging_calls)| std::thread::spawn(move || run(mode, hanging_calls)));
+    runs.into_iter()
         .for_each(|run| run.join().expect("both hold"));
 }
 
@@ -228,7 +237,7 @@
 #[test]
 fn a_silent_agent_removes_no_endpoint() {
     let server = CacheServer::start("s-a");
-    let discovery = Discovery::start(list(7, false, &[]));
+    let discovery = Discovery::start(endpoint_list(7, false, &[]));
     discovery.hang_next_calls(usize::MAX);
     let mut config = configuration(discovery.addr, &[server.entry("up")]);
     config["settings"]["discovery"] = "automatic".into();
@@ -244,7 +253,7 @@
     );
     // The second call is made beside the first, which has not ended yet.
     wait_until("the first call has ended", || {
-        router.log_has("discovery watch lost: no answer within 2.5 s")
+        router.log_contains("discovery watch lost: no answer within 2.5 s")
     });
 }
 
@@ -253,11 +262,11 @@
     let (old, new) = (CacheServer::start("s-a"), CacheServer::start("s-b"));
     let Fleet { router, discovery } = start_router(&[&old]);
     let text: serde_json::Value =
-        serde_json::from_str(&list(8, true, &[new.entry("up")])).expect("a list");
+        serde_json::from_str(&endpoint_list(8, true, &[new.entry("up")])).expect("a list");
     let text = serde_json::to_string_pretty(&text).expect("written") + "\n";
     // Without its last byte nothing of the list counts.
-    let (most, last) = text.split_at(text.len() - 2);
-    for piece in most.as_bytes().chunks(7) {
+    let (prefix, last) = text.split_at(text.len() - 2);
+    for piece in prefix.as_bytes().chunks(7) {
         discovery.write_to_watch(std::str::from_utf8(piece).expect("text"));
     }
     let mut client = router.client();
@@ -267,11 +276,11 @@
         client.request("read", "00000000000000aa").contains("s-b")
     });
     // Two lists at once, with an empty line between them.
-    let (drained, back) = (old.entry("up"), new.entry("draining"));
+    let (ready, draining) = (old.entry("up"), new.entry("draining"));
     discovery.write_to_watch(&format!(
         "{}\n\n{}\n",
-        list(9, true, std::slice::from_ref(&drained)),
-        list(10, true, &[drained, back])
+        endpoint_list(9, true, std::slice::from_ref(&ready)),
+        endpoint_list(10, true, &[ready, draining])
     ));
     wait_until("the last one holds", || {
         client.request("read", "00000000000000aa").contains("s-a")
@@ -285,7 +294,7 @@
     let (old, new) = (CacheServer::start("s-a"), CacheServer::start("s-b"));
     let Fleet { router, discovery } = start_router(&[&old]);
     discovery.write_to_watch("{\"seq\":8,\n\"hosts\":[\n");
-    discovery.set_initial_list(list(9, true, &[new.entry("up")]));
+    discovery.set_initial_list(endpoint_list(9, true, &[new.entry("up")]));
     let mut client = router.client();
     wait_until("a new watch", || {
         client.request("read", "00000000000000aa").contains("s-b")
@@ -298,7 +307,10 @@
     let (old, new) = (CacheServer::start("s-a"), CacheServer::start("s-b"));
     let Fleet { router, discovery } = start_router(&[&old, &new]);
     discovery.set_failing(true);
-    discovery.write_to_watch(&format!("{}\n", list(8, false, &[old.entry("draining")])));
+    discovery.write_to_watch(&format!(
+        "{}\n",
+        endpoint_list(8, false, &[old.entry("draining")])
+    ));
     discovery.close_watch();
     let mut client = router.client();
     wait_until("the drain is known", || {
--- a/crates/cache-router/tests/router_long.rs
+++ b/crates/cache-router/tests/long_values.rs
@@ -6,23 +6,23 @@
 use std::time::Duration;
 use test_support::*;
 
-const SIZE: usize = 4 * 1024 * 1024;
+const VALUE_BYTES: usize = 4 * 1024 * 1024;
 const KEY: &str = "00000000000000aa";
 
-fn long_value() -> Vec<u8> {
-    value_reply(&"v".repeat(SIZE))
+fn long_reply() -> Vec<u8> {
+    value_reply(&"v".repeat(VALUE_BYTES))
 }
 
 fn read_command(id: &str) -> Vec<u8> {
-    command(&["C.GET", KEY, id, "c=read,t=acme,d=4000"])
+    encode_command(&["C.GET", KEY, id, "c=read,t=acme,d=4000"])
 }
 
 /// Starts a router with an admin API and this memory limit.
-fn configured(
+fn start_router_with_memory_limit(
     server: &CacheServer,
     memory_mb: usize,
 ) -> (RouterProcess, Discovery, std::net::SocketAddr) {
-    let discovery = Discovery::start(list(7, false, &[]));
+    let discovery = Discovery::start(endpoint_list(7, false, &[]));
     let mut config = configuration(discovery.addr, &[server.entry("up")]);
     let admin = unused_addr();
     config["admin"] = admin.to_string().into();
@@ -46,23 +46,23 @@
 }
 
 #[test]
-fn a_long_value_comes_whole_and_its_connection_is_used_again() {
+fn a_long_value_arrives_complete_and_its_connection_is_reused() {
     let server = CacheServer::start("s-a");
-    server.set_behavior(KEY, Behavior::Reply(long_value()));
+    server.set_behavior(KEY, Behavior::Reply(long_reply()));
     let Fleet { router, .. } = start_router(&[&server]);
     let mut client = router.client();
     for _ in 0..3 {
         let answer = client.request("read", KEY);
-        assert!(answer.as_bytes() == long_value(), "{} bytes", answer.len());
+        assert!(answer.as_bytes() == long_reply(), "{} bytes", answer.len());
         std::thread::sleep(Duration::from_millis(20));
     }
     assert_eq!(server.connections().accepted, 1);
 }
 
 #[test]
-fn the_first_bytes_go_out_before_the_rest_has_come() {
+fn first_bytes_are_forwarded_before_the_rest_arrives() {
     let server = CacheServer::start("s-a");
-    let bytes = long_value();
+    let bytes = long_reply();
     let (first, rest) = bytes.split_at(10_000);
     server.set_behavior(
         KEY,
@@ -71,24 +71,24 @@
     let Fleet { router, .. } = start_router(&[&server]);
     let mut client = connect(&router);
     client.write_all(&read_command("a")).expect("written");
-    let mut begun = vec![0; 10_000];
-    client.read_exact(&mut begun).expect("the first bytes");
+    let mut prefix = vec![0; 10_000];
+    client.read_exact(&mut prefix).expect("the first bytes");
     assert!(
         server.two_part_reply_durations().is_empty(),
         "the rest has not been written yet"
     );
-    let mut left = vec![0; bytes.len() - 10_000];
-    client.read_exact(&mut left).expect("the rest");
-    assert!(begun == first && left == rest);
+    let mut remainder = vec![0; bytes.len() - 10_000];
+    client.read_exact(&mut remainder).expect("the rest");
+    assert!(prefix == first && remainder == rest);
 }
 
 #[test]
-fn a_value_that_the_server_breaks_off_ends_the_connection_and_counts_as_failed() {
+fn a_truncated_value_closes_the_connection_and_counts_as_failed() {
     let server = CacheServer::start("s-a");
-    let (router, _discovery, admin) = configured(&server, 192);
-    let bytes = long_value();
+    let (router, _discovery, admin) = start_router_with_memory_limit(&server, 192);
+    let bytes = long_reply();
     // Within the first bytes of the value, at half, before its last byte.
-    for length in [8_000, SIZE / 2, bytes.len() - 20] {
+    for length in [8_000, VALUE_BYTES / 2, bytes.len() - 20] {
         server.set_behavior(KEY, Behavior::ReplyAndClose(bytes[..length].to_vec()));
         let mut client = connect(&router);
         client.write_all(&read_command("a")).expect("written");
@@ -112,14 +112,14 @@
 }
 
 #[test]
-fn slow_readers_cost_little_memory_and_hold_up_nobody() {
+fn slow_readers_use_little_memory_and_delay_no_other_client() {
     let server = CacheServer::start("s-a");
-    server.set_behavior(KEY, Behavior::Reply(long_value()));
-    let (router, _discovery, admin) = configured(&server, 48);
+    server.set_behavior(KEY, Behavior::Reply(long_reply()));
+    let (router, _discovery, admin) = start_router_with_memory_limit(&server, 48);
     let clients: Vec<TcpStream> = (0..100)
         .map(|i| {
             let mut client = connect(&router);
-            let mut begun = false;
+            let mut has_started = false;
             wait_until("it is begun", || {
                 client
                     .write_all(&read_command(&format!("id{i}")))
@@ -127,10 +127,10 @@
                 let mut first = [0; 16];
                 let count = client.read(&mut first).expect("the first bytes");
                 // Turned away until the server's work for the others has ended.
-                begun = first[..count].starts_with(b"*3");
-                begun || !first.starts_with(b"-BUSY")
+                has_started = first[..count].starts_with(b"*3");
+                has_started || !first.starts_with(b"-BUSY")
             });
-            assert!(begun, "no answer but a refusal");
+            assert!(has_started, "no answer but a refusal");
             client
         })
         .collect();
@@ -147,17 +147,17 @@
 }
 
 #[test]
-fn more_long_writes_at_once_than_memory_holds_are_all_served() {
+fn concurrent_long_writes_beyond_the_memory_limit_are_all_served() {
     let server = CacheServer::start("s-a");
-    let (router, _discovery, admin) = configured(&server, 48);
+    let (router, _discovery, admin) = start_router_with_memory_limit(&server, 48);
     let writers: Vec<_> = (0..24)
         .map(|i| {
-            let text = command(&[
+            let text = encode_command(&[
                 "C.SET",
                 &format!("{i:016x}"),
                 &format!("id{i}"),
                 &format!("c=put,t=acme,d=4000,k=k{i}"),
-                &"w".repeat(SIZE),
+                &"w".repeat(VALUE_BYTES),
             ]);
             let mut client = connect(&router);
             client.set_write_timeout(Some(MAX_WAIT)).expect("a limit");
@@ -174,77 +174,82 @@
             })
         })
         .collect();
-    let mut most = 0;
+    let mut peak_memory_kb = 0;
     wait_until("all have ended", || {
-        most = most.max(router.memory_kb());
+        peak_memory_kb = peak_memory_kb.max(router.memory_kb());
         writers.iter().all(|writer| writer.is_finished())
     });
     for writer in writers {
         assert!(writer.join().expect("an answer").starts_with(b"*3"));
     }
-    assert!(most < 48 * 1024, "{most} KB");
+    assert!(peak_memory_kb < 48 * 1024, "{peak_memory_kb} KB");
     assert_eq!(in_progress(admin), 0);
     let longest = server
         .commands()
         .iter()
         .map(|arguments| arguments.last().map_or(0, String::len))
         .max();
-    assert_eq!(longest, Some(SIZE));
+    assert_eq!(longest, Some(VALUE_BYTES));
 }
 
 /// Guards against a write that counts as not begun while all that was read of its value is held.
 #[test]
-fn a_long_write_that_has_begun_is_read_on_after_sigterm() {
-    const PIECE: usize = 64 * 1024;
+fn a_partially_received_long_write_is_completed_after_sigterm() {
+    const PIECE_BYTES: usize = 64 * 1024;
     let server = CacheServer::start("s-a");
-    let text = command(&[
+    let text = encode_command(&[
         "C.SET",
         KEY,
         "id",
         "c=put,t=acme,d=4000,k=1",
-        &"w".repeat(4 * PIECE),
+        &"w".repeat(4 * PIECE_BYTES),
     ]);
-    let head = text.len() - 4 * PIECE - 2;
-    let mut plays = Vec::new();
-    for begun in [head + 10, head + PIECE, head + 3 * PIECE, text.len() - 1] {
+    let header_length = text.len() - 4 * PIECE_BYTES - 2;
+    let mut runs = Vec::new();
+    for sent_bytes in [
+        header_length + 10,
+        header_length + PIECE_BYTES,
+        header_length + 3 * PIECE_BYTES,
+        text.len() - 1,
+    ] {
         let (server, text) = (server.clone(), text.clone());
-        plays.push(std::thread::spawn(move || {
+        runs.push(std::thread::spawn(move || {
             let Fleet { mut router, .. } = start_router(&[&server]);
             let mut client = connect(&router);
-            client.write_all(&text[..begun]).expect("written");
+            client.write_all(&text[..sent_bytes]).expect("written");
             std::thread::sleep(Duration::from_millis(200));
             router.terminate();
             // New connections are accepted until 0.55 s after it; connections at rest are closed then.
             std::thread::sleep(Duration::from_millis(1_000));
-            client.write_all(&text[begun..]).expect("written");
+            client.write_all(&text[sent_bytes..]).expect("written");
             let mut answer = [0; 4];
             client.read_exact(&mut answer).expect("an answer");
-            assert!(answer.starts_with(b"*3"), "{begun}: {answer:?}");
+            assert!(answer.starts_with(b"*3"), "{sent_bytes}: {answer:?}");
             assert_eq!(router.wait().code(), Some(0));
         }));
     }
-    for play in plays {
-        play.join().expect("served");
+    for run in runs {
+        run.join().expect("served");
     }
 }
 
 /// A corrupted length is detected before any byte is forwarded: the read is served elsewhere.
 #[test]
-fn a_short_value_under_a_long_ones_header_is_not_passed_on() {
-    let PairFleet {
+fn a_short_value_with_an_oversized_length_is_not_forwarded() {
+    let TwoServerFleet {
         owner,
         other,
         router,
         ..
-    } = start_router_and_pair(KEY);
-    let spoilt = b"*3\r\n$1048576\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n".to_vec();
-    owner.set_default_behavior(Behavior::Reply(spoilt));
+    } = start_router_with_two_servers(KEY);
+    let corrupted = b"*3\r\n$1048576\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n".to_vec();
+    owner.set_default_behavior(Behavior::Reply(corrupted));
     assert!(router.client().request("read", KEY).contains(&other.name));
 }
 
 /// A server that is still sending is waited for after the client's deadline: breaking off would lose the value.
 #[test]
-fn a_value_that_comes_slowly_is_passed_on_whole_past_its_time() {
+fn a_slow_value_is_forwarded_whole_after_the_deadline() {
     let server = CacheServer::start("s-a");
     let bytes = value_reply(&"v".repeat(100_000));
     let (first, rest) = bytes.split_at(10_000);
@@ -254,7 +259,12 @@
     );
     let Fleet { router, .. } = start_router(&[&server]);
     let mut client = router.client();
-    client.write(&command(&["C.GET", KEY, "id", "c=read,t=acme,d=500"]));
+    client.write(&encode_command(&[
+        "C.GET",
+        KEY,
+        "id",
+        "c=read,t=acme,d=500",
+    ]));
     let answer = client.read_reply().expect("an answer");
     assert!(answer.as_bytes() == bytes, "{} bytes", answer.len());
 }
--- a/crates/cache-router/tests/lost_watches.rs
+++ b/crates/cache-router/tests/lost_watches.rs
@@ -9,25 +9,25 @@
 /// `drain_grace` of the configuration, and the slack of time limits on sockets.
 const DRAIN_GRACE: Duration = Duration::from_millis(250 + 50);
 /// Where discovery is asked, a change counts as told this long after discovery can be reached at the latest.
-const TOLD_AFTER: Duration = Duration::from_secs(6);
+const MAX_PROPAGATION_DELAY: Duration = Duration::from_secs(6);
 /// A change counts as told this long after a new configuration that names another discovery.
-const TOLD_AFTER_RELOAD: Duration = Duration::from_secs(4);
+const MAX_PROPAGATION_DELAY_AFTER_RELOAD: Duration = Duration::from_secs(4);
 /// How long after its time the draining server is watched.
-const WATCHED_FOR: Duration = Duration::from_millis(700);
+const OBSERVATION_TIME: Duration = Duration::from_millis(700);
 /// All rejections of a case come within this time.
 const MAX_REJECTED_TIME: Duration = Duration::from_secs(45);
 /// Between requests of the client.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Two cache servers, one of which is to drain.
-struct DrainingPair {
+struct DrainingServers {
     draining: CacheServer,
     other: CacheServer,
 }
 
-impl DrainingPair {
-    fn start() -> DrainingPair {
-        DrainingPair {
+impl DrainingServers {
+    fn start() -> DrainingServers {
+        DrainingServers {
             draining: CacheServer::start("s-a"),
             other: CacheServer::start("s-b"),
         }
@@ -41,7 +41,7 @@
     /// The whole list with the drain.
     fn drained_list(&self) -> String {
         let entries = [self.draining.entry("draining"), self.other.entry("up")];
-        list(10, true, &entries)
+        endpoint_list(10, true, &entries)
     }
 
     /// The configuration of a router that has the list before the drain.
@@ -73,9 +73,9 @@
             }
         };
         send_until(end);
-        let allowed = self.draining.commands().len();
-        send_until(end + WATCHED_FOR);
-        self.draining.commands().len() - allowed
+        let count_before = self.draining.commands().len();
+        send_until(end + OBSERVATION_TIME);
+        self.draining.commands().len() - count_before
     }
 }
 
@@ -87,41 +87,41 @@
     /// They are answered 503 at once.
     failing: usize,
     /// They are cut in the middle of the list.
-    cut: usize,
+    truncated: usize,
 }
 
 const CALL_FAULTS: [CallFaults; 5] = [
     CallFaults {
         hanging: 0,
         failing: 0,
-        cut: 0,
+        truncated: 0,
     },
     CallFaults {
         hanging: 1,
         failing: 0,
-        cut: 0,
+        truncated: 0,
     },
     CallFaults {
         hanging: 0,
         failing: 1,
-        cut: 0,
+        truncated: 0,
     },
     CallFaults {
         hanging: 0,
         failing: 0,
-        cut: 1,
+        truncated: 1,
     },
     CallFaults {
         hanging: 0,
         failing: 1,
-        cut: 1,
+        truncated: 1,
     },
 ];
 
 fn set_faults(discovery: &Discovery, faults: CallFaults) {
     discovery.hang_next_calls(faults.hanging);
     discovery.fail_next_calls(faults.failing);
-    discovery.cut_next_calls(faults.cut);
+    discovery.truncate_next_calls(faults.truncated);
 }
 
 /// Plays cases side by side, and wants no late command in any.
@@ -129,43 +129,46 @@
     cases: impl IntoIterator<Item = Case>,
     late_commands: fn(Case) -> usize,
 ) {
-    let plays: Vec<_> = cases
+    let runs: Vec<_> = cases
         .into_iter()
         .map(|case| (case, thread::spawn(move || late_commands(case))))
         .collect();
-    let late = plays
+    let late = runs
         .into_iter()
-        .map(|(case, play)| (case, play.join().expect("played")));
-    let broken: Vec<_> = late.filter(|(_, count)| *count > 0).collect();
-    assert!(broken.is_empty(), "case and late commands: {broken:?}");
+        .map(|(case, run)| (case, run.join().expect("the case ran")));
+    let violations: Vec<_> = late.filter(|(_, count)| *count > 0).collect();
+    assert!(
+        violations.is_empty(),
+        "case and late commands: {violations:?}"
+    );
 }
 
 /// Guards against a pause before the call that follows a lost watch: what the agent has counts as told, watch or none.
 #[test]
-fn a_drain_beside_the_reset_of_a_watch_is_known_in_time_where_lists_are_pushed() {
-    let drains_after = [0, 100].map(Duration::from_millis);
+fn a_drain_around_a_watch_reset_is_applied_in_time_when_lists_are_pushed() {
+    let drain_delays = [0, 100].map(Duration::from_millis);
     let cases = CALL_FAULTS
         .into_iter()
-        .flat_map(|faults| drains_after.map(|drains_after| (faults, drains_after)));
-    assert_none_late(cases, |(faults, drains_after)| {
-        let servers = DrainingPair::start();
-        let discovery = Discovery::start(list(8, true, &servers.entries()));
+        .flat_map(|faults| drain_delays.map(|drain_delay| (faults, drain_delay)));
+    assert_none_late(cases, |(faults, drain_delay)| {
+        let servers = DrainingServers::start();
+        let discovery = Discovery::start(endpoint_list(8, true, &servers.entries()));
         let router = servers.watching_router(&discovery, "automatic");
-        discovery.set_failing(!drains_after.is_zero());
+        discovery.set_failing(!drain_delay.is_zero());
         discovery.close_watch();
-        thread::sleep(drains_after);
-        let told_at = Instant::now();
+        thread::sleep(drain_delay);
+        let propagation_deadline = Instant::now();
         discovery.set_initial_list(servers.drained_list());
         set_faults(&discovery, faults);
-        servers.commands_after(&router, told_at + DRAIN_GRACE)
+        servers.commands_after(&router, propagation_deadline + DRAIN_GRACE)
     });
 }
 
 /// Guards against a new process that serves from its old list: what the agent has counts as told from its first moment.
 #[test]
-fn a_drain_before_the_start_of_a_process_is_known_in_time_where_lists_are_pushed() {
+fn a_drain_before_process_start_is_applied_in_time_when_lists_are_pushed() {
     assert_none_late(CALL_FAULTS, |faults| {
-        let servers = DrainingPair::start();
+        let servers = DrainingServers::start();
         let discovery = Discovery::start(servers.drained_list());
         set_faults(&discovery, faults);
         let config = servers.configuration(&discovery, "automatic");
@@ -176,10 +179,10 @@
 
 /// Guards against waits after calls that waited in vain, which outlast the time by which a change counts as told.
 #[test]
-fn a_drain_after_calls_that_waited_in_vain_is_known_in_time_where_discovery_is_asked() {
+fn a_drain_after_slow_rejections_is_applied_in_time_when_subscribed() {
     assert_none_late([1, 2, 3], |rejected| {
-        let servers = DrainingPair::start();
-        let discovery = Discovery::start(list(8, true, &servers.entries()));
+        let servers = DrainingServers::start();
+        let discovery = Discovery::start(endpoint_list(8, true, &servers.entries()));
         let router = servers.watching_router(&discovery, "subscribe");
         discovery.reject_next_calls(rejected, Duration::from_millis(1_500));
         discovery.set_initial_list(servers.drained_list());
@@ -190,32 +193,34 @@
             thread::sleep(Duration::from_millis(2));
         }
         let last_rejection = discovery.rejections()[rejected - 1];
-        let told_at = last_rejection + TOLD_AFTER;
-        servers.commands_after(&router, told_at + DRAIN_GRACE)
+        let propagation_deadline = last_rejection + MAX_PROPAGATION_DELAY;
+        servers.commands_after(&router, propagation_deadline + DRAIN_GRACE)
     });
 }
 
 /// Guards against a new configuration whose calls follow the waits, and the single calls, of an outage before it.
 #[test]
-fn a_drain_after_new_configurations_in_an_outage_is_known_in_time_where_discovery_is_asked() {
+fn a_drain_after_reloads_during_an_outage_is_applied_in_time_when_subscribed() {
     assert_none_late([1, 3], |reloads| {
-        let servers = DrainingPair::start();
-        let outdated = Discovery::start(list(8, true, &servers.entries()));
-        let router = servers.watching_router(&outdated, "subscribe");
-        outdated.reject_next_calls(usize::MAX, Duration::from_secs(2));
-        outdated.close_watch();
-        wait_until("two calls in the outage", || outdated.calls().len() >= 3);
+        let servers = DrainingServers::start();
+        let old_discovery = Discovery::start(endpoint_list(8, true, &servers.entries()));
+        let router = servers.watching_router(&old_discovery, "subscribe");
+        old_discovery.reject_next_calls(usize::MAX, Duration::from_secs(2));
+        old_discovery.close_watch();
+        wait_until("two calls in the outage", || {
+            old_discovery.calls().len() >= 3
+        });
         thread::sleep(Duration::from_millis(2_100));
-        let mut told_at = Instant::now();
+        let mut propagation_deadline = Instant::now();
         for _ in 0..reloads {
             let next = Discovery::start(servers.drained_list());
             next.hang_next_calls(1);
             next.reject_next_calls(1, Duration::from_millis(1_500));
             let config = servers.configuration(&next, "subscribe");
-            told_at = Instant::now() + TOLD_AFTER_RELOAD;
+            propagation_deadline = Instant::now() + MAX_PROPAGATION_DELAY_AFTER_RELOAD;
             router.reload(&config.to_string());
             thread::sleep(Duration::from_millis(400));
         }
-        servers.commands_after(&router, told_at + DRAIN_GRACE)
+        servers.commands_after(&router, propagation_deadline + DRAIN_GRACE)
     });
 }
--- a/crates/cache-router/tests/operator_commands.rs
+++ b/crates/cache-router/tests/operator_commands.rs
@@ -10,8 +10,8 @@
 }
 
 /// Starts a router that knows these servers and has an admin API.
-fn operated(servers: &[&CacheServer]) -> (RouterProcess, Discovery, SocketAddr) {
-    let discovery = Discovery::start(list(7, false, &[]));
+fn start_router_with_admin(servers: &[&CacheServer]) -> (RouterProcess, Discovery, SocketAddr) {
+    let discovery = Discovery::start(endpoint_list(7, false, &[]));
     let known: Vec<String> = servers.iter().map(|server| server.entry("up")).collect();
     let mut config = configuration(discovery.addr, &known);
     let admin = unused_addr();
@@ -21,11 +21,11 @@
     (router, discovery, admin)
 }
 
-fn post(admin: SocketAddr, path: &str, host: &str) -> u16 {
+fn post_server_command(admin: SocketAddr, path: &str, host: &str) -> u16 {
     http_request(admin, "POST", path, &format!(r#"{{"host":"{host}"}}"#)).status
 }
 
-fn figure(admin: SocketAddr, name: &str) -> f64 {
+fn metric_value(admin: SocketAddr, name: &str) -> f64 {
     let text = http_request(admin, "GET", "/api/telemetry", "").body;
     let line = text
         .lines()
@@ -37,47 +37,47 @@
 #[test]
 fn a_disabled_server_gets_no_requests_until_it_is_enabled() {
     let (a, b) = (CacheServer::start("s-a"), CacheServer::start("s-b"));
-    let (router, discovery, admin) = operated(&[&a, &b]);
+    let (router, discovery, admin) = start_router_with_admin(&[&a, &b]);
     let mut client = router.client();
-    let ask_all = |client: &mut Client| {
+    let count_served_by_a = |client: &mut Client| {
         keys()
             .filter(|key| client.request("read", key).contains("s-a"))
             .count()
     };
-    let served_before = ask_all(&mut client);
+    let served_before = count_served_by_a(&mut client);
     assert!(served_before > 0 && served_before < 40);
-    assert_eq!(post(admin, "/api/exclude", "s-a"), 200);
-    assert_eq!(ask_all(&mut client), 0);
+    assert_eq!(post_server_command(admin, "/api/exclude", "s-a"), 200);
+    assert_eq!(count_served_by_a(&mut client), 0);
     // Whatever the endpoint list says.
     discovery.write_to_watch(&format!(
         "{}\n",
-        list(8, true, &[a.entry("up"), b.entry("up")])
+        endpoint_list(8, true, &[a.entry("up"), b.entry("up")])
     ));
     wait_until("the list is taken", || {
-        figure(admin, "router_skipped_cache_servers") == 1.0
+        metric_value(admin, "router_skipped_cache_servers") == 1.0
     });
     assert_eq!(
         (
-            ask_all(&mut client),
-            figure(admin, "router_known_cache_servers")
+            count_served_by_a(&mut client),
+            metric_value(admin, "router_known_cache_servers")
         ),
         (0, 2.0)
     );
     assert_eq!(
         (
-            post(admin, "/api/exclude", "s-a"),
-            post(admin, "/api/include", "s-a")
+            post_server_command(admin, "/api/exclude", "s-a"),
+            post_server_command(admin, "/api/include", "s-a")
         ),
         (200, 200)
     );
-    assert_eq!(figure(admin, "router_skipped_cache_servers"), 0.0);
-    wait_until("it is used again", || ask_all(&mut client) > 0);
+    assert_eq!(metric_value(admin, "router_skipped_cache_servers"), 0.0);
+    wait_until("it is used again", || count_served_by_a(&mut client) > 0);
 }
 
 #[test]
 fn an_invalid_command_is_rejected_with_one_line_and_changes_nothing() {
     let a = CacheServer::start("s-a");
-    let (router, _discovery, admin) = operated(&[&a]);
+    let (router, _discovery, admin) = start_router_with_admin(&[&a]);
     let named = r#"{"host":"s-a"}"#;
     let long = format!(r#"{{"host":"{}"}}"#, "s".repeat(1 << 20));
     for (method, path, body, expected) in [
@@ -110,9 +110,9 @@
 }
 
 #[test]
-fn silent_connections_and_split_requests_delay_nobody() {
+fn silent_connections_and_slow_requests_delay_no_others() {
     let a = CacheServer::start("s-a");
-    let (_router, _discovery, admin) = operated(&[&a]);
+    let (_router, _discovery, admin) = start_router_with_admin(&[&a]);
     let silent: Vec<TcpStream> = (0..200)
         .map(|_| TcpStream::connect(admin).expect("connected"))
         .collect();
@@ -136,7 +136,7 @@
         Behavior::Reply(b"-ERR failed\r\n".to_vec()),
     );
     a.set_behavior("00000000000000cc", Behavior::ServeOnceGateOpens);
-    let (router, _discovery, admin) = operated(&[&a]);
+    let (router, _discovery, admin) = start_router_with_admin(&[&a]);
     let mut client = router.client();
     for _ in 0..3 {
         assert!(client.request("read", "00000000000000aa").contains("s-a"));
@@ -149,7 +149,7 @@
     let mut waiting = router.client();
     waiting.send("read", "00000000000000cc", 4_000);
     wait_until("it is at the server", || a.commands().len() == 5);
-    assert_eq!(figure(admin, "router_in_progress"), 1.0);
+    assert_eq!(metric_value(admin, "router_in_progress"), 1.0);
     a.open_gate();
     assert!(waiting.read_reply().is_some());
     for (name, count) in [
@@ -162,7 +162,7 @@
         ("router_known_cache_servers", 1.0),
         ("router_skipped_cache_servers", 0.0),
     ] {
-        assert_eq!(figure(admin, name), count, "{name}");
+        assert_eq!(metric_value(admin, name), count, "{name}");
     }
 }
 
@@ -171,7 +171,7 @@
     let a = CacheServer::start("s-a");
     a.set_behavior("00000000000000cc", Behavior::ServeOnceGateOpens);
     a.set_behavior("00000000000000ce", Behavior::ServeOnceGateOpens);
-    let (router, _discovery, admin) = operated(&[&a]);
+    let (router, _discovery, admin) = start_router_with_admin(&[&a]);
     let (mut idle, mut busy, mut pipelined) = (router.client(), router.client(), router.client());
     assert!(idle.request("read", "00000000000000aa").contains("s-a"));
     busy.send("read", "00000000000000cc", 4_000);
@@ -179,15 +179,15 @@
     wait_until("both are at the server", || a.commands().len() == 3);
     assert_eq!(http_request(admin, "POST", "/api/evacuate", "").status, 200);
     assert_eq!(idle.read_reply(), None);
-    let mut front = router.client();
-    front.write(&command(&["PING"]));
+    let mut health_check = router.client();
+    health_check.write(&encode_command(&["PING"]));
     assert!(
-        front
+        health_check
             .read_reply()
             .is_some_and(|text| text.starts_with("-ERR"))
     );
     assert_eq!(
-        front.read_reply(),
+        health_check.read_reply(),
         None,
         "the front's own connection is closed too"
     );
@@ -218,17 +218,21 @@
     // The process keeps running, and serves again after `rejoin`.
     assert_eq!(http_request(admin, "GET", "/api/ready", "").status, 200);
     assert_eq!(http_request(admin, "POST", "/api/rejoin", "").status, 200);
-    let mut front = router.client();
-    front.write(&command(&["PING"]));
-    assert_eq!(front.read_reply().as_deref(), Some("+PONG\r\n"));
-    assert!(front.request("read", "00000000000000aa").contains("s-a"));
+    let mut health_check = router.client();
+    health_check.write(&encode_command(&["PING"]));
+    assert_eq!(health_check.read_reply().as_deref(), Some("+PONG\r\n"));
+    assert!(
+        health_check
+            .request("read", "00000000000000aa")
+            .contains("s-a")
+    );
 }
 
 #[test]
-fn a_client_that_is_never_idle_cannot_hold_a_drained_router() {
+fn a_client_that_is_never_idle_is_closed_by_a_drained_router() {
     let a = CacheServer::start("s-a");
     a.set_default_behavior(Behavior::ReplyAfter(60, value_reply("s-a")));
-    let (router, _discovery, admin) = operated(&[&a]);
+    let (router, _discovery, admin) = start_router_with_admin(&[&a]);
     let mut client = router.client();
     client.send("read", "00000000000000aa", 4_000);
     client.send("read", "00000000000000ab", 4_000);
@@ -237,7 +241,7 @@
     let mut sent = 2;
     // Always one more request than replies.
     while client.read_reply().is_some() {
-        client.write_until_closed(&command(&[
+        client.write_until_closed(&encode_command(&[
             "C.GET",
             "00000000000000ac",
             &format!("id{sent}"),
@@ -252,7 +256,7 @@
 #[test]
 fn sigterm_while_drained_ends_the_process() {
     let a = CacheServer::start("s-a");
-    let (mut router, _discovery, admin) = operated(&[&a]);
+    let (mut router, _discovery, admin) = start_router_with_admin(&[&a]);
     assert_eq!(http_request(admin, "POST", "/api/evacuate", "").status, 200);
     router.terminate();
     assert_eq!(router.wait().code(), Some(0));
--- a/crates/cache-router/tests/operator_file.rs
+++ b/crates/cache-router/tests/operator_file.rs
@@ -5,8 +5,8 @@
 use test_support::*;
 
 #[test]
-fn a_file_that_cannot_be_read_is_one_line_that_names_the_place() {
-    let discovery = Discovery::start(list(7, false, &[]));
+fn an_invalid_file_prevents_the_start_with_a_one_line_error() {
+    let discovery = Discovery::start(endpoint_list(7, false, &[]));
     let config = configuration(discovery.addr, &[]).to_string();
     let rows = [
         (
@@ -33,14 +33,14 @@
 }
 
 #[test]
-fn the_shipped_file_is_read_and_joins_nothing() {
+fn the_shipped_file_is_valid_and_disables_coalescing() {
     let text = include_str!("../../../deploy/operator.toml");
     let mut tables: toml::Table = toml::from_str(text).expect("readable");
     let joining = tables.remove("joining").expect("the table");
     let joining: CoalescingFile = joining.try_into().expect("readable");
     assert_eq!(joining, CoalescingFile::default());
     let server = CacheServer::start("s-a");
-    let discovery = Discovery::start(list(7, false, &[]));
+    let discovery = Discovery::start(endpoint_list(7, false, &[]));
     let mut router = RouterProcess::start_with_operator_file(
         &configuration(discovery.addr, &[server.entry("up")]),
         text,
@@ -50,6 +50,8 @@
     // A router that coalesces logs its counters before the last line.
     router.terminate();
     assert_eq!(router.wait().code(), Some(0));
-    wait_until("the last line", || router.log_has("stopped, all answered"));
-    assert!(!router.log_has("joining: "));
+    wait_until("the last line", || {
+        router.log_contains("stopped, all answered")
+    });
+    assert!(!router.log_contains("joining: "));
 }
--- a/crates/cache-router/tests/process_replacement.rs
+++ b/crates/cache-router/tests/process_replacement.rs
@@ -4,16 +4,16 @@
 use test_support::*;
 
 /// A server, its discovery, and the configuration of a router that knows it.
-fn fleet() -> (CacheServer, Discovery, serde_json::Value) {
+fn start_fleet() -> (CacheServer, Discovery, serde_json::Value) {
     let server = CacheServer::start("s-a");
-    let discovery = Discovery::start(list(7, false, &[]));
+    let discovery = Discovery::start(endpoint_list(7, false, &[]));
     let config = configuration(discovery.addr, &[server.entry("up")]);
     (server, discovery, config)
 }
 
 #[test]
 fn the_listener_is_the_descriptor_that_the_platform_holds() {
-    let (_server, _discovery, config) = fleet();
+    let (_server, _discovery, config) = start_fleet();
     let platform = Platform::new();
     let router = platform.start(&config);
     assert_eq!(router.addr, platform.addr());
@@ -26,8 +26,8 @@
 }
 
 #[test]
-fn an_unusable_descriptor_ends_the_start_in_one_line() {
-    let (_server, _discovery, config) = fleet();
+fn an_unusable_descriptor_prevents_the_start_with_a_one_line_error() {
+    let (_server, _discovery, config) = start_fleet();
     for (before, expected) in [
         ("export GW_FD=three;", "GW_FD: 'three' is not a descriptor"),
         ("export GW_FD=-1;", "GW_FD: descriptor -1: "),
@@ -37,7 +37,7 @@
             "GW_FD: descriptor 3: is no listening TCP socket",
         ),
     ] {
-        let Exit { status, log } = run_to_end_after(&config.to_string(), before);
+        let Exit { status, log } = run_to_end_with_shell_commands(&config.to_string(), before);
         assert_eq!(status.code(), Some(2), "{log}");
         assert!(
             log.starts_with(&format!("asterport: {expected}")) && log.lines().count() == 1,
@@ -47,7 +47,7 @@
 }
 
 /// The configuration with an address of its own for the admin API, and that address.
-fn with_admin(config: &serde_json::Value) -> (serde_json::Value, std::net::SocketAddr) {
+fn with_admin_address(config: &serde_json::Value) -> (serde_json::Value, std::net::SocketAddr) {
     let (mut config, admin) = (config.clone(), unused_addr());
     config["admin"] = admin.to_string().into();
     (config, admin)
@@ -60,14 +60,14 @@
 
 #[test]
 fn clients_keep_their_connections_over_ten_replacements() {
-    let (server, _discovery, config) = fleet();
+    let (server, _discovery, config) = start_fleet();
     let platform = Platform::new();
-    let (first, admin) = with_admin(&config);
+    let (first, admin) = with_admin_address(&config);
     let mut old = platform.start(&first);
     wait_until("it is ready", || is_ready(admin));
     let mut clients: Vec<Client> = (0..8).map(|_| old.client()).collect();
     for _ in 0..10 {
-        let (next, admin) = with_admin(&config);
+        let (next, admin) = with_admin_address(&config);
         let new = platform.start(&next);
         wait_until("the next is ready", || is_ready(admin));
         old.terminate();
@@ -85,19 +85,19 @@
 
 #[test]
 fn connections_with_an_incomplete_command_or_a_pending_reply_are_handed_over() {
-    let (server, _discovery, config) = fleet();
+    let (server, _discovery, config) = start_fleet();
     server.set_behavior("00000000000000cc", Behavior::ServeOnceGateOpens);
     let platform = Platform::new();
-    let (first, admin) = with_admin(&config);
+    let (first, admin) = with_admin_address(&config);
     let mut old = platform.start(&first);
     wait_until("it is ready", || is_ready(admin));
     let (mut half, mut pending) = (old.client(), old.client());
-    let text = command(&["C.GET", "00000000000000aa", "id-half", "c=read,d=4000"]);
+    let text = encode_command(&["C.GET", "00000000000000aa", "id-half", "c=read,d=4000"]);
     let (begin, end) = text.split_at(20);
     half.write(begin);
     pending.send("read", "00000000000000cc", 4_000);
     wait_until("it is at the server", || !server.commands().is_empty());
-    let (next, admin) = with_admin(&config);
+    let (next, admin) = with_admin_address(&config);
     let new = platform.start(&next);
     wait_until("the next is ready", || is_ready(admin));
     old.terminate();
@@ -111,17 +111,17 @@
     );
     assert_eq!(old.wait().code(), Some(0));
     assert!(pending.request("read", "00000000000000aa").contains("s-a"));
-    assert!(new.log_has("2 connections taken over"));
+    assert!(new.log_contains("2 connections taken over"));
 }
 
 #[test]
 fn a_successor_that_dies_returns_the_service_to_its_predecessor() {
-    let (_server, _discovery, config) = fleet();
+    let (_server, _discovery, config) = start_fleet();
     let platform = Platform::new();
-    let (first, admin) = with_admin(&config);
+    let (first, admin) = with_admin_address(&config);
     let old = platform.start(&first);
     wait_until("it is ready", || is_ready(admin));
-    let (next, new_admin) = with_admin(&config);
+    let (next, new_admin) = with_admin_address(&config);
     let new = platform.start(&next);
     wait_until("the next is ready", || is_ready(new_admin));
     // Killed.
@@ -133,54 +133,54 @@
             .contains("s-a")
     );
     // The next process takes over from it.
-    let (next, new_admin) = with_admin(&config);
+    let (next, new_admin) = with_admin_address(&config);
     let _new = platform.start(&next);
     wait_until("the next is ready", || is_ready(new_admin));
     assert!(!is_ready(admin));
 }
 
 #[test]
-fn a_ban_survives_a_replacement_and_later_ones_reach_both_processes() {
+fn an_override_survives_a_replacement_and_later_ones_reach_both_processes() {
     let (a, b) = (CacheServer::start("s-a"), CacheServer::start("s-b"));
-    let discovery = Discovery::start(list(7, false, &[]));
+    let discovery = Discovery::start(endpoint_list(7, false, &[]));
     let config = configuration(discovery.addr, &[a.entry("up"), b.entry("up")]);
     let platform = Platform::new();
-    let (first, admin) = with_admin(&config);
+    let (first, admin) = with_admin_address(&config);
     let mut old = platform.start(&first);
     wait_until("it is ready", || is_ready(admin));
-    let ban = |admin, path: &str, host: &str| {
+    let post_override = |admin, path: &str, host: &str| {
         assert_eq!(
             http_request(admin, "POST", path, &format!(r#"{{"host":"{host}"}}"#)).status,
             200
         );
     };
-    let skipped = |admin| {
+    let has_disabled_server = |admin| {
         http_request(admin, "GET", "/api/telemetry", "")
             .body
             .contains("router_skipped_cache_servers 1")
     };
-    ban(admin, "/api/exclude", "s-a");
-    let (next, new_admin) = with_admin(&config);
+    post_override(admin, "/api/exclude", "s-a");
+    let (next, new_admin) = with_admin_address(&config);
     let new = platform.start(&next);
     wait_until("the next is ready", || is_ready(new_admin));
-    assert!(skipped(new_admin));
+    assert!(has_disabled_server(new_admin));
     let mut client = new.client();
     for i in 0..20 {
         assert!(client.request("read", &format!("{i:016x}")).contains("s-b"));
     }
     // While both run, an override at one holds at the other.
-    ban(new_admin, "/api/include", "s-a");
-    wait_until("the old one has heard", || !skipped(admin));
-    ban(admin, "/api/exclude", "s-b");
-    wait_until("the new one has heard", || skipped(new_admin));
+    post_override(new_admin, "/api/include", "s-a");
+    wait_until("the old one has heard", || !has_disabled_server(admin));
+    post_override(admin, "/api/exclude", "s-b");
+    wait_until("the new one has heard", || has_disabled_server(new_admin));
     old.terminate();
     assert_eq!(old.wait().code(), Some(0));
     // Killed, and started again: the overrides are on disk.
     drop(new);
-    let (next, admin) = with_admin(&config);
+    let (next, admin) = with_admin_address(&config);
     let last = platform.start(&next);
     wait_until("it is ready", || is_ready(admin));
-    assert!(skipped(admin));
+    assert!(has_disabled_server(admin));
     assert!(
         last.client()
             .request("read", "00000000000000aa")
@@ -190,14 +190,14 @@
 
 /// Guards against a ban that an operator was told of and that is gone after a kill: its write failed once, and that was all.
 #[test]
-fn a_ban_that_could_not_be_written_at_first_survives_a_kill() {
-    let (_server, _discovery, config) = fleet();
+fn an_override_that_could_not_be_written_at_first_survives_a_kill() {
+    let (_server, _discovery, config) = start_fleet();
     let platform = Platform::new();
     let path = platform.folder.join("asterport-n1.state");
     // A folder in the place of the file that is written first: every write fails while it stands there.
     let obstacle = path.with_extension("state.new");
     std::fs::create_dir(&obstacle).expect("a folder");
-    let (first, admin) = with_admin(&config);
+    let (first, admin) = with_admin_address(&config);
     let router = platform.start(&first);
     wait_until("it is ready", || is_ready(admin));
     assert_eq!(
@@ -208,7 +208,7 @@
     std::fs::remove_dir(&obstacle).expect("removed");
     wait_until("it is written after all", || path.exists());
     drop(router);
-    let (next, admin) = with_admin(&config);
+    let (next, admin) = with_admin_address(&config);
     let _next = platform.start(&next);
     wait_until("it is ready", || is_ready(admin));
     let metrics = http_request(admin, "GET", "/api/telemetry", "").body;
@@ -220,10 +220,10 @@
 
 #[test]
 fn an_unusable_state_file_is_logged_and_the_router_starts() {
-    let (_server, _discovery, config) = fleet();
+    let (_server, _discovery, config) = start_fleet();
     let platform = Platform::new();
     let path = platform.folder.join("asterport-n1.state");
-    let (first, admin) = with_admin(&config);
+    let (first, admin) = with_admin_address(&config);
     let router = platform.start(&first);
     wait_until("it is ready", || is_ready(admin));
     assert_eq!(
@@ -232,18 +232,22 @@
     );
     drop(router);
     let good = std::fs::read(&path).expect("the file");
-    let mut spoilt = good.clone();
-    spoilt[10] ^= 1;
+    let mut corrupted = good.clone();
+    corrupted[10] ^= 1;
     for (bytes, expected) in [
         (&good[..good.len() - 1], "cut off"),
         (&good[..3], "cut off"),
-        (&spoilt, "checksum"),
+        (&corrupted, "checksum"),
     ] {
         std::fs::write(&path, bytes).expect("written");
-        let (config, admin) = with_admin(&config);
+        let (config, admin) = with_admin_address(&config);
         let router = platform.start(&config);
         wait_until("it is ready", || is_ready(admin));
-        assert!(router.log_has(expected), "{:?}", router.log.lock().unwrap());
+        assert!(
+            router.log_contains(expected),
+            "{:?}",
+            router.log.lock().unwrap()
+        );
         assert!(
             router
                 .client()
@@ -255,38 +259,42 @@
 
 #[test]
 fn a_drain_is_handed_over() {
-    let (_server, _discovery, config) = fleet();
+    let (_server, _discovery, config) = start_fleet();
     let platform = Platform::new();
-    let (first, admin) = with_admin(&config);
+    let (first, admin) = with_admin_address(&config);
     let mut old = platform.start(&first);
     wait_until("it is ready", || is_ready(admin));
     assert_eq!(http_request(admin, "POST", "/api/evacuate", "").status, 200);
-    let (next, admin) = with_admin(&config);
+    let (next, admin) = with_admin_address(&config);
     let new = platform.start(&next);
     wait_until("the next is ready", || is_ready(admin));
     old.terminate();
     assert_eq!(old.wait().code(), Some(0));
-    let mut front = new.client();
-    front.write(&command(&["PING"]));
+    let mut health_check = new.client();
+    health_check.write(&encode_command(&["PING"]));
     assert!(
-        front
+        health_check
             .read_reply()
             .is_some_and(|text| text.starts_with("-ERR"))
     );
     assert_eq!(http_request(admin, "POST", "/api/rejoin", "").status, 200);
-    let mut front = new.client();
-    front.write(&command(&["PING"]));
-    assert_eq!(front.read_reply().as_deref(), Some("+PONG\r\n"));
+    let mut health_check = new.client();
+    health_check.write(&encode_command(&["PING"]));
+    assert_eq!(health_check.read_reply().as_deref(), Some("+PONG\r\n"));
 }
 
 /// A pending request keeps its connection at the old process, unread; a disconnect is seen all the same.
 #[test]
-fn a_disconnect_during_a_hand_over_is_seen() {
-    let (silent, fillers) = unresponsive_listener();
-    let discovery = Discovery::start(list(7, false, &[]));
+fn a_disconnect_during_a_hand_over_is_detected() {
+    let (silent_listener, backlog_connections) = unresponsive_listener();
+    let discovery = Discovery::start(endpoint_list(7, false, &[]));
     let mut config = configuration(
         discovery.addr,
-        &[entry("s-a", silent.local_addr().unwrap(), "up")],
+        &[endpoint_entry(
+            "s-a",
+            silent_listener.local_addr().unwrap(),
+            "up",
+        )],
     );
     config["settings"]["limits"]["dial_timeout"] = 15.0.into();
     for class in config["settings"]["request_classes"]
@@ -296,26 +304,26 @@
         class["give_up"] = 20.0.into();
     }
     let platform = Platform::new();
-    let (first, admin) = with_admin(&config);
+    let (first, admin) = with_admin_address(&config);
     let old = platform.start(&first);
     wait_until("it is ready", || is_ready(admin));
     let mut leaving = old.client();
-    leaving.write(&command(&[
+    leaving.write(&encode_command(&[
         "C.GET",
         "00000000000000aa",
         "left",
         "c=read,t=acme,d=15000",
     ]));
-    leaving.write(&command(&["PING"]));
-    let (next, next_admin) = with_admin(&config);
+    leaving.write(&encode_command(&["PING"]));
+    let (next, next_admin) = with_admin_address(&config);
     let new = platform.start(&next);
     wait_until("the next serves", || {
         is_ready(next_admin) && !is_ready(admin)
     });
     // Long before its deadline, without a reply.
     leaving.disconnect();
-    drop(fillers);
-    let server = CacheServer::on("s-a", silent);
+    drop(backlog_connections);
+    let server = CacheServer::start_on("s-a", silent_listener);
     let mut client = new.client();
     wait_until("the server is there", || {
         client.request("read", "00000000000000aa").contains("s-a")
--- a/crates/cache-router/tests/process_signals.rs
+++ b/crates/cache-router/tests/process_signals.rs
@@ -48,16 +48,16 @@
     assert_eq!(router.wait().code(), Some(0));
     assert!(start.elapsed().as_millis() < 3_700, "{:?}", start.elapsed());
     wait_until("it says so", || {
-        router.log_has("stopped, 2 answered as failed")
+        router.log_contains("stopped, 2 answered as failed")
     });
 }
 
 /// The kernel has accepted these connections, and closing the listener would reset them.
 #[test]
-fn after_sigterm_clients_that_wait_for_a_slot_are_answered() {
+fn after_sigterm_clients_waiting_for_a_connection_slot_are_answered() {
     let server = CacheServer::start("s-a");
     server.set_default_behavior(Behavior::StaySilent);
-    let discovery = Discovery::start(list(7, false, &[]));
+    let discovery = Discovery::start(endpoint_list(7, false, &[]));
     let mut config = configuration(discovery.addr, &[server.entry("up")]);
     // Slots for two clients.
     config["limits"]["sockets"] = 52.into();
@@ -69,7 +69,7 @@
     let mut waiting = [router.client(), router.client(), router.client()];
     waiting
         .iter_mut()
-        .for_each(|client| client.write(&command(&["PING"])));
+        .for_each(|client| client.write(&encode_command(&["PING"])));
     router.terminate();
     for client in &mut waiting {
         assert_eq!(client.read_reply().as_deref(), Some("+PONG\r\n"));
@@ -85,7 +85,7 @@
 #[test]
 fn a_new_process_listens_on_the_same_address() {
     let server = CacheServer::start("s-a");
-    let discovery = Discovery::start(list(7, false, &[]));
+    let discovery = Discovery::start(endpoint_list(7, false, &[]));
     let mut config = configuration(discovery.addr, &[server.entry("up")]);
     let first = RouterProcess::start(&config);
     let addr = first.addr;
@@ -105,8 +105,8 @@
 }
 
 #[test]
-fn a_bad_configuration_is_one_plain_line() {
-    let discovery = Discovery::start(list(7, false, &[]));
+fn an_invalid_configuration_prevents_the_start_with_a_one_line_error() {
+    let discovery = Discovery::start(endpoint_list(7, false, &[]));
     let good = configuration(discovery.addr, &[]);
     let mut no_classes = good.clone();
     no_classes["settings"]
@@ -129,13 +129,15 @@
     for mode in ["subscribe", "automatic"] {
         let (old, new) = (CacheServer::start("s-a"), CacheServer::start("s-b"));
         let (first, second) = (
-            Discovery::start(list(41, false, &[])),
-            Discovery::start(list(3, true, &[new.entry("up")])),
+            Discovery::start(endpoint_list(41, false, &[])),
+            Discovery::start(endpoint_list(3, true, &[new.entry("up")])),
         );
         let mut config = configuration(CacheServer::start("nowhere").addr, &[old.entry("up")]);
         config["settings"]["discovery"] = mode.into();
-        let mut router =
-            RouterProcess::start_after(&config, &format!("export GW_DISCOVERY={};", first.addr));
+        let mut router = RouterProcess::start_with_shell_commands(
+            &config,
+            &format!("export GW_DISCOVERY={};", first.addr),
+        );
         wait_until("the router watches", || !first.calls().is_empty());
         let mut client = router.client();
         assert!(
@@ -165,14 +167,17 @@
         );
         wait_until("the old watch is closed", || first.is_watch_closed());
         // And once more, back to the first.
-        first.set_initial_list(list(50, true, &[old.entry("up")]));
+        first.set_initial_list(endpoint_list(50, true, &[old.entry("up")]));
         config["discovery"] = first.addr.to_string().into();
         router.reload(&config.to_string());
         wait_until("the old list again", || {
             client.request("read", "00000000000000aa").contains("s-a")
         });
         // The watch at the last address is the one that counts.
-        first.write_to_watch(&format!("{}\n", list(51, true, &[new.entry("up")])));
+        first.write_to_watch(&format!(
+            "{}\n",
+            endpoint_list(51, true, &[new.entry("up")])
+        ));
         wait_until("its change", || {
             client.request("read", "00000000000000aa").contains("s-b")
         });
@@ -185,8 +190,8 @@
 fn after_sighup_the_backoff_does_not_delay_the_new_discovery() {
     let (old, new) = (CacheServer::start("s-a"), CacheServer::start("s-b"));
     let (first, second) = (
-        Discovery::start(list(7, false, &[])),
-        Discovery::start(list(3, true, &[new.entry("up")])),
+        Discovery::start(endpoint_list(7, false, &[])),
+        Discovery::start(endpoint_list(3, true, &[new.entry("up")])),
     );
     first.set_failing(true);
     second.fail_next_calls(2);
@@ -194,7 +199,7 @@
     config["settings"]["invariants"]["ask_within"] = 1_000.0.into();
     let router = RouterProcess::start(&config);
     wait_until("the call has failed", || {
-        router.log_has("discovery watch lost: ")
+        router.log_contains("discovery watch lost: ")
     });
     config["discovery"] = second.addr.to_string().into();
     router.reload(&config.to_string());
@@ -206,9 +211,9 @@
 }
 
 #[test]
-fn after_sighup_a_bad_file_leaves_the_old_configuration() {
+fn after_sighup_an_invalid_file_leaves_the_old_configuration() {
     let (old, new) = (CacheServer::start("s-a"), CacheServer::start("s-b"));
-    let discovery = Discovery::start(list(7, false, &[]));
+    let discovery = Discovery::start(endpoint_list(7, false, &[]));
     let good = configuration(discovery.addr, &[old.entry("up")]);
     let mut router = RouterProcess::start(&good);
     wait_until("the router watches", || !discovery.calls().is_empty());
@@ -238,7 +243,7 @@
     let mut client = router.client();
     assert!(client.request("read", "00000000000000aa").contains("s-a"));
     // The old watch continues.
-    discovery.write_to_watch(&format!("{}\n", list(8, true, &[new.entry("up")])));
+    discovery.write_to_watch(&format!("{}\n", endpoint_list(8, true, &[new.entry("up")])));
     wait_until("a change", || {
         client.request("read", "00000000000000aa").contains("s-b")
     });
--- a/crates/cache-router/tests/upstream_attempts.rs
+++ b/crates/cache-router/tests/upstream_attempts.rs
@@ -9,9 +9,9 @@
     let server = CacheServer::start("s-a");
     let Fleet { router, .. } = start_router(&[&server]);
     let mut client = router.client();
-    client.write(&command(&["PING"]));
+    client.write(&encode_command(&["PING"]));
     assert_eq!(client.read_reply().unwrap(), "+PONG\r\n");
-    client.write(&command(&[
+    client.write(&encode_command(&[
         "C.GET",
         "7f3a9c21e0b4d655",
         "9b1f",
@@ -23,7 +23,7 @@
     );
     // A connection is used again once it has stayed quiet for a moment.
     std::thread::sleep(std::time::Duration::from_millis(100));
-    client.write(&command(&[
+    client.write(&encode_command(&[
         "C.SET",
         "7f3a9c21e0b4d655",
         "9b20",
@@ -35,7 +35,7 @@
         value_reply("s-a")
     );
     let commands = server.commands();
-    let wait = |fields: &str| {
+    let deadline_ms = |fields: &str| {
         fields
             .split(",d=")
             .nth(1)
@@ -48,9 +48,9 @@
     };
     let (read, write) = (&commands[0], &commands[1]);
     assert_eq!(read[..3], ["C.GET", "7f3a9c21e0b4d655", "9b1f"]);
-    assert!((1..=900).contains(&wait(&read[3])), "{}", read[3]);
+    assert!((1..=900).contains(&deadline_ms(&read[3])), "{}", read[3]);
     assert_eq!(
-        read[3].replace(&format!("d={}", wait(&read[3])), "d="),
+        read[3].replace(&format!("d={}", deadline_ms(&read[3])), "d="),
         "c=read,t=acme,d=,h=1200,size=2.172"
     );
     assert_eq!(write[..3], ["C.SET", "7f3a9c21e0b4d655", "9b20"]);
@@ -102,9 +102,9 @@
         ),
         ("nothing", Behavior::StaySilent, "-ERR"),
     ];
-    for (what, does, expected) in rows {
+    for (what, behavior, expected) in rows {
         let server = CacheServer::start("s-a");
-        server.set_default_behavior(does);
+        server.set_default_behavior(behavior);
         let Fleet { router, .. } = start_router(&[&server]);
         let mut client = router.client();
         client.send("once", "7f3a9c21e0b4d655", 300);
@@ -113,7 +113,7 @@
             .unwrap_or_else(|| panic!("{what}: no answer"));
         assert!(answer.starts_with(expected), "{what}: {answer}");
         assert_eq!(server.commands().len(), 1, "{what}: sent once");
-        client.write(&command(&["PING"]));
+        client.write(&encode_command(&["PING"]));
         assert_eq!(
             client.read_reply().unwrap(),
             "+PONG\r\n",
@@ -123,16 +123,16 @@
 }
 
 #[test]
-fn a_refused_connection_proves_that_nothing_ran() {
+fn a_refused_connection_proves_that_the_request_did_not_run() {
     let server = CacheServer::start("s-a");
-    let closed = std::net::TcpListener::bind("127.0.0.1:0")
+    let closed_addr = std::net::TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap();
-    let discovery = Discovery::start(list(7, false, &[]));
+    let discovery = Discovery::start(endpoint_list(7, false, &[]));
     let router = RouterProcess::start(&configuration(
         discovery.addr,
-        &[entry(&server.name, closed, "up")],
+        &[endpoint_entry(&server.name, closed_addr, "up")],
     ));
     let start = Instant::now();
     let answer = router.client().request("once", "7f3a9c21e0b4d655");
@@ -151,12 +151,12 @@
 #[test]
 fn a_keyed_write_that_may_have_run_is_retried_unchanged() {
     let key = "7f3a9c21e0b4d655";
-    let PairFleet {
+    let TwoServerFleet {
         owner,
         other,
         router,
         ..
-    } = start_router_and_pair(key);
+    } = start_router_with_two_servers(key);
     owner.set_default_behavior(Behavior::ReplyAndClose(Vec::new()));
     let mut client = router.client();
     assert!(client.request("put", key).contains(&other.name));
@@ -180,7 +180,7 @@
     }
     let Fleet { router, .. } = start_router(&[&a, &b]);
     let mut client = router.client();
-    let sent = |key: &str| {
+    let attempts_for = |key: &str| {
         a.commands()
             .iter()
             .chain(&b.commands())
@@ -192,25 +192,25 @@
             .request("read", "00000000000000aa")
             .starts_with("-BUSY ")
     );
-    assert_eq!(sent("00000000000000aa"), 2);
+    assert_eq!(attempts_for("00000000000000aa"), 2);
     assert!(
         client
             .request("read", "00000000000000bb")
             .starts_with("-BUSY ")
     );
-    assert_eq!(sent("00000000000000bb"), 1);
+    assert_eq!(attempts_for("00000000000000bb"), 1);
 }
 
 /// A server that hangs delays neither its arc nor the requests of others; one that recovers gets its arc back.
 #[test]
 fn an_unresponsive_server_is_avoided_until_it_recovers() {
     let key = "7f3a9c21e0b4d655";
-    let PairFleet {
+    let TwoServerFleet {
         owner,
         other,
         router,
         ..
-    } = start_router_and_pair(key);
+    } = start_router_with_two_servers(key);
     let mut client = router.client();
     owner.set_default_behavior(Behavior::StaySilent);
     for _ in 0..2 {
@@ -234,12 +234,14 @@
         owner.commands().len() > before
     });
     owner.set_default_behavior(Behavior::Serve);
-    let mut again = || {
+    let mut is_served_by_owner = || {
         client
             .request("read", &keys.next().unwrap())
             .contains(&owner.name)
     };
-    wait_until("its arc is its own again", || again() && again() && again());
+    wait_until("its arc is its own again", || {
+        is_served_by_owner() && is_served_by_owner() && is_served_by_owner()
+    });
 }
 
 /// A reply after the latency objective of 500 ms is worth nothing.
@@ -251,12 +253,12 @@
 #[test]
 fn a_reply_that_takes_most_of_the_objective_is_waited_for() {
     let key = "7f3a9c21e0b4d655";
-    let PairFleet {
+    let TwoServerFleet {
         owner,
         other,
         router,
         ..
-    } = start_router_and_pair_with_settings(key, without_late_weight);
+    } = start_router_with_two_servers_and_settings(key, without_late_weight);
     owner.set_behavior(key, Behavior::ReplyAfter(400, value_reply("in time")));
     assert!(router.client().request("read", key).contains("in time"));
     assert!(other.commands().is_empty(), "{:?}", other.commands());
@@ -267,12 +269,12 @@
 #[test]
 fn an_overdue_reply_is_retried_elsewhere() {
     let key = "7f3a9c21e0b4d655";
-    let PairFleet {
+    let TwoServerFleet {
         owner,
         other,
         router,
         ..
-    } = start_router_and_pair_with_settings(key, without_late_weight);
+    } = start_router_with_two_servers_and_settings(key, without_late_weight);
     let mut client = router.client();
     (0..60).for_each(|i| assert!(client.request("read", &format!("other{i}")).contains("s-")));
     owner.set_behavior(key, Behavior::StaySilent);
@@ -284,7 +286,7 @@
 #[test]
 fn a_retry_past_its_objective_takes_no_capacity_from_others() {
     let key = "7f3a9c21e0b4d655";
-    let waiting_count = 8;
+    let pending_count = 8;
     let server = CacheServer::start("s-a");
     let Fleet { router, .. } = start_router_with_settings(&[&server], without_late_weight);
     server.set_default_behavior(Behavior::ServeOnceGateOpens);
@@ -295,16 +297,16 @@
         client.read_reply().expect("an answer").starts_with("-BUSY"),
         "its time is up"
     );
-    let mut others: Vec<Client> = (0..waiting_count).map(|_| router.client()).collect();
+    let mut others: Vec<Client> = (0..pending_count).map(|_| router.client()).collect();
     others
         .iter_mut()
         .enumerate()
         .for_each(|(i, other)| other.send("read", &format!("other{i}"), 4_000));
     wait_until("half of the places are taken", || {
-        server.commands().len() == 1 + waiting_count
+        server.commands().len() == 1 + pending_count
     });
     std::thread::sleep(std::time::Duration::from_millis(600));
-    client.write(&command(&[
+    client.write(&encode_command(&[
         "C.GET",
         key,
         "again",
@@ -316,11 +318,16 @@
     );
     assert_eq!(
         server.commands().len(),
-        1 + waiting_count,
+        1 + pending_count,
         "it was not sent on"
     );
     server.set_behavior(key, Behavior::Serve);
-    client.write(&command(&["C.GET", key, "new", "c=read,t=acme,d=3000"]));
+    client.write(&encode_command(&[
+        "C.GET",
+        key,
+        "new",
+        "c=read,t=acme,d=3000",
+    ]));
     assert!(client.read_reply().expect("an answer").contains("s-a"));
     server.open_gate();
     others
@@ -331,8 +338,8 @@
 /// Guards a router that is one of forty: it paces what it sends to a server that has rejected requests, unless the
 /// server reports in its replies that it waits for work.
 #[test]
-fn load_reports_are_used_where_the_settings_name_a_format() {
-    let reached = |columns: &str, report: &str| {
+fn load_reports_are_used_if_the_settings_name_their_format() {
+    let sent_requests = |columns: &str, report: &str| {
         let server = CacheServer::start("s-a");
         server.set_default_behavior(Behavior::Reply(format!("-BUSY {report}\r\n").into_bytes()));
         let Fleet { router, .. } = start_router_with_settings(&[&server], |config| {
@@ -350,17 +357,17 @@
         server.commands().len()
     };
     assert_eq!(
-        reached("utilization,backlog", "util=0.2,queue=0"),
+        sent_requests("utilization,backlog", "util=0.2,queue=0"),
         12,
         "all are sent"
     );
     assert!(
-        reached("utilization,backlog", "util=1.0,queue=9") < 8,
+        sent_requests("utilization,backlog", "util=1.0,queue=9") < 8,
         "a queue"
     );
     assert!(
-        reached("utilization,backlog", "util=lots,queue=-3") < 8,
+        sent_requests("utilization,backlog", "util=lots,queue=-3") < 8,
         "no figures"
     );
-    assert!(reached("", "util=0.2,queue=0") < 8, "no reports here");
+    assert!(sent_requests("", "util=0.2,queue=0") < 8, "no reports here");
 }
--- a/crates/cache-router/tests/upstream_connections.rs
+++ b/crates/cache-router/tests/upstream_connections.rs
@@ -4,12 +4,16 @@
 use test_support::*;
 
 #[test]
-fn connecting_has_a_timeout_of_its_own() {
-    let (silent, _fillers) = unresponsive_listener();
-    let discovery = Discovery::start(list(7, false, &[]));
+fn connecting_has_its_own_timeout() {
+    let (silent_listener, _backlog_connections) = unresponsive_listener();
+    let discovery = Discovery::start(endpoint_list(7, false, &[]));
     let router = RouterProcess::start(&configuration(
         discovery.addr,
-        &[entry("s-a", silent.local_addr().unwrap(), "up")],
+        &[endpoint_entry(
+            "s-a",
+            silent_listener.local_addr().unwrap(),
+            "up",
+        )],
     ));
     let start = Instant::now();
     // Declined: the proof that nothing ran. And long before the client's 4 s are up.
@@ -25,11 +29,11 @@
 /// Guards the drain grace: a connection that is established after the notice carries nothing.
 #[test]
 fn nothing_reaches_a_server_that_drains_while_connecting() {
-    let (silent, fillers) = unresponsive_listener();
+    let (silent_listener, backlog_connections) = unresponsive_listener();
     let other = CacheServer::start("s-b");
-    let addr = silent.local_addr().unwrap();
-    let discovery = Discovery::start(list(7, false, &[]));
-    let mut config = configuration(discovery.addr, &[entry("s-a", addr, "up")]);
+    let addr = silent_listener.local_addr().unwrap();
+    let discovery = Discovery::start(endpoint_list(7, false, &[]));
+    let mut config = configuration(discovery.addr, &[endpoint_entry("s-a", addr, "up")]);
     config["settings"]["limits"]["dial_timeout"] = 15.0.into();
     for class in config["settings"]["request_classes"]
         .as_array_mut()
@@ -41,19 +45,19 @@
     wait_until("the router watches", || !discovery.calls().is_empty());
     let mut client = router.client();
     client.send("once", "7f3a9c21e0b4d655", 16_000);
-    client.write(&command(&["PING"]));
-    let news = list(
+    client.write(&encode_command(&["PING"]));
+    let update = endpoint_list(
         8,
         false,
-        &[entry("s-a", addr, "draining"), other.entry("up")],
+        &[endpoint_entry("s-a", addr, "draining"), other.entry("up")],
     );
-    discovery.write_to_watch(&format!("{news}\n"));
+    discovery.write_to_watch(&format!("{update}\n"));
     let mut second = router.client();
     wait_until("the drain is known", || {
         second.request("read", "00000000000000aa").contains("s-b")
     });
-    drop(fillers);
-    let drained = CacheServer::on("s-a", silent);
+    drop(backlog_connections);
+    let drained = CacheServer::start_on("s-a", silent_listener);
     // It never ran there, so that it may go to the other server.
     assert!(client.read_reply().unwrap().contains("s-b"));
     assert!(drained.commands().is_empty(), "{:?}", drained.commands());
@@ -61,9 +65,9 @@
 
 /// Guards against a reset of a request that may have run: connections are retired before the server closes them.
 #[test]
-fn idle_connections_are_retired_in_time() {
+fn idle_connections_are_closed_before_the_server_closes_them() {
     let server = CacheServer::start("s-a");
-    let discovery = Discovery::start(list(7, false, &[]));
+    let discovery = Discovery::start(endpoint_list(7, false, &[]));
     let mut config = configuration(discovery.addr, &[server.entry("up")]);
     config["settings"]["limits"]["conn_idle"] = 1.0.into();
     let router = RouterProcess::start(&config);
@@ -84,7 +88,7 @@
 #[test]
 fn an_idle_connection_is_closed_once_it_costs_more_than_a_new_one() {
     let server = CacheServer::start("s-a");
-    let discovery = Discovery::start(list(7, false, &[]));
+    let discovery = Discovery::start(endpoint_list(7, false, &[]));
     let mut config = configuration(discovery.addr, &[server.entry("up")]);
     config["settings"]["deductions"] = serde_json::json!({"connection": 0.08, "handshake": 0.001});
     let router = RouterProcess::start(&config);
@@ -119,11 +123,11 @@
 }
 
 /// Whatever a server does with the connections of one key, those that carry another key stay in use.
-fn closes_no_other_connection(does: Behavior) {
+fn assert_other_connections_stay_open(behavior: Behavior) {
     let server = CacheServer::start("s-a");
     let Fleet { router, .. } = start_router(&[&server]);
     let mut client = router.client();
-    server.set_behavior("00000000000000aa", does);
+    server.set_behavior("00000000000000aa", behavior);
     for _ in 0..2 {
         // The connection that it comes on had been idle.
         assert!(client.request("once", "00000000000000bb").contains("s-a"));
@@ -149,13 +153,13 @@
 /// A malformed reply shows nothing about idle connections: the others stay open.
 #[test]
 fn a_malformed_reply_closes_no_other_connection() {
-    closes_no_other_connection(Behavior::Reply(b"what?\r\n".to_vec()));
+    assert_other_connections_stay_open(Behavior::Reply(b"what?\r\n".to_vec()));
 }
 
 /// A connection that is lost a moment after its last use was not closed for being idle: the others stay open.
 #[test]
 fn a_connection_lost_in_use_closes_no_other_connection() {
-    closes_no_other_connection(Behavior::ReplyAndClose(Vec::new()));
+    assert_other_connections_stay_open(Behavior::ReplyAndClose(Vec::new()));
 }
 
 /// A handshake counts for the connection: servers whose new connections are slow, while they reply at once on those
@@ -194,15 +198,17 @@
 /// A stale connection shows nothing about its server: the key stays there, on another connection, and however often
 /// that happens, no request is rejected for it.
 #[test]
-fn a_stale_connection_costs_a_key_neither_its_owner_nor_a_retry() {
+fn a_stale_connection_neither_diverts_the_key_nor_uses_a_retry() {
     let key = "7f3a9c21e0b4d655";
     // One of many routers starts with few further attempts in hand.
-    let PairFleet {
+    let TwoServerFleet {
         owner,
         other,
         router,
         ..
-    } = start_router_and_pair_with_settings(key, |settings| settings["peers_total"] = 12.into());
+    } = start_router_with_two_servers_and_settings(key, |settings| {
+        settings["peers_total"] = 12.into()
+    });
     let mut client = router.client();
     // The router learns how long the owner's answers take: what breaks much sooner did no work.
     owner.set_default_behavior(Behavior::ReplyAfter(100, value_reply(&owner.name)));
--- a/crates/cache-router/tests/upstream_replies.rs
+++ b/crates/cache-router/tests/upstream_replies.rs
@@ -26,51 +26,54 @@
 /// the cache server leaves the connection open, and nothing is written to that connection again.
 #[test]
 fn malformed_replies_fail_soon_and_close_their_connection() {
-    let says = |text: &str| Behavior::Reply(text.as_bytes().to_vec());
+    let reply = |text: &str| Behavior::Reply(text.as_bytes().to_vec());
     let kinds = [
-        ("a simple string", says("+x\r\n")),
-        ("an integer", says(":1\r\n")),
-        ("a bulk string", says("$3\r\nabc\r\n")),
-        ("a null array", says("*-1\r\n")),
-        ("an array of two", says("*2\r\n$1\r\nv\r\n$3\r\nhit\r\n")),
+        ("a simple string", reply("+x\r\n")),
+        ("an integer", reply(":1\r\n")),
+        ("a bulk string", reply("$3\r\nabc\r\n")),
+        ("a null array", reply("*-1\r\n")),
+        ("an array of two", reply("*2\r\n$1\r\nv\r\n$3\r\nhit\r\n")),
         (
             "an array of four",
-            says("*4\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n$-1\r\n"),
+            reply("*4\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n$-1\r\n"),
+        ),
+        ("a null value", reply("*3\r\n$-1\r\n$3\r\nhit\r\n$-1\r\n")),
+        (
+            "an integer value",
+            reply("*3\r\n:7\r\n$3\r\nhit\r\n$-1\r\n"),
         ),
-        ("a null value", says("*3\r\n$-1\r\n$3\r\nhit\r\n$-1\r\n")),
-        ("an integer value", says("*3\r\n:7\r\n$3\r\nhit\r\n$-1\r\n")),
         (
             "an array within",
-            says("*3\r\n*1\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n"),
+            reply("*3\r\n*1\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n"),
         ),
         (
             "noise on how it went",
-            says("*3\r\n$1\r\nv\r\n$3\r\n\u{1}\u{2}\u{3}\r\n$-1\r\n"),
+            reply("*3\r\n$1\r\nv\r\n$3\r\n\u{1}\u{2}\u{3}\r\n$-1\r\n"),
         ),
         (
             "a length that is short",
-            says("*3\r\n$2\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n"),
+            reply("*3\r\n$2\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n"),
         ),
         (
             "a length that is long",
-            says("*3\r\n$50\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n"),
+            reply("*3\r\n$50\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n"),
         ),
         (
             "a length with a sign",
-            says("*3\r\n$+1\r\nv\r\n$3\r\nhit\r\n$-1\r\n"),
+            reply("*3\r\n$+1\r\nv\r\n$3\r\nhit\r\n$-1\r\n"),
         ),
         (
             "a negative length",
-            says("*3\r\n$-2\r\nv\r\n$3\r\nhit\r\n$-1\r\n"),
+            reply("*3\r\n$-2\r\nv\r\n$3\r\nhit\r\n$-1\r\n"),
         ),
         (
             "a length past all bounds",
-            says("*3\r\n$99999999999999999999999\r\n"),
+            reply("*3\r\n$99999999999999999999999\r\n"),
         ),
-        ("another error", says("-SYNTAX no\r\n")),
-        ("an error with noise", says("-ERR \u{1}\u{2}\r\n")),
-        ("half an answer", says("*3\r\n$5\r\nva")),
-        ("half a header", says("*")),
+        ("another error", reply("-SYNTAX no\r\n")),
+        ("an error with noise", reply("-ERR \u{1}\u{2}\r\n")),
+        ("half an answer", reply("*3\r\n$5\r\nva")),
+        ("half a header", reply("*")),
         ("noise", Behavior::Reply(vec![0xFF; 300])),
         (
             "a line without end",
@@ -84,8 +87,8 @@
     let server = CacheServer::start("s-a");
     let Fleet { router, .. } = start_router(&[&server]);
     let mut client = router.client();
-    for (count, (what, does)) in kinds.into_iter().enumerate() {
-        server.set_behavior("00000000000000aa", does);
+    for (count, (what, behavior)) in kinds.into_iter().enumerate() {
+        server.set_behavior("00000000000000aa", behavior);
         let start = Instant::now();
         let answer = client.request("once", "00000000000000aa");
         assert!(answer.starts_with("-ERR"), "{what}: {answer}");
@@ -105,12 +108,12 @@
 #[test]
 fn a_read_with_a_malformed_reply_is_served_elsewhere() {
     let key = "7f3a9c21e0b4d655";
-    let PairFleet {
+    let TwoServerFleet {
         owner,
         other,
         router,
         ..
-    } = start_router_and_pair(key);
+    } = start_router_with_two_servers(key);
     owner.set_default_behavior(Behavior::Reply(b"what?\r\n".to_vec()));
     assert!(router.client().request("read", key).contains(&other.name));
 }
@@ -154,7 +157,7 @@
 /// Guards against a duplicate that arrives when the connection is back in the pool: the next request, which follows at
 /// once, must not get it.
 #[test]
-fn a_duplicate_reply_answers_nobody() {
+fn a_duplicate_reply_answers_no_other_request() {
     let server = CacheServer::start("s-a");
     server.set_behavior(
         "00000000000000aa",
@@ -163,7 +166,7 @@
     let Fleet { router, .. } = start_router(&[&server]);
     let mut client = router.client();
     // A fake that slept for longer than it should proves nothing either way.
-    let in_time = || {
+    let count_prompt_copies = || {
         server
             .two_part_reply_durations()
             .iter()
@@ -171,13 +174,16 @@
             .count()
     };
     wait_until("copies in time", || {
-        let before = (in_time(), server.two_part_reply_durations().len());
+        let before = (
+            count_prompt_copies(),
+            server.two_part_reply_durations().len(),
+        );
         assert!(client.request("read", "00000000000000aa").contains("first"));
         let next = client.request("read", "00000000000000bb");
         wait_until("the copy is out", || {
             server.two_part_reply_durations().len() > before.1
         });
-        if in_time() == before.0 {
+        if count_prompt_copies() == before.0 {
             // Whatever is on its way on that connection goes with it.
             let accepted = server.connections().accepted;
             server.close_connections();
@@ -191,6 +197,6 @@
         } else {
             assert!(next.contains("s-a"), "{next}");
         }
-        in_time() >= 20
+        count_prompt_copies() >= 20
     });
 }
--- a/crates/cache-router/tests/warm_state_format.rs
+++ b/crates/cache-router/tests/warm_state_format.rs
@@ -11,7 +11,7 @@
 };
 
 /// The clock of the earlier program when it wrote the bytes.
-const WRITTEN_AT: Micros = Micros(100_720_000);
+const GOLDEN_CLOCK: Micros = Micros(100_720_000);
 
 /// The earlier program's bytes: 3 servers, 17 keys, an origin that was asked for new and for known keys.
 fn golden_bytes() -> Vec<u8> {
@@ -21,7 +21,7 @@
 }
 
 /// A router with the earlier one's settings and endpoints, new to all else.
-fn router() -> Router {
+fn new_router() -> Router {
     let class = Class {
         latency_objective: Micros::from_millis(300),
         deadline: Micros::from_millis(1_000),
@@ -47,20 +47,20 @@
 }
 
 #[test]
-fn the_earlier_programs_warm_state_is_read_restored_and_written_alike() {
+fn the_golden_warm_state_is_read_restored_and_written_unchanged() {
     let bytes = golden_bytes();
     let (warm_state, rest) = postcard::take_from_bytes::<WarmState>(&bytes).expect("readable");
     assert!(rest.is_empty(), "{} bytes are left over", rest.len());
-    let mut router = router();
+    let mut router = new_router();
     let cold = postcard::to_stdvec(&router.warm_state()).expect("written");
     assert_ne!(cold, bytes, "the bytes say more than a new router knows");
-    router.restore_warm_state(WRITTEN_AT, warm_state);
+    router.restore_warm_state(GOLDEN_CLOCK, warm_state);
     let written = postcard::to_stdvec(&router.warm_state()).expect("written");
     assert_eq!(written, bytes);
 }
 
 /// Request `number` of the earlier program's run, and its answer if it is sent; the time after that.
-fn serve(router: &mut Router, number: u32, now: Micros) -> Micros {
+fn replay_request(router: &mut Router, number: u32, now: Micros) -> Micros {
     let request = Request {
         id: RequestId(number),
         class: ClassId(0),
@@ -95,26 +95,26 @@
             elapsed,
         )
     };
-    let answered_at = now.plus(elapsed);
-    router.handle(answered_at, Event::AttemptEnded(end), &mut actions);
-    answered_at
+    let completed_at = now.plus(elapsed);
+    router.handle(completed_at, Event::AttemptEnded(end), &mut actions);
+    completed_at
 }
 
 /// A field that changes its place with another of its type is read and written alike, and yet means another thing.
 #[test]
-fn a_router_after_the_earlier_programs_events_writes_its_bytes() {
-    let mut router = router();
+fn replayed_events_produce_the_golden_warm_state() {
+    let mut router = new_router();
     let mut now = Micros::from_millis(100_000);
     for number in 0..60 {
-        now = serve(&mut router, number, now.plus(Micros::from_millis(7)));
+        now = replay_request(&mut router, number, now.plus(Micros::from_millis(7)));
     }
-    assert_eq!(now, WRITTEN_AT);
+    assert_eq!(now, GOLDEN_CLOCK);
     let written = postcard::to_stdvec(&router.warm_state()).expect("written");
     assert_eq!(written, golden_bytes());
 }
 
 #[test]
-fn a_warm_state_that_is_cut_off_anywhere_is_not_read() {
+fn a_truncated_warm_state_is_rejected_at_every_length() {
     let bytes = golden_bytes();
     for length in 0..bytes.len() {
         assert!(
--- a/crates/test-support/examples/ordinary_path.rs
+++ b/crates/test-support/examples/request_cost.rs
@@ -1,7 +1,7 @@
 //! What a request costs the router: CPU, and with `strace` at hand its system calls. Reads, unpipelined, all hits.
 //!
 //! ```text
-//! ASTERPORT_PROGRAM=target/release/cache-router cargo run --release -p test-support --example ordinary_path
+//! ASTERPORT_PROGRAM=target/release/cache-router cargo run --release -p test-support --example request_cost
 //! ```
 //! A first argument sets how many requests each of the 16 clients sends (500), a second one `strace` counts calls.
 
@@ -9,38 +9,38 @@
 use std::time::{Duration, Instant};
 use test_support::{CacheServer, Client, Fleet, start_router};
 
-const CLIENTS: usize = 16;
+const CLIENT_COUNT: usize = 16;
 /// Each client sends one request in this time.
-const PACE: Duration = Duration::from_millis(20);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(20);
 
-fn ask_all(addr: std::net::SocketAddr, each: usize) {
-    let work = |number: usize| {
+fn send_requests(addr: std::net::SocketAddr, requests_per_client: usize) {
+    let run_client = |number: usize| {
         let mut client = Client::connect(addr);
         let start = Instant::now();
-        for round in 0..each {
+        for round in 0..requests_per_client {
             let key = format!("{:016x}", (number * 7919 + round * 104_729) % 200);
             assert!(client.request("read", &key).contains("s-"), "served");
-            let next = start + PACE * (round as u32 + 1);
+            let next = start + REQUEST_INTERVAL * (round as u32 + 1);
             std::thread::sleep(next.saturating_duration_since(Instant::now()));
         }
     };
     std::thread::scope(|scope| {
-        for number in 0..CLIENTS {
-            scope.spawn(move || work(number));
+        for number in 0..CLIENT_COUNT {
+            scope.spawn(move || run_client(number));
         }
     });
 }
 
 fn main() {
     let mut args = std::env::args().skip(1);
-    let each: usize = args
+    let requests_per_client: usize = args
         .next()
         .map_or(500, |text| text.parse().expect("a number of requests"));
     let servers: Vec<CacheServer> = (0..8)
         .map(|i| CacheServer::start(&format!("s-{i}")))
         .collect();
     let Fleet { router, .. } = start_router(&servers.iter().collect::<Vec<_>>());
-    ask_all(router.addr, 50);
+    send_requests(router.addr, 50);
     let mut tracer = args.next().map(|tool| {
         let pid = router.pid().to_string();
         let child = Command::new(tool)
@@ -50,9 +50,9 @@
         std::thread::sleep(Duration::from_millis(500));
         child.expect("the tracer starts")
     });
-    let (before, count) = (router.cpu_ns(), CLIENTS * each);
-    ask_all(router.addr, each);
-    let used = router.cpu_ns() - before;
+    let (cpu_ns_before, count) = (router.cpu_ns(), CLIENT_COUNT * requests_per_client);
+    send_requests(router.addr, requests_per_client);
+    let used_ns = router.cpu_ns() - cpu_ns_before;
     drop(router);
     if let Some(tracer) = tracer.take() {
         let output = tracer.wait_with_output().expect("its table");
@@ -66,7 +66,7 @@
     } else {
         println!(
             "{count} requests, {:.2} us of CPU each",
-            used as f64 / 1e3 / count as f64
+            used_ns as f64 / 1e3 / count as f64
         );
     }
 }
--- a/crates/test-support/src/cache_server.rs
+++ b/crates/test-support/src/cache_server.rs
@@ -1,6 +1,6 @@
 //! A cache server that records its commands and behaves as the test sets it to.
 
-use crate::discovery::entry;
+use crate::discovery::endpoint_entry;
 use crate::resp::{arguments, read_frame, value_reply};
 use std::collections::HashMap;
 use std::io::{BufReader, Write};
@@ -83,21 +83,21 @@
 impl CacheServer {
     /// Starts a cache server on an ephemeral port.
     pub fn start(name: &str) -> CacheServer {
-        CacheServer::on(name, TcpListener::bind("127.0.0.1:0").expect("a port"))
+        CacheServer::start_on(name, TcpListener::bind("127.0.0.1:0").expect("a port"))
     }
 
     /// Starts a cache server on this listener.
-    pub fn on(name: &str, listener: TcpListener) -> CacheServer {
+    pub fn start_on(name: &str, listener: TcpListener) -> CacheServer {
         let addr = listener.local_addr().expect("an address");
         let server = CacheServer {
             name: name.to_string(),
             addr,
             shared: Arc::default(),
         };
-        let accepting = server.clone();
+        let acceptor = server.clone();
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                let server = accepting.clone();
+                let server = acceptor.clone();
                 thread::spawn(move || server.serve(stream));
             }
         });
@@ -112,14 +112,14 @@
         let connection = self.record_connection(&stream);
         let mut reader = BufReader::new(stream.try_clone().expect("a handle"));
         let mut writer = stream;
-        let mut is_new = true;
+        let mut is_first_command = true;
         while let Some(frame) = read_frame(&mut reader) {
             let behavior = self.record_command(connection, arguments(&frame));
             if matches!(behavior, Behavior::StaySilent) {
                 continue;
             }
-            let stays_open = self.reply(&mut writer, behavior, is_new);
-            is_new = false;
+            let stays_open = self.reply(&mut writer, behavior, is_first_command);
+            is_first_command = false;
             if !stays_open {
                 break;
             }
@@ -150,7 +150,7 @@
     }
 
     /// Replies to a command; returns whether the connection stays open.
-    fn reply(&self, writer: &mut TcpStream, behavior: Behavior, is_new: bool) -> bool {
+    fn reply(&self, writer: &mut TcpStream, behavior: Behavior, is_first_command: bool) -> bool {
         let own_reply = value_reply(&self.name);
         match behavior {
             Behavior::Serve => writer.write_all(&own_reply).is_ok(),
@@ -174,10 +174,14 @@
                 false
             }
             Behavior::ServeSlowlyOnNewConnection(millis) => {
-                thread::sleep(Duration::from_millis(if is_new { millis } else { 0 }));
+                thread::sleep(Duration::from_millis(if is_first_command {
+                    millis
+                } else {
+                    0
+                }));
                 writer.write_all(&own_reply).is_ok()
             }
-            Behavior::CloseOnReuse => is_new && writer.write_all(&own_reply).is_ok(),
+            Behavior::CloseOnReuse => is_first_command && writer.write_all(&own_reply).is_ok(),
             Behavior::StaySilent => true,
             Behavior::ServeOnceGateOpens => {
                 self.wait_for_gate();
@@ -267,6 +271,6 @@
 
     /// Its entry in an endpoint list.
     pub fn entry(&self, health: &str) -> String {
-        entry(&self.name, self.addr, health)
+        endpoint_entry(&self.name, self.addr, health)
     }
 }
--- a/crates/test-support/src/client.rs
+++ b/crates/test-support/src/client.rs
@@ -1,6 +1,6 @@
 //! A client of the router.
 
-use crate::resp::{command, read_frame};
+use crate::resp::{encode_command, read_frame};
 use crate::wait::MAX_WAIT;
 use std::io::{BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -46,8 +46,8 @@
         let id = format!("id-{key}-{}", self.request_count);
         let fields = format!("c={class},t=acme,d={deadline_ms},k=5c0f");
         let bytes = match class {
-            "read" => command(&["C.GET", key, &id, &fields]),
-            _ => command(&["C.SET", key, &id, &fields, "v"]),
+            "read" => encode_command(&["C.GET", key, &id, &fields]),
+            _ => encode_command(&["C.SET", key, &id, &fields, "v"]),
         };
         self.write(&bytes);
     }
--- a/crates/test-support/src/discovery.rs
+++ b/crates/test-support/src/discovery.rs
@@ -13,14 +13,14 @@
 const UNAVAILABLE: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
 
 /// The entry of a cache server in an endpoint list, as JSON.
-pub fn entry(name: &str, addr: SocketAddr, health: &str) -> String {
+pub fn endpoint_entry(name: &str, addr: SocketAddr, health: &str) -> String {
     format!(
         r#"{{"host":"{name}","dial":"{addr}","site":"a","class":"m","block":1,"health":"{health}","share":1.0,"born_ms":0}}"#
     )
 }
 
 /// An endpoint list of version `seq`, as JSON: the `whole` list, or changes to it.
-pub fn list(seq: u64, whole: bool, entries: &[String]) -> String {
+pub fn endpoint_list(seq: u64, whole: bool, entries: &[String]) -> String {
     format!(
         r#"{{"seq":{seq},"whole":{whole},"hosts":[{}]}}"#,
         entries.join(",")
@@ -33,12 +33,12 @@
     calls: Vec<String>,
     initial_list: String,
     calls_to_fail: usize,
-    calls_to_cut: usize,
+    calls_to_truncate: usize,
     calls_to_hang: usize,
     calls_to_reject: usize,
-    rejected_after: Duration,
+    rejection_delay: Duration,
     rejections: Vec<Instant>,
-    hanging: Vec<TcpStream>,
+    hanging_streams: Vec<TcpStream>,
     is_silent: bool,
     watch: Option<TcpStream>,
 }
@@ -65,17 +65,17 @@
             state: Arc::default(),
         };
         discovery.set_initial_list(initial_list);
-        let accepting = discovery.clone();
+        let acceptor = discovery.clone();
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                accepting.respond(stream);
+                acceptor.respond(stream);
             }
         });
-        let beating = discovery.clone();
+        let sender = discovery.clone();
         thread::spawn(move || {
             loop {
                 thread::sleep(HEARTBEAT_INTERVAL);
-                beating.send_heartbeat();
+                sender.send_heartbeat();
             }
         });
         discovery
@@ -93,19 +93,19 @@
     }
 
     fn respond(&self, mut stream: TcpStream) {
-        let call = read_request_line(&stream);
+        let request_line = read_request_line(&stream);
         let mut state = self.state();
-        state.calls.push(call);
+        state.calls.push(request_line);
         if state.calls_to_hang > 0 {
             state.calls_to_hang -= 1;
-            state.hanging.push(stream);
+            state.hanging_streams.push(stream);
             return;
         }
         if state.calls_to_reject > 0 {
             state.calls_to_reject -= 1;
-            let waits = state.rejected_after;
-            let rejecting = self.clone();
-            thread::spawn(move || rejecting.reject_after(stream, waits));
+            let delay = state.rejection_delay;
+            let discovery = self.clone();
+            thread::spawn(move || discovery.reject_after(stream, delay));
             return;
         }
         if state.calls_to_fail > 0 {
@@ -114,8 +114,8 @@
             return;
         }
         let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-        if state.calls_to_cut > 0 {
-            state.calls_to_cut -= 1;
+        if state.calls_to_truncate > 0 {
+            state.calls_to_truncate -= 1;
             let half = &state.initial_list[..state.initial_list.len() / 2];
             let _ = stream.write_all(format!("{head}{}", chunk(half)).as_bytes());
             return;
@@ -126,8 +126,8 @@
     }
 
     /// Answers a call 503 after it has waited.
-    fn reject_after(&self, mut stream: TcpStream, waits: Duration) {
-        thread::sleep(waits);
+    fn reject_after(&self, mut stream: TcpStream, delay: Duration) {
+        thread::sleep(delay);
         let _ = stream.write_all(UNAVAILABLE);
         self.state().rejections.push(Instant::now());
     }
@@ -158,8 +158,8 @@
     }
 
     /// Breaks so many of the next answers off in the middle of the list.
-    pub fn cut_next_calls(&self, count: usize) {
-        self.state().calls_to_cut = count;
+    pub fn truncate_next_calls(&self, count: usize) {
+        self.state().calls_to_truncate = count;
     }
 
     /// Lets all calls fail, or none.
@@ -176,7 +176,7 @@
     pub fn reject_next_calls(&self, count: usize, after: Duration) {
         let mut state = self.state();
         state.calls_to_reject = count;
-        state.rejected_after = after;
+        state.rejection_delay = after;
     }
 
     /// When calls were rejected that had waited.
--- a/crates/test-support/src/fleet.rs
+++ b/crates/test-support/src/fleet.rs
@@ -2,7 +2,7 @@
 
 use crate::cache_server::CacheServer;
 use crate::configuration::configuration;
-use crate::discovery::{Discovery, list};
+use crate::discovery::{Discovery, endpoint_list};
 use crate::router_process::RouterProcess;
 use crate::wait::wait_until;
 use serde_json::Value;
@@ -16,7 +16,7 @@
 }
 
 /// Two cache servers and a router that knows them.
-pub struct PairFleet {
+pub struct TwoServerFleet {
     /// The owner of the key.
     pub owner: CacheServer,
     /// The other cache server.
@@ -37,7 +37,7 @@
     servers: &[&CacheServer],
     change: impl FnOnce(&mut Value),
 ) -> Fleet {
-    let discovery = Discovery::start(list(7, false, &[]));
+    let discovery = Discovery::start(endpoint_list(7, false, &[]));
     let known: Vec<String> = servers.iter().map(|server| server.entry("up")).collect();
     let mut configuration = configuration(discovery.addr, &known);
     change(&mut configuration["settings"]);
@@ -47,15 +47,15 @@
 }
 
 /// Starts two cache servers and a router; the first server is the owner of `key`.
-pub fn start_router_and_pair(key: &str) -> PairFleet {
-    start_router_and_pair_with_settings(key, |_| {})
+pub fn start_router_with_two_servers(key: &str) -> TwoServerFleet {
+    start_router_with_two_servers_and_settings(key, |_| {})
 }
 
 /// The same with other settings, as in [`start_router_with_settings`].
-pub fn start_router_and_pair_with_settings(
+pub fn start_router_with_two_servers_and_settings(
     key: &str,
     change: impl FnOnce(&mut Value),
-) -> PairFleet {
+) -> TwoServerFleet {
     let a = CacheServer::start("s-a");
     let b = CacheServer::start("s-b");
     let Fleet { router, discovery } = start_router_with_settings(&[&a, &b], change);
@@ -65,7 +65,7 @@
     } else {
         (a, b)
     };
-    PairFleet {
+    TwoServerFleet {
         owner,
         other,
         router,
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -20,15 +20,15 @@
 pub use cache_server::{Behavior, CacheServer, ConnectionCounts, RecordedCommand};
 pub use client::Client;
 pub use configuration::configuration;
-pub use discovery::{Discovery, entry, list};
+pub use discovery::{Discovery, endpoint_entry, endpoint_list};
 pub use fleet::{
-    Fleet, PairFleet, start_router, start_router_and_pair, start_router_and_pair_with_settings,
-    start_router_with_settings,
+    Fleet, TwoServerFleet, start_router, start_router_with_settings, start_router_with_two_servers,
+    start_router_with_two_servers_and_settings,
 };
 pub use network::{unresponsive_listener, unused_addr};
 pub use platform::Platform;
-pub use resp::{command, read_frame, value_reply};
+pub use resp::{encode_command, read_frame, value_reply};
 pub use router_process::{
-    Exit, RouterProcess, run_to_end, run_to_end_after, run_to_end_with_operator_file,
+    Exit, RouterProcess, run_to_end, run_to_end_with_operator_file, run_to_end_with_shell_commands,
 };
 pub use wait::{MAX_WAIT, wait_until};
--- a/crates/test-support/src/network.rs
+++ b/crates/test-support/src/network.rs
@@ -34,9 +34,9 @@
     socket.listen(0).unwrap();
     let listener = TcpListener::from(socket);
     let addr = listener.local_addr().unwrap();
-    let limit = Duration::from_millis(100);
-    let fillers = (0..4)
-        .map_while(|_| TcpStream::connect_timeout(&addr, limit).ok())
+    let connect_timeout = Duration::from_millis(100);
+    let backlog_connections = (0..4)
+        .map_while(|_| TcpStream::connect_timeout(&addr, connect_timeout).ok())
         .collect();
-    (listener, fillers)
+    (listener, backlog_connections)
 }
--- a/crates/test-support/src/platform.rs
+++ b/crates/test-support/src/platform.rs
@@ -40,7 +40,7 @@
         RouterProcess::launch(Launch {
             shell_commands: &format!(
                 "exec 3<&0 0</dev/null; export GW_FD=3 TMPDIR='{folder}'; {}",
-                self.preload()
+                self.preload_exports()
             ),
             stdin: Stdio::from(OwnedFd::from(socket)),
             ..Launch::new(&configuration.to_string())
@@ -50,7 +50,7 @@
 
 impl Platform {
     /// What the shell runs so that system calls of the process fail.
-    fn preload(&self) -> String {
+    fn preload_exports(&self) -> String {
         let Some((library, seed)) = &self.failing_calls else {
             return String::new();
         };
--- a/crates/test-support/src/resp.rs
+++ b/crates/test-support/src/resp.rs
@@ -38,7 +38,7 @@
 }
 
 /// The frame of a command.
-pub fn command(arguments: &[&str]) -> Vec<u8> {
+pub fn encode_command(arguments: &[&str]) -> Vec<u8> {
     let mut frame = format!("*{}\r\n", arguments.len());
     for argument in arguments {
         frame.push_str(&format!("${}\r\n{argument}\r\n", argument.len()));
--- a/crates/test-support/src/router_process.rs
+++ b/crates/test-support/src/router_process.rs
@@ -31,7 +31,7 @@
 }
 
 /// The router's binary: what `ASTERPORT_PROGRAM` names, else where cargo builds it, one folder above the tests.
-fn program() -> PathBuf {
+fn binary_path() -> PathBuf {
     if let Some(path) = std::env::var_os("ASTERPORT_PROGRAM") {
         return path.into();
     }
@@ -88,7 +88,7 @@
         let child = command
             .arg("-c")
             .arg(format!("{} exec \"$0\"", self.shell_commands))
-            .arg(program())
+            .arg(binary_path())
             .env("GW_CONFIG", &configuration_path)
             .stdin(self.stdin)
             .stderr(Stdio::piped())
@@ -122,7 +122,7 @@
 }
 
 /// The same in a shell that runs `shell_commands` before.
-pub fn run_to_end_after(configuration: &str, shell_commands: &str) -> Exit {
+pub fn run_to_end_with_shell_commands(configuration: &str, shell_commands: &str) -> Exit {
     let launch = Launch {
         shell_commands,
         ..Launch::new(configuration)
@@ -156,7 +156,10 @@
     }
 
     /// The same in a shell that runs `shell_commands` before.
-    pub fn start_after(configuration: &serde_json::Value, shell_commands: &str) -> RouterProcess {
+    pub fn start_with_shell_commands(
+        configuration: &serde_json::Value,
+        shell_commands: &str,
+    ) -> RouterProcess {
         RouterProcess::launch(Launch {
             shell_commands,
             ..Launch::new(&configuration.to_string())
@@ -192,7 +195,7 @@
     }
 
     /// Whether a line of the log contains this text.
-    pub fn log_has(&self, text: &str) -> bool {
+    pub fn log_contains(&self, text: &str) -> bool {
         self.log
             .lock()
             .unwrap()
