--- a/crates/cache-router/src/admin_state.rs
+++ b/crates/cache-router/src/admin_state.rs
@@ -16,7 +16,7 @@
 use tokio::task::spawn_blocking;
 
 /// The pause before a failed write of the overrides is repeated.
-const SAVE_RETRY_PAUSE: Duration = Duration::from_millis(200);
+const SAVE_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// The router of this process as operators control it.
 pub struct AdminState {
@@ -104,12 +104,12 @@
             ..HandoverState::default()
         };
         let saved = store.save(state);
-        self.log_save(store, saved);
+        self.log_save_result(store, saved);
         self.save_attempted.notify_one();
     }
 
     /// Notes whether the overrides are stored. Failures on end are logged once, and so is their end.
-    fn log_save(&self, store: &StateStore, saved: Result<(), StoreError>) {
+    fn log_save_result(&self, store: &StateStore, saved: Result<(), StoreError>) {
         let had_failed = self.last_save_failed.replace(saved.is_err());
         match saved {
             Err(error) if !had_failed => {
@@ -122,14 +122,14 @@
 
     /// Writes overrides again that could not be written, until they are, and syncs them to the disk on a thread of its
     /// own. Runs until the process ends.
-    pub async fn keep_saved(self: Rc<Self>) {
+    pub async fn sync_and_retry_saves(self: Rc<Self>) {
         let Some(store) = self.store.clone() else {
             return;
         };
         loop {
             self.save_attempted.notified().await;
             while self.last_save_failed.get() {
-                tokio::time::sleep(SAVE_RETRY_PAUSE).await;
+                tokio::time::sleep(SAVE_RETRY_DELAY).await;
                 self.save();
             }
             let store_to_sync = store.clone();
@@ -137,7 +137,7 @@
             if let Ok(synced) = spawn_blocking(move || store_to_sync.sync()).await
                 && synced.is_err()
             {
-                self.log_save(&store, synced);
+                self.log_save_result(&store, synced);
                 self.save_attempted.notify_one();
             }
         }
--- a/crates/cache-router/src/process.rs
+++ b/crates/cache-router/src/process.rs
@@ -160,7 +160,7 @@
         let local_addr = listener.local_addr().map_err(StartError::LocalAddress)?;
         let admin_state = AdminState::new(runtime.clone(), store, predecessor.is_some());
         // Detached: ends with the thread's task set, when the process ends.
-        spawn_local(admin_state.clone().keep_saved());
+        spawn_local(admin_state.clone().sync_and_retry_saves());
         if let Some(admin) = configuration.admin {
             let listener = listen(admin)?;
             // Detached: ends with the thread's task set, when the process ends.
