--- a/crates/cache-router/src/admin_state.rs
+++ b/crates/cache-router/src/admin_state.rs
@@ -1,7 +1,8 @@
-//! Operators' overrides and drains: applied to the runtime, saved on disk, and sent to the other process of this
-//! router while there is one.
+//! State that operators control: overrides of cache servers, and drains of the router. Changes are
+//! applied to the runtime, saved to disk, and sent to the other process of this router during a hot
+//! restart.
 //!
-//! Relies on one thread: its `RefCell` borrows never cross an await.
+//! Single-threaded: no `RefCell` borrow is held across an await point.
 
 use crate::Runtime;
 use admin_api::RouterControl;
@@ -15,26 +16,30 @@
 use tokio::sync::{Notify, mpsc};
 use tokio::task::spawn_blocking;
 
-/// The pause before a failed write of the overrides is repeated.
+/// Delay before a failed write of the overrides is retried.
 const SAVE_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// The router of this process as operators control it.
+/// Applies operators' commands to the router of this process.
 pub struct AdminState {
     runtime: Rc<Runtime>,
-    /// Where overrides are saved; `None`: nowhere.
+    /// Where overrides are saved; `None` if they are not saved.
     store: Option<StateStore>,
-    /// Overrides were written, or failed to be: they are to be synced to the disk, or written again.
+    /// Signals that a write of the overrides has succeeded or failed, so that they have to be
+    /// synced to disk or written again.
     save_attempted: Notify,
-    /// The last write or sync failed.
+    /// Whether the last write or sync failed.
     last_save_failed: Cell<bool>,
-    /// Other processes of this router, which get each change. One that has ended is dropped at the next change.
+    /// Channels to other processes of this router, which receive each change. A closed channel is
+    /// removed at the next change.
     peers: RefCell<Vec<mpsc::UnboundedSender<Message>>>,
-    /// No predecessor process serves: there is none, it knows that this one serves, or it has ended.
+    /// Whether this process is the active one: there is no predecessor process, or the predecessor
+    /// has been told that this one serves, or it has ended.
     has_taken_over: Cell<bool>,
 }
 
 impl AdminState {
-    /// Controls `runtime`. `has_predecessor`: another process serves, and this one is going to take over from it.
+    /// Creates the admin state of `runtime`. `has_predecessor` says that another process serves and
+    /// that this one will take over from it.
     pub fn new(
         runtime: Rc<Runtime>,
         store: Option<StateStore>,
@@ -50,24 +55,24 @@
         })
     }
 
-    /// Records that no predecessor process serves any more.
+    /// Records that the predecessor process no longer serves.
     pub fn set_taken_over(&self) {
         self.has_taken_over.set(true);
     }
 
-    /// Whether no predecessor process serves.
+    /// Whether no predecessor process serves, so that this process is the active one.
     pub fn has_taken_over(&self) -> bool {
         self.has_taken_over.get()
     }
 
-    /// The changes from here on, for another process; they end with the receiver.
+    /// Subscribes another process to all later changes, until the receiver is dropped.
     pub fn subscribe(&self) -> mpsc::UnboundedReceiver<Message> {
         let (sender, receiver) = mpsc::unbounded_channel();
         self.peers.borrow_mut().push(sender);
         receiver
     }
 
-    /// Applies a change that operators made at another process.
+    /// Applies a change that operators made in another process.
     pub fn apply_from_peer(&self, message: Message) {
         match message {
             Message::Override(server, stored) => {
@@ -82,7 +87,7 @@
         }
     }
 
-    /// All overrides, in their stored form.
+    /// Returns all overrides in their stored form.
     pub fn stored_overrides(&self) -> Vec<(String, StoredOverride)> {
         let overrides = self.runtime.admin_overrides().into_iter();
         overrides
@@ -96,7 +101,8 @@
             .retain(|peer| peer.send(message.clone()).is_ok());
     }
 
-    /// Saves the overrides. A drain is not saved: a process that replaces a killed one starts in service.
+    /// Saves the overrides. A drain is not saved, so that a process that replaces a killed one
+    /// starts in service.
     fn save(&self) {
         let Some(store) = &self.store else { return };
         let state = HandoverState {
@@ -108,20 +114,26 @@
         self.save_attempted.notify_one();
     }
 
-    /// Notes whether the overrides are stored. Failures on end are logged once, and so is their end.
+    /// Records the result of a save. Of a series of failures only the first one is logged, and then
+    /// the save that ends it.
     fn log_save_result(&self, store: &StateStore, saved: Result<(), StoreError>) {
         let had_failed = self.last_save_failed.replace(saved.is_err());
         match saved {
             Err(error) if !had_failed => {
-                eprintln!("asterport: {}: {error}", store.path().display());
+                eprintln!(
+                    "asterport: {}: overrides not saved: {error}",
+                    store.path().display()
+                );
+            }
+            Ok(()) if had_failed => {
+                eprintln!("asterport: {}: overrides saved", store.path().display())
             }
-            Ok(()) if had_failed => eprintln!("asterport: {}: saved", store.path().display()),
             _ => {}
         }
     }
 
-    /// Writes overrides again that could not be written, until they are, and syncs them to the disk on a thread of its
-    /// own. Runs until the process ends.
+    /// Retries failed writes of the overrides until they succeed, and syncs the overrides to disk
+    /// on a blocking thread. Runs until the process ends.
     pub async fn sync_and_retry_saves(self: Rc<Self>) {
         let Some(store) = self.store.clone() else {
             return;
@@ -133,7 +145,7 @@
                 self.save();
             }
             let store_to_sync = store.clone();
-            // The task does not panic; it is not aborted.
+            // The blocking task neither panics nor is aborted, so that joining it does not fail.
             if let Ok(synced) = spawn_blocking(move || store_to_sync.sync()).await
                 && synced.is_err()
             {
@@ -143,7 +155,7 @@
         }
     }
 
-    /// Saves the override of a server that has just changed, and sends it to the other processes.
+    /// Saves a server's override that has just changed, and sends it to the other processes.
     fn publish_override(&self, server: &str) {
         self.save();
         let changed = self
@@ -199,7 +211,7 @@
     }
 }
 
-/// An override as the runtime takes it.
+/// Converts an override from its stored form.
 pub fn from_stored(stored: StoredOverride) -> AdminOverride {
     match stored {
         StoredOverride::Disabled => AdminOverride::Disabled,
