--- a/crates/cache-router/src/configuration.rs
+++ b/crates/cache-router/src/configuration.rs
@@ -1,5 +1,5 @@
-//! Configuration of the router: the JSON file that `GW_CONFIG` names, and the environment variables that take
-//! precedence over it at the start.
+//! Configuration of the router: the JSON file that `GW_CONFIG` names, and the environment variables
+//! that take precedence over it at startup.
 
 use load_balancer::SettingsError;
 use load_balancer::deployment::{self, Deployment, DeploymentError};
@@ -9,24 +9,24 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Memory limit where the configuration has none, in MiB.
+/// Memory limit if the configuration has none, in MiB.
 const DEFAULT_MEMORY_MIB: usize = 192;
 
-/// Why a configuration is not used.
+/// Why a configuration is rejected.
 #[derive(Debug, Error)]
 pub enum ConfigurationError {
-    /// The environment names no file.
+    /// `GW_CONFIG` is not set, or is not UTF-8.
     #[error("GW_CONFIG names no configuration file")]
     NoPath,
     /// The file cannot be read.
-    #[error("{path}: {source}")]
+    #[error("{path}: cannot read the configuration: {source}")]
     Io {
         /// Path of the file.
         path: String,
-        /// Why it cannot be read.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// The file is not JSON of the expected form.
+    /// The file is not JSON of the expected structure.
     #[error("{path}: {source}")]
     Json {
         /// Path of the file.
@@ -34,18 +34,18 @@
         /// What is wrong, with line and column.
         source: serde_json::Error,
     },
-    /// An environment variable holds no socket address.
-    #[error("{variable}: '{value}' is not an address")]
+    /// An environment variable is not a socket address.
+    #[error("{variable}: '{value}' is not a socket address such as 127.0.0.1:6379")]
     NotAnAddress {
         /// Name of the variable.
         variable: &'static str,
         /// Its value.
         value: String,
     },
-    /// The seed is not a hexadecimal number of 64 bits.
-    #[error("seed: '{0}' is not hex")]
+    /// The seed is not a 64-bit hexadecimal number.
+    #[error("seed: '{0}' is not a 64-bit hexadecimal number")]
     Seed(String),
-    /// A setting is missing or unreadable.
+    /// A setting is missing or malformed.
     #[error(transparent)]
     Deployment(#[from] DeploymentError),
     /// A setting is out of range.
@@ -53,31 +53,32 @@
     Settings(#[from] SettingsError),
 }
 
-/// The configuration file. Field names on the left of `rename` are this program's, the others the platform's.
+/// The configuration file. The platform defines its format; where a field is called differently in
+/// this program, `rename` gives the platform's name.
 #[derive(Deserialize)]
 pub struct Configuration {
-    /// Name of the router, the same for all its processes.
+    /// Name of the router, shared by all its processes.
     pub name: String,
-    /// Where clients connect.
+    /// Address at which clients connect.
     pub listen: SocketAddr,
-    /// Where the endpoint list is watched.
+    /// Address of the discovery service, at which the endpoint list is watched.
     pub discovery: SocketAddr,
-    /// Where operators connect; `None`: nowhere.
+    /// Address of the admin API; `None` if it is off.
     pub admin: Option<SocketAddr>,
     seed: String,
     /// Resource limits of the process.
     pub limits: ResourceLimits,
-    /// The endpoint list as this router last had it.
+    /// The endpoint list that this router had last, used until discovery answers.
     #[serde(rename = "known")]
     pub initial_endpoints: Option<EndpointList>,
-    /// Settings of the decision library, in the platform's form.
+    /// Settings of `load-balancer`, in the platform's format.
     pub settings: Value,
 }
 
 /// Resource limits of the process.
 #[derive(Deserialize)]
 pub struct ResourceLimits {
-    /// Descriptors that the process may hold.
+    /// File descriptors that the process may have open.
     #[serde(rename = "sockets")]
     pub descriptors: usize,
     #[serde(rename = "memory_mb", default = "default_memory_mib")]
@@ -85,7 +86,7 @@
 }
 
 impl ResourceLimits {
-    /// Memory that the process may use, in bytes.
+    /// Returns the memory that the process may use, in bytes.
     pub fn memory_bytes(&self) -> usize {
         self.memory_mib.saturating_mul(1 << 20)
     }
@@ -96,10 +97,10 @@
 }
 
 impl Configuration {
-    /// Reads the file, and applies the environment variables that take precedence.
+    /// Reads the file and applies the environment variables that take precedence over it.
     ///
     /// # Errors
-    /// When the file cannot be read or a variable is not of its form. Settings are not checked yet.
+    /// If the file cannot be read, or a variable is invalid. Settings are not validated yet.
     pub fn read_at_start() -> Result<Configuration, ConfigurationError> {
         let mut configuration = Configuration::read_file()?;
         if let Some(address) = address_variable("GW_LISTEN")? {
@@ -117,11 +118,11 @@
         Ok(configuration)
     }
 
-    /// Reads the file again for a running process, and checks its settings. The environment counts at the start only:
-    /// the file is newer.
+    /// Reads the file again in a running process, and validates its settings. The environment
+    /// variables are not applied, since the file is newer than they are.
     ///
     /// # Errors
-    /// When the file cannot be read, or a setting is missing or out of range.
+    /// If the file cannot be read, or a setting is missing or out of range.
     pub fn read_for_reload() -> Result<Configuration, ConfigurationError> {
         let configuration = Configuration::read_file()?;
         configuration.deployment()?;
@@ -137,10 +138,10 @@
         serde_json::from_slice(&bytes).map_err(|source| ConfigurationError::Json { path, source })
     }
 
-    /// Reads and checks the settings.
+    /// Parses and validates the settings.
     ///
     /// # Errors
-    /// When a setting is missing, unreadable or out of range.
+    /// If a setting is missing, malformed or out of range.
     pub fn deployment(&self) -> Result<Deployment, ConfigurationError> {
         let mut pairs = Vec::new();
         flatten("", &self.settings, &mut pairs);
@@ -152,16 +153,16 @@
         Ok(deployment)
     }
 
-    /// Seed of the process's random numbers.
+    /// Returns the seed of the random number generator.
     ///
     /// # Errors
-    /// When it is not a hexadecimal number of 64 bits.
+    /// If it is not a 64-bit hexadecimal number.
     pub fn seed(&self) -> Result<u64, ConfigurationError> {
         u64::from_str_radix(&self.seed, 16).map_err(|_| ConfigurationError::Seed(self.seed.clone()))
     }
 }
 
-/// The address in an environment variable; `None` if it is not set.
+/// Reads a socket address from an environment variable; `None` if it is not set.
 fn address_variable(variable: &'static str) -> Result<Option<SocketAddr>, ConfigurationError> {
     let Ok(value) = std::env::var(variable) else {
         return Ok(None);
@@ -172,10 +173,11 @@
     }
 }
 
-/// Appends the settings below `path` as pairs of a dotted path and a value, the form that [`deployment::read`] takes.
+/// Appends the settings below `path` as pairs of a dotted path and a value, which is what
+/// [`deployment::read`] takes.
 ///
-/// A list of plain values is joined with commas. A list of objects becomes its length under `.count` and its items
-/// under their indices. `null` is left out.
+/// A list of scalars is joined with commas. A list of objects is written as its length under
+/// `.count` and its items under their indices. `null` is omitted.
 fn flatten(path: &str, value: &Value, pairs: &mut Vec<(String, String)>) {
     let child_path = |name: &str| {
         if path.is_empty() {
@@ -205,7 +207,7 @@
     }
 }
 
-/// A value as text: a string without its quotes, all else as in JSON.
+/// Formats a value as text: a string without its quotes, anything else as in JSON.
 fn scalar_text(value: &Value) -> String {
     value
         .as_str()
