--- a/crates/cache-router/src/hand_over.rs
+++ b/crates/cache-router/src/hand_over.rs
@@ -1,5 +1,5 @@
-//! The old process's side of a hot restart: it gives a new process its state, and the connections that become idle
-//! once the new one serves.
+//! The old process's side of a hot restart: it sends its state to a new process, and, once that
+//! process serves, the client connections that become idle.
 
 use crate::Runtime;
 use crate::admin_state::AdminState;
@@ -15,39 +15,41 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout};
 
-/// Time that a new process has for its first message; platforms give a new process 6 s to get ready.
+/// Timeout for the first message of a new process. A platform waits 6 s for a new process to become
+/// ready, of which this may take only a part.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
-/// Delay after a failed accept, out of descriptors for instance.
+/// Delay after a failed accept, for example when the process is out of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// A connection on its way to the successor process.
+/// An idle client connection that is handed over to the successor process.
 type ClientConnection = IdleConnection<TcpStream>;
 
-/// What hands this process's service over.
+/// Hands this process's state and connections over to a new process.
 pub struct HandOver {
-    /// Where new processes connect.
+    /// The socket at which new processes connect.
     pub socket: RendezvousSocket,
-    /// Name of the router.
+    /// Name of the router, which a new process has to give.
     pub router: String,
-    /// The runtime that serves.
+    /// The runtime of this process.
     pub runtime: Rc<Runtime>,
-    /// The operators' overrides and drains.
+    /// Operators' overrides and drains.
     pub admin_state: Rc<AdminState>,
 }
 
-/// How the time beside a successor process ended.
+/// How a hand-over to a successor process ended.
 enum SuccessorOutcome {
-    /// This process's runtime has ended, with all connections handed over.
+    /// The runtime of this process has ended, and all connections have been handed over.
     HandedOver,
-    /// The successor is lost, and this process serves again.
+    /// The connection to the successor was lost, and this process serves again.
     Lost,
 }
 
 impl HandOver {
-    /// Accepts new processes for as long as this one runs; returns once one of them has all connections and the
-    /// runtime has ended.
+    /// Accepts new processes while this one runs. Returns once one of them has all connections and
+    /// the runtime of this process has ended.
     pub async fn run(self) {
-        // Until this process has taken over, new processes have to find its predecessor: this one may die before it serves.
+        // Until this process has taken over, new processes have to reach its predecessor, because
+        // this process may die before it serves.
         while !self.admin_state.has_taken_over() {
             sleep(READINESS_POLL_INTERVAL).await;
         }
@@ -57,20 +59,20 @@
                 Ok(bound) => bound,
                 Err(error) => {
                     return eprintln!(
-                        "asterport: no hand-over possible: rendezvous socket not bound: {error}"
+                        "asterport: hot restart is off: cannot bind the rendezvous socket: {error}"
                     );
                 }
             };
             let successor = self.accept(bound).await;
             match self.serve_successor(&successor).await {
                 SuccessorOutcome::HandedOver => return,
-                // The lost process may have bound the socket for itself.
+                // The lost process may have bound the socket itself.
                 SuccessorOutcome::Lost => listener = self.socket.bind(),
             }
         }
     }
 
-    /// The next new process of this router, after it has got the state.
+    /// Accepts the next new process of this router and sends it the state.
     async fn accept(&self, listener: &UnixListener) -> HandoverChannel {
         loop {
             let Ok((stream, _)) = listener.accept().await else {
@@ -81,9 +83,11 @@
             match timeout(HELLO_TIMEOUT, self.send_state(&channel)).await {
                 Ok(Ok(())) => return channel,
                 Ok(Err(error)) => {
-                    eprintln!("asterport: no hand-over to another process: {error}");
+                    eprintln!("asterport: state not sent to a new process: {error}");
                 }
-                Err(_) => eprintln!("asterport: no hand-over to another process: no message"),
+                Err(_) => eprintln!(
+                    "asterport: state not sent to a new process: timed out after {HELLO_TIMEOUT:?}"
+                ),
             }
         }
     }
@@ -110,21 +114,21 @@
         }
     }
 
-    /// Sends a new process operators' changes and, once it serves, the connections that become idle, until it or this
-    /// process's runtime ends.
+    /// Sends operators' changes to a new process and, once it serves, the connections that become
+    /// idle, until either that process or the runtime of this one ends.
     async fn serve_successor(&self, channel: &HandoverChannel) -> SuccessorOutcome {
         self.runtime.share_connection_slots(true);
         let mut changes = self.admin_state.subscribe();
         let (sender, mut idle_connections) = mpsc::unbounded_channel::<ClientConnection>();
         let mut sender = Some(sender);
-        // A connection whose hand-over has failed: this process serves it on.
+        // A connection whose hand-over failed, which this process continues to serve.
         let mut returned = None;
         let mut receiver = MessageReceiver::new(channel);
         let error = loop {
             let result = tokio::select! {
                 biased;
                 connection = idle_connections.recv() => {
-                    // The runtime, which holds the sender, has ended.
+                    // The runtime holds the sender, so that a closed channel means it has ended.
                     let Some(connection) = connection else {
                         return SuccessorOutcome::HandedOver;
                     };
@@ -143,7 +147,7 @@
         };
         self.runtime.successor_lost();
         self.runtime.share_connection_slots(false);
-        eprintln!("asterport: successor process lost: {error}");
+        eprintln!("asterport: connection to the successor process lost: {error}");
         idle_connections.close();
         if let Some(connection) = returned {
             self.runtime.adopt_connection(connection);
@@ -154,7 +158,8 @@
         SuccessorOutcome::Lost
     }
 
-    /// Handles a message of the new process. `sender`: for the runtime once that process serves.
+    /// Handles a message from the new process. `sender` is given to the runtime once that process
+    /// serves.
     fn handle(
         &self,
         (message, _): Received,
