--- a/crates/cache-router/src/main.rs
+++ b/crates/cache-router/src/main.rs
@@ -1,7 +1,8 @@
-//! The program: a router on real sockets between the clients of a fleet of cache servers and the servers.
+//! The router program: forwards requests between clients and a fleet of cache servers.
 //!
-//! `load-balancer` decides, `router-runtime` carries decisions out; this program starts the runtime, feeds it signals
-//! and operators' commands, and hands over to the next process. It runs on one thread.
+//! `load-balancer` makes the decisions and `router-runtime` carries them out on sockets. This
+//! program starts the runtime, passes signals and operators' commands to it, and hands over to the
+//! next process in a hot restart. It runs on one thread.
 
 mod admin_state;
 mod configuration;
@@ -18,16 +19,17 @@
 use std::process::ExitCode;
 use tokio::task::LocalSet;
 
-/// The router on real sockets.
+/// The router runtime on the sockets and clock of the operating system.
 type Runtime = RouterRuntime<TokioEnvironment>;
 
 /// Exit code of a process that could not start.
 const EXIT_CODE_NOT_STARTED: u8 = 2;
-/// Exit code after a panic, as of the standard library.
+/// Exit code after a panic, the same as that of the standard library.
 const EXIT_CODE_PANIC: i32 = 101;
 
 fn main() -> ExitCode {
-    // A panic leaves the router in an unknown state: end at once; the platform starts a new process.
+    // A panic leaves the router in an unknown state, so the process exits at once. The platform
+    // starts a new one.
     std::panic::set_hook(Box::new(|panic| {
         eprintln!("asterport: {panic}");
         std::process::exit(EXIT_CODE_PANIC);
