--- a/crates/cache-router/src/operator_file.rs
+++ b/crates/cache-router/src/operator_file.rs
@@ -1,5 +1,5 @@
-//! The operator file: TOML with the settings that are this project's own and not the platform's. Without a file all
-//! of them are off.
+//! The operator file: a TOML file with the settings that belong to this project rather than to the
+//! platform. Without a file the features that it configures are off.
 
 use crate::summary::SummarySettings;
 use request_coalescing::CoalescingFile;
@@ -10,47 +10,47 @@
 
 /// Environment variable with the path of the file.
 const PATH_VARIABLE: &str = "ASTERPORT_OPERATOR_FILE";
-/// Bytes of the longest file; guards against a path to something endless.
+/// Maximum size of the file; guards against a path to an endless stream such as a device.
 const MAX_FILE_BYTES: u64 = 1 << 20;
 
-/// Why an operator file is not used.
+/// Why an operator file is rejected.
 #[derive(Debug, Error)]
 pub enum OperatorFileError {
     /// The file cannot be opened.
-    #[error("{PATH_VARIABLE}: {path}: {source}")]
+    #[error("{PATH_VARIABLE}: cannot open {path}: {source}")]
     Open {
         /// Path of the file.
         path: String,
-        /// Why it cannot be opened.
+        /// The I/O error.
         source: io::Error,
     },
     /// The file cannot be read, or is not UTF-8.
-    #[error("{path}: {source}")]
+    #[error("{path}: cannot read the operator file: {source}")]
     Read {
         /// Path of the file.
         path: String,
-        /// Why it cannot be read.
+        /// The I/O error, also for text that is not UTF-8.
         source: io::Error,
     },
-    /// The file is too long.
+    /// The file is longer than [`MAX_FILE_BYTES`].
     #[error("{path}: longer than {MAX_FILE_BYTES} bytes")]
     TooLong {
         /// Path of the file.
         path: String,
     },
-    /// The file is not TOML of the expected form.
+    /// The file is not TOML of the expected structure.
     #[error("{path}: line {line}: {}", .source.message().replace('\n', " "))]
     Toml {
         /// Path of the file.
         path: String,
-        /// Line of the first problem, from 1.
+        /// Line of the first error, counted from 1.
         line: usize,
-        /// The problem.
+        /// The error.
         source: toml::de::Error,
     },
 }
 
-/// All tables of the file.
+/// The tables of the file, by their names in it.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 struct Tables {
@@ -61,19 +61,19 @@
 /// The settings in an operator file.
 #[derive(Debug, Default)]
 pub struct OperatorFile {
-    /// Path of the file, for error messages; empty without a file.
+    /// Path of the file, for error messages; empty if there is none.
     pub path: String,
-    /// Which reads are coalesced.
+    /// Which reads are coalesced, and the limits of coalescing.
     pub coalescing: CoalescingFile,
-    /// Whether summary lines are written.
+    /// Settings of the summary lines.
     pub summary: SummarySettings,
 }
 
 impl OperatorFile {
-    /// Reads the file that the environment names; the default where it names none.
+    /// Reads the file that the environment variable names; returns the default if it is not set.
     ///
     /// # Errors
-    /// When the file cannot be read, or is not of the expected form.
+    /// If the file cannot be read, or does not have the expected structure.
     pub fn read() -> Result<OperatorFile, OperatorFileError> {
         let Some(os_path) = std::env::var_os(PATH_VARIABLE) else {
             return Ok(OperatorFile::default());
@@ -110,7 +110,7 @@
     }
 }
 
-/// Number of the line, from 1, that holds the byte at `offset`.
+/// Returns the number, counted from 1, of the line that contains the byte at `offset`.
 fn line_number(text: &str, offset: usize) -> usize {
     let before = text.get(..offset).unwrap_or_default();
     before.matches('\n').count() + 1
