--- a/crates/cache-router/src/process.rs
+++ b/crates/cache-router/src/process.rs
@@ -1,5 +1,5 @@
-//! One process of the router from its start to its end: it reads its configuration, starts the runtime with what the
-//! predecessor process knows, serves, and hands over to its successor.
+//! The life cycle of one router process: it reads its configuration, starts the runtime with the
+//! state of the predecessor process, serves requests, and hands over to its successor.
 
 use crate::Runtime;
 use crate::admin_state::{self, AdminState};
@@ -29,70 +29,70 @@
 use tokio::signal::unix::Signal;
 use tokio::task::{JoinHandle, spawn_local};
 
-/// Environment variable with the number of the descriptor that is the inherited listening socket.
+/// Environment variable with the file descriptor number of the inherited listening socket.
 const LISTENER_VARIABLE: &str = "GW_FD";
-/// Environment variable with the folder for the rendezvous socket and the state file.
+/// Environment variable with the directory of the rendezvous socket and the state file.
 const STATE_FOLDER_VARIABLE: &str = "TMPDIR";
 
-/// Why the process does not start.
+/// Why the process cannot start.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// The executor of this thread cannot be built.
-    #[error("runtime: {0}")]
+    /// The async executor cannot be built.
+    #[error("cannot build the async executor: {0}")]
     Executor(#[source] io::Error),
     /// A signal handler cannot be installed.
-    #[error("signals: {0}")]
+    #[error("cannot install a signal handler: {0}")]
     Signals(#[source] io::Error),
-    /// The configuration is not usable.
+    /// The configuration is invalid.
     #[error(transparent)]
     Configuration(#[from] ConfigurationError),
-    /// The operator file is not usable.
+    /// The operator file is invalid.
     #[error(transparent)]
     OperatorFile(#[from] OperatorFileError),
-    /// The operator file's rules for coalescing do not fit the settings.
+    /// The coalescing rules of the operator file do not match the settings.
     #[error("{path}: {source}")]
     CoalescingRules {
         /// Path of the operator file.
         path: String,
-        /// The rule that does not fit.
+        /// The rule that does not match.
         source: SettingsError,
     },
-    /// The runtime does not take its settings and limits.
+    /// The runtime rejects its settings or limits.
     #[error("{0}")]
     Runtime(#[source] Box<dyn Error + Send + Sync>),
-    /// Nothing can listen on this address.
-    #[error("{addr}: {source}")]
+    /// The process cannot listen on this address.
+    #[error("{addr}: cannot listen: {source}")]
     Listen {
         /// The address.
         addr: SocketAddr,
-        /// Why not.
+        /// The I/O error.
         source: io::Error,
     },
-    /// The variable is not the number of a descriptor.
+    /// `GW_FD` is not a file descriptor number.
     #[error("{LISTENER_VARIABLE}: '{0}' is not a descriptor")]
     NotADescriptor(String),
-    /// The inherited descriptor is not usable.
+    /// The inherited descriptor cannot be used as the listener.
     #[error("{LISTENER_VARIABLE}: descriptor {descriptor}: {source}")]
     Inherit {
-        /// Number of the descriptor.
+        /// The descriptor number.
         descriptor: i32,
-        /// Why it is not usable.
+        /// Why it cannot be used.
         source: InheritError,
     },
-    /// The executor does not take the inherited listener.
-    #[error("{LISTENER_VARIABLE}: {0}")]
+    /// The inherited listener cannot be registered with the executor.
+    #[error("{LISTENER_VARIABLE}: cannot register the inherited listener: {0}")]
     RegisterListener(#[source] io::Error),
-    /// The listener's own address is unknown.
-    #[error("listener: {0}")]
+    /// The address of the listener cannot be read.
+    #[error("cannot read the address of the listener: {0}")]
     LocalAddress(#[source] io::Error),
 }
 
-/// Runs the process until SIGTERM and the shutdown that follows.
+/// Runs the process until SIGTERM and the graceful shutdown after it.
 ///
 /// # Errors
-/// When it cannot start. Once it serves there is none.
+/// If the process cannot start. Once it serves, no error is returned.
 pub async fn run() -> Result<(), StartError> {
-    // Before anything else: without a handler each of these signals kills the process.
+    // Done first, because each of these signals kills a process that has no handler for it.
     let signals = Signals::install().map_err(StartError::Signals)?;
     let settings = StartSettings::read()?;
     let writes_summary = settings.writes_summary;
@@ -105,7 +105,7 @@
     let runtime = process.runtime;
     if let Some(channel) = process.predecessor {
         let admin_state = process.admin_state.clone();
-        // Detached: ends when the predecessor process has ended.
+        // Detached task; it ends when the predecessor process has ended.
         spawn_local(takeover::complete_takeover(
             channel,
             runtime.clone(),
@@ -118,12 +118,13 @@
         runtime: runtime.clone(),
         admin_state: process.admin_state,
     });
-    // Joined once the runtime has ended, if there is a successor; else ends with the thread's task set.
+    // Joined after the runtime has ended if there is a successor; otherwise dropped with the
+    // thread's `LocalSet` at exit.
     let hand_over = hand_over.map(|hand_over| spawn_local(hand_over.run()));
     let settings = process.configuration.settings;
     signals::spawn_tasks(signals.reload, signals.log_counters, settings, &runtime);
     if writes_summary {
-        // Detached: ends with the thread's task set, when the process ends.
+        // Detached task; dropped with the thread's `LocalSet` at exit.
         spawn_local(summary::write(runtime.clone()));
     }
     serve_until_stopped(&runtime, process.listener, signals.terminate, hand_over).await;
@@ -136,12 +137,14 @@
     runtime: Rc<Runtime>,
     listener: TcpListener,
     admin_state: Rc<AdminState>,
-    /// The channel to the process that serves until this one takes over; `None` if there is none.
+    /// The channel to the predecessor, which serves until this process takes over; `None` if there
+    /// is no predecessor.
     predecessor: Option<HandoverChannel>,
 }
 
 impl Process {
-    /// Builds the runtime with the state of the predecessor, or that on disk, and opens the listeners.
+    /// Builds the runtime with the predecessor's state, or with the state on disk if there is no
+    /// predecessor, and opens the listeners.
     fn start(
         settings: StartSettings,
         predecessor: Option<Predecessor>,
@@ -159,11 +162,11 @@
         let listener = open_listener(configuration.listen)?;
         let local_addr = listener.local_addr().map_err(StartError::LocalAddress)?;
         let admin_state = AdminState::new(runtime.clone(), store, predecessor.is_some());
-        // Detached: ends with the thread's task set, when the process ends.
+        // Detached task; dropped with the thread's `LocalSet` at exit.
         spawn_local(admin_state.clone().sync_and_retry_saves());
         if let Some(admin) = configuration.admin {
             let listener = listen(admin)?;
-            // Detached: ends with the thread's task set, when the process ends.
+            // Detached task; dropped with the thread's `LocalSet` at exit.
             spawn_local(admin_api::server::serve(listener, admin_state.clone()));
         }
         let name = &configuration.name;
@@ -178,8 +181,8 @@
     }
 }
 
-/// Serves until SIGTERM and the shutdown that follows, and then until the successor process, if there is one, has all
-/// connections.
+/// Serves until SIGTERM and the graceful shutdown after it. If there is a successor process, also
+/// waits until it has received all connections.
 async fn serve_until_stopped(
     runtime: &Runtime,
     listener: TcpListener,
@@ -191,21 +194,21 @@
     };
     let report = runtime.run(listener, stop).await;
     if let Some(hand_over) = hand_over.filter(|_| runtime.lifecycle().is_handed_over()) {
-        // Idle connections are still on their way to the successor, however many these are.
+        // Idle connections may still be queued for the successor when the runtime has ended.
         let _ = tokio::time::timeout_at(report.exit_deadline.into(), hand_over).await;
     }
     signals::log_coalescing_counters(runtime);
     eprintln!("asterport: stopped, {}", describe_shutdown(&report));
 }
 
-/// All that the process reads before it starts, checked.
+/// Validated settings from the configuration file, the environment and the operator file.
 struct StartSettings {
     configuration: Configuration,
     runtime_settings: RuntimeSettings,
     writes_summary: bool,
 }
 
-/// What the runtime is told besides addresses, limits and endpoints.
+/// Settings of the runtime other than addresses, resource limits and endpoints.
 struct RuntimeSettings {
     deployment: Deployment,
     seed: u64,
@@ -237,32 +240,37 @@
     }
 }
 
-/// The file with operators' overrides; `None` without a folder for it.
+/// Returns the store of operators' overrides; `None` if no directory is set for it.
 fn state_store(router: &str) -> Option<StateStore> {
     let folder = std::env::var_os(STATE_FOLDER_VARIABLE)?;
     Some(StateStore::new(Path::new(&folder), router))
 }
 
-/// Where processes of this router find each other; `None` without a folder for it, and where the platform holds no
-/// listener that two of them can share.
+/// Returns the socket at which a new process of this router connects to the running one; `None` if
+/// no directory is set for it, or if the platform holds no listener that both processes can share.
 fn rendezvous_socket(router: &str) -> Option<RendezvousSocket> {
     std::env::var_os(LISTENER_VARIABLE)?;
     let folder = std::env::var_os(STATE_FOLDER_VARIABLE)?;
     Some(RendezvousSocket::new(Path::new(&folder), router))
 }
 
-/// What the last process of this router left on disk. A file that cannot be used is logged, and counts as none.
+/// Loads the state that the last process of this router left on disk. An invalid file is logged and
+/// treated as missing.
 fn load_state(store: &StateStore) -> HandoverState {
     match store.load() {
         Ok(state) => state.unwrap_or_default(),
         Err(error) => {
-            eprintln!("asterport: {}: {error}", store.path().display());
+            eprintln!(
+                "asterport: {}: state file ignored: {error}",
+                store.path().display()
+            );
             HandoverState::default()
         }
     }
 }
 
-/// The endpoints to start with: the predecessor's if they came from the same discovery, else the configuration's.
+/// Returns the endpoints to start with: the predecessor's if they come from the same discovery
+/// address, otherwise those of the configuration.
 fn initial_endpoints(
     configuration: &mut Configuration,
     inherited: Option<(SocketAddr, Vec<u8>)>,
@@ -295,14 +303,15 @@
     }
 }
 
-/// Gives the runtime what the predecessor knew: overrides first, since the warm state is restored under them.
+/// Restores the predecessor's state in the runtime. Overrides come first, because restoring the
+/// warm state depends on them.
 fn restore(runtime: &Runtime, state: HandoverState) {
     let overrides = state.overrides.into_iter().map(|(server, stored)| {
         let server = ServerId::from(server.as_str());
         (server, admin_state::from_stored(stored))
     });
     runtime.apply_admin_overrides(overrides);
-    // A warm state that cannot be read is left out: the router learns it anew.
+    // A warm state that cannot be decoded is ignored: the router starts without it.
     if let Ok(warm_state) = postcard::from_bytes(&state.warm_state) {
         runtime.restore_warm_state(warm_state);
     }
@@ -311,7 +320,7 @@
     }
 }
 
-/// The listener for clients: the one that the platform holds if the environment names it, else one of this process.
+/// Opens the listener for clients: the inherited one that `GW_FD` names, otherwise a new one.
 fn open_listener(addr: SocketAddr) -> Result<TcpListener, StartError> {
     let Ok(number) = std::env::var(LISTENER_VARIABLE) else {
         return listen(addr);
@@ -328,7 +337,7 @@
     tokio_environment::listen(addr).map_err(|source| StartError::Listen { addr, source })
 }
 
-/// How the shutdown went, for the log.
+/// Describes the result of the shutdown for the log.
 fn describe_shutdown(report: &ShutdownReport) -> String {
     let ShutdownReport {
         failed, unanswered, ..
