--- a/crates/cache-router/src/signals.rs
+++ b/crates/cache-router/src/signals.rs
@@ -1,4 +1,4 @@
-//! Signals of the process, and what it does at each besides the shutdown.
+//! Signal handlers of the process, and the actions on SIGHUP and SIGUSR1.
 
 use crate::Runtime;
 use crate::configuration::Configuration;
@@ -8,7 +8,7 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::task::spawn_local;
 
-/// Streams of the signals that the process handles.
+/// Streams of the handled signals.
 pub struct Signals {
     /// SIGHUP: read the configuration file again.
     pub reload: Signal,
@@ -22,7 +22,7 @@
     /// Installs the handlers.
     ///
     /// # Errors
-    /// When the executor or the kernel refuses one.
+    /// If a handler cannot be installed.
     pub fn install() -> io::Result<Signals> {
         Ok(Signals {
             reload: signal(SignalKind::hangup())?,
@@ -32,14 +32,15 @@
     }
 }
 
-/// Spawns the tasks that handle the signals besides SIGTERM. `settings`: those that the process has started with.
+/// Spawns the tasks that handle all signals except SIGTERM. `settings` are those that the process
+/// was started with.
 pub fn spawn_tasks(
     reload: Signal,
     mut log_counters: Signal,
     settings: Value,
     runtime: &Rc<Runtime>,
 ) {
-    // Detached, both: they end with the thread's task set, when the process ends.
+    // Both tasks are detached, and dropped with the thread's `LocalSet` at exit.
     spawn_local(reload_configuration(reload, settings, runtime.clone()));
     let runtime = runtime.clone();
     spawn_local(async move {
@@ -49,7 +50,8 @@
     });
 }
 
-/// Reads the configuration file again at each SIGHUP. Of a running router only `discovery` can change.
+/// Reads the configuration file again at each SIGHUP. A running router applies only the discovery
+/// address.
 async fn reload_configuration(mut hangup: Signal, settings: Value, runtime: Rc<Runtime>) {
     while hangup.recv().await.is_some() {
         match Configuration::read_for_reload() {
@@ -58,7 +60,7 @@
                 let remark = if configuration.settings == settings {
                     ""
                 } else {
-                    "; other settings at the next start"
+                    "; changed settings take effect at the next start"
                 };
                 eprintln!("asterport: configuration reloaded: discovery {discovery}{remark}");
                 runtime.move_watch_to(discovery);
@@ -70,7 +72,7 @@
     }
 }
 
-/// Logs what coalescing did so far, where it is on.
+/// Logs the counters of coalescing, if it is on.
 pub fn log_coalescing_counters(runtime: &Runtime) {
     let Some(report) = runtime.coalescing() else {
         return;
