--- a/crates/cache-router/src/summary.rs
+++ b/crates/cache-router/src/summary.rs
@@ -1,8 +1,10 @@
-//! Summary lines: once a second what this router did, so that operators' scripts can sum the logs of a fleet by second.
+//! Summary lines: one log line a second with what this router did, so that operators' scripts can
+//! add up the logs of a fleet by second.
 //!
-//! `summary at=UNIX_SECOND name=count ...`: counters as their growth since the line before, gauges as they stand;
-//! what is 0 is left out. The names are an interface that scripts read (`tools/fleet.py`): they stay as they are, and
-//! are mapped to the code's names here.
+//! The format is `summary at=UNIX_SECOND name=count ...`. A counter is written as its increase
+//! since the previous line and a gauge as its current value; zeros are omitted. Scripts such as
+//! `tools/fleet.py` parse the names, so that they are stable and mapped to this code's names in
+//! this module.
 
 use crate::Runtime;
 use load_balancer::{CandidateVerdict, Diagnostics};
@@ -14,7 +16,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::{MissedTickBehavior, interval};
 
-/// Interval of the lines.
+/// Interval between lines.
 const LINE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The `[summary]` table of an operator file.
@@ -25,7 +27,7 @@
     pub every_second: bool,
 }
 
-/// Writes summary lines for as long as it is polled.
+/// Writes summary lines until the future is dropped.
 pub async fn write(runtime: Rc<Runtime>) {
     let mut previous = BTreeMap::new();
     let mut ticks = interval(LINE_INTERVAL);
@@ -56,14 +58,14 @@
     });
     for (name, value) in growth.chain(gauges.iter().copied()) {
         if value > 0 {
-            // Writing to a string does not fail.
+            // Writing to a `String` cannot fail.
             let _ = write!(line, " {name}={value}");
         }
     }
     line
 }
 
-/// Counts that only grow, by name.
+/// Returns the counters, which only increase, by name.
 fn counters(runtime: &Runtime, report: &AttemptReport) -> BTreeMap<String, u64> {
     let metrics = runtime.metrics();
     let attempts = &report.counts;
@@ -92,7 +94,7 @@
     counters
 }
 
-/// Current values by name; names that end in `_m` are in thousandths, in `_us` in microseconds.
+/// Returns the gauges by name. A suffix `_m` stands for thousandths, `_us` for microseconds.
 fn gauges(runtime: &Runtime, diagnostics: &Diagnostics) -> [(&'static str, u64); 10] {
     let usage = runtime.resource_usage();
     let thousandths = |value: f64| (value * 1e3) as u64;
