--- a/crates/cache-router/src/takeover.rs
+++ b/crates/cache-router/src/takeover.rs
@@ -1,5 +1,5 @@
-//! The new process's side of a hot restart: it asks the process that serves for its state, starts, and takes the
-//! connections that the other one hands over.
+//! The new process's side of a hot restart: it requests the state of the process that serves,
+//! starts, and adopts the connections that the other process hands over.
 
 use crate::Runtime;
 use crate::admin_state::AdminState;
@@ -14,30 +14,34 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// Time that the process that serves has for its state; without it this process starts from its own files.
+/// Timeout for the predecessor's state; after it this process starts from its own files.
 const STATE_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Interval at which a process looks whether it can take over.
+/// Interval at which a process checks whether it is ready to take over.
 pub const READINESS_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// The process that serves until this one takes over.
+/// The process that serves until this process takes over.
 pub struct Predecessor {
     /// The channel to it.
     pub channel: HandoverChannel,
-    /// What it knows.
+    /// Its state.
     pub state: HandoverState,
 }
 
-/// Asks the process that serves for its state; `None` if there is none, or it does not answer with a usable state.
+/// Requests the state of the process that serves. Returns `None` if there is no such process, or if
+/// it does not answer with a usable state.
 pub async fn request_takeover(socket: &RendezvousSocket, router: &str) -> Option<Predecessor> {
     let channel = socket.connect().await?;
     match timeout(STATE_TIMEOUT, request_state(&channel, router)).await {
         Ok(Ok(state)) => Some(Predecessor { channel, state }),
         Ok(Err(error)) => {
-            eprintln!("asterport: no takeover from the previous process: {error}");
+            eprintln!("asterport: state of the previous process not taken over: {error}");
             None
         }
         Err(_) => {
-            eprintln!("asterport: no takeover from the previous process: no answer");
+            eprintln!(
+                "asterport: state of the previous process not taken over: \
+                 no answer within {STATE_TIMEOUT:?}"
+            );
             None
         }
     }
@@ -56,8 +60,8 @@
     Ok(message.into_state(router)?)
 }
 
-/// Takes over from the process that serves as soon as this one can serve, and adopts the connections that it hands
-/// over. Returns when that process has ended.
+/// Takes over from the predecessor once this process is ready, and adopts the connections that the
+/// predecessor hands over. Returns when the predecessor has ended.
 pub async fn complete_takeover(
     channel: HandoverChannel,
     runtime: Rc<Runtime>,
@@ -94,15 +98,15 @@
     eprintln!("asterport: previous process ended; {adopted_count} connections taken over");
 }
 
-/// What the process that serves sends.
+/// A message from the predecessor.
 enum PredecessorMessage {
-    /// A client's connection.
+    /// A client connection.
     Connection(IdleConnection<TcpStream>),
-    /// A change that operators made there.
+    /// A change that operators made in the predecessor.
     AdminChange(Message),
 }
 
-/// What a message means; `None` for a connection that is broken.
+/// Interprets a received message. Returns `None` for a connection whose socket cannot be used.
 fn interpret(received: Received) -> Result<Option<PredecessorMessage>, ChannelError> {
     match received {
         (
