--- a/crates/admin-api/src/command.rs
+++ b/crates/admin-api/src/command.rs
@@ -1,35 +1,38 @@
-//! Operators' commands: parsed from a request's method, path and body, and executed.
+//! Parsing and execution of operators' commands, which consist of a request's method, path and
+//! body.
 //!
 //! | request | answer |
 //! | --- | --- |
 //! | `GET /api/ready` | 200 if the process can serve, else 503 |
 //! | `GET /api/telemetry` | 200 with the metrics |
-//! | `POST /api/exclude`, `POST /api/include` with `{"host":"ID"}` | 200; 400 for another body, 404 for an unknown id |
+//! | `POST /api/exclude` with `{"host":"ID"}` | 200; 400 on a bad body, 404 on an unknown id |
+//! | `POST /api/include` with `{"host":"ID"}` | as above |
 //! | `POST /api/evacuate`, `POST /api/rejoin` | 200 |
 //!
-//! Another path is 404, another method 405, a body over [`MAX_BODY_BYTES`] 413. A command that fails has changed
-//! nothing; its answer is one line of JSON: `{"error":"..."}`.
+//! An unknown path is answered 404, a wrong method 405, and a body of more than [`MAX_BODY_BYTES`]
+//! 413. A command that fails changes nothing, and its answer is one line of JSON:
+//! `{"error":"..."}`.
 
 use crate::{RouterControl, metrics};
 use hyper::{Method, StatusCode};
 use serde::Deserialize;
 use thiserror::Error;
 
-/// Bytes of the longest body; the longest valid one is far shorter.
+/// Maximum size of a request body; every valid body is far smaller.
 pub const MAX_BODY_BYTES: usize = 4 * 1024;
-/// Bytes of the longest id of a cache server.
+/// Maximum length of a cache server's id.
 const MAX_SERVER_ID_BYTES: usize = 256;
 
-/// A command.
+/// An operator's command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// `ready`: whether the process can serve.
+    /// `ready`: check whether the process can serve.
     CheckReadiness,
-    /// `telemetry`: the metrics.
+    /// `telemetry`: read the metrics.
     ReadMetrics,
-    /// `exclude`: take the cache server of this id out of service.
+    /// `exclude`: take the cache server with this id out of service.
     DisableServer(String),
-    /// `include`: put the cache server of this id back into service.
+    /// `include`: put the cache server with this id back into service.
     EnableServer(String),
     /// `evacuate`: drain the router.
     DrainRouter,
@@ -40,30 +43,30 @@
 /// Why a command fails.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum CommandError {
-    /// There is no such path.
+    /// The path is unknown.
     #[error("no such path")]
     UnknownPath,
-    /// The path takes only this method.
+    /// The path requires this method.
     #[error("call it with {0}")]
     WrongMethod(Method),
     /// The body is longer than [`MAX_BODY_BYTES`].
     #[error("a body of over {MAX_BODY_BYTES} bytes")]
     BodyTooLong,
-    /// The body is not what the path takes.
+    /// The body is invalid for the path.
     #[error(transparent)]
     Body(#[from] BodyError),
-    /// A cache server of this id is neither on the endpoint list nor overridden.
+    /// No cache server with this id is on the endpoint list or has an override.
     #[error("nobody has told of a cache server '{0}'")]
     UnknownServer(String),
-    /// The process cannot serve yet, or another one has taken over.
+    /// The process is not ready to serve yet, or another process has taken over.
     #[error("this process cannot serve yet, or another has taken over")]
     NotReady,
 }
 
-/// Why a body names no cache server.
+/// Why a body is invalid as the name of a cache server.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum BodyError {
-    /// The body is not JSON of the expected form; what is wrong, with line and column.
+    /// The body is not JSON of the expected structure; contains the reason with line and column.
     #[error(r#"the body is to be {{"host":"ID"}}: {0}"#)]
     Json(String),
     /// The id is empty.
@@ -75,7 +78,7 @@
 }
 
 impl CommandError {
-    /// HTTP status of the answer.
+    /// Returns the HTTP status of the answer.
     pub fn status(&self) -> StatusCode {
         match self {
             CommandError::UnknownPath | CommandError::UnknownServer(_) => StatusCode::NOT_FOUND,
@@ -86,17 +89,18 @@
         }
     }
 
-    /// Body of the answer: one line of JSON with the reason.
+    /// Returns the body of the answer: one line of JSON with the reason.
     pub fn to_json_line(&self) -> String {
         let reason = self.to_string();
         format!("{}\n", serde_json::json!({ "error": reason }))
     }
 }
 
-/// Whether a request has a body to be read: one that takes none is answered by its head alone.
+/// Returns whether a request has a body that must be read. Otherwise the request is answered after
+/// its head.
 ///
 /// # Errors
-/// When the path is unknown or takes another method; such a request is answered by its head as well.
+/// If the path is unknown or the method is wrong. Such a request is also answered after its head.
 pub fn takes_body(method: &Method, path: &str) -> Result<bool, CommandError> {
     let (expected_method, takes_body) = match path {
         "/api/ready" | "/api/telemetry" => (Method::GET, false),
@@ -111,10 +115,10 @@
     }
 }
 
-/// Parses a request. The body is ignored where the path takes none.
+/// Parses a request. The body is ignored if the path takes none.
 ///
 /// # Errors
-/// When the path is unknown, the method is another, or the body is not of the expected form.
+/// If the path is unknown, the method is wrong, or the body is invalid.
 pub fn parse(method: &Method, path: &str, body: &[u8]) -> Result<Command, CommandError> {
     takes_body(method, path)?;
     match path {
@@ -146,10 +150,10 @@
     Ok(server_id)
 }
 
-/// Executes a command; returns the body of the answer.
+/// Executes a command and returns the body of the answer.
 ///
 /// # Errors
-/// When the process is not ready or the cache server is unknown; nothing has changed then.
+/// If the process is not ready or the cache server is unknown. In that case nothing has changed.
 pub fn execute(command: Command, router: &impl RouterControl) -> Result<String, CommandError> {
     match command {
         Command::CheckReadiness if router.is_ready() => Ok("ready\n".into()),
