--- a/crates/admin-api/src/lib.rs
+++ b/crates/admin-api/src/lib.rs
@@ -1,10 +1,12 @@
-//! Admin API of a router: operators' commands over HTTP/1.1 at an address of its own, and metrics in the text form of
-//! OpenMetrics.
+//! Admin API of a router: operators' commands over HTTP/1.1 on a separate address, and metrics in
+//! the OpenMetrics text format.
 //!
-//! [`command`] parses and executes commands, and [`metrics`] encodes metrics, both without I/O; [`server`] serves
-//! connections. What a command does is the business of the router behind [`RouterControl`].
+//! [`command`] parses and executes commands and [`metrics`] encodes metrics, both without I/O;
+//! [`server`] serves connections. The router implements the effect of each command behind
+//! [`RouterControl`].
 //!
-//! Paths, JSON and metric names are a protocol; they are mapped to the code's names in these modules.
+//! Paths, JSON and metric names are part of the external protocol. These modules map them to the
+//! names of this code.
 
 pub mod command;
 pub mod metrics;
@@ -12,18 +14,20 @@
 
 use router_runtime::Metrics;
 
-/// A router that operators control. Each method has taken effect when it returns.
+/// A router that operators control. A method has taken effect by the time it returns.
 pub trait RouterControl {
-    /// Whether this process can serve.
+    /// Returns whether this process can serve.
     fn is_ready(&self) -> bool;
-    /// Current metrics.
+    /// Returns the current metrics.
     fn metrics(&self) -> Metrics;
-    /// Takes a cache server out of service: it gets no new requests. False if no list has named it.
+    /// Takes a cache server out of service: it receives no new requests. Returns false if the
+    /// server is unknown.
     fn disable_server(&self, server: &str) -> bool;
-    /// Puts a cache server back into service. False if no list has named it.
+    /// Puts a cache server back into service. Returns false if the server is unknown.
     fn enable_server(&self, server: &str) -> bool;
-    /// Drains the router of its clients. A second drain changes nothing.
+    /// Drains the router: clients are disconnected once their requests are answered. Has no effect
+    /// while it is drained already.
     fn drain_router(&self);
-    /// Ends a drain. Without one it changes nothing.
+    /// Ends a drain. Has no effect if the router is not drained.
     fn resume_router(&self);
 }
