--- a/crates/admin-api/src/metrics.rs
+++ b/crates/admin-api/src/metrics.rs
@@ -1,7 +1,8 @@
-//! Metrics in the text form of Prometheus and OpenMetrics, encoded by `prometheus-client`.
+//! Encodes metrics in the OpenMetrics text format with `prometheus-client`.
 //!
-//! The request path counts in plain cells of its own thread; the encoder reads them when a client asks. The metrics'
-//! names are an interface that operators scrape, and are mapped to the code's names here.
+//! Requests update plain counters of the router's thread, which are encoded when the metrics are
+//! read. Operators scrape the metric names, so that they are stable and mapped to this code's names
+//! in this module.
 
 use prometheus_client::collector::Collector;
 use prometheus_client::encoding::{DescriptorEncoder, EncodeMetric, text};
@@ -11,23 +12,23 @@
 use router_runtime::{ClassCounts, Metrics};
 use std::fmt;
 
-/// Media type of what [`encode`] returns.
+/// Content type of the text that [`encode`] returns.
 pub const CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// Prefix of all names.
+/// Prefix of all metric names.
 const NAME_PREFIX: &str = "router";
 
-/// Encodes metrics as text.
+/// Encodes metrics in the OpenMetrics text format.
 pub fn encode(metrics: Metrics) -> String {
     let mut registry = Registry::with_prefix(NAME_PREFIX);
     registry.register_collector(Box::new(MetricsCollector(metrics)));
     let mut encoded = String::new();
-    // Writing to a string does not fail.
+    // Writing to a `String` cannot fail.
     let _ = text::encode(&mut encoded, &registry);
     encoded
 }
 
-/// One of the counts of a class.
+/// Selects one of the counts of a request class.
 type ClassCount = fn(&ClassCounts) -> u64;
 
 #[derive(Debug)]
