--- a/crates/admin-api/src/server.rs
+++ b/crates/admin-api/src/server.rs
@@ -1,5 +1,5 @@
-//! Connections of operators: one request a connection, a bounded number of connections, none of which can delay the
-//! others.
+//! Server of the admin API: one request per connection and a bounded number of connections, none of
+//! which can delay the others.
 
 use crate::command::{self, CommandError, MAX_BODY_BYTES};
 use crate::{RouterControl, metrics};
@@ -16,17 +16,19 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{JoinHandle, spawn_local};
 
-/// Connections at a time; their descriptors are of those that the router reserves. One more replaces the oldest: a
-/// request is answered within milliseconds, so that a connection which is open for long has sent none.
+/// Maximum number of open connections; the router reserves descriptors for them. A further
+/// connection replaces the oldest one: a request is answered within milliseconds, so that a
+/// connection that has been open for long has sent none.
 pub const MAX_CONNECTIONS: usize = 24;
-/// Time from the accept until the connection is closed. Operators' tools wait 1 s for an answer.
+/// Maximum lifetime of a connection. Operators' tools wait 1 s for an answer.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(6);
-/// Delay after a failed accept, out of descriptors for instance.
+/// Delay after a failed accept, for example when the process is out of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Bytes of a request's head that are buffered at most.
+/// Maximum buffer size of a connection, which limits the size of a request's head.
 const MAX_BUFFER_BYTES: usize = 16 * 1024;
 
-/// Serves operators' connections for as long as it is polled. To be used within a [`tokio::task::LocalSet`].
+/// Serves operators' connections until the future is dropped. Must run within a
+/// [`tokio::task::LocalSet`].
 pub async fn serve<R: RouterControl + 'static>(listener: TcpListener, router: Rc<R>) {
     let mut connections: VecDeque<JoinHandle<()>> = VecDeque::new();
     loop {
@@ -40,7 +42,8 @@
         {
             oldest.abort();
         }
-        // Owned by this loop; ends with its connection, by its timeout, or aborted for a newer one.
+        // The task is owned by this loop. It ends with its connection or at the timeout, or is
+        // aborted when a newer connection replaces it.
         connections.push_back(spawn_local(serve_connection(stream, router.clone())));
     }
 }
@@ -55,7 +58,7 @@
         .half_close(true)
         .max_buf_size(MAX_BUFFER_BYTES);
     let connection = http.serve_connection(TokioIo::new(stream), service);
-    // A client that breaks off or does not speak HTTP is answered as far as that goes.
+    // Errors are ignored: the client has disconnected, or hyper has answered a malformed request.
     let _ = tokio::time::timeout(CONNECTION_TIMEOUT, connection).await;
 }
 
@@ -91,7 +94,7 @@
     command::execute(command::parse(&head.method, path, &body)?, router)
 }
 
-/// Reads a whole body. One that breaks off is answered as one that is too long.
+/// Reads a whole body. A truncated body is answered like one that is too long.
 async fn read_body(body: Incoming) -> Result<Bytes, CommandError> {
     match Limited::new(body, MAX_BODY_BYTES).collect().await {
         Ok(body) => Ok(body.to_bytes()),
