--- a/crates/load-balancer/src/endpoint.rs
+++ b/crates/load-balancer/src/endpoint.rs
@@ -29,7 +29,7 @@
     pub kind: Option<KindId>,
     /// When the server's process started; zero for long ago.
     pub started: Micros,
-    /// The server's size relative to others; see [`Weights`](crate::Weights).
+    /// The server's size relative to others; see [`WeightKind`](crate::WeightKind).
     pub weight: f64,
 }
 
--- a/crates/load-balancer/tests/placement.rs
+++ b/crates/load-balancer/tests/placement.rs
@@ -102,10 +102,10 @@
         endpoint.weight = 4.0;
     }
     endpoints[0].weight = 1.5;
-    let share = |weights| {
+    let share = |weight_kind| {
         let mut rig = TestRouter::new(
             Settings {
-                weights,
+                weight_kind,
                 ..settings()
             },
             endpoints.clone(),
@@ -114,7 +114,7 @@
             .filter(|&key| rig.served_by(key) == Some(name(1)))
             .count()
     };
-    let (full_arcs, partial_arcs) = (share(Weights::Unknown), share(Weights::Nominal));
+    let (full_arcs, partial_arcs) = (share(WeightKind::Unknown), share(WeightKind::Nominal));
     assert!(
         partial_arcs * 10 > full_arcs * 3 && partial_arcs * 10 < full_arcs * 6,
         "{partial_arcs} of {full_arcs}"
--- a/crates/router-runtime/src/downstream/read_plan.rs
+++ b/crates/router-runtime/src/downstream/read_plan.rs
@@ -1,52 +1,57 @@
-//! Whether and how long a client is read on, as its connection and the process stand.
+//! Decides whether and for how long a client connection is read, from the state of the connection
+//! and of the process.
 
-use super::client::{COMMAND_LIMIT, Client};
+use super::client::{COMMAND_TIMEOUT, Client};
 use super::connections::ClientConnections;
-use crate::clock::duration;
+use crate::clock::to_duration;
 use crate::environment::Environment;
 use crate::memory_budget::MemoryReservation;
 use crate::mutation::hooks;
-use crate::resp::{CommandReader, READ_SIZE};
+use crate::resp::{CommandReader, READ_BYTES};
 use bytes::BytesMut;
 use process_lifecycle::{FIRST_COMMAND_GRACE, IdleConnectionPolicy};
 use std::ops::ControlFlow;
 use std::time::{Duration, Instant};
 
-/// A client that sends no command for this long is closed; many keep an unused connection for good.
-const IDLE_LIMIT: Duration = Duration::from_secs(30);
-/// How long a command may take to arrive but for a write's value: clients are allowed 2 s, and the network delays pieces.
-const HEAD_LIMIT: Duration = Duration::from_millis(3_000);
-/// How long a write's value may pause.
-const VALUE_PAUSE_LIMIT: Duration = Duration::from_secs(10);
+/// A client that sends no command for this long is closed, as many clients never close unused
+/// connections.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// How long a command, without a write's value, may take to arrive: clients are allowed 2 s, and
+/// the network adds delays.
+const COMMAND_HEAD_TIMEOUT: Duration = Duration::from_millis(3_000);
+/// The longest pause while a write's value arrives.
+const VALUE_STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Why no more is read from a client.
+/// Why reading from a client connection ends.
 pub(super) enum ReadEnd {
-    /// It has disconnected.
+    /// The client has disconnected.
     Disconnected,
-    /// Pending responses are written, and then the connection is closed.
-    Done,
-    /// The same, and the client may still be sending what will not be read: after an error, or while the router is drained.
-    DoneUnread,
-    /// The same, and the process ends.
-    Finished,
-    /// It is idle, with what was read of a command that is not whole yet: for the successor.
+    /// The connection is closed once its pending responses are written.
+    Close,
+    /// Like `Close`, but further input is discarded first, as the client may still be sending:
+    /// after an error, or while the router is drained.
+    CloseAfterDiscard,
+    /// Like `Close`, as the process ends; further input stays unread.
+    Shutdown,
+    /// The connection is idle and is handed over to the successor, with the bytes read of an
+    /// incomplete command.
     HandOver(BytesMut),
 }
 
-/// What has been read of the next command.
+/// The input read so far for the next command.
 pub(super) struct CommandInput {
-    /// Reads it.
+    /// The parser.
     pub reader: CommandReader,
-    /// What has arrived and is not taken yet.
+    /// Bytes that have arrived and are not parsed yet.
     pub buffer: BytesMut,
-    /// Memory of a long write.
+    /// The memory of a long write.
     pub memory: Option<MemoryReservation>,
-    /// When the last byte of a write's value arrived.
+    /// When bytes of a write's value last arrived.
     pub value_progress_at: Option<Instant>,
 }
 
 impl CommandInput {
-    /// Nothing but what was read before.
+    /// Input that begins with bytes read before.
     pub fn new(unread: BytesMut) -> Self {
         CommandInput {
             reader: CommandReader::default(),
@@ -56,7 +61,8 @@
         }
     }
 
-    /// Whether nothing of a further command was read. Full pieces of a long value are off the buffer.
+    /// Whether no byte of a further command has been read. Full chunks of a long value are not in
+    /// the buffer.
     pub fn is_empty(&self) -> bool {
         self.buffer.is_empty() && !self.reader.is_in_value()
     }
@@ -69,37 +75,40 @@
     }
 }
 
-/// What happens before the next bytes are read.
+/// How the next bytes are read.
 pub(super) struct ReadPlan {
-    /// The client's next command is taken.
+    /// Whether the client's next command may be read.
     pub may_read: bool,
-    /// The write memory has room for more of the command.
+    /// Whether the write memory has room for more of the command.
     pub has_memory: bool,
-    /// The connection ends unless bytes are there already.
+    /// How reading ends unless bytes have already arrived.
     pub early_end: Option<ReadEnd>,
-    /// When the connection ends without further bytes.
+    /// When the connection is closed unless further bytes arrive.
     pub deadline: Option<Instant>,
 }
 
 impl<E: Environment> ClientConnections<E> {
-    /// Whether this client's next command is taken. While the router is drained a command that has begun is, and one
-    /// that comes while no response is pending; a client that is never idle is stopped after a while.
+    /// Whether the client's next command may be read. While the router is drained, this holds for a
+    /// command that has begun, and for one that arrives while no response is pending; a client that
+    /// never becomes idle is refused after a while.
     pub(super) fn may_take_command(&self, client: &Client) -> bool {
         if self.is_finishing() {
             return false;
         }
         let lifecycle = self.lifecycle();
-        if lifecycle.is_handed_over() || !lifecycle.is_drained() {
-            client.is_stopped.set(false);
-            return !lifecycle.is_handed_over();
+        if lifecycle.hands_over_connections() || !lifecycle.is_drained() {
+            client.is_closing_for_drain.set(false);
+            return !lifecycle.hands_over_connections();
         }
         let may_finish = !client.has_pending_responses() || client.has_begun_command();
-        let stops = !may_finish && !lifecycle.may_read_more(self.config.requests.now());
-        client.is_stopped.set(client.is_stopped.get() || stops);
-        !client.is_stopped.get()
+        let must_close = !may_finish && !lifecycle.may_read_more(self.config.requests.now());
+        client
+            .is_closing_for_drain
+            .set(client.is_closing_for_drain.get() || must_close);
+        !client.is_closing_for_drain.get()
     }
 
-    /// Decides what happens before the next bytes are read, or that none are.
+    /// Decides how the next bytes are read, or that reading ends.
     pub(super) fn plan_read(
         &self,
         input: &mut CommandInput,
@@ -107,13 +116,14 @@
     ) -> ControlFlow<ReadEnd, ReadPlan> {
         client.has_unparsed_input.set(!input.is_empty());
         if input.buffer.is_empty() {
-            // An idle client keeps no buffer of the size of its last command.
+            // Releases the buffer, so that an idle client does not keep one of the size of its last
+            // command.
             input.buffer = BytesMut::new();
         } else if !client.has_begun_command() {
             client.command_began_at.set(Some(self.environment.now()));
         }
         if self.is_finishing() {
-            return ControlFlow::Break(ReadEnd::Finished);
+            return ControlFlow::Break(ReadEnd::Shutdown);
         }
         let policy = self.lifecycle().idle_connection_policy();
         let has_pending = client.has_pending_responses();
@@ -123,9 +133,9 @@
             let unread = reader.into_unread(std::mem::take(&mut input.buffer));
             return ControlFlow::Break(ReadEnd::HandOver(unread));
         }
-        if client.is_stopped.get() && !has_pending {
-            // Its client sends the rest of the pipeline again.
-            return ControlFlow::Break(ReadEnd::DoneUnread);
+        if client.is_closing_for_drain.get() && !has_pending {
+            // The client sends the rest of its pipeline again.
+            return ControlFlow::Break(ReadEnd::CloseAfterDiscard);
         }
         self.reserve(input);
         let has_memory = input.has_memory();
@@ -142,22 +152,24 @@
         })
     }
 
-    /// Makes room for the rest of the command, and counts a long write against the write memory.
+    /// Reserves buffer capacity for the rest of the command, and counts a long write against the
+    /// write memory.
     fn reserve(&self, input: &mut CommandInput) {
-        let missing = input.reader.missing(&input.buffer);
-        if missing > READ_SIZE && input.memory.is_none() {
+        let missing = input.reader.missing_bytes(&input.buffer);
+        if missing > READ_BYTES && input.memory.is_none() {
             let arrived = input.reader.held_bytes() + input.buffer.len();
             input.memory = Some(self.config.write_memory.reserve(arrived));
         }
         input
             .buffer
-            .reserve(input.reader.wanted_room(&input.buffer));
+            .reserve(input.reader.wanted_capacity(&input.buffer));
         if input.reader.is_in_value() && input.value_progress_at.is_none() {
             input.value_progress_at = Some(self.environment.now());
         }
     }
 
-    /// When a client is closed that sends nothing more; `None`: pending responses keep its connection open.
+    /// When a client that sends nothing more is closed; `None` while pending responses keep its
+    /// connection open.
     fn read_deadline(
         &self,
         input: &CommandInput,
@@ -166,20 +178,20 @@
     ) -> Option<Instant> {
         let last_used_at = client.last_used_at.get();
         if let Some(began_at) = client.command_began_at.get() {
-            let value_deadline = input.value_progress_at.map(|at| at + VALUE_PAUSE_LIMIT);
-            return Some(value_deadline.unwrap_or(began_at + HEAD_LIMIT));
+            let value_deadline = input.value_progress_at.map(|at| at + VALUE_STALL_TIMEOUT);
+            return Some(value_deadline.unwrap_or(began_at + COMMAND_HEAD_TIMEOUT));
         }
-        if is_newcomer(policy, client) {
-            return Some(last_used_at + duration(FIRST_COMMAND_GRACE));
+        if awaits_first_command(policy, client) {
+            return Some(last_used_at + to_duration(FIRST_COMMAND_GRACE));
         }
         if !client.has_sent_command.get() {
-            return Some(last_used_at + COMMAND_LIMIT);
+            return Some(last_used_at + COMMAND_TIMEOUT);
         }
-        (!client.has_pending_responses()).then(|| last_used_at + IDLE_LIMIT)
+        (!client.has_pending_responses()).then(|| last_used_at + IDLE_TIMEOUT)
     }
 }
 
-/// How the connection ends unless bytes of a command are there already.
+/// How reading ends unless bytes of a command have already arrived.
 fn early_end(
     input: &CommandInput,
     policy: IdleConnectionPolicy,
@@ -191,19 +203,19 @@
     );
     let is_closing = client.is_closing.get() || !is_kept;
     let may_close = is_closing
-        && !is_newcomer(policy, client)
+        && !awaits_first_command(policy, client)
         && !client.has_pending_responses()
         && input.is_empty();
-    let is_done = may_close || client.is_evicted.get();
-    hooks::early_end(
-        is_done.then_some(ReadEnd::Done),
+    let must_close = may_close || client.is_evicted.get();
+    hooks::read_end(
+        must_close.then_some(ReadEnd::Close),
         is_closing,
         client.pending_responses.get(),
         ReadEnd::Disconnected,
     )
 }
 
-/// Whether a client has sent nothing yet while connections are being closed: its first command is waited for.
-fn is_newcomer(policy: IdleConnectionPolicy, client: &Client) -> bool {
+/// Whether the first command of a client is still waited for while connections are being closed.
+fn awaits_first_command(policy: IdleConnectionPolicy, client: &Client) -> bool {
     !client.has_sent_command.get() && policy == IdleConnectionPolicy::Close
 }
