--- a/crates/load-balancer/src/origin_fetch_limit.rs
+++ b/crates/load-balancer/src/origin_fetch_limit.rs
@@ -1,119 +1,137 @@
-//! How many fetches may one router have outstanding at the origin behind the cache servers?
+//! Limits how many fetches one router may have outstanding at the origin behind the cache servers.
 //!
-//! Inputs: how long fetches take beyond hits (µs), which are late or fail, which attempts turn out to be fetches at
-//! all, the time (µs). Answer: whether a request that may be a fetch can be sent now. Reason: an origin slower than
-//! its load answers nobody in time, clients retry, and as cached copies expire ever more requests are fetches.
-//! Nobody announces the origin's capacity and no router sees the others' fetches, so each bounds its own; a fetch
-//! that was given up still counts, since the origin goes on with it.
+//! The inputs are how long fetches take beyond the latency of hits (µs), which fetches are late or
+//! fail, which attempts turn out to be fetches at all, and the time (µs). The result is whether a
+//! request that may be a fetch can be sent now.
+//!
+//! An origin that cannot keep up with its load answers no request in time. Clients retry, and as
+//! cached copies expire ever more requests become fetches. The origin's capacity is not announced
+//! and no router observes the fetches of the others, so that each router limits its own. An
+//! abandoned fetch still counts, because the origin continues to work on it.
 
 use crate::latency_baseline::LatencyBaseline;
 use crate::moving_average::MovingAverage;
 use crate::time::Micros;
 
-/// Levels of popularity: keys requested once lately, twice, up to four times, more often.
+/// The number of popularity levels of keys: requested once recently, twice, up to four times, and
+/// more often.
 pub(crate) const POPULARITY_LEVEL_COUNT: usize = 4;
-/// Recent requests for a key above which it belongs to the next level.
+/// The numbers of recent requests for a key above which it belongs to the next level.
 const POPULARITY_THRESHOLDS: [f64; POPULARITY_LEVEL_COUNT - 1] = [1.5, 2.5, 4.5];
-/// Fetches for each server that all routers without observations may have in flight.
+/// Fetches in flight per server that all routers together may have initially.
 const INITIAL_FETCHES_PER_SERVER: f64 = 8.0;
-/// How much one late fetch takes off the limit, in fetches; below one, as a ratio of the limit.
+/// How much one late fetch takes off the limit, in fetches; off a limit below one, as a ratio of
+/// the limit.
 const DECREASE_RATIO: f64 = 0.5;
-/// Ratio of late fetches at which the limit rests while the origin has a queue.
+/// The ratio of late fetches at which the limit stays the same while the origin has a queue.
 const TOLERATED_LATE_RATIO: f64 = 0.1;
-/// Fetches that take this multiple of their usual minimum show a queue; some are late at any origin.
+/// An average latency of this multiple of the usual minimum shows a queue. A single late fetch does
+/// not: some fetches are late at any origin.
 const QUEUE_LATENCY_RATIO: f64 = 2.0;
-/// What a fetch adds to a limit in use while there is no queue, in fetches.
+/// How much a fetch adds to a limit in use while the origin has no queue, in fetches.
 const INCREASE_COUNT: f64 = 0.1;
-/// A fetch in time multiplies a limit below one by this: such a limit is left over from a collapse.
+/// A fetch in time multiplies a limit below one by this ratio. A limit this low is the result of an
+/// earlier overload.
 const RECOVERY_RATIO: f64 = 2.0;
-/// What each decrease takes off the remembered limit: an origin that stays slow is the new normal.
+/// How much each decrease takes off the remembered limit, as a ratio. If the origin stays slow, the
+/// lower limit becomes the normal one.
 const REMEMBERED_LIMIT_DECAY_RATIO: f64 = 1.0 / 64.0;
-/// Ratio of late fetches above which the origin is at fault, not a server: one of a few may hang.
+/// The ratio of late fetches above which the origin is at fault rather than a server: among a few
+/// servers one may hang.
 const SLOW_ORIGIN_LATE_RATIO: f64 = 0.3;
-/// Ratio of failed fetches above which they decrease the limit: servers fail some by themselves.
+/// The ratio of failed fetches above which they decrease the limit. Servers fail some fetches by
+/// themselves.
 const TOLERATED_FAILURE_RATIO: f64 = 0.2;
-/// The lowest limit, so that few good fetches suffice to raise it again.
+/// The lowest limit. It is high enough for a few successful fetches to raise the limit again.
 const MIN_LIMIT: f64 = 0.05;
-/// All routers together try at least one fetch for this ratio of the hits that the servers could serve one at a
-/// time; else nobody learns that the origin is well again.
+/// While the limit is below one, all routers together send fetches as probes, at no less than this
+/// ratio of the rate at which the servers could serve hits one at a time. Otherwise no router would
+/// observe that the origin has recovered.
 const PROBE_RATIO: f64 = 0.1;
-/// Fetches over which miss and failure ratios are averaged.
+/// The number of fetches over which miss and failure ratios are averaged.
 const RATIO_SPAN: f64 = 16.0;
-/// The same for late fetches: overload builds up within fewer.
+/// The number of fetches over which the ratio of late ones is averaged. It is smaller, because
+/// overload builds up within fewer fetches.
 const LATE_SPAN: f64 = 8.0;
-/// Fetches over which their time is averaged.
+/// The number of fetches over which their latency is averaged.
 const LATENCY_SPAN: u64 = 8;
-/// Fetches over which the minimum of that rises.
+/// The number of fetches over which the minimum of that average rises.
 const MIN_LATENCY_SPAN: u64 = 512;
-/// The longest that an abandoned fetch is taken to go on: a stopped origin drops what it holds.
+/// The longest time for which an abandoned fetch is assumed to continue. An origin that stops drops
+/// its requests.
 const MAX_ABANDONED_FETCH_TIME: Micros = Micros::from_millis(5_000);
-/// While the origin has a queue, a fetch that moves a key away from its owner may use this ratio of the limit: it
-/// evicts another key, which is fetched again too, and is served last.
+/// While the origin has a queue, a fetch that moves a key away from its owner may use this ratio of
+/// the limit. It is admitted last, because it evicts another key, which then has to be fetched
+/// again too.
 const QUEUED_MIGRATION_RATIO: f64 = 0.3;
-/// Abandoned fetches that are remembered (2 KiB).
+/// The number of abandoned fetches that are tracked (2 KiB).
 const MAX_ABANDONED_COUNT: usize = 256;
 
-/// The popularity level of a key with so many recent requests.
+/// The popularity level of a key with this many recent requests.
 pub(crate) fn popularity_level(recent_requests: f64) -> usize {
     let is_above = |threshold: &&f64| recent_requests > **threshold;
     POPULARITY_THRESHOLDS.iter().filter(is_above).count()
 }
 
-/// What a request that may be a fetch can use of the limit.
+/// The part of the limit that a request which may be a fetch can use.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FetchRequest {
-    /// Popularity level of its key.
+    /// The popularity level of the request's key.
     pub popularity: usize,
-    /// How much of the limit it may use, as a multiple.
+    /// The multiple of the limit that the request may use.
     pub limit_multiplier: f64,
-    /// The time in which the servers can serve one hit for each router.
+    /// The time in which the servers together can serve one hit per router.
     pub hit_time_per_router: Micros,
 }
 
-/// Whether a request may be an origin fetch.
+/// Whether a request may be an origin fetch, by where it is sent.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FetchPermission {
-    /// Where its key belongs.
+    /// At the owner of its key.
     pub at_owner: bool,
-    /// At another server.
+    /// At another server, where the fetch is extra.
     pub elsewhere: bool,
 }
 
 impl FetchPermission {
-    /// Where no limit holds.
+    /// The permission of a router whose fetches are not limited.
     pub const UNLIMITED: FetchPermission = FetchPermission {
         at_owner: true,
         elsewhere: true,
     };
 }
 
-/// One router's limit on fetches from the origin.
+/// One router's limit on origin fetches.
 #[derive(Debug)]
 pub(crate) struct OriginFetchLimit {
-    /// Attempts in flight that most likely are fetches.
+    /// Attempts in flight that are likely to be fetches.
     pub in_flight: u32,
-    /// How many may be, in fetches; below one it is a pace.
+    /// The number of fetches that may be in flight; below one, a pace.
     pub limit: f64,
-    /// The limit before decreases; forgotten over many of them.
+    /// The limit before recent decreases. Each further decrease reduces it a little.
     remembered_limit: f64,
-    /// The limit of a router that knows no servers yet; below it, hanging requests are the origin's fault.
+    /// The limit before any server is known. Below it, requests that hang are attributed to the
+    /// origin.
     pub initial: f64,
-    /// Ratio of such attempts that were fetches, by popularity level.
+    /// The ratio of likely fetches that turned out to be fetches, by popularity level.
     miss_ratios: [MovingAverage; POPULARITY_LEVEL_COUNT],
-    /// How long fetches take beyond hits; an abandoned one counts twice its time.
+    /// How long fetches take beyond the latency of hits. An abandoned fetch counts with twice its
+    /// time.
     latency: LatencyBaseline,
-    /// Half the shortest time in which an answer is of use.
+    /// The average latency above which the origin is overloaded: half of the shortest latency at
+    /// which an answer is still useful.
     overload_latency: Micros,
     failure_ratio: MovingAverage,
     late_ratio: MovingAverage,
-    /// When the latest attempt was sent that was a fetch for sure.
+    /// When the latest attempt was sent that is known to have been a fetch.
     last_fetch_at: Micros,
-    /// When the abandoned fetches will have ended.
+    /// When each abandoned fetch is expected to end.
     abandoned_fetches: Vec<Micros>,
 }
 
 impl OriginFetchLimit {
-    /// A limit without observations. At an origin that takes twice `overload_latency` for a fetch, none is of use.
+    /// Creates a limit without observations. Fetches that take twice `overload_latency` are of no
+    /// use.
     pub fn new(initial: f64, overload_latency: Micros) -> OriginFetchLimit {
         OriginFetchLimit {
             in_flight: 0,
@@ -130,14 +148,15 @@
         }
     }
 
-    /// Starts the limit anew, once the first servers are known.
+    /// Resets the limit once the first servers are known.
     pub fn initialize(&mut self, ready_servers: usize, router_count: f64) {
         let share = INITIAL_FETCHES_PER_SERVER * ready_servers as f64 / router_count;
         self.limit = self.initial.max(share);
     }
 
-    /// Whether one more may be sent, to the owner of its key and elsewhere. Of the attempts in flight, `undecided` (by
-    /// popularity level) may yet turn out to be hits, as often as such requests did lately.
+    /// Whether one more fetch may be sent to the owner of its key, and whether to another server.
+    /// Of the attempts in flight, those in `undecided` (by popularity level) may still turn out to
+    /// be hits; they count by the recent ratio of fetches at their level.
     pub fn permission(
         &mut self,
         now: Micros,
@@ -184,7 +203,8 @@
         certain_fetches == 0 && is_only_expected_fetch && self.may_fetch_at_pace(now, request)
     }
 
-    /// Below one, the limit spaces fetches out, so that many routers together do not crowd the origin.
+    /// A limit below one spaces fetches out, so that many routers together do not overload the
+    /// origin.
     fn may_fetch_at_pace(&self, now: Micros, request: &FetchRequest) -> bool {
         let multiplier = request.limit_multiplier.max(MIN_LIMIT);
         let interval = self
@@ -198,12 +218,12 @@
         now.since(self.last_fetch_at) >= interval.min(max_interval)
     }
 
-    /// Ratio of fetches by popularity level.
+    /// The ratio of likely fetches that were fetches, by popularity level.
     pub fn miss_ratios(&self) -> [f64; POPULARITY_LEVEL_COUNT] {
         self.miss_ratios.map(|ratio| ratio.value())
     }
 
-    /// Takes over the miss ratios of a previous process, unless one is no ratio.
+    /// Restores the miss ratios of a previous process, unless one of them is not a ratio.
     pub fn restore_miss_ratios(&mut self, ratios: [f64; POPULARITY_LEVEL_COUNT]) {
         if !ratios.iter().all(|ratio| (0.0..=1.0).contains(ratio)) {
             return;
@@ -213,12 +233,12 @@
         }
     }
 
-    /// Records that an attempt of a popularity level turned out to be a fetch, or not.
+    /// Records whether an attempt at this popularity level turned out to be a fetch.
     pub fn record_cache_status(&mut self, popularity: usize, is_miss: bool) {
         self.miss_ratios[popularity].observe_event(is_miss);
     }
 
-    /// Records a fetch that was served, `latency_beyond_hit` more than the time of a hit.
+    /// Records a served fetch that took `latency_beyond_hit` longer than a hit.
     pub fn record_served(&mut self, sent_at: Micros, latency_beyond_hit: Micros, is_in_time: bool) {
         self.failure_ratio.observe_event(false);
         self.last_fetch_at = self.last_fetch_at.max(sent_at);
@@ -226,7 +246,8 @@
         self.adjust(is_in_time, latency_beyond_hit);
     }
 
-    /// Records a fetch that was abandoned `elapsed` after it was sent; it most likely takes as long again.
+    /// Records a fetch that was abandoned `elapsed` after it was sent. It is likely to take the
+    /// same time again.
     pub fn record_abandoned(
         &mut self,
         now: Micros,
@@ -245,12 +266,13 @@
         self.adjust(is_in_time, Micros::MAX);
     }
 
-    /// Records a late fetch that is laid to its server.
+    /// Records a late fetch that is attributed to its server.
     pub fn record_late_at_server(&mut self) {
         self.late_ratio.observe_event(true);
     }
 
-    /// Records a fetch that ended in an error which cost the origin its time or tells that it is full.
+    /// Records a fetch that failed with an error which either cost the origin time or shows that
+    /// the origin is at capacity.
     pub fn record_failed(&mut self, sent_at: Micros) {
         self.last_fetch_at = self.last_fetch_at.max(sent_at);
         self.failure_ratio.observe_event(true);
@@ -259,19 +281,21 @@
         }
     }
 
-    /// Whether many of the latest fetches were late, at whichever server: the origin is at fault.
+    /// Whether many of the latest fetches were late, whatever their server, so that the origin is
+    /// at fault.
     pub fn is_slow(&self) -> bool {
         self.late_ratio.value() > SLOW_ORIGIN_LATE_RATIO
     }
 
-    /// Whether fetches take longer on the whole than at an origin that is well.
+    /// Whether the average fetch takes longer than at a healthy origin.
     fn has_queue(&self) -> bool {
         let queue_latency = self.latency.scaled_minimum(QUEUE_LATENCY_RATIO);
         self.latency.average() > queue_latency.min(self.overload_latency.scaled(2.0))
     }
 
-    /// Whether the queue at the origin takes up much of the time in which an answer is of use. Where the minimum is
-    /// short, slow servers alone lift the average to a multiple of it, and late fetches are then theirs.
+    /// Whether the queue at the origin takes up much of the time in which an answer is useful. If
+    /// the minimum latency is low, slow servers alone can raise the average to a multiple of it;
+    /// late fetches are then the servers' fault.
     fn is_overloaded(&self) -> bool {
         self.has_queue() && self.latency.average() > self.overload_latency
     }
@@ -294,8 +318,8 @@
         }
     }
 
-    /// Raises a limit below one: to one after a fetch that met no queue, since where routers are many each sees
-    /// too few fetches to wait for several.
+    /// Raises a limit below one. A fetch that met no queue raises it to one at once, because in a
+    /// large fleet of routers each sees too few fetches to wait for several.
     fn recover(&mut self, latency_beyond_hit: Micros) {
         let met_no_queue = latency_beyond_hit <= self.latency.scaled_minimum(QUEUE_LATENCY_RATIO);
         self.limit = if met_no_queue {
@@ -305,8 +329,8 @@
         };
     }
 
-    /// Decreases the limit, first to near what is in use: a limit far above that protects nothing. An initial
-    /// limit is hardly in use and stays.
+    /// Decreases the limit, starting from what is about in use, because a limit far above that
+    /// protects nothing. The initial limit is hardly ever in use and is not cut in this way.
     fn decrease(&mut self) {
         self.remembered_limit =
             self.remembered_limit.max(self.limit) * (1.0 - REMEMBERED_LIMIT_DECAY_RATIO);
--- a/crates/load-balancer/src/placement.rs
+++ b/crates/load-balancer/src/placement.rs
@@ -213,7 +213,7 @@
     pub servers: &'a ServerTable,
     pub key_locations: &'a KeyLocations,
     pub now: Micros,
-    /// What the weight_kind on the endpoint list mean.
+    /// What the weights on the endpoint list mean.
     pub weight_kind: WeightKind,
     /// The shortest latency objective of all classes.
     pub shortest_objective: Micros,
