--- a/crates/load-balancer/src/queue_estimate.rs
+++ b/crates/load-balancer/src/queue_estimate.rs
@@ -1,46 +1,53 @@
-//! Do requests wait at a server?
+//! Estimates whether requests wait in a queue at a server.
 //!
-//! Inputs: the load reports of the server, how long its answers take (µs), the latency objective (µs), the time
-//! (µs). Answer: whether it has a queue, and whether it reports spare capacity. Reason: a server that is slow by
-//! nature answers late although nothing waits there; a limit cut for that gives its keys away, and each key that
-//! moves is a fetch. Where routers are many, each sees a server too seldom to know that it has capacity.
+//! The inputs are the server's load reports, how long its answers take (µs), the latency objective
+//! (µs) and the time (µs). The results are whether the server has a queue, and whether it reports
+//! spare capacity.
+//!
+//! A server that is slow by nature answers late although no request waits there. Reducing its limit
+//! for that would divert its keys, and each diverted key is an origin fetch. In a large fleet of
+//! routers each router sees a server too seldom to know by itself whether it has capacity; there
+//! the reports tell.
 
 use crate::latency_baseline::LatencyBaseline;
 use crate::load_report::LoadReport;
 use crate::time::Micros;
 
-/// How long a load report counts after the answer that brought it: servers refresh it about once a second.
+/// How long a load report is valid after the answer that carried it. Servers refresh their reports
+/// about once a second.
 const REPORT_LIFETIME: Micros = Micros::from_millis(2_000);
-/// Fewer waiting requests than this are no queue: reports are noisy.
+/// Fewer waiting requests than this are not a queue, because reports are noisy.
 const MIN_QUEUE_LENGTH: f64 = 0.5;
-/// A server busier than this share of its cores has no spare capacity, even if nothing waits.
+/// A server whose CPU utilization is at least this has no spare capacity, even if no request waits.
 const BUSY_CPU_RATIO: f64 = 0.9;
-/// Answers that take this multiple of their minimum show a queue, where there is no report.
+/// Without a report, an average latency of this multiple of the minimum shows a queue.
 const QUEUE_LATENCY_RATIO: f64 = 1.4;
-/// Answers that take this multiple of their minimum disprove a report of spare capacity: it is frozen or wrong.
+/// An average latency of this multiple of the minimum contradicts a report of spare capacity: the
+/// report is outdated or wrong.
 const CONTRADICTING_LATENCY_RATIO: f64 = 3.0;
-/// Answers over which their time is averaged.
+/// The number of answers over which their latency is averaged.
 const LATENCY_SPAN: u64 = 8;
-/// Answers over which the minimum of that rises.
+/// The number of answers over which the minimum of that average rises.
 const MIN_LATENCY_SPAN: u64 = 256;
 
-/// A load report and when it came.
+/// A load report and the time at which it was received.
 #[derive(Clone, Copy, Debug)]
 struct ReceivedReport {
     at: Micros,
     report: LoadReport,
 }
 
-/// What one router knows of the queue at one server.
+/// One router's estimate of the queue at one server.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct QueueEstimate {
     last_report: Option<ReceivedReport>,
-    /// How long answers without a fetch take; one that was given up counts twice its time.
+    /// The latency of answers without a fetch. An answer that was given up counts with twice its
+    /// time.
     latency: LatencyBaseline,
 }
 
 impl QueueEstimate {
-    /// Nothing is known.
+    /// Creates an estimate without observations.
     pub const fn new() -> QueueEstimate {
         QueueEstimate {
             last_report: None,
@@ -53,17 +60,18 @@
         self.last_report = Some(ReceivedReport { at: now, report });
     }
 
-    /// Records how long an answer took.
+    /// Records the latency of an answer.
     pub fn record_latency(&mut self, latency: Micros) {
         self.latency.observe(latency);
     }
 
-    /// Whether the server credibly reports that it would begin one more request at once.
+    /// Whether the server credibly reports that it could start one more request at once.
     pub fn reports_spare_capacity(&self, now: Micros) -> bool {
         self.reported_spare_capacity(now) == Some(true)
     }
 
-    /// Whether requests wait there, or answers take longer than the objective for whatever reason.
+    /// Whether requests wait at the server, or its answers take longer than the objective for
+    /// whatever reason.
     pub fn has_queue(&self, now: Micros, latency_objective: Micros) -> bool {
         match self.reported_spare_capacity(now) {
             Some(has_spare_capacity) => !has_spare_capacity,
@@ -74,7 +82,7 @@
         }
     }
 
-    /// What the server reports; `None` without a recent and credible report.
+    /// Whether the server reports spare capacity; `None` without a recent and credible report.
     fn reported_spare_capacity(&self, now: Micros) -> Option<bool> {
         let received = self
             .last_report
