--- a/crates/load-balancer/src/traffic_estimate.rs
+++ b/crates/load-balancer/src/traffic_estimate.rs
@@ -1,4 +1,5 @@
-//! What is requested at this router lately: how often each key, by which class and tenant, how fast. A measure only.
+//! Measures the recent requests at this router: how often each key is requested, the shares of
+//! classes and tenants, and the request rate. This module only observes; it makes no decisions.
 
 use crate::ids::{ClassId, TenantId};
 use crate::moving_average::MovingAverage;
@@ -6,47 +7,49 @@
 use crate::time::Micros;
 use std::collections::HashMap;
 
-/// Requests over which the mix of tenants, classes and keys is averaged.
+/// The number of requests over which the shares of tenants, classes and keys are averaged.
 const TRAFFIC_SPAN: f64 = 200.0;
-/// Requests for unknown keys that are assumed besides, so that a small sample makes no key hot.
+/// The number of requests for other keys that is assumed in addition, so that a small sample does
+/// not make a key hot.
 const PRIOR_REQUEST_COUNT: f64 = TRAFFIC_SPAN / 8.0;
-/// A longer gap between requests is a pause and tells nothing of their pace.
+/// A longer gap between requests is a pause and counts as this time, because it shows nothing about
+/// the request rate.
 const MAX_INTERARRIVAL: Micros = Micros::from_millis(1_000);
-/// Requests over which their pace is averaged.
+/// The number of requests over which the interarrival time is averaged.
 const INTERARRIVAL_SPAN: u64 = 32;
-/// What is left of all counts of requests once they add up to the span.
+/// The ratio by which all counts of requests are multiplied once they add up to the span.
 const COUNT_DECAY_RATIO: f64 = 0.5;
-/// A key with fewer decayed requests than this is forgotten.
+/// A key with fewer requests than this after decay is dropped.
 const MIN_KEY_COUNT: f64 = 0.5;
 
-/// How often a key is requested.
+/// How often a key was requested recently.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct KeyCount {
-    /// Ring position of the key.
+    /// The ring position of the key.
     pub ring_position: u32,
-    /// Recent requests, decayed.
+    /// The number of recent requests, after decay.
     pub count: f64,
 }
 
 /// The recent traffic of one router.
 #[derive(Debug)]
 pub(crate) struct TrafficEstimate {
-    /// Recent requests by ring position of the key.
+    /// The number of recent requests by ring position of the key.
     key_counts: HashMap<u32, f64>,
-    /// All of them together.
+    /// The number of all recent requests.
     total_count: f64,
     mean_priority_weight: MovingAverage,
-    /// Share of each class in the requests.
+    /// The share of each class in the requests.
     class_shares: Vec<MovingAverage>,
-    /// Share of each tenant in the requests.
+    /// The share of each tenant in the requests.
     tenant_shares: Vec<MovingAverage>,
-    /// The time between requests.
+    /// The mean time between requests.
     mean_interarrival: Micros,
     last_arrived_at: Micros,
 }
 
 impl TrafficEstimate {
-    /// What the settings alone tell, before the first request.
+    /// Creates an estimate from the settings alone, before the first request.
     pub fn new(settings: &Settings) -> TrafficEstimate {
         let class_count = settings.classes.len();
         let equal_share = 1.0 / class_count.max(1) as f64;
@@ -71,7 +74,8 @@
         }
     }
 
-    /// Records a request and returns how often its key was requested lately, this time included.
+    /// Records a request and returns how often its key was requested recently, including this
+    /// request.
     pub fn record_request(
         &mut self,
         now: Micros,
@@ -115,14 +119,14 @@
         }
     }
 
-    /// Records that a key is likelier to be hot than its share here tells.
+    /// Records that a key is likelier to be hot than its share at this router shows.
     pub fn record_hot_key(&mut self, ring_position: u32) {
         if let Some(count) = self.key_counts.get_mut(&ring_position) {
             *count += 1.0;
         }
     }
 
-    /// The share of a key in all requests, 0 to 1. A single request is no evidence.
+    /// The share of a key in all requests, 0 to 1. A single request does not count.
     pub fn key_share(&self, ring_position: u32) -> f64 {
         let repeats = self
             .key_counts
@@ -151,12 +155,12 @@
         self.tenant_shares.iter().map(MovingAverage::value)
     }
 
-    /// The share of one tenant; `None` for one that the settings do not name.
+    /// The share of one tenant; `None` for a tenant that is not in the settings.
     pub fn tenant_share(&self, tenant: TenantId) -> Option<f64> {
         self.tenant_shares.get(tenant.0).map(MovingAverage::value)
     }
 
-    /// Recent requests of each key, by ring position.
+    /// The number of recent requests for each key, sorted by ring position.
     pub fn key_counts(&self) -> Vec<KeyCount> {
         let counts = self.key_counts.iter();
         let mut counts: Vec<KeyCount> = counts
@@ -169,32 +173,32 @@
         counts
     }
 
-    /// All recent requests.
+    /// The number of all recent requests.
     pub fn total_count(&self) -> f64 {
         self.total_count
     }
 
-    /// Takes over the requests of each key of a previous process.
+    /// Restores the requests for each key of a previous process.
     pub fn restore_key_counts(&mut self, counts: impl Iterator<Item = KeyCount>) {
         self.key_counts = counts.map(|key| (key.ring_position, key.count)).collect();
     }
 
-    /// Takes over the count of all requests of a previous process.
+    /// Restores the count of all requests of a previous process.
     pub fn restore_total_count(&mut self, count: f64) {
         self.total_count = count;
     }
 
-    /// Takes over the mean priority weight of a previous process.
+    /// Restores the mean priority weight of a previous process.
     pub fn restore_mean_priority_weight(&mut self, weight: f64) {
         self.mean_priority_weight.restore(weight);
     }
 
-    /// Takes over the shares of classes of a previous process, if they fit the settings.
+    /// Restores the shares of classes of a previous process, if they match the settings.
     pub fn restore_class_shares(&mut self, shares: &[f64]) {
         restore_shares(&mut self.class_shares, shares);
     }
 
-    /// Takes over the shares of tenants of a previous process, if they fit the settings.
+    /// Restores the shares of tenants of a previous process, if they match the settings.
     pub fn restore_tenant_shares(&mut self, shares: &[f64]) {
         restore_shares(&mut self.tenant_shares, shares);
     }
