--- a/crates/load-balancer/src/attempt_feedback.rs
+++ b/crates/load-balancer/src/attempt_feedback.rs
@@ -1,9 +1,11 @@
-//! What does the end of an attempt tell of its server's limit, and of the limit on origin fetches?
+//! Adjusts a server's limit and the limit on origin fetches to the end of an attempt.
 //!
-//! Inputs: how the attempt ended and after which time (µs), whether it counted as a fetch, the latency objective
-//! (µs), the state of both limits. Answer: an adjustment of the server's limit for one cause, and one of the limit
-//! on fetches. Reason: how long hits take tells of the server; what fetches take beyond that, or fail, tells of the
-//! origin. One must not be punished for the other.
+//! The inputs are how the attempt ended and after what time (µs), whether it counted as a fetch,
+//! the latency objective (µs), and the state of both limits. The result is an adjustment of the
+//! server's limit for one cause, and an adjustment of the fetch limit.
+//!
+//! The latency of hits depends on the server. What fetches take beyond that, and their failures,
+//! depend on the origin. Neither limit must be reduced for the other's fault.
 
 use crate::concurrency_limit::{INITIAL_TOTAL_IN_FLIGHT, LIMIT_DECREASE_RATIO, SLOW_RATIO};
 use crate::origin_fetch_limit::OriginFetchLimit;
@@ -12,48 +14,52 @@
 use crate::server_table::Server;
 use crate::time::Micros;
 
-/// A server that fails or rejects everything keeps this limit: a trickle that finds out when it recovers.
+/// The limit that a server keeps if it fails or rejects everything. It lets a few requests through
+/// as probes, which show when the server has recovered.
 const PROBE_LIMIT: f64 = 0.05;
-/// An overloaded server is still sent this many requests at a time by all routers together, and one by each at most.
+/// All routers together still have this many requests in flight at an overloaded server, and each
+/// router at most one.
 const MIN_TOTAL_IN_FLIGHT: f64 = 4.0;
-/// Answers over which the typical latency is averaged.
+/// The number of answers over which the typical latency is averaged.
 const LATENCY_SPAN: u64 = 8;
-/// The same where routers are many: each sees too little of a server to average.
+/// The number of answers over which the typical latency is averaged in a large fleet of routers,
+/// where each router sees too few answers to average them.
 const LATENCY_SPAN_MANY_ROUTERS: u64 = 1;
 
-/// An attempt and how it ended.
+/// An attempt, and how it ended.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EndedAttempt {
     pub attempt: Attempt,
     pub end: AttemptEnd,
 }
 
-/// Whether a key is likelier to be hot than its share of requests tells: its answer was lost or late, and not for a
-/// handshake.
+/// Whether an attempt suggests that its key is hotter than its share of the requests shows: the
+/// answer was lost or slow, and not because of a handshake.
 pub(crate) fn suggests_hot_key(end: &AttemptEnd, latency_objective: Micros) -> bool {
     let is_slow = end.elapsed > latency_objective.scaled(SLOW_RATIO);
     is_slow && end.connection_use != ConnectionUse::New
 }
 
-/// What feedback depends on besides the attempt and its server.
+/// The inputs to feedback other than the attempt and its server.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FeedbackContext {
     pub now: Micros,
     pub router_count: f64,
-    /// The tightest latency objective of all classes.
+    /// The shortest latency objective of all classes.
     pub shortest_objective: Micros,
-    /// That of the request's class.
+    /// The latency objective of the request's class.
     pub latency_objective: Micros,
-    /// How long hits take at any server.
+    /// The typical latency of hits over all servers.
     pub typical_latency: Micros,
-    /// Servers reject new connections for want of slots.
+    /// Whether servers reject new connections because they have no free connection slots.
     pub are_slots_scarce: bool,
-    /// An origin that is sent too much stops for some seconds.
+    /// Whether an origin that is overloaded stops for some seconds.
     pub origin_collapses_under_overload: bool,
 }
 
 impl FeedbackContext {
-    /// Whether routers are so many that each sees too little of a server to learn in time.
+    /// Whether there are so many routers that each sees too few answers of a server to learn in
+    /// time.
     fn has_many_routers(&self) -> bool {
         self.router_count > INITIAL_TOTAL_IN_FLIGHT
     }
@@ -62,7 +68,7 @@
         (MIN_TOTAL_IN_FLIGHT / self.router_count).min(1.0)
     }
 
-    /// An answer that takes longer is slow.
+    /// The latency above which an answer is slow.
     fn slow_latency(&self) -> Micros {
         self.latency_objective.scaled(SLOW_RATIO)
     }
@@ -71,41 +77,42 @@
 /// The one cause for which a server's limit is adjusted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ServerSignal {
-    /// The end tells nothing of the server.
+    /// The end of the attempt shows nothing about the server.
     NoSignal,
-    /// An origin answered a router that fetches for itself.
+    /// An origin answered a router that fetches from the origin itself.
     OriginLatency,
-    /// The time of the answer tells whether requests wait at the server.
+    /// The latency of the answer shows whether requests wait at the server.
     Latency,
     /// The server rejects requests or cannot be reached.
     Unavailable,
 }
 
-/// The end of one attempt, and what the limits were before it is taken in.
+/// The end of one attempt, with the state of the limits before they are adjusted to it.
 pub(crate) struct AttemptFeedback<'a> {
     end: &'a AttemptEnd,
     context: FeedbackContext,
     is_fetch: bool,
     popularity: usize,
-    /// The time beyond a hit at that server.
+    /// How much longer the attempt took than a hit at that server.
     latency_beyond_hit: Micros,
     is_served: bool,
     is_timed_out: bool,
-    /// It lacked the object, as far as it told.
+    /// Whether the server lacked the object, as far as it reported that.
     is_miss: bool,
-    /// It was served without a fetch by a cache server.
+    /// Whether a cache server served the attempt without a fetch.
     is_hit: bool,
     is_quick: bool,
-    /// It was served on a new connection: its time holds a handshake.
+    /// Whether the attempt was served on a new connection, so that its time includes a handshake.
     has_handshake: bool,
-    /// The server failed to respond several times in a row.
+    /// Whether the server failed to respond several times in a row.
     has_failed_repeatedly: bool,
-    /// If it hangs, the origin is at fault.
+    /// Whether a timeout of this attempt is attributed to the origin.
     is_attributed_to_origin: bool,
 }
 
 impl<'a> AttemptFeedback<'a> {
-    /// Of an attempt at `server` that ended so; the server's responsiveness is up to date.
+    /// Creates the feedback of an attempt that ended at `server`. The server's responsiveness must
+    /// already be up to date.
     pub fn new(
         ended: &'a EndedAttempt,
         server: &Server,
@@ -130,7 +137,8 @@
             is_timed_out: end.outcome == Outcome::TimedOut,
             is_miss,
             is_hit: is_served && !is_miss && !server.is_origin,
-            // A quick miss frees a server too: most answers may be misses.
+            // A quick miss also shows that a server has recovered, because most answers may be
+            // misses.
             is_quick: is_in_time && (is_served || end.outcome == Outcome::Miss),
             has_handshake: end.connection_use == ConnectionUse::New && is_served,
             has_failed_repeatedly,
@@ -157,23 +165,27 @@
             Outcome::Cancelled | Outcome::NotSent => ServerSignal::NoSignal,
             Outcome::Overloaded if self.lacks_connection_slot() => ServerSignal::NoSignal,
             _ if server.is_origin => ServerSignal::OriginLatency,
-            // Guards against taking a handshake (TLS, a long way, a busy listener) for the server's slowness. A
-            // server that ends each connection after one answer is judged by time-outs and rejections alone.
+            // A handshake (TLS, a long round trip, a busy listener) must not be mistaken for a slow
+            // server. A server that closes each connection after one answer is judged by timeouts
+            // and rejections alone.
             _ if self.has_handshake && !self.is_quick => ServerSignal::NoSignal,
             _ if self.is_hit || is_recovering || is_late_at_server => ServerSignal::Latency,
-            // One connection may be reset anywhere; the next tells whether the server is down.
+            // A single connection may be reset at any server. The next attempt shows whether the
+            // server is down.
             Outcome::Unreachable if !self.has_failed_repeatedly => ServerSignal::NoSignal,
             Outcome::Overloaded | Outcome::Unreachable => ServerSignal::Unavailable,
             _ => ServerSignal::NoSignal,
         }
     }
 
-    /// A new connection that is rejected for want of slots says nothing of the work that the server has.
+    /// Whether a new connection was rejected because there was no free connection slot, which shows
+    /// nothing about the work that the server has.
     fn lacks_connection_slot(&self) -> bool {
         self.end.connection_use == ConnectionUse::New && self.context.are_slots_scarce
     }
 
-    /// An origin's queue must not outlast the tightest objective among those that wait in it.
+    /// The queue of an origin must be shorter than the shortest objective of the requests that may
+    /// wait in it.
     fn apply_origin_latency(&self, server: &mut Server) {
         let is_late = self.end.elapsed > self.context.shortest_objective || !self.is_served;
         server
@@ -181,7 +193,8 @@
             .record_answer(self.context.now, is_late, PROBE_LIMIT);
     }
 
-    /// An answer past the objective counts whatever the server reports: it may be slow by itself.
+    /// An answer later than the objective shows a queue whatever the server reports, because the
+    /// server may be slow by itself.
     fn apply_latency(&self, server: &mut Server) {
         let now = self.context.now;
         let objective = self.context.latency_objective;
@@ -217,7 +230,7 @@
         }
     }
 
-    /// The typical latency of hits at any server, with this answer taken in.
+    /// The typical latency of hits over all servers, including this answer.
     pub fn updated_typical_latency(&self) -> Micros {
         if self.is_hit && !self.has_handshake {
             let typical_latency = self.context.typical_latency;
@@ -247,7 +260,7 @@
         self.context.now.since(self.end.elapsed)
     }
 
-    /// A late answer on a new connection may be late by its handshake.
+    /// A late answer on a new connection may be late because of its handshake and is not recorded.
     fn apply_served_fetch(&self, origin_fetches: &mut OriginFetchLimit) {
         let is_in_time = self.latency_beyond_hit <= self.context.latency_objective;
         let is_known_hit = self.end.cache_status == Some(CacheStatus::Hit);
@@ -271,7 +284,8 @@
         }
     }
 
-    /// A quick error cost the origin nothing, unless too many of them stop it.
+    /// A quick error cost the origin nothing and is not recorded, unless overload makes this origin
+    /// stop.
     fn apply_failed_fetch(&self, origin_fetches: &mut OriginFetchLimit) {
         let is_slow = self.latency_beyond_hit > self.context.slow_latency();
         if self.is_miss && (is_slow || self.context.origin_collapses_under_overload) {
@@ -280,8 +294,8 @@
     }
 }
 
-/// Whether the origin is to blame for a request that hangs. Where each router sees little, fetches must have failed
-/// before.
+/// Whether a request that times out is attributed to the origin. In a large fleet of routers, where
+/// each router sees few answers, this requires that fetches have failed before.
 fn is_origin_suspected(
     is_fetch: bool,
     origin_fetches: &OriginFetchLimit,
