--- a/crates/load-balancer/src/moving_average.rs
+++ b/crates/load-balancer/src/moving_average.rs
@@ -1,35 +1,35 @@
 //! Exponential moving average of samples.
 
-/// An average that moves toward each sample by one part in `span` of their difference.
+/// An average that moves toward each sample by `1 / span` of the difference.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct MovingAverage {
     value: f64,
-    /// Samples over which it averages.
+    /// The number of samples over which the average is taken.
     span: f64,
 }
 
 impl MovingAverage {
-    /// Starts at `value`; averages over about `span` samples.
+    /// Creates an average that starts at `value` and covers about `span` samples.
     pub const fn new(value: f64, span: f64) -> MovingAverage {
         MovingAverage { value, span }
     }
 
-    /// The average so far.
+    /// The current average.
     pub const fn value(&self) -> f64 {
         self.value
     }
 
-    /// Replaces the average, as stored by another process.
+    /// Restores the average of a previous process.
     pub const fn restore(&mut self, value: f64) {
         self.value = value;
     }
 
-    /// Takes one sample in.
+    /// Records one sample.
     pub fn observe(&mut self, sample: f64) {
         self.value += (sample - self.value) / self.span;
     }
 
-    /// Takes in whether something happened: the average is then its share, 0 to 1.
+    /// Records whether an event happened; the average is then the ratio of samples in which it did.
     pub fn observe_event(&mut self, happened: bool) {
         let sample = if happened { 1.0 } else { 0.0 };
         self.observe(sample);
