--- a/crates/load-balancer/src/ids.rs
+++ b/crates/load-balancer/src/ids.rs
@@ -1,22 +1,23 @@
-//! Identifiers: requests, attempts, servers, and indices into the settings.
+//! Identifiers of requests, attempts and servers, and indices into the settings.
 
 use std::borrow::Borrow;
 use std::fmt;
 use std::sync::Arc;
 
-/// A request; the embedding router never uses one twice.
+/// A request. The embedding router never uses an identifier twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u32);
 
-/// The number of an attempt of one request, from 0 in the order of their [`Action::Send`](crate::Action::Send).
+/// The number of an attempt within its request: 0 for the first
+/// [`Action::Send`](crate::Action::Send), and so on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptNumber(pub u32);
 
-/// A cache server's stable name; its bytes place it on the ring.
+/// A server's stable name, whose bytes determine its positions on the ring.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerId(pub Arc<str>);
 
-/// For lookups by name without a copy.
+/// Allows lookups by `&str` without a copy.
 impl Borrow<str> for ServerId {
     fn borrow(&self) -> &str {
         &self.0
@@ -43,14 +44,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct TenantId(pub usize);
 
-/// A zone, by any number the embedding router gives it.
+/// A zone. The embedding router assigns the numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ZoneId(pub usize);
 
-/// A kind of machine, by any number the embedding router gives it.
+/// A machine kind. The embedding router assigns the numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct KindId(pub usize);
 
-/// A cell: a few servers that share their record of idempotency keys.
+/// A cell: a group of servers that share a record of idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct CellId(pub u64);
--- a/crates/load-balancer/src/random.rs
+++ b/crates/load-balancer/src/random.rs
@@ -1,4 +1,4 @@
-//! Random numbers of a router: a reproducible stream for each seed.
+//! A router's random numbers: a reproducible sequence for each seed.
 
 use rand_core::Rng;
 use rand_xoshiro::SplitMix64;
@@ -7,12 +7,12 @@
 /// Significant bits of an `f64`.
 const MANTISSA_BITS: u32 = 53;
 
-/// SplitMix64, read as fractions.
+/// A SplitMix64 generator of fractions.
 #[derive(Debug)]
 pub(crate) struct Random(SplitMix64);
 
 impl Random {
-    /// The stream of this seed.
+    /// Creates the generator with this seed.
     pub fn new(seed: u64) -> Random {
         Random(SplitMix64::seed_from_u64(seed))
     }
--- a/crates/load-balancer/src/time.rs
+++ b/crates/load-balancer/src/time.rs
@@ -1,24 +1,25 @@
-//! Instants and lengths of time in whole microseconds.
+//! Instants and durations in whole microseconds.
 
-/// An instant or a length of time, in whole microseconds. Instants count from any fixed origin.
+/// An instant or a duration in whole microseconds. Instants may count from any fixed origin.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Micros(pub u64);
 
 impl Micros {
-    /// The longest time that can be stated.
+    /// The longest duration that can be represented.
     pub const MAX: Micros = Micros(u64::MAX);
 
-    /// Whole milliseconds.
+    /// Creates a duration from whole milliseconds.
     pub const fn from_millis(millis: u64) -> Self {
         Micros(millis.saturating_mul(1_000))
     }
 
-    /// Seconds, rounded to the nearest microsecond; negative and not-a-number count as zero.
+    /// Creates a duration from seconds, rounded to the nearest microsecond. Negative values and NaN
+    /// count as zero.
     pub fn from_secs_f64(secs: f64) -> Self {
         Micros((secs * 1e6).round() as u64)
     }
 
-    /// The same in seconds.
+    /// Converts to seconds.
     pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / 1e6
     }
@@ -28,17 +29,18 @@
         Micros(self.0.saturating_add(other.0))
     }
 
-    /// `self - earlier`, zero when `earlier` is later.
+    /// `self - earlier`, or zero if `earlier` is later.
     pub fn since(self, earlier: Micros) -> Micros {
         Micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// This time moved by one part in `parts` toward `other`: one step of a moving average over `parts` samples.
+    /// Moves this time toward `other` by `1 / parts` of the difference: one step of a moving
+    /// average over `parts` samples.
     pub fn toward(self, other: Micros, parts: u64) -> Micros {
         Micros(self.0 - self.0 / parts.max(1) + other.0 / parts.max(1))
     }
 
-    /// A multiple of this time, rounded down; negative factors count as zero.
+    /// Multiplies this time by `factor` and rounds down. Negative factors count as zero.
     pub fn scaled(self, factor: f64) -> Micros {
         Micros((self.0 as f64 * factor) as u64)
     }
