--- a/crates/load-balancer/tests/admission.rs
+++ b/crates/load-balancer/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Priorities: who gets how much of a limit.
+//! Admission by priority: how much of a server's limit each request may use.
 
 mod common;
 
@@ -19,11 +19,12 @@
     assert!(admitted_reads > 0);
     assert!(
         admitted_count(&mut rig, 1) > 0,
-        "capacity is left for higher priority"
+        "no capacity was left for the class of higher priority"
     );
 }
 
-/// Guards a tenant's share: one far over its own uses less of each limit than the others.
+/// Guards the shares of tenants: a tenant far over its share may use less of each limit than the
+/// others, so that it does not take all capacity.
 #[test]
 fn a_tenant_over_its_share_leaves_capacity_to_others() {
     let mut settings = settings();
--- a/crates/load-balancer/tests/cache_aside.rs
+++ b/crates/load-balancer/tests/cache_aside.rs
@@ -1,4 +1,4 @@
-//! Cache-aside: the router fetches from the origin itself.
+//! Cache-aside mode, in which the router itself fetches from the origin.
 
 mod common;
 
@@ -18,7 +18,7 @@
         assert_ne!(
             rig.served_by(key),
             Some(origin.server.clone()),
-            "the origin is off the ring"
+            "the origin must not be on the ring"
         );
     }
     let (id, _) = rig.request(0, 5_000);
@@ -30,7 +30,7 @@
     assert_eq!(sent(&rig.request(1, 5_000).1), Some(origin.server));
 }
 
-/// Guards an origin behind hundreds of routers: the first miss of each goes there.
+/// With 600 routers the initial limit for an origin must still admit the first miss of each router.
 #[test]
 fn the_first_miss_at_one_of_many_routers_goes_to_the_origin() {
     for seed in 0..20 {
