--- a/crates/load-balancer/tests/concurrency_limit.rs
+++ b/crates/load-balancer/tests/concurrency_limit.rs
@@ -1,12 +1,12 @@
-//! The concurrency limit of a server follows its latency.
+//! Adaptation of a server's concurrency limit to the latency of its answers.
 
 mod common;
 
 use common::*;
 use load_balancer::*;
 
-/// Guards against a jam: a server whose answers are slow is sent less at a time, and the rest is
-/// diverted or rejected.
+/// Guards against overload of a server: while its answers are slow it is sent fewer requests at a
+/// time, and the rest is diverted or rejected.
 #[test]
 fn slow_answers_decrease_a_limit_and_quick_ones_restore_it() {
     let mut rig = TestRouter::new(settings(), ready(1));
@@ -27,14 +27,14 @@
         admitted.len()
     };
     let before = admit_at_once(&mut rig, 20);
-    assert!(before >= 4, "{before} at once to an idle server");
+    assert!(before >= 4, "{before} requests at a time to an idle server");
     for _ in 0..10 {
         admit_at_once(&mut rig, 290);
     }
     assert_eq!(
         admit_at_once(&mut rig, 290),
         1,
-        "one at a time to a jammed server"
+        "an overloaded server is sent one request at a time"
     );
     for _ in 0..60 {
         admit_at_once(&mut rig, 20);
@@ -42,8 +42,8 @@
     assert!(admit_at_once(&mut rig, 20) >= 4);
 }
 
-/// Guards against a crowd (incident i19cc49): many routers, each with a limit under one, space their requests out, and
-/// stop doing so when answers are quick again.
+/// Guards against many routers overloading a server together (incident i19cc49), although each has
+/// a limit below one: they space their requests out until answers are quick again.
 #[test]
 fn a_limit_below_one_paces_requests() {
     let mut settings = settings();
@@ -75,10 +75,16 @@
         .map(|_| sent_of_100(&mut rig, 10))
         .last()
         .expect("four rounds");
-    assert!(before > 90, "{before} of 100 while calm");
+    assert!(
+        before > 90,
+        "{before} of 100 requests sent before the overload"
+    );
     assert!(
         during_overload < 10,
-        "{during_overload} of 100 in two seconds while jammed"
+        "{during_overload} of 100 requests sent in two seconds of overload"
+    );
+    assert!(
+        after > 90,
+        "{after} of 100 requests sent after the overload"
     );
-    assert!(after > 90, "{after} of 100 afterwards");
 }
