--- a/crates/load-balancer/tests/endpoints.rs
+++ b/crates/load-balancer/tests/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: subscription, draining, and servers that come and go.
+//! The endpoint list: subscription, draining, and servers that are added and removed.
 
 mod common;
 
@@ -27,7 +27,7 @@
     assert_eq!(
         actions,
         vec![Action::Subscribe],
-        "at the start, from the stale list"
+        "subscribes at the start, when the restored list may be stale"
     );
     let mut waits = Vec::new();
     for _ in 0..6 {
@@ -44,7 +44,7 @@
     assert!(waits[3] > waits[0]);
     assert!(
         waits.iter().all(|&w| w <= ms(5_000)),
-        "never later than the longest time without a poll: {waits:?}"
+        "a retry came later than the longest time without a poll: {waits:?}"
     );
     actions.clear();
     router.handle(ms(3), list(EndpointUpdate::Delta, vec![]), &mut actions);
@@ -52,10 +52,14 @@
     let [Action::SetTimer { after, .. }] = actions[..] else {
         panic!("{actions:?}")
     };
-    assert!(after <= ms(1_000), "a new loss starts short again");
+    assert!(
+        after <= ms(1_000),
+        "the delay did not start anew after an update: {after:?}"
+    );
 }
 
-/// Guards memory: servers that come and go under new names for ever do not pile up, and keep their keys apart.
+/// Guards against unbounded memory: when servers keep being replaced under new names, the table
+/// entries of removed servers are reused, and no key is served by a removed server.
 #[test]
 fn table_entries_of_removed_servers_are_reused() {
     let mut rig = TestRouter::new(settings(), ready(3));
@@ -71,10 +75,11 @@
     }
     let TrackedCounts { requests, servers } = rig.router.tracked_counts();
     assert_eq!(requests, 0);
-    assert!(servers <= 5, "{servers} servers remembered");
+    assert!(servers <= 5, "{servers} servers in the table");
 }
 
-/// Guards closing on drains, where it is a rule: at the notice, and again whenever something ends there.
+/// Where the deployment requires it, idle connections to a draining server are closed when the
+/// drain is announced, and again whenever an attempt ends there.
 #[test]
 fn idle_connections_to_a_draining_server_are_closed() {
     let mut settings = settings();
@@ -89,17 +94,17 @@
     let actions = rig.update_endpoints(EndpointUpdate::Delta, draining);
     assert!(
         (1..=3).all(|i| closes(&actions, &name(i))),
-        "several drains at once: {actions:?}"
+        "several servers drain at once: {actions:?}"
     );
     let actions = rig.end_attempt(id, 0, Outcome::Success, 20);
     assert!(
         closes(&actions, &server),
-        "drained while working: {actions:?}"
+        "an attempt ended at a draining server: {actions:?}"
     );
 
     let mut rig = TestRouter::new(settings.clone(), ready(3));
     let actions = rig.update_endpoints(EndpointUpdate::Snapshot, ready(2));
-    assert!(closes(&actions, &name(3)), "left out of a full list");
+    assert!(closes(&actions, &name(3)), "missing from a snapshot");
     assert!(!closes(&actions, &name(1)));
 
     let mut rig = TestRouter::new(settings, ready(3));
@@ -115,6 +120,6 @@
     rig.event(Event::ClientDisconnected { id });
     assert!(
         closes(&rig.end_attempt(id, 0, Outcome::TimedOut, 20), &server),
-        "a last outcome after the client left"
+        "the last attempt ended after the client had disconnected"
     );
 }
