--- a/crates/load-balancer/src/subscription.rs
+++ b/crates/load-balancer/src/subscription.rs
@@ -5,17 +5,18 @@
 //!
 //! Routers must not poll at the same time, but a list counts as known 6 s after discovery has
 //! become reachable. The longest wait and the longest call together therefore stay below 6 s, until
-//! six consecutive polls have timed out in the queue of discovery. Discovery handles polls one
-//! after another, including those whose caller has given up, so a poll that timed out in the queue
-//! is followed by a longer wait than one that failed immediately, and gets no hedged call.
+//! six consecutive polls have been rejected after a wait in the queue of discovery. Discovery
+//! handles polls one after another, including those whose caller has given up, so a poll that was
+//! rejected after a wait in the queue is followed by a longer wait than one that failed
+//! immediately, and gets no hedged call.
 
 use crate::endpoint::EndpointUpdate;
 use crate::random::Random;
 use crate::silent_watch::SMALL_FLEET_MAX_ROUTERS;
 use crate::time::Micros;
 
-/// Half the upper bound of the first retry delay, as a ratio of the longest time between polls; the
-/// bound doubles with each failure.
+/// Minimum of the first retry delay, as a ratio of the longest time between polls. Each further
+/// failure doubles it, and jitter adds up to as much again.
 const FIRST_RETRY_RATIO: f64 = 0.05;
 /// The ratio at which the retry delay stops growing.
 const MAX_RETRY_RATIO: f64 = 0.5;
@@ -118,8 +119,8 @@
         };
     }
 
-    /// The delay after a poll that timed out in the queue. Spread evenly over the routers, since
-    /// the polls of all of them may have failed at the same time.
+    /// The delay after a poll that was rejected after a wait in the queue. Spread evenly over the
+    /// routers, since the polls of all of them may have failed at the same time.
     fn queued_retry_delay(&self, poll_within: Micros, random: &mut Random) -> Micros {
         let stagger_fraction = self
             .stagger_fraction
