--- a/crates/load-balancer/src/warm_state.rs
+++ b/crates/load-balancer/src/warm_state.rs
@@ -1,8 +1,9 @@
-//! What a router learnt that its successor would have to learn anew: server limits, locations of keys, recent traffic,
-//! the limit on origin fetches.
+//! The warm state that a router hands over to its successor: server limits, key locations, recent
+//! traffic and the limit on origin fetches.
 //!
-//! A measure only. Guards against a process that starts as if the fleet were new to it while its clients are the same:
-//! it takes known keys for fetches. A part that does not fit the present endpoint list is left out.
+//! Without it a successor process would treat the fleet as new while its clients stay the same, and
+//! would count requests for cached keys as origin fetches. Parts that do not match the current
+//! endpoint list are ignored, and no decision rule depends on the warm state being present.
 
 use crate::router::Router;
 use crate::server_table::Server;
@@ -10,20 +11,21 @@
 use crate::traffic_estimate::KeyCount;
 use serde::{Deserialize, Serialize};
 
-/// Servers that are restored at most: more than any fleet has.
+/// Maximum number of restored servers, larger than any fleet.
 const MAX_SERVER_COUNT: usize = 8192;
-/// Keys that are restored at most: more than a router keeps.
+/// Maximum number of restored keys, more than a router tracks.
 const MAX_KEY_COUNT: usize = 65_536;
-/// A restored latency is cut to this: more is no latency of hits.
+/// Upper bound of a restored latency. No hit takes longer.
 const MAX_LATENCY: Micros = Micros::from_millis(60_000);
-/// A restored number from here on is damaged.
+/// Restored numbers from this value on are corrupt.
 const VALID_VALUE_BOUND: f64 = 1e9;
 
-/// What was learnt of one process of a server. Stored by position: the order and types of fields are fixed.
+/// The observations of one server process. Stored by position: the order and types of fields are
+/// fixed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct WarmServer {
     name: String,
-    /// Microseconds, as all times here.
+    /// In microseconds, as all times here.
     started: u64,
     limit: f64,
     typical_latency: u64,
@@ -32,15 +34,16 @@
     slow_start_credit: f64,
 }
 
-/// What a router hands to its successor. Times are in microseconds on the clock of the events that it was given.
+/// The state that a router hands over to its successor. Times are in microseconds on the clock of
+/// its events.
 ///
 /// Stored by position: the order and types of fields are fixed.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct WarmState {
     servers: Vec<WarmServer>,
-    /// Ring position of a key, and the index of its server in `servers`.
+    /// The ring position of each key with the index of its server in `servers`.
     key_locations: Vec<(u32, u32)>,
-    /// Ring position of a key, and its recent requests.
+    /// The ring position of each key with its recent number of requests.
     key_counts: Vec<(u32, f64)>,
     total_count: f64,
     typical_latency: u64,
@@ -52,18 +55,18 @@
     retry_tokens: f64,
 }
 
-/// Whether a share or a count can be used.
+/// Whether a restored share or count is valid.
 fn is_valid(value: f64) -> bool {
     value.is_finite() && (0.0..VALID_VALUE_BOUND).contains(&value)
 }
 
-/// Whether a value can be used that must not be zero.
+/// Whether a restored value that must not be zero is valid.
 fn is_valid_and_positive(value: f64) -> bool {
     is_valid(value) && value > 0.0
 }
 
 impl Router {
-    /// What this router learnt so far.
+    /// The current warm state of this router.
     pub fn warm_state(&self) -> WarmState {
         let is_listed = |server: &usize| *server < self.servers.len();
         let key_locations = self
@@ -101,8 +104,9 @@
         }
     }
 
-    /// Takes over what a previous process of this router learnt, after the endpoint list and the operators' overrides.
-    /// A server that was started anew since counts as new.
+    /// Restores the warm state of a previous process of this router. To be called after the
+    /// endpoint list and the admin overrides are set. A server that has restarted since counts as
+    /// new.
     pub fn restore_warm_state(&mut self, now: Micros, state: WarmState) {
         self.now = self.now.max(now);
         let mut indices = Vec::new();
