--- a/crates/load-balancer/src/event.rs
+++ b/crates/load-balancer/src/event.rs
@@ -1,69 +1,71 @@
-//! What happens to a router: the input of [`Router::handle`](crate::Router::handle).
+//! Events: the input of [`Router::handle`](crate::Router::handle).
 
 use crate::endpoint::{Endpoint, EndpointUpdate};
 use crate::ids::{AttemptNumber, RequestId, ServerId, TenantId};
 use crate::request::{AttemptEnd, Request};
 use crate::time::Micros;
 
-/// What happens to the router.
+/// An input of the router.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The endpoint list changed.
     EndpointsChanged {
-        /// Which part of the list the entries are.
+        /// How the entries relate to the list: a whole list, a change, or none at all.
         update: EndpointUpdate,
-        /// The entries.
+        /// The updated entries.
         endpoints: Vec<Endpoint>,
     },
-    /// An operator disabled a server: nothing new is sent to it, whatever the list says. Repeats change nothing.
+    /// An operator disabled a server: nothing new is sent to it, regardless of the endpoint list.
+    /// Repeated events change nothing.
     ServerDisabled {
-        /// The server; one that the list does not name yet is disabled as soon as it does.
+        /// The server. If it is not listed yet, it is disabled as soon as it is.
         server: ServerId,
     },
-    /// An operator enabled a server, however often it was disabled; it goes through slow start.
+    /// An operator enabled a server, which goes through slow start. One event is enough however
+    /// often the server was disabled.
     ServerEnabled {
         /// The server.
         server: ServerId,
-        /// When that was: before now where another process reports it.
+        /// When it was enabled; in the past if another process reports it.
         at: Micros,
     },
     /// A request arrived; it gets exactly one final answer.
     Request(Request),
-    /// A streamed response has started; deadlines stop.
+    /// A streamed response has started. Its deadline no longer applies.
     StreamStarted {
         /// The request.
         id: RequestId,
-        /// Its attempt.
+        /// The number of the attempt.
         attempt: AttemptNumber,
     },
     /// An attempt ended.
     AttemptEnded(AttemptEnd),
-    /// The client disconnected; the request needs no answer.
+    /// The client disconnected. The request needs no answer.
     ClientDisconnected {
         /// The request.
         id: RequestId,
     },
-    /// One more client waits for the answer of this request: the embedding program coalesces reads of one key, and
-    /// answers that client itself.
+    /// Another client waits for the answer of this request. The embedding program coalesces reads
+    /// of the same key and answers that client itself.
     Coalesced {
         /// The request.
         id: RequestId,
-        /// The tenant of the client that joins: it counts as a requester, and the most entitled tenant of all decides
-        /// the priority of the request.
+        /// The tenant of the joining client. The request counts for it too, and has the priority of
+        /// the tenant with the highest limit multiplier.
         tenant: Option<TenantId>,
-        /// The request expires no sooner than this.
+        /// The earliest time at which the request may expire.
         expires: Micros,
     },
-    /// The client that was to wait longest for this request is gone.
+    /// The client with the latest deadline no longer waits for this request.
     DeadlineShortened {
         /// The request.
         id: RequestId,
-        /// When the last of the others gives up.
+        /// The latest deadline of the remaining clients.
         expires: Micros,
     },
     /// A timer set by [`Action::SetTimer`](crate::Action::SetTimer) is due.
     Timer {
-        /// As it was set.
+        /// The token with which the timer was set.
         token: u64,
     },
 }
