--- a/crates/load-balancer/src/action.rs
+++ b/crates/load-balancer/src/action.rs
@@ -1,57 +1,57 @@
-//! What a router wants done: the output of [`Router::handle`](crate::Router::handle).
+//! Actions: the output of [`Router::handle`](crate::Router::handle).
 
 use crate::ids::{AttemptNumber, RequestId, ServerId};
 use crate::time::Micros;
 
-/// What the router wants done, in order.
+/// An action that the embedding program carries out. The order of actions matters.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start an attempt.
+    /// Send an attempt.
     Send {
         /// The request.
         id: RequestId,
-        /// Where to.
+        /// The target server.
         server: ServerId,
-        /// Give up on the attempt after this time; `None` for the client's own limit.
+        /// The attempt times out after this time; `None` for the deadline of the client.
         timeout: Option<Micros>,
-        /// The last byte must be written within this time, else nothing may be sent
-        /// ([`Outcome::NotSent`](crate::Outcome::NotSent)): a repeat that waits for its connection may outlast the
-        /// deduplication window. `None` for no limit.
+        /// The request must be completely written within this time, or not sent at all
+        /// ([`Outcome::NotSent`](crate::Outcome::NotSent)): a retry that waits for its connection
+        /// could otherwise arrive after the deduplication window. `None` for no limit.
         write_within: Option<Micros>,
     },
     /// Stop waiting for an attempt.
     Cancel {
         /// The request.
         id: RequestId,
-        /// Its attempt.
+        /// The number of the attempt.
         attempt: AttemptNumber,
     },
-    /// Final answer: rejected; a retry does no harm.
+    /// Give the final answer that the request is rejected. A retry does no harm.
     Reject {
         /// The request.
         id: RequestId,
-        /// When the client should retry at the earliest.
+        /// The client should not retry earlier than this; `None` if it is not told.
         retry_after: Option<Micros>,
     },
-    /// Final answer: failed; the request may have run.
+    /// Give the final answer that the request failed. It may have run.
     Fail {
         /// The request.
         id: RequestId,
     },
-    /// Send an [`Event::Timer`](crate::Event::Timer).
+    /// Deliver an [`Event::Timer`](crate::Event::Timer) later.
     SetTimer {
-        /// From now.
+        /// The time from now.
         after: Micros,
-        /// Given back unchanged.
+        /// The token of the event.
         token: u64,
     },
-    /// Close the connections to a server that carry nothing.
+    /// Close the idle connections to a server.
     CloseIdle {
         /// The server.
         server: ServerId,
     },
     /// Subscribe to updates of the endpoint list.
     Subscribe,
-    /// A log line for the operators.
+    /// Write a log line for operators.
     Log(String),
 }
