--- a/crates/load-balancer/src/router.rs
+++ b/crates/load-balancer/src/router.rs
@@ -75,7 +75,7 @@
     ///
     /// # Errors
     ///
-    /// The first setting that cannot be used.
+    /// The first invalid setting.
     pub fn new(settings: Settings, seed: u64) -> Result<Router, SettingsError> {
         settings.validate()?;
         let mut random = Random::new(seed);
