--- a/crates/load-balancer/src/settings.rs
+++ b/crates/load-balancer/src/settings.rs
@@ -6,27 +6,27 @@
 /// Whether a request may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// A repeat does no harm.
+    /// May be repeated without harm.
     Idempotent,
-    /// Carries an idempotency key: the servers of one scope drop repeats within the window.
+    /// Carries an idempotency key. The servers of one scope drop duplicates within the window.
     Keyed {
-        /// Which servers share the record of keys.
+        /// The servers that share the record of keys.
         scope: DeduplicationScope,
-        /// How long after the first attempt repeats are dropped.
+        /// Duplicates are dropped for this long after the first attempt.
         deduplication_window: Micros,
     },
-    /// Must never run twice.
+    /// Must not run twice.
     NotIdempotent,
 }
 
-/// The servers that drop each other's repeats of a keyed request.
+/// The servers among which duplicates of a keyed request are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// All servers.
     All,
-    /// Those of one zone.
+    /// The servers of one zone.
     Zone,
-    /// Those of one cell.
+    /// The servers of one cell.
     Cell,
 }
 
@@ -35,103 +35,109 @@
 pub struct Class {
     /// Answers within this time have the full priority weight.
     pub latency_objective: Micros,
-    /// After this time the client gives up, all its tries included.
+    /// The client gives up after this time, counted from its first try.
     pub deadline: Micros,
-    /// Weight of one request against those of other classes; at least 0.
+    /// Weight of one request relative to requests of other classes; at least 0.
     pub priority_weight: f64,
-    /// Share of that weight which an answer past the latency objective still has; at least 0.
+    /// The part of the priority weight that an answer past the latency objective still has; at
+    /// least 0.
     pub late_weight: f64,
-    /// Whether it may be repeated.
+    /// Whether requests may be repeated.
     pub idempotency: Idempotency,
 }
 
 /// A tenant and its quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Requests per second, over all routers, within its share; at least 0.
+    /// Quota in requests per second over all routers; at least 0.
     pub quota_per_s: f64,
-    /// Its share of the service; at least 0.
+    /// The share of all requests that the tenant is entitled to; at least 0.
     pub share: f64,
 }
 
-/// Which side fetches from the origin what a cache server lacks.
+/// Which side fetches from the origin after a cache miss.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheMode {
-    /// The cache server itself (read-through).
+    /// The cache server (read-through).
     Through,
-    /// The router, by a further attempt (cache-aside); writes go to the origin too.
+    /// The router, with another attempt (cache-aside). Writes go to the origin as well.
     Aside {
-        /// Servers of this kind are the origin and stay off the ring.
+        /// Servers of this machine kind are the origin and are not on the ring.
         origin: KindId,
     },
 }
 
-/// What an [`Endpoint::weight`](crate::Endpoint::weight) tells.
+/// The meaning of [`Endpoint::weight`](crate::Endpoint::weight).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WeightKind {
-    /// Nothing, or something that varies from list to list.
+    /// None, or one that varies between lists. Weights are ignored.
     #[default]
     Unknown,
-    /// The size of the machine, roughly: cores rather than speed.
+    /// The approximate size of the machine: its number of cores rather than its speed.
     Rough,
-    /// The registered size, the speed of its cores included.
+    /// The nominal capacity of the machine, including the speed of its cores.
     Nominal,
 }
 
 /// How the endpoint list arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// Updates are pushed without a subscription.
+    /// Updates are pushed; no subscription is needed.
     Push,
-    /// Updates come while subscribed; a router that is not subscribed and has not polled for `poll_within` (four
-    /// times that after a failed call) counts as told of the list as it was that long ago.
+    /// Updates arrive while the router is subscribed. A router that is not subscribed and has not
+    /// polled for `poll_within` (four times that after a failed call) counts as knowing the list as
+    /// it was that long ago.
     Subscribe {
-        /// The longest time between polls.
+        /// The longest allowed time between polls.
         poll_within: Micros,
     },
 }
 
-/// The rules of a deployment that every router keeps.
+/// The rules of a deployment that every router must follow.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
-    /// A final answer may come this much after the client gave up.
+    /// A final answer may be given up to this long after the client gave up.
     pub answer_grace: Micros,
-    /// New requests to a draining or removed server must end this soon after the router was told.
+    /// The router must stop sending new requests to a draining or removed server within this time
+    /// of the update.
     pub drain_grace: Micros,
-    /// A server starts with at least this ratio of its capacity, 0 to 1.
+    /// Minimum capacity of a server when its slow start begins, as a ratio of its full capacity, 0
+    /// to 1.
     pub initial_capacity_ratio: f64,
-    /// Slow start lasts this long at most.
+    /// Maximum duration of slow start.
     pub slow_start_duration: Micros,
-    /// A server in slow start that is sent more than this multiple of its present capacity ...
+    /// A server in slow start fails when it is sent more than this multiple of its current capacity
+    /// for `overload_duration`.
     pub overload_multiple: f64,
-    /// ... for this long fails.
+    /// How long the overload described at `overload_multiple` lasts before the server fails.
     pub overload_duration: Micros,
-    /// Idle connections to a draining server must be closed this soon after the notice or the last use; `None`
-    /// where no such rule holds.
+    /// Idle connections to a draining server must be closed within this time of the drain update or
+    /// of their last use; `None` if there is no such rule.
     pub drain_close: Option<Micros>,
 }
 
 /// What the router may do.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// Attempts of one request; at least 1.
+    /// Maximum number of attempts per request; at least 1.
     pub max_attempts: u32,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancel: bool,
-    /// Two attempts of a request may be in flight together.
+    /// Whether two attempts of a request may be in flight at the same time.
     pub hedging: bool,
-    /// Clients are told when to retry.
+    /// Whether rejections carry a Retry-After time.
     pub retry_after: bool,
-    /// The longest retry-after time that clients heed.
+    /// The longest Retry-After time that clients respect.
     pub max_retry_after: Micros,
 }
 
-/// What a router is told once, at its start.
+/// The settings of a router, fixed when it is created.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Routers that share the fleet, this one included; at least 1.
+    /// Number of routers that share the fleet, including this one; at least 1.
     pub routers: u32,
-    /// This router's place among them, from 0 to 1, where it is known: evenly apart, for what not all may do at once.
+    /// Staggers actions that not all routers should take at the same time: from 0 to 1, evenly
+    /// spaced over the routers; `None` if not known.
     pub stagger_fraction: Option<f64>,
     /// The zone of this router.
     pub zone: Option<ZoneId>,
@@ -139,76 +145,78 @@
     pub classes: Vec<Class>,
     /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// The weight of a request beyond its tenant's quota, as a ratio.
+    /// Weight of a request beyond the quota of its tenant, as a ratio of its weight within the
+    /// quota.
     pub over_quota_weight: f64,
-    /// Which side fetches from the origin.
+    /// Which side fetches from the origin after a miss.
     pub mode: CacheMode,
     /// How the endpoint list arrives.
     pub discovery: DiscoveryMode,
-    /// What the weights on it tell.
+    /// The meaning of the weights in the list.
     pub weight_kind: WeightKind,
     /// The rules of the deployment.
     pub rules: Rules,
     /// What the router may do.
     pub limits: Limits,
-    /// Idle connections are closed by either side after this long.
+    /// Either side closes idle connections after this time.
     pub connection_idle_timeout: Micros,
-    /// What connections cost.
+    /// The costs of connections.
     pub connection_costs: ConnectionCosts,
-    /// An origin that is sent too much for too long stops for some seconds.
+    /// Whether the origin stops serving for some seconds when it is overloaded for too long.
     pub origin_collapses_under_overload: bool,
 }
 
-/// What connections cost a deployment, as ratios of the weight of all requests.
+/// The costs of connections to a deployment, as ratios of the weight of all requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ConnectionCosts {
-    /// A hundred open connections to each server, all the time; 0 where they cost nothing.
+    /// Cost of a hundred permanently open connections to each server; 0 if they cost nothing.
     pub connection: f64,
-    /// A new connection for each request.
+    /// Cost of a new connection for each request.
     pub handshake: f64,
 }
 
-/// A setting that cannot be used, with its path, such as `classes.0.aim`.
+/// An invalid setting, with its path, such as `classes.0.aim`.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
     /// A count is zero.
     #[error("setting {setting}: must be at least 1")]
     ZeroCount {
-        /// Its path.
+        /// The path of the setting.
         setting: String,
     },
-    /// There is no class of requests.
+    /// There are no request classes.
     #[error("setting classes: at least one class is needed")]
     NoClasses,
     /// A time is zero.
     #[error("setting {setting}: must be above zero")]
     ZeroTime {
-        /// Its path.
+        /// The path of the setting.
         setting: String,
     },
-    /// A number is negative, infinite or none.
+    /// A number is negative, infinite or NaN.
     #[error("setting {setting}: must be a number of at least zero")]
     NotANumber {
-        /// Its path.
+        /// The path of the setting.
         setting: String,
     },
     /// A ratio is not between 0 and 1.
     #[error("setting {setting}: must lie between 0 and 1")]
     NotARatio {
-        /// Its path.
+        /// The path of the setting.
         setting: String,
     },
 }
 
 impl Class {
-    /// The longest latency of which an answer is of use: past the objective, by the weight that it still has.
+    /// The latency up to which an answer is useful: the objective plus the remaining time to the
+    /// deadline scaled by the late weight.
     pub(crate) fn longest_useful_latency(&self) -> Micros {
         let late_time = self.deadline.since(self.latency_objective);
         self.latency_objective
             .plus(late_time.scaled(self.late_weight))
     }
 
-    /// Checks the values of the class at this index.
+    /// Validates the class at this index.
     fn validate(&self, index: usize) -> Result<(), SettingsError> {
         let path = |field: &str| format!("classes.{index}.{field}");
         require_positive(self.latency_objective, || path("aim"))?;
@@ -219,7 +227,7 @@
 }
 
 impl Tenant {
-    /// Checks the values of the tenant at this index.
+    /// Validates the tenant at this index.
     fn validate(&self, index: usize) -> Result<(), SettingsError> {
         let path = |field: &str| format!("tenants.{index}.{field}");
         require_number(self.quota_per_s, || path("quota_per_s"))?;
@@ -228,11 +236,11 @@
 }
 
 impl Settings {
-    /// Checks every value.
+    /// Validates all settings.
     ///
     /// # Errors
     ///
-    /// The first setting that cannot be used.
+    /// The first invalid setting.
     pub fn validate(&self) -> Result<(), SettingsError> {
         require_count(self.routers, "routers")?;
         if self.classes.is_empty() {
@@ -280,7 +288,8 @@
 }
 
 impl Default for Settings {
-    /// One router, no tenants, a pushed list and a read-through fleet; classes must be filled in.
+    /// One router, no tenants, a pushed endpoint list and a read-through fleet. Classes must be
+    /// added.
     fn default() -> Self {
         Settings {
             routers: 1,
