--- a/crates/load-balancer/src/deployment.rs
+++ b/crates/load-balancer/src/deployment.rs
@@ -1,13 +1,14 @@
-//! Reader of a router's settings from pairs of a dotted path and a value.
+//! Reads the settings of a router from pairs of a dotted path and a value.
 //!
-//! The simulator sends the pairs in its first message, the router program has them in its configuration; the paths
-//! are a protocol. Unknown paths are ignored.
+//! The simulator sends the pairs in its first message, and the router program reads them from its
+//! configuration. The paths are part of that protocol. Unknown paths are ignored.
 //!
-//! Paths that may be left out, with their defaults: `peers_total` 1, `slot_no` none, `over_share_worth` 1, `customers` none, a
-//! class's `credit` 1 and `late_value` 0, `invariants.drain_close` none, `weight_kind` unknown,
-//! `limits.max_attempts` 1, the flags of `limits` false, `limits.max_retry_after` 0, `specifics.mode` through,
-//! `stats` none, `discovery` automatic, `limits.conn_idle` and `limits.dial_timeout` without end,
-//! `deductions.connection` and `deductions.handshake` 0. All others that are read here are required.
+//! Optional paths and their defaults: `peers_total` 1, `slot_no` none, `over_share_worth` 1,
+//! `customers` none, `credit` of a class 1 and its `late_value` 0, `invariants.drain_close` none,
+//! `weight_kind` unknown, `limits.max_attempts` 1, the flags of `limits` false,
+//! `limits.max_retry_after` 0, `specifics.mode` through, `stats` none, `discovery` automatic,
+//! `limits.conn_idle` and `limits.dial_timeout` unlimited, `deductions.connection` and
+//! `deductions.handshake` 0. All other paths that are read here are required.
 
 use crate::ids::{KindId, ZoneId};
 use crate::load_report::LoadReportFormat;
@@ -18,70 +19,70 @@
 use crate::time::Micros;
 use std::collections::HashMap;
 
-/// A setting that is missing or cannot be read.
+/// A setting that is missing or invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DeploymentError {
     /// A required setting is missing.
     #[error("setting {path} is missing")]
     Missing {
-        /// Of the setting.
+        /// The path of the setting.
         path: String,
     },
     /// A value is not a finite number of at least zero.
     #[error("setting {path}: '{value}' is not a number of at least zero")]
     NotANumber {
-        /// Of the setting.
+        /// The path of the setting.
         path: String,
-        /// As it was given.
+        /// The given value.
         value: String,
     },
     /// A value is not a flag.
     #[error("setting {path}: '{value}' is neither true nor false")]
     NotAFlag {
-        /// Of the setting.
+        /// The path of the setting.
         path: String,
-        /// As it was given.
+        /// The given value.
         value: String,
     },
-    /// A value is none of the known words.
-    #[error("setting {path}: '{value}' is not known")]
+    /// A value is not one of the known words.
+    #[error("setting {path}: unknown value '{value}'")]
     UnknownWord {
-        /// Of the setting.
+        /// The path of the setting.
         path: String,
-        /// As it was given.
+        /// The given value.
         value: String,
     },
 }
 
-/// The names that a deployment uses where the library takes numbers.
+/// The names that a deployment uses for items that the library identifies by number.
 #[derive(Clone, Debug)]
 pub struct Names {
-    /// Of the classes, in the order of [`ClassId`](crate::ClassId).
+    /// Names of the classes, in the order of [`ClassId`](crate::ClassId).
     pub classes: Vec<String>,
-    /// Of the tenants, in the order of [`TenantId`](crate::TenantId).
+    /// Names of the tenants, in the order of [`TenantId`](crate::TenantId).
     pub tenants: Vec<String>,
-    /// Of the zones, in the order of [`ZoneId`].
+    /// Names of the zones, in the order of [`ZoneId`].
     pub zones: Vec<String>,
-    /// Of the kinds of machine, in the order of [`KindId`].
+    /// Names of the machine kinds, in the order of [`KindId`].
     pub kinds: Vec<String>,
 }
 
-/// What a deployment tells a router.
+/// The settings of a deployment for one router.
 #[derive(Clone, Debug)]
 pub struct Deployment {
     /// The settings of the decision library.
     pub settings: Settings,
-    /// This router's number among `settings.routers`, from 0, where it is told.
+    /// The number of this router among `settings.routers`, from 0, if it is set.
     pub router_number: Option<u32>,
-    /// The names behind its numbers.
+    /// The names of classes, tenants, zones and machine kinds.
     pub names: Names,
-    /// A connection that is not established after this long counts as unreachable.
+    /// If connecting to a server takes longer than this, the server counts as unreachable.
     pub dial_timeout: Micros,
-    /// The fields of the load reports in answers; empty where answers carry none.
+    /// The fields of the load reports in answers; empty if answers carry none.
     pub report_format: LoadReportFormat,
 }
 
-/// Values and their names, in one order.
+/// Values and their names, in the same order.
 struct Named<T> {
     values: Vec<T>,
     names: Vec<String>,
@@ -148,7 +149,7 @@
         self.optional(path).map(|_| self.time(path)).transpose()
     }
 
-    /// Words separated by commas.
+    /// A list of words separated by commas.
     fn list(&self, path: &str) -> Vec<String> {
         let text = self.optional(path).unwrap_or("");
         text.split(',')
@@ -165,11 +166,11 @@
     }
 }
 
-/// Reads the pairs.
+/// Reads the settings from pairs of a path and a value.
 ///
 /// # Errors
 ///
-/// The first setting that is missing or cannot be read.
+/// The first setting that is missing or invalid.
 pub fn read<'a>(
     pairs: impl IntoIterator<Item = (&'a str, &'a str)>,
 ) -> Result<Deployment, DeploymentError> {
@@ -336,7 +337,8 @@
     }
 }
 
-/// Reports that come with probes are left out: this router sends no probes.
+/// The format of reports in answers. Reports in answers to probes are not read, since this router
+/// sends no probes.
 fn report_format(params: &Params<'_>) -> LoadReportFormat {
     let meaning = |path: &str| params.optional(path).unwrap_or("");
     let names = if meaning("stats.how") == "inline" {
