--- a/crates/load-balancer/src/load_report.rs
+++ b/crates/load-balancer/src/load_report.rs
@@ -1,31 +1,31 @@
-//! Load reports: what cache servers tell of themselves, with each answer of some deployments.
+//! Load reports, which the cache servers of some deployments send with each answer.
 //!
-//! The settings name the fields and their order (`stats.columns`, `specifics.report_x0` and `..x1`). Reports are late
-//! and noisy; a figure that cannot be one of its kind is left out here.
+//! The settings define the fields and their order (`stats.columns`, `specifics.report_x0` and
+//! `specifics.report_x1`). Reports are delayed and noisy; implausible values are ignored.
 
 use crate::time::Micros;
 
-/// Fields that are read of one report; a deployment names four at most.
+/// Maximum number of fields that are read from one report; a deployment defines at most four.
 const MAX_FIELD_COUNT: usize = 8;
-/// The largest credible number of requests in a queue or of fetches.
+/// The largest plausible number of queued requests or of fetches in flight.
 const MAX_REQUEST_COUNT: f64 = 1e6;
-/// The largest credible service time.
+/// The largest plausible service time.
 const MAX_SERVICE_MS: f64 = 600_000.0;
-/// The largest credible busy share of cores: more is noise, or a percentage.
+/// The largest plausible CPU utilization. A larger value is noise or a percentage.
 const MAX_BUSY_RATIO: f64 = 1.5;
 /// Milliseconds in a second.
 const MS_PER_S: f64 = 1e3;
 
-/// The load report of one server; each figure only where it came and is credible.
+/// The load report of a server. Each value is present only if it was received and is plausible.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// The busy share of its cores, 0 to 1 but for noise.
+    /// CPU utilization, 0 to 1 except for noise.
     pub cpu_utilization: Option<f64>,
-    /// Requests that wait for a core.
+    /// Number of requests that wait for a core.
     pub queue_length: Option<f64>,
-    /// How long a request takes there lately, without waiting.
+    /// Recent service time of a request, without queueing.
     pub service_time: Option<Micros>,
-    /// Fetches from the origin that it has in flight.
+    /// Number of origin fetches in flight from the server.
     pub fetches_in_flight: Option<f64>,
 }
 
@@ -36,11 +36,11 @@
     QueueLength,
     ServiceTime,
     FetchesInFlight,
-    /// One that no decision uses.
+    /// A field that is not used.
     Unused,
 }
 
-/// A field and its name in the text of a report.
+/// A field and its name in the settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Column {
     name: String,
@@ -48,7 +48,8 @@
 }
 
 impl Column {
-    /// Whether a report calls it so: as the settings do, or by the other name of the same field.
+    /// Whether a name in a report is that of this column: its name in the settings or its wire
+    /// name.
     fn matches_name(&self, name: &str) -> bool {
         self.name == name || wire_name(&self.name) == name
     }
@@ -72,18 +73,19 @@
         }
     }
 
-    /// The report, unless nothing in it was credible.
+    /// The report, unless it has no plausible value.
     fn non_empty(self) -> Option<LoadReport> {
         (self != LoadReport::default()).then_some(self)
     }
 }
 
-/// The fields of a deployment's reports, in their order.
+/// The fields of the load reports of a deployment, in their order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LoadReportFormat(Vec<Column>);
 
 impl LoadReportFormat {
-    /// From the settings: the names in order, and what `x0` and `x1` mean where they are among them.
+    /// Creates the format from the field names in order and the meanings of the extra fields `x0`
+    /// and `x1`.
     pub fn new(names: &[String], extra_meanings: [&str; 2]) -> LoadReportFormat {
         let column = |name: &String| Column {
             name: name.clone(),
@@ -97,7 +99,8 @@
         self.0.is_empty()
     }
 
-    /// Reads a row of values separated by commas, in the order of the fields. `None` if nothing in it is credible.
+    /// Reads a row of values separated by commas, in the order of the fields. `None` if no value is
+    /// plausible.
     pub fn read_row(&self, row: &str) -> Option<LoadReport> {
         let mut report = LoadReport::default();
         for (column, text) in self.0.iter().zip(row.split(',')) {
@@ -106,7 +109,8 @@
         report.non_empty()
     }
 
-    /// Reads names and values as on the sockets, such as `util=0.61,queue=2`. `None` if nothing in it is credible.
+    /// Reads pairs of a wire name and a value, such as `util=0.61,queue=2`. `None` if no value is
+    /// plausible.
     pub fn read_pairs(&self, text: &str) -> Option<LoadReport> {
         let mut report = LoadReport::default();
         let pairs = text.split(',').take(MAX_FIELD_COUNT);
@@ -120,7 +124,7 @@
     }
 }
 
-/// The field of a name in the settings.
+/// The field with a name in the settings.
 fn field(name: &str, extra_meanings: [&str; 2]) -> Field {
     match name {
         "utilization" | "util" => Field::CpuUtilization,
@@ -132,7 +136,7 @@
     }
 }
 
-/// The field of a meaning that the settings give to `x0` or `x1`.
+/// The field for the meaning that the settings give to the extra field `x0` or `x1`.
 fn extra_field(meaning: &str) -> Field {
     match meaning {
         "fetches_out" => Field::FetchesInFlight,
@@ -140,7 +144,7 @@
     }
 }
 
-/// The settings and the reports on sockets have different names for the same fields.
+/// The name of a field in answers on the wire, which differs from the name in the settings.
 fn wire_name(name: &str) -> &str {
     match name {
         "utilization" => "util",
