--- a/crates/load-balancer/src/diagnostics.rs
+++ b/crates/load-balancer/src/diagnostics.rs
@@ -1,4 +1,4 @@
-//! The state of a router at one moment, as figures for traces and metrics. A measure only.
+//! The state of a router as numbers for traces and metrics. No decision depends on them.
 
 use crate::admin_overrides::AdminOverride;
 use crate::availability::Availability;
@@ -9,24 +9,24 @@
 use crate::server_table::Server;
 use crate::time::Micros;
 
-/// The figures that decide how much a router sends, and where.
+/// The quantities that determine how much a router sends, and where.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Diagnostics {
-    /// Requests that have no final answer yet, or an attempt in flight.
+    /// Number of requests without a final answer or with an attempt in flight.
     pub pending_requests: usize,
-    /// Attempts in flight that most likely are origin fetches.
+    /// Number of attempts in flight that are probably origin fetches.
     pub fetches_in_flight: u32,
-    /// How many origin fetches may be in flight at a time.
+    /// Limit on origin fetches in flight.
     pub fetch_limit: f64,
-    /// The share of such attempts that were fetches lately.
+    /// Ratio of recent probable fetches that were misses, as the mean over popularity levels.
     pub miss_ratio: f64,
-    /// The share of the unexplained failures that came late.
+    /// Ratio of the unattributed failures that came late.
     pub late_failure_ratio: f64,
-    /// Retry tokens in hand; a retry costs one.
+    /// Available retry tokens; a retry costs one.
     pub retry_tokens: f64,
-    /// How long hits take.
+    /// Typical latency of hits.
     pub typical_hit_latency: Micros,
-    /// Attempts in flight to accepting servers.
+    /// Number of attempts in flight to accepting servers.
     pub attempts_in_flight: u32,
     /// The smallest concurrency limit of an accepting server; 0 without one.
     pub limit_min: f64,
@@ -34,27 +34,27 @@
     pub limit_mean: f64,
     /// The largest concurrency limit of an accepting server; 0 without one.
     pub limit_max: f64,
-    /// Accepting servers.
+    /// Number of accepting servers.
     pub accepting: usize,
-    /// How many of them report spare capacity.
+    /// Number of accepting servers that report spare capacity.
     pub spare_capacity_reported: usize,
-    /// Candidates by what they were to requests, since the start; in the order of [`CandidateVerdict::ALL`].
+    /// Number of candidates by verdict since the start, in the order of [`CandidateVerdict::ALL`].
     pub verdicts: [u64; CandidateVerdict::ALL.len()],
-    /// Times that no server was found for a request, by what stood in its way.
+    /// Number of times that no server was found for a request, by verdict, in the same order.
     pub unplaced: [u64; CandidateVerdict::ALL.len()],
 }
 
-/// How much a [`Router`] keeps state for; for metrics and tests.
+/// The sizes of the tables of a [`Router`], for metrics and tests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TrackedCounts {
-    /// Requests without a final answer, or with an attempt in flight.
+    /// Number of requests without a final answer or with an attempt in flight.
     pub requests: usize,
-    /// Servers, those included that left the list a short time ago.
+    /// Number of servers, including those that recently left the endpoint list.
     pub servers: usize,
 }
 
 impl Router {
-    /// The state of this router now.
+    /// The current state of this router.
     pub fn diagnostics(&self) -> Diagnostics {
         let limits = || self.servers.accepting().map(|s| s.limit.current(self.now));
         let accepting = limits().count();
@@ -89,7 +89,8 @@
         }
     }
 
-    /// Listed cache servers that this router avoids now: disabled by an operator, or unresponsive.
+    /// Number of listed cache servers that this router avoids: disabled by an operator, or
+    /// unresponsive.
     pub fn avoided_endpoints(&self) -> usize {
         let is_avoided = |server: &&Server| match server.availability() {
             Availability::Disabled => true,
@@ -100,18 +101,18 @@
         cache_servers.filter(is_avoided).count()
     }
 
-    /// What a server may be used for now; `None` if this router does not know it.
+    /// The availability of a server; `None` if this router does not know it.
     pub fn availability(&self, server: &ServerId) -> Option<Availability> {
         let index = self.servers.index_of(&server.0)?;
         Some(self.servers[index].availability())
     }
 
-    /// What the operators said of each server that they spoke of, for a successor or for a file.
+    /// The servers with an admin override, to be handed over to a successor or stored.
     pub fn admin_overrides(&self) -> impl Iterator<Item = (&ServerId, AdminOverride)> {
         self.admin_overrides.iter()
     }
 
-    /// How many requests and servers the router keeps state for.
+    /// Number of requests and servers that the router tracks.
     pub fn tracked_counts(&self) -> TrackedCounts {
         TrackedCounts {
             requests: self.pending.len(),
@@ -119,7 +120,7 @@
         }
     }
 
-    /// How long a connection to a server may stay idle before it is closed.
+    /// How long a connection to a server may stay idle before it is to be closed.
     pub fn idle_connection_lifetime(&self) -> Micros {
         let traffic = FleetTraffic {
             router_count: f64::from(self.settings.routers),
