--- a/crates/load-balancer/src/timer.rs
+++ b/crates/load-balancer/src/timer.rs
@@ -1,22 +1,22 @@
-//! Timer tokens: what a timer of the router is for, and for which request.
+//! Timer tokens, which encode the purpose of a timer and the request that it belongs to.
 
 use crate::ids::RequestId;
 
-/// Low bits of a token that hold the purpose; the request's id stands above them.
+/// Number of low bits of a token that hold the purpose; the bits above hold the request id.
 const PURPOSE_BITS: u32 = 2;
 
-/// What a timer is for.
+/// The purpose of a timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum TimerPurpose {
-    /// The time of a request's client is up.
+    /// The deadline of a request is reached.
     Deadline,
-    /// A request that found no server looks for one again.
+    /// A request for which no server was found is placed again.
     Placement,
-    /// The endpoint list is subscribed to again.
+    /// The router subscribes to the endpoint list again.
     Subscription,
 }
 
-/// The token that is handed back when the timer is due.
+/// The token of a timer, which its event carries.
 pub(crate) fn token(id: RequestId, purpose: TimerPurpose) -> u64 {
     let code = match purpose {
         TimerPurpose::Deadline => 0,
@@ -26,7 +26,7 @@
     u64::from(id.0) << PURPOSE_BITS | code
 }
 
-/// What the timer of a token is for.
+/// The purpose in a token.
 pub(crate) fn purpose(token: u64) -> TimerPurpose {
     match token & ((1 << PURPOSE_BITS) - 1) {
         2 => TimerPurpose::Subscription,
@@ -35,7 +35,7 @@
     }
 }
 
-/// The request of a token.
+/// The request id in a token.
 pub(crate) fn request(token: u64) -> RequestId {
     RequestId((token >> PURPOSE_BITS) as u32)
 }
