--- a/crates/load-balancer/src/lib.rs
+++ b/crates/load-balancer/src/lib.rs
@@ -1,13 +1,15 @@
 //! The decisions of a client-side router for fleets of cache servers.
 //!
-//! Every router builds the same consistent-hash ring of the ready servers and so agrees with the others on the
-//! server of a key, without a message between them. [`Router`] does no I/O and holds no clock: it takes events with
-//! their time and returns actions.
+//! All routers build the same consistent-hash ring of the ready servers, so they agree on the
+//! server of a key without communicating. [`Router`] does no I/O and has no clock: it takes events
+//! with their time and returns actions.
 //!
-//! The way of a request: its priority (`admission`) and its fetch permission (`origin_fetch_limit`) are found, then
-//! `placement` walks over the candidates of the `ring` until one takes it. The attempt is sent; its end is taken in by
-//! `attempt_feedback`, and `retry`, `rejection` and `deadline` tell what follows. `router` asks them in this order and
-//! decides nothing itself; each other module owns one rule and the state that the rule needs.
+//! For each request, `admission` computes the priority and `origin_fetch_limit` the fetch
+//! permission. `placement` then walks over the candidates on the `ring` until one accepts the
+//! request, and the attempt is sent. When it ends, `attempt_feedback` updates the limits and
+//! estimates, and `retry`, `rejection` and `deadline` determine the next step. `router` calls these
+//! modules in this order and contains no rules itself; each other module contains one rule and its
+//! state.
 //!
 //! ```
 //! use load_balancer::*;
