--- a/crates/load-balancer/src/router.rs
+++ b/crates/load-balancer/src/router.rs
@@ -11,7 +11,7 @@
 use crate::action::Action;
 use crate::admin_overrides::AdminOverrides;
 use crate::admission::{PriorityContext, ServerLimits};
-use crate::concurrency_limit::{INITIAL_TOTAL_COUNT, SLOW_RATIO};
+use crate::concurrency_limit::{INITIAL_TOTAL_IN_FLIGHT, SLOW_RATIO};
 use crate::deadline::{DeadlineStep, deadline_step};
 use crate::event::Event;
 use crate::failure_attribution::FailureAttribution;
@@ -81,7 +81,7 @@
         let mut random = Random::new(seed);
         let replica_offset = random.next_fraction();
         // At least 1, so that the first request is sent however many routers share the fleet.
-        let initial_limit = (INITIAL_TOTAL_COUNT / f64::from(settings.routers)).max(1.0);
+        let initial_limit = (INITIAL_TOTAL_IN_FLIGHT / f64::from(settings.routers)).max(1.0);
         let shortest_objective = min_time(&settings.classes, |class| class.latency_objective);
         let shortest_useful = min_time(&settings.classes, Class::longest_useful_latency);
         Ok(Router {
--- a/crates/request-coalescing/tests/coalescer/any_event_order.rs
+++ b/crates/request-coalescing/tests/coalescer/any_event_order.rs
@@ -1,6 +1,6 @@
 //! Invariants that hold in any order of events.
 
-use crate::rig::*;
+use crate::harness::*;
 use load_balancer::{ClassId, Micros, RequestId};
 use proptest::prelude::*;
 use proptest::sample::Index;
@@ -41,29 +41,29 @@
     ]
 }
 
-/// What the specification goes by of a read.
+/// What the model remembers of a read.
 struct ReadRecord {
     key: u8,
     variant: u8,
-    /// The step at which it arrives.
+    /// The number of the step at which it arrives.
     arrived_at: usize,
     expires: Micros,
 }
 
-/// Plays steps on a coalescer and keeps what its answers have to agree with.
+/// Applies steps to a coalescer and tracks the state that its actions must agree with.
 struct Model {
-    rig: Rig,
+    harness: Harness,
     reads: BTreeMap<u32, ReadRecord>,
     waiting: BTreeSet<u32>,
     flights: BTreeSet<u32>,
-    /// The step of the last write on each key; 0: none.
+    /// The number of the step of the last write on each key; 0 if there is none.
     last_write: [usize; 3],
 }
 
 impl Model {
     fn new() -> Model {
         Model {
-            rig: Rig::with(Bounds {
+            harness: Harness::with(Bounds {
                 waiters: 40,
                 waiters_per_flight: 10,
                 flights_per_key: 4,
@@ -76,8 +76,8 @@
         }
     }
 
-    /// Plays one step, numbered from 1, and checks all that it causes.
-    fn play(&mut self, number: usize, step: &Step) -> TestCaseResult {
+    /// Applies one step, numbered from 1, and checks all actions that it causes.
+    fn apply(&mut self, number: usize, step: &Step) -> TestCaseResult {
         let id = number as u32;
         let mut ended = None;
         let actions = match step {
@@ -88,19 +88,19 @@
             } => self.read(number, *key, *variant, *wait_ms),
             Step::Write { key } => {
                 self.last_write[usize::from(*key)] = number;
-                self.rig.event(Event::Write { key: &[*key] })
+                self.harness.event(Event::Write { key: &[*key] })
             }
             Step::Disconnect(index) => match pick(&self.waiting, index) {
                 Some(waiter) => {
                     self.waiting.remove(&waiter);
-                    self.rig.event(Event::ClientDisconnected {
+                    self.harness.event(Event::ClientDisconnected {
                         id: RequestId(waiter),
                     })
                 }
                 None => Vec::new(),
             },
             Step::Retry(index) => match pick(&self.flights, index) {
-                Some(id) => self.rig.event(Event::Retried { flight: flight(id) }),
+                Some(id) => self.harness.event(Event::Retried { flight: flight(id) }),
                 None => Vec::new(),
             },
             Step::End(index, outcome) => {
@@ -108,7 +108,7 @@
                 match ended {
                     Some(id) => {
                         self.flights.remove(&id);
-                        self.rig.ended(id, *outcome)
+                        self.harness.ended(id, *outcome)
                     }
                     None => Vec::new(),
                 }
@@ -118,7 +118,7 @@
         for action in actions {
             self.check(id, step, ended, action)?;
         }
-        let Usage { waiters, flights } = self.rig.coalescer.usage();
+        let Usage { waiters, flights } = self.harness.coalescer.usage();
         prop_assert_eq!((waiters, flights), (self.waiting.len(), self.flights.len()));
         prop_assert!(flights <= waiters, "a flight without a waiter");
         Ok(())
@@ -126,7 +126,7 @@
 
     fn read(&mut self, number: usize, key: u8, variant: u8, wait_ms: u16) -> Vec<Action> {
         let id = number as u32;
-        let expires = self.rig.now.plus(ms(u64::from(wait_ms)));
+        let expires = self.harness.now.plus(ms(u64::from(wait_ms)));
         self.reads.insert(
             id,
             ReadRecord {
@@ -136,7 +136,7 @@
                 expires,
             },
         );
-        self.rig.event(Event::Read(Read {
+        self.harness.event(Event::Read(Read {
             id: RequestId(id),
             class: ClassId(0),
             tenant: None,
@@ -146,24 +146,31 @@
         }))
     }
 
-    /// Passes time, stopping at each deadline; each waiter answered there has exactly that deadline.
+    /// Advances the clock, stopping at each deadline; each waiter answered there must have exactly
+    /// that deadline.
     fn advance(&mut self, millis: u16) -> Result<Vec<Action>, TestCaseError> {
-        let end = self.rig.now.plus(ms(u64::from(millis)));
+        let end = self.harness.now.plus(ms(u64::from(millis)));
         let mut actions = Vec::new();
-        while let Some(due) = self.rig.coalescer.next_deadline().filter(|&due| due <= end) {
-            prop_assert!(due >= self.rig.now);
-            self.rig.now = due;
-            let due_actions = self.rig.event(Event::DeadlineReached);
+        while let Some(due) = self
+            .harness
+            .coalescer
+            .next_deadline()
+            .filter(|&due| due <= end)
+        {
+            prop_assert!(due >= self.harness.now);
+            self.harness.now = due;
+            let due_actions = self.harness.event(Event::DeadlineReached);
             for (id, _) in answers(&due_actions) {
                 prop_assert_eq!(self.reads[&id].expires, due);
             }
             actions.extend(due_actions);
         }
-        self.rig.now = end;
+        self.harness.now = end;
         Ok(actions)
     }
 
-    /// Checks one action of the step with this id, and takes note of it. `ended` is the flight that the step ended.
+    /// Checks one action of the step with this id, and updates the model. `ended` is the flight
+    /// that the step ended.
     fn check(
         &mut self,
         step_id: u32,
@@ -185,18 +192,22 @@
                 prop_assert_eq!((read.key, read.variant), (first.key, first.variant));
                 prop_assert!(
                     first.arrived_at > self.last_write[usize::from(read.key)],
-                    "from before a write"
+                    "joined a flight from before a write"
                 );
                 prop_assert!(expires >= read.expires);
             }
             Action::Bypass { id } => prop_assert_eq!(id.0, step_id),
             Action::Answer { id, outcome } => {
-                prop_assert!(self.waiting.remove(&id.0), "answered twice, or unasked");
+                prop_assert!(
+                    self.waiting.remove(&id.0),
+                    "answered twice or never waiting"
+                );
                 let read = &self.reads[&id.0];
                 let time_passes = matches!(step, Step::Advance { .. });
-                prop_assert!(time_passes || self.rig.now <= read.expires);
+                prop_assert!(time_passes || self.harness.now <= read.expires);
                 if outcome == FlightOutcome::Served {
-                    let first = &self.reads[&ended.expect("a flight")];
+                    let first =
+                        &self.reads[&ended.expect("a served answer comes with an ended flight")];
                     prop_assert_eq!((read.key, read.variant), (first.key, first.variant));
                 }
             }
@@ -206,13 +217,13 @@
         Ok(())
     }
 
-    /// Lets all deadlines pass; nothing is left then.
+    /// Advances past all deadlines, after which no state may be left.
     fn finish(mut self) -> TestCaseResult {
-        while let Some(due) = self.rig.coalescer.next_deadline() {
-            self.rig.now = due;
-            self.rig.event(Event::DeadlineReached);
+        while let Some(due) = self.harness.coalescer.next_deadline() {
+            self.harness.now = due;
+            self.harness.event(Event::DeadlineReached);
         }
-        prop_assert_eq!(self.rig.coalescer.usage(), Usage::default());
+        prop_assert_eq!(self.harness.coalescer.usage(), Usage::default());
         Ok(())
     }
 }
@@ -225,21 +236,23 @@
 }
 
 proptest! {
-    /// Whatever happens: each read has one answer, none later than its deadline, none from a flight for another read
-    /// or from before a write that it follows; flights without waiters are withdrawn, and nothing is left.
+    /// In any order of events, each read has exactly one answer, not later than its deadline, and
+    /// never from a flight for another read or from before a write that precedes it. Flights
+    /// without waiters are withdrawn, and no state is left at the end.
     #[test]
     fn each_read_is_answered_once_in_time_and_from_no_older_flight(
         steps in prop::collection::vec(step(), 1..200)
     ) {
         let mut model = Model::new();
         for (index, step) in steps.iter().enumerate() {
-            model.play(index + 1, step)?;
+            model.apply(index + 1, step)?;
         }
         model.finish()?;
     }
 }
 
-/// The case that `proptest-regressions` holds, whatever the strategy makes of its seed.
+/// The case stored in `proptest-regressions`, kept as a test of its own because its seed may come
+/// to generate other steps.
 #[test]
 fn a_read_whose_deadline_passes_between_two_events_is_answered_at_its_deadline() {
     let steps = [
@@ -252,8 +265,8 @@
     ];
     let mut model = Model::new();
     for (index, step) in steps.iter().enumerate() {
-        model.play(index + 1, step).expect("the invariants hold");
+        model.apply(index + 1, step).expect("the invariants hold");
     }
-    assert!(model.waiting.is_empty(), "answered");
-    model.finish().expect("nothing is left");
+    assert!(model.waiting.is_empty(), "the read is answered");
+    model.finish().expect("no state is left");
 }
--- a/crates/router-runtime/src/discovery.rs
+++ b/crates/router-runtime/src/discovery.rs
@@ -1,15 +1,18 @@
-//! Discovery: keeps a watch on the list of servers, and calls again when it is lost.
+//! Discovery client: watches the endpoint list and reconnects when the watch is lost.
 //!
-//! In subscription mode the decision library asks for calls and says how long to wait between them; in push mode the agent
-//! that has the lists is called at once, again and again. It relies on one thread: no borrow crosses an await.
+//! A call is an HTTP request that opens a watch; the first data of its response answer it. In
+//! subscription mode the decision library decides when to call and how long to wait between
+//! calls. In push mode, where a local agent holds the lists, calls are repeated with a short
+//! back-off until one is answered. All state belongs to one thread; no `RefCell` borrow is held
+//! across an await.
 
 mod endpoint_table;
 mod error;
-mod reopening;
+mod reconnect;
 mod watch;
 mod watch_set;
 
-use crate::clock::duration;
+use crate::clock::to_duration;
 use crate::dispatcher::Dispatcher;
 use crate::endpoint_list::EndpointList;
 use crate::environment::Environment;
@@ -19,7 +22,7 @@
 use error::WatchError;
 use load_balancer::deployment::Names;
 use load_balancer::{CallRetryPolicy, EndpointUpdate, Micros, SilentWatchPolicy};
-use reopening::{FastRetry, Reopening};
+use reconnect::{ReconnectSchedule, RetryBackoff};
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -27,22 +30,22 @@
 use tokio::sync::Notify;
 use watch_set::{LostWatch, WatchEvent, WatchProgress, WatchSet};
 
-/// The ends of failed calls are logged at most this often.
+/// Minimum time between two log lines about failed calls.
 const FAILED_CALL_LOG_INTERVAL: Duration = Duration::from_millis(400);
 
-/// The source of the list of servers, and how it is watched.
+/// Where the endpoint list comes from, and how it is watched.
 pub struct DiscoveryConfig {
-    /// The discovery server.
+    /// Address of the discovery server.
     pub addr: SocketAddr,
-    /// Names of zones and kinds.
+    /// Names of zones and machine kinds in the settings.
     pub names: Rc<Names>,
-    /// Push mode: lists are sent without a subscription of the decision library.
+    /// Push mode: lists arrive without a subscription by the decision library.
     pub is_push: bool,
-    /// When a watch is silent, and how discovery is called then.
+    /// When a watch counts as silent, and how discovery is called then.
     pub silent_watch: SilentWatchPolicy,
 }
 
-/// See the module.
+/// Keeps one watch on the endpoint list open; see the module.
 pub struct Discovery<E: Environment> {
     environment: E,
     addr: Cell<SocketAddr>,
@@ -55,31 +58,32 @@
     failed_call_logged_at: Cell<Option<Instant>>,
 }
 
-/// When to call, from one watch to the next.
+/// State that decides when to call discovery, kept from one watch to the next.
 #[derive(Default)]
 struct CallSchedule {
-    fast_retry: Option<FastRetry>,
-    /// When to call without a subscription.
-    next_call: Option<Instant>,
-    /// When discovery was called last.
+    backoff: Option<RetryBackoff>,
+    /// Time of the next call that does not need a subscription.
+    next_call_at: Option<Instant>,
+    /// Time of the most recent call.
     last_call: Option<Instant>,
-    /// A watch was lost before.
-    has_lost: bool,
-    /// The longest that a call has waited since the last answer before discovery turned it away.
-    rejected_after: Option<Micros>,
+    /// Whether a watch has been lost since the start of the process.
+    has_lost_watch: bool,
+    /// Longest time that a call waited before discovery rejected it, since the last answer.
+    longest_rejection_wait: Option<Micros>,
 }
 
 impl CallSchedule {
-    /// Calls at once. What was learnt of another discovery, or in an outage of this one, is forgotten.
+    /// Schedules a call at once and resets what was learnt from another discovery server or from
+    /// an outage of this one.
     fn call_now(&mut self, now: Instant, calls: CallRetryPolicy) {
-        self.fast_retry = Some(FastRetry::from(now, calls));
-        self.next_call = Some(now);
-        self.rejected_after = None;
+        self.backoff = Some(RetryBackoff::starting_at(now, calls));
+        self.next_call_at = Some(now);
+        self.longest_rejection_wait = None;
     }
 }
 
 impl<E: Environment> Discovery<E> {
-    /// A discovery that does not call before [`Discovery::run`].
+    /// Creates a client that makes no call before [`Discovery::run`].
     pub fn new(
         config: DiscoveryConfig,
         dispatcher: Rc<Dispatcher<E>>,
@@ -105,38 +109,38 @@
         })
     }
 
-    /// Applies the list that the router had before its start.
+    /// Applies the endpoint list that a previous process of this router had.
     pub fn restore(&self, list: EndpointList) {
         self.endpoints.restore(list);
     }
 
-    /// The discovery server.
+    /// Address of the discovery server.
     pub fn addr(&self) -> SocketAddr {
         self.addr.get()
     }
 
-    /// The list of servers as it stands.
+    /// The current endpoint list.
     pub fn list(&self) -> EndpointList {
         self.endpoints.list()
     }
 
-    /// Leaves the watch for a new one at this address, at once.
-    pub fn move_to(&self, addr: SocketAddr) {
+    /// Closes the watch and opens one at this address at once.
+    pub fn set_addr(&self, addr: SocketAddr) {
         self.addr.set(addr);
         self.endpoints.reset_version();
         self.addr_changed.notify_one();
     }
 
-    /// Watches whenever the decision library subscribes, a call is due or the address has changed, for as long as the
-    /// process runs.
+    /// Opens a watch whenever the decision library subscribes, a call is due or the address has
+    /// changed. Runs until the process ends.
     pub async fn run(self: Rc<Self>) {
         let mut schedule = CallSchedule::default();
         if self.is_push {
             self.call_now(&mut schedule);
         }
         loop {
-            self.until_call(&mut schedule).await;
-            match self.watch_until_moved(&mut schedule).await {
+            self.wait_for_call(&mut schedule).await;
+            match self.watch_until_lost(&mut schedule).await {
                 None => self.call_now(&mut schedule),
                 Some(lost) => self.watch_lost(&lost, &mut schedule),
             }
@@ -147,8 +151,8 @@
         schedule.call_now(self.environment.now(), self.silent_watch.call_retry);
     }
 
-    /// Returns when the next call is to be made.
-    async fn until_call(&self, schedule: &mut CallSchedule) {
+    /// Returns when the next call is due.
+    async fn wait_for_call(&self, schedule: &mut CallSchedule) {
         loop {
             tokio::select! {
                 biased;
@@ -157,169 +161,177 @@
                     return;
                 }
                 () = self.dispatcher.subscription_wanted() => {
-                    if schedule.next_call.is_none() {
+                    if schedule.next_call_at.is_none() {
                         return;
                     }
                 }
-                () = self.next_call(schedule.next_call) => return,
+                () = self.sleep_until_call(schedule.next_call_at) => return,
             }
         }
     }
 
-    /// Returns when a call is due that the decision library does not ask for.
-    async fn next_call(&self, next_call: Option<Instant>) {
-        match next_call {
-            Some(at) => self.environment.sleep_until(hooks::call_at(at)).await,
+    /// Sleeps until `next_call_at`; never returns if that is `None`.
+    async fn sleep_until_call(&self, next_call_at: Option<Instant>) {
+        match next_call_at {
+            Some(at) => {
+                self.environment
+                    .sleep_until(hooks::discovery_call_at(at))
+                    .await
+            }
             None => std::future::pending().await,
         }
     }
 
-    /// Logs the loss of a watch: one line for each outage, not for each call during one.
+    /// Logs the loss of a watch: one line per outage, not one per failed call.
     fn log_loss(&self, lost: &LostWatch, schedule: &mut CallSchedule) {
-        if lost.failed_call.is_none() || !schedule.has_lost {
+        if lost.failed_call_at.is_none() || !schedule.has_lost_watch {
             self.environment
                 .log(format_args!("discovery watch lost: {}", lost.error));
         }
-        schedule.has_lost = true;
+        schedule.has_lost_watch = true;
     }
 
-    /// Logs the loss of a watch, and sets when to call again or tells the decision library of the loss.
+    /// Logs the loss of a watch, and either schedules the next call or reports the loss to the
+    /// decision library.
     fn watch_lost(&self, lost: &LostWatch, schedule: &mut CallSchedule) {
-        // The silence was logged when it began.
+        // A silent watch was logged when its silence began.
         if !matches!(lost.error, WatchError::Silent(_)) {
             self.log_loss(lost, schedule);
         }
-        schedule.next_call = match &mut schedule.fast_retry {
-            Some(fast_retry) if lost.failed_call.is_some() => {
-                fast_retry.next(self.environment.now())
-            }
+        schedule.next_call_at = match &mut schedule.backoff {
+            Some(backoff) if lost.failed_call_at.is_some() => backoff.next(self.environment.now()),
             _ if self.is_push => Some(self.call_after_lost_watch(schedule)),
             _ => None,
         };
-        if schedule.next_call.is_none() {
-            schedule.fast_retry = None;
-            let update = self.update_of_loss(lost);
+        if schedule.next_call_at.is_none() {
+            schedule.backoff = None;
+            let update = self.loss_update(lost);
             self.dispatcher.endpoints_changed(update, Vec::new());
         }
     }
 
-    /// When to call the agent after the loss of a watch: at once, unless watches keep ending.
+    /// When to call the agent after the loss of a watch: at once, but no sooner than the maximum
+    /// pause after the last call, in case each watch ends soon after it was opened.
     fn call_after_lost_watch(&self, schedule: &mut CallSchedule) -> Instant {
         let now = self.environment.now();
         let calls = self.silent_watch.call_retry;
-        schedule.fast_retry = Some(FastRetry::from(now, calls));
-        let earliest = |last_call| last_call + duration(calls.max_delay);
+        schedule.backoff = Some(RetryBackoff::starting_at(now, calls));
+        let earliest = |last_call| last_call + to_duration(calls.max_delay);
         schedule.last_call.map_or(now, earliest).max(now)
     }
 
-    /// What the decision library is told of a loss.
-    fn update_of_loss(&self, lost: &LostWatch) -> EndpointUpdate {
-        match lost.rejected_after(self.environment.now()) {
+    /// The update that reports a loss to the decision library.
+    fn loss_update(&self, lost: &LostWatch) -> EndpointUpdate {
+        match lost.rejection_wait(self.environment.now()) {
             Some(waited) => EndpointUpdate::PollRejected { waited },
             None => EndpointUpdate::WatchLost,
         }
     }
 
-    /// A watch until it is lost, or until the address has changed: then none. A call that waits, or a watch that falls
-    /// silent, stays open beside the calls that are to replace it.
-    async fn watch_until_moved(self: &Rc<Self>, schedule: &mut CallSchedule) -> Option<LostWatch> {
+    /// Opens a watch and returns when it is lost; `None` if the address has changed. A pending call
+    /// or a silent watch stays open while further calls try to replace it.
+    async fn watch_until_lost(self: &Rc<Self>, schedule: &mut CallSchedule) -> Option<LostWatch> {
         let mut watches = WatchSet::default();
         let calls = self.silent_watch.call_retry;
         let now = self.environment.now();
-        let first_call = Reopening::beside_call(now, self.call_interval(schedule), calls);
-        let mut reopening = Some(first_call);
+        let first_call =
+            ReconnectSchedule::after_first_call(now, self.call_interval(schedule), calls);
+        let mut reconnect = Some(first_call);
         schedule.last_call = Some(now);
         self.open_watch(&mut watches);
         loop {
-            let next_call = reopening.as_ref().and_then(Reopening::next_call);
-            let next_call_at = next_call.unwrap_or_else(|| self.environment.now());
+            let next_call_at = reconnect.as_ref().and_then(ReconnectSchedule::next_call_at);
+            let wake_at = next_call_at.unwrap_or_else(|| self.environment.now());
             tokio::select! {
                 biased;
                 () = self.addr_changed.notified() => return None,
-                // A subscription during a call that it did not cause: the first line answers both.
+                // A subscription while a call is pending: the first data answer both.
                 () = self.dispatcher.subscription_wanted() => {}
                 event = watches.next() => match event {
                     WatchEvent::InService => {
-                        schedule.rejected_after = None;
-                        reopening = None;
+                        schedule.longest_rejection_wait = None;
+                        reconnect = None;
                     }
                     WatchEvent::Silent => {
-                        self.log_loss(&self.silent_watch(None), schedule);
+                        self.log_loss(&self.silent_watch_lost(None), schedule);
                         let now = self.environment.now();
                         let call_interval = self.call_interval(schedule);
-                        reopening = Some(Reopening::of_silent_watch(now, call_interval, calls));
+                        reconnect =
+                            Some(ReconnectSchedule::after_silence(now, call_interval, calls));
                     }
                     WatchEvent::Lost(lost) => {
                         let now = self.environment.now();
-                        schedule.rejected_after =
-                            schedule.rejected_after.max(lost.rejected_after(now));
-                        match &mut reopening {
-                            Some(reopening)
-                                if reopening.replaces_silent_watch() || !watches.has_no_call() =>
+                        schedule.longest_rejection_wait =
+                            schedule.longest_rejection_wait.max(lost.rejection_wait(now));
+                        match &mut reconnect {
+                            Some(reconnect)
+                                if reconnect.replaces_silent_watch()
+                                    || !watches.has_no_pending_call() =>
                             {
-                                if !reopening.replaces_silent_watch() {
+                                if !reconnect.replaces_silent_watch() {
                                     self.log_loss(&lost, schedule);
                                 }
-                                reopening.watch_lost(now, &lost, self.call_interval(schedule));
+                                reconnect.watch_lost(now, &lost, self.call_interval(schedule));
                             }
                             _ => return Some(lost),
                         }
                     }
                 },
-                () = self.environment.sleep_until(next_call_at), if next_call.is_some() => {
-                    if let Some(reopening) = &mut reopening {
-                        reopening.called(self.environment.now());
+                () = self.environment.sleep_until(wake_at), if next_call_at.is_some() => {
+                    if let Some(reconnect) = &mut reconnect {
+                        reconnect.record_call(self.environment.now());
                     }
                     self.open_watch(&mut watches);
                 }
             }
-            let given_up = reopening
+            let given_up = reconnect
                 .as_ref()
-                .filter(|reopening| reopening.next_call().is_none());
-            if let Some(reopening) = given_up
-                && watches.has_no_call()
+                .filter(|reconnect| reconnect.next_call_at().is_none());
+            if let Some(reconnect) = given_up
+                && watches.has_no_pending_call()
             {
-                return Some(self.silent_watch(reopening.rejected_call()));
+                return Some(self.silent_watch_lost(reconnect.rejected_call_at()));
             }
         }
     }
 
-    /// Calls discovery.
+    /// Calls discovery and adds the watch to `watches`.
     fn open_watch(self: &Rc<Self>, watches: &mut WatchSet) {
-        let progress = Rc::new(WatchProgress::called(self.environment.now()));
-        let (discovery, watched) = (self.clone(), progress.clone());
+        let progress = Rc::new(WatchProgress::new(self.environment.now()));
+        let (discovery, task_progress) = (self.clone(), progress.clone());
         watches.open(progress, async move {
-            let Err(error) = discovery.watch(&watched).await;
-            if !watched.is_answered.get() {
-                discovery.log_failed_call(&watched, &error);
+            let Err(error) = discovery.watch(&task_progress).await;
+            if !task_progress.is_answered.get() {
+                discovery.log_failed_call(&task_progress, &error);
             }
             error
         });
     }
 
-    /// Between calls beside those that wait; `None`: none are made.
+    /// Interval between calls while others are pending; `None` if no further ones are made.
     fn call_interval(&self, schedule: &CallSchedule) -> Option<Duration> {
         let interval = self
             .silent_watch
-            .hedged_call_interval(schedule.rejected_after);
-        interval.map(duration)
+            .hedged_call_interval(schedule.longest_rejection_wait);
+        interval.map(to_duration)
     }
 
-    /// A watch without data for this long has fallen silent.
-    fn silence_limit(&self) -> Duration {
-        duration(self.silent_watch.silence_limit)
+    /// A watch that brings no data for this long counts as silent.
+    fn silence_timeout(&self) -> Duration {
+        to_duration(self.silent_watch.silence_limit)
     }
 
-    /// The loss of a watch that is silent; `rejected_call` was to replace it.
-    fn silent_watch(&self, rejected_call: Option<Instant>) -> LostWatch {
+    /// The loss of a silent watch. `rejected_call_at` is the time of a call that was to replace it
+    /// and was rejected, if there was one.
+    fn silent_watch_lost(&self, rejected_call_at: Option<Instant>) -> LostWatch {
         LostWatch {
-            error: WatchError::Silent(self.silence_limit()),
-            failed_call: None,
-            rejected_call,
+            error: WatchError::Silent(self.silence_timeout()),
+            failed_call_at: None,
+            rejected_call_at,
         }
     }
 
-    /// Logs the end of a call without an answer, unless the one of another call was logged just before.
+    /// Logs the failure of a call, at most once per [`FAILED_CALL_LOG_INTERVAL`].
     fn log_failed_call(&self, call: &WatchProgress, error: &WatchError) {
         let now = self.environment.now();
         let since = |logged: Instant| now.saturating_duration_since(logged);
@@ -334,7 +346,7 @@
         ));
     }
 
-    /// The call has its answer.
+    /// Marks the call as answered, and logs its first answer.
     fn mark_answered(&self, progress: &WatchProgress) {
         if !progress.is_answered.replace(true) {
             let waited = self.environment.now() - progress.called_at;
--- a/crates/router-runtime/src/resp/long_value.rs
+++ b/crates/router-runtime/src/resp/long_value.rs
@@ -1,74 +1,75 @@
-//! A long value of a reply, read without holding it.
+//! Long values of replies, read without holding them whole.
 
 use super::frame::LINE_END;
 use super::reply::{Reply, ReplyReader};
-use super::{MAX_VALUE, PIECE_BYTES, READ_SIZE, RespError, frame};
+use super::{CHUNK_BYTES, MAX_VALUE_BYTES, READ_BYTES, RespError, frame};
 use bytes::{Bytes, BytesMut};
 
-/// A longer value is passed on as it arrives, in bytes; others once they are whole.
-const LONG_VALUE: usize = 64 * 1024;
+/// Values longer than this, in bytes, are passed on as they arrive; others once they are complete.
+const LONG_VALUE_THRESHOLD_BYTES: usize = 64 * 1024;
 
 /// The beginning of a reply with a long value.
 #[derive(Debug)]
 pub struct LongValue {
-    /// The reply up to the value, taken off the buffer.
+    /// The bytes of the reply before the value.
     pub head: Bytes,
-    /// Reads the rest.
+    /// Reads the rest of the reply.
     pub reader: LongValueReader,
 }
 
-/// The next part of a long value.
+/// The next part of a reply with a long value.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ValuePart {
     /// Bytes of the value.
     Bytes(Bytes),
-    /// All behind the value, whole: the end of the reply.
+    /// The end of the reply, complete: everything after the value.
     Last(Reply),
 }
 
-/// Reads a long value behind its header.
+/// Reads a long value after its header, and the rest of the reply.
 #[derive(Debug)]
 pub struct LongValueReader {
-    /// Bytes of the value that have not come yet.
-    left: usize,
-    /// Reads what is behind it.
+    /// Bytes of the value that have not arrived yet.
+    remaining_bytes: usize,
+    /// Parses what follows the value.
     tail: ReplyReader,
 }
 
 impl LongValue {
-    /// Takes the beginning of a reply with a long value off the buffer, once [`READ_SIZE`] bytes of the value have
-    /// come. Guards against a corrupted length before a short value: what was passed on cannot be asked for again.
+    /// Takes the beginning of a reply with a long value off the buffer, once [`READ_BYTES`] bytes
+    /// of the value have arrived. Waiting for them detects a corrupted length before a short value:
+    /// once a part of the reply is passed on, the request cannot be retried.
     pub fn begin(buffer: &mut BytesMut) -> Option<LongValue> {
-        let array = frame::header(buffer, b'*').ok()??;
-        if array.number != Some(ReplyReader::ITEMS) {
+        let array = frame::parse_header(buffer, b'*').ok()??;
+        if array.number != Some(ReplyReader::ITEM_COUNT) {
             return None;
         }
-        let value = frame::header(&buffer[array.length..], b'$').ok()??;
+        let value = frame::parse_header(&buffer[array.length..], b'$').ok()??;
         let size = value.number?;
-        let is_long = size > LONG_VALUE && size <= MAX_VALUE;
+        let is_long = size > LONG_VALUE_THRESHOLD_BYTES && size <= MAX_VALUE_BYTES;
         let value_at = array.length + value.length;
-        if !is_long || buffer.len() < value_at + READ_SIZE {
+        if !is_long || buffer.len() < value_at + READ_BYTES {
             return None;
         }
         Some(LongValue {
             head: buffer.split_to(value_at).freeze(),
             reader: LongValueReader {
-                left: size,
-                tail: ReplyReader::behind_value(),
+                remaining_bytes: size,
+                tail: ReplyReader::after_value(),
             },
         })
     }
 }
 
 impl LongValueReader {
-    /// Takes what has come off the buffer.
+    /// Takes what has arrived off the buffer.
     ///
     /// # Errors
-    /// When the rest cannot be read: the reply is broken off.
+    /// If the rest cannot be parsed: the reply is broken off.
     pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<ValuePart>, RespError> {
-        if self.left > 0 {
-            let length = self.left.min(buffer.len());
-            self.left -= length;
+        if self.remaining_bytes > 0 {
+            let length = self.remaining_bytes.min(buffer.len());
+            self.remaining_bytes -= length;
             let part = (length > 0).then(|| ValuePart::Bytes(buffer.split_to(length).freeze()));
             return Ok(part);
         }
@@ -82,36 +83,43 @@
         Ok(self.tail.next(buffer)?.map(ValuePart::Last))
     }
 
-    /// The same for a value that is held: pieces are taken once they are full, so that each fills its block.
+    /// Like [`LongValueReader::next`], for a value that is held: chunks are taken once they are
+    /// full, so that each fills its allocation.
     ///
     /// # Errors
     /// As for [`LongValueReader::next`].
-    pub fn next_full(&mut self, buffer: &mut BytesMut) -> Result<Option<ValuePart>, RespError> {
-        let piece = self.left.min(PIECE_BYTES);
-        if buffer.len() < piece {
+    pub fn next_full_chunk(
+        &mut self,
+        buffer: &mut BytesMut,
+    ) -> Result<Option<ValuePart>, RespError> {
+        let chunk = self.remaining_bytes.min(CHUNK_BYTES);
+        if buffer.len() < chunk {
             return Ok(None);
         }
-        if piece > 0 {
-            self.left -= piece;
-            return Ok(Some(ValuePart::Bytes(buffer.split_to(piece).freeze())));
+        if chunk > 0 {
+            self.remaining_bytes -= chunk;
+            return Ok(Some(ValuePart::Bytes(buffer.split_to(chunk).freeze())));
         }
         self.next(buffer)
     }
 
-    /// How many bytes are to be read next of a value that is held.
-    pub fn wanted(&self, buffer: &[u8]) -> usize {
-        match self.left {
-            0 => READ_SIZE,
-            left => left.min(PIECE_BYTES).saturating_sub(buffer.len()).max(1),
+    /// How many bytes to read next of a value that is held.
+    pub fn next_read_bytes(&self, buffer: &[u8]) -> usize {
+        match self.remaining_bytes {
+            0 => READ_BYTES,
+            remaining_bytes => remaining_bytes
+                .min(CHUNK_BYTES)
+                .saturating_sub(buffer.len())
+                .max(1),
         }
     }
 
-    /// Whether all but the load report has come.
+    /// Whether all but the load report has arrived.
     pub fn has_value(&self) -> bool {
-        self.left == 0 && self.tail.has_value()
+        self.remaining_bytes == 0 && self.tail.has_value()
     }
 
-    /// The end of the reply with a null for the load report that never came.
+    /// The end of the reply, with a null for the load report that never arrived.
     pub fn without_report(&self, buffer: &BytesMut) -> Reply {
         self.tail.served_without_report(buffer)
     }
