--- a/crates/load-balancer/src/deadline.rs
+++ b/crates/load-balancer/src/deadline.rs
@@ -18,7 +18,7 @@
     /// Give the final answer, and wait this long for the attempts to end.
     AnswerWithGrace(Micros),
     /// Give the final answer and release the attempts.
-    AnswerAndForget,
+    AnswerAndRelease,
 }
 
 /// The step for a request whose deadline timer fires at `now`.
@@ -35,6 +35,6 @@
     if now < expires.plus(grace) {
         DeadlineStep::AnswerWithGrace(grace)
     } else {
-        DeadlineStep::AnswerAndForget
+        DeadlineStep::AnswerAndRelease
     }
 }
--- a/crates/load-balancer/src/router.rs
+++ b/crates/load-balancer/src/router.rs
@@ -273,14 +273,14 @@
                 self.set_timer(grace, id, TimerPurpose::Deadline);
                 self.pending.reinsert_unless_done(pending);
             }
-            DeadlineStep::AnswerAndForget => {
+            DeadlineStep::AnswerAndRelease => {
                 self.answer_unserved(&mut pending);
-                self.forget_attempts(&pending);
+                self.release_attempts(&pending);
             }
         }
     }
 
-    fn forget_attempts(&mut self, pending: &PendingRequest) {
+    fn release_attempts(&mut self, pending: &PendingRequest) {
         for attempt in &pending.attempts {
             if attempt.state == AttemptState::InFlight {
                 self.release(attempt.server, attempt.is_fetch);
--- a/crates/load-balancer/tests/coalescing.rs
+++ b/crates/load-balancer/tests/coalescing.rs
@@ -68,7 +68,7 @@
         };
         2
     ];
-    for others in [false, true] {
+    for has_joined in [false, true] {
         let mut rig = TestRouter::new(
             Settings {
                 tenants: tenants.clone(),
@@ -77,7 +77,7 @@
             },
             ready(2),
         );
-        let ask = |rig: &mut TestRouter, number: u32| {
+        let send_request = |rig: &mut TestRouter, number: u32| {
             rig.event(Event::Request(Request {
                 id: RequestId(number),
                 class: ClassId(0),
@@ -93,21 +93,21 @@
         };
         // Tenant 0 floods, so that it may use a part of each limit; then it uses all of that.
         for number in 0..2_000 {
-            ask(&mut rig, number);
+            send_request(&mut rig, number);
             rig.end_attempt(RequestId(number), 0, Outcome::Success, 5);
         }
         let out = (10_000..10_400)
-            .filter(|&number| sent(&ask(&mut rig, number)).is_some())
+            .filter(|&number| sent(&send_request(&mut rig, number)).is_some())
             .count();
         assert!((2..400).contains(&out), "{out}");
-        if others {
+        if has_joined {
             rig.event(coalesced(RequestId(10_000), Some(1), rig.now.plus(ms(800))));
             rig.event(coalesced(RequestId(10_000), Some(0), rig.now.plus(ms(800))));
         }
         let again = rig.end_attempt(RequestId(10_000), 0, Outcome::Overloaded, 5);
         assert_eq!(
             sent(&again).is_some(),
-            others,
+            has_joined,
             "there is room for it as tenant 1's alone: {again:?}"
         );
     }
--- a/crates/load-balancer/tests/idle_connection_lifetime.rs
+++ b/crates/load-balancer/tests/idle_connection_lifetime.rs
@@ -7,7 +7,7 @@
 use std::ops::Range;
 
 /// One of a hundred routers, with prices as a deployment has them.
-fn one_of_many() -> TestRouter {
+fn router_of_large_fleet() -> TestRouter {
     let connection_costs = ConnectionCosts {
         connection: 0.08,
         handshake: 0.12,
@@ -23,7 +23,12 @@
 }
 
 /// One request every 100 ms, each on this connection and ended this way.
-fn ask(rig: &mut TestRouter, keys: Range<u64>, connection_use: ConnectionUse, outcome: Outcome) {
+fn run_requests(
+    rig: &mut TestRouter,
+    keys: Range<u64>,
+    connection_use: ConnectionUse,
+    outcome: Outcome,
+) {
     for key in keys {
         let (id, actions) = rig.request(0, key);
         rig.now = rig.now.plus(ms(5));
@@ -44,11 +49,11 @@
 
 #[test]
 fn a_connection_stays_idle_until_that_costs_half_of_a_new_one() {
-    let mut rig = one_of_many();
-    ask(&mut rig, 0..200, REUSED, Outcome::Success);
+    let mut rig = router_of_large_fleet();
+    run_requests(&mut rig, 0..200, REUSED, Outcome::Success);
     // A hundred routers ask ten servers a hundred times a second each: a handshake costs as much as 1.5 s of rest.
-    let hold = rig.router.idle_connection_lifetime().as_secs_f64();
-    assert!((0.7..0.8).contains(&hold), "{hold}");
+    let lifetime = rig.router.idle_connection_lifetime().as_secs_f64();
+    assert!((0.7..0.8).contains(&lifetime), "{lifetime}");
 }
 
 #[test]
@@ -59,37 +64,37 @@
 
 #[test]
 fn rejected_new_connections_shorten_the_lifetime_and_cut_no_limit() {
-    let mut rig = one_of_many();
-    ask(&mut rig, 0..100, REUSED, Outcome::Success);
-    let (hold, limits) = (
+    let mut rig = router_of_large_fleet();
+    run_requests(&mut rig, 0..100, REUSED, Outcome::Success);
+    let (lifetime, limit_mean_before) = (
         rig.router.idle_connection_lifetime(),
         rig.router.diagnostics().limit_mean,
     );
-    ask(&mut rig, 0..40, ConnectionUse::New, Outcome::Overloaded);
+    run_requests(&mut rig, 0..40, ConnectionUse::New, Outcome::Overloaded);
     assert!(
-        rig.router.idle_connection_lifetime() < hold.scaled(0.5),
-        "{:?} of {hold:?}",
+        rig.router.idle_connection_lifetime() < lifetime.scaled(0.5),
+        "{:?} of {lifetime:?}",
         rig.router.idle_connection_lifetime()
     );
     // The first ones are not known for what they are.
     assert!(
-        rig.router.diagnostics().limit_mean > 0.8 * limits,
-        "{} of {limits}",
+        rig.router.diagnostics().limit_mean > 0.8 * limit_mean_before,
+        "{} of {limit_mean_before}",
         rig.router.diagnostics().limit_mean
     );
 }
 
 #[test]
 fn rejections_on_reused_connections_too_show_overload() {
-    let mut rig = one_of_many();
-    ask(&mut rig, 0..100, REUSED, Outcome::Success);
-    let (hold, limits) = (
+    let mut rig = router_of_large_fleet();
+    run_requests(&mut rig, 0..100, REUSED, Outcome::Success);
+    let (lifetime, limit_mean_before) = (
         rig.router.idle_connection_lifetime(),
         rig.router.diagnostics().limit_mean,
     );
     for key in 0..20 {
-        ask(&mut rig, key..key + 1, REUSED, Outcome::Overloaded);
-        ask(
+        run_requests(&mut rig, key..key + 1, REUSED, Outcome::Overloaded);
+        run_requests(
             &mut rig,
             key + 20..key + 21,
             ConnectionUse::New,
@@ -97,13 +102,13 @@
         );
     }
     assert!(
-        rig.router.idle_connection_lifetime() > hold.scaled(0.9),
-        "{:?} of {hold:?}",
+        rig.router.idle_connection_lifetime() > lifetime.scaled(0.9),
+        "{:?} of {lifetime:?}",
         rig.router.idle_connection_lifetime()
     );
     assert!(
-        rig.router.diagnostics().limit_mean < 0.8 * limits,
-        "{} of {limits}",
+        rig.router.diagnostics().limit_mean < 0.8 * limit_mean_before,
+        "{} of {limit_mean_before}",
         rig.router.diagnostics().limit_mean
     );
 }
--- a/crates/load-balancer/tests/load_reports.rs
+++ b/crates/load-balancer/tests/load_reports.rs
@@ -5,17 +5,17 @@
 use common::*;
 use load_balancer::*;
 
-fn columns() -> LoadReportFormat {
+fn report_format() -> LoadReportFormat {
     let names = ["utilization", "backlog", "recent_ms", "x1"].map(String::from);
     LoadReportFormat::new(&names, ["", "fetches_out"])
 }
 
 fn spare_capacity() -> Option<LoadReport> {
-    columns().read_row("0.4,0,80,1")
+    report_format().read_row("0.4,0,80,1")
 }
 
-fn full() -> Option<LoadReport> {
-    columns().read_row("1.0,12,80,1")
+fn no_capacity() -> Option<LoadReport> {
+    report_format().read_row("1.0,12,80,1")
 }
 
 /// A hit after so long, with this report.
@@ -48,7 +48,7 @@
 
 #[test]
 fn a_report_is_read_by_position_or_by_name() {
-    let row = columns().read_row("0.61,2,83.5,7").expect("a report");
+    let row = report_format().read_row("0.61,2,83.5,7").expect("a report");
     assert_eq!(
         (
             row.cpu_utilization,
@@ -59,11 +59,11 @@
         (Some(0.61), Some(2.0), Some(Micros(83_500)), Some(7.0))
     );
     assert_eq!(
-        columns().read_pairs("util=0.61,queue=2,latency_ms=83.5,x1=7"),
+        report_format().read_pairs("util=0.61,queue=2,latency_ms=83.5,x1=7"),
         Some(row)
     );
     assert_eq!(
-        columns().read_pairs("x1=7, backlog=2 ,qps=9,utilization=0.61,recent_ms=83.5"),
+        report_format().read_pairs("x1=7, backlog=2 ,qps=9,utilization=0.61,recent_ms=83.5"),
         Some(row)
     );
 }
@@ -77,7 +77,7 @@
         "61,2,,7",
         "what?,2,0x5,7",
     ] {
-        let load = columns().read_row(row).expect(row);
+        let load = report_format().read_row(row).expect(row);
         assert_eq!(
             (
                 load.cpu_utilization,
@@ -89,9 +89,9 @@
             "{row}"
         );
     }
-    for nothing in ["", "-", "NaN,NaN,NaN,NaN", ",,,", "util", "=,=,="] {
-        assert_eq!(columns().read_row(nothing), None, "{nothing}");
-        assert_eq!(columns().read_pairs(nothing), None, "{nothing}");
+    for unusable in ["", "-", "NaN,NaN,NaN,NaN", ",,,", "util", "=,=,="] {
+        assert_eq!(report_format().read_row(unusable), None, "{unusable}");
+        assert_eq!(report_format().read_pairs(unusable), None, "{unusable}");
     }
     assert_eq!(
         LoadReportFormat::default().read_pairs("util=0.5"),
@@ -113,7 +113,7 @@
 #[test]
 fn a_queue_that_is_reported_or_shows_in_latency_cuts_the_limit() {
     let mut rig = TestRouter::new(settings(), ready(1));
-    let (before, after) = limits_after(&mut rig, |_| 200, full());
+    let (before, after) = limits_after(&mut rig, |_| 200, no_capacity());
     assert!(after < before / 2.0, "{before} to {after} by its own word");
     let mut rig = TestRouter::new(settings(), ready(1));
     let (before, after) = limits_after(&mut rig, |turn| if turn < 8 { 60 } else { 200 }, None);
@@ -137,7 +137,7 @@
 /// that is two seconds old counts no more.
 #[test]
 fn a_server_with_spare_capacity_gets_one_request_at_a_time_whatever_its_limit() {
-    let busy = |load| {
+    let router_with_low_limit = |load| {
         let mut rig = TestRouter::new(
             Settings {
                 routers: 40,
@@ -160,14 +160,17 @@
         }));
         rig
     };
-    let goes = |rig: &mut TestRouter, after| {
+    let is_sent = |rig: &mut TestRouter, after| {
         rig.now = rig.now.plus(ms(after));
         sent(&rig.request(0, 7).1).is_some()
     };
-    assert!(!goes(&mut busy(None), 100), "its limit is under one");
-    assert!(goes(&mut busy(spare_capacity()), 100));
-    assert!(!goes(&mut busy(full()), 100));
-    let mut stale = busy(spare_capacity());
+    assert!(
+        !is_sent(&mut router_with_low_limit(None), 100),
+        "its limit is under one"
+    );
+    assert!(is_sent(&mut router_with_low_limit(spare_capacity()), 100));
+    assert!(!is_sent(&mut router_with_low_limit(no_capacity()), 100));
+    let mut stale = router_with_low_limit(spare_capacity());
     stale.now = stale.now.plus(ms(2_000));
     stale.update_endpoints(EndpointUpdate::Delta, Vec::new());
     assert_eq!(
@@ -179,7 +182,7 @@
 
 /// Nine requests for keys of one server are more than it takes, while one of four others has none and three have some:
 /// who else gets one?
-fn elsewhere(used_elsewhere: usize, is_troubled: bool) -> Option<ServerId> {
+fn diverted_to(requests_elsewhere: usize, is_failing: bool) -> Option<ServerId> {
     let mut rig = TestRouter::new(settings(), ready(5));
     let owner = |key| {
         TestRouter::new(settings(), ready(5))
@@ -194,7 +197,7 @@
     for &key in keys.iter().flatten() {
         rig.served_by(key).expect("room");
     }
-    if is_troubled {
+    if is_failing {
         for &key in &keys[0][..4] {
             let (id, _) = rig.request(0, key);
             rig.end_attempt(id, 0, Outcome::Overloaded, 2);
@@ -202,25 +205,25 @@
         }
     }
     for server in 2..=4 {
-        for &key in &keys[server - 1][..used_elsewhere] {
+        for &key in &keys[server - 1][..requests_elsewhere] {
             rig.request(0, key);
         }
     }
-    let taken: Vec<ServerId> = keys[0]
+    let targets: Vec<ServerId> = keys[0]
         .iter()
         .filter_map(|&key| sent(&rig.request(0, key).1))
         .collect();
-    taken.into_iter().find(|server| *server != name(1))
+    targets.into_iter().find(|server| *server != name(1))
 }
 
 /// Guards against overload that sustains itself: where the whole fleet is in use, each key that migrates is a fetch and
 /// drives out another.
 #[test]
 fn a_key_leaves_a_server_at_capacity_only_with_spare_fleet_capacity_or_if_that_is_in_trouble() {
-    assert!(elsewhere(0, false).is_some(), "with room it moves");
-    assert_eq!(elsewhere(3, false), None, "in use as a whole it does not");
+    assert!(diverted_to(0, false).is_some(), "with room it moves");
+    assert_eq!(diverted_to(3, false), None, "in use as a whole it does not");
     assert_eq!(
-        elsewhere(3, true),
+        diverted_to(3, true),
         Some(name(5)),
         "off one in failure it does"
     );
--- a/crates/load-balancer/tests/random_events.rs
+++ b/crates/load-balancer/tests/random_events.rs
@@ -13,7 +13,7 @@
     Request {
         class: usize,
         key: u64,
-        life: u64,
+        lifetime_ms: u64,
         write: bool,
         tenant: usize,
     },
@@ -23,14 +23,14 @@
         outcome: usize,
         cache_status: usize,
     },
-    StrayEnd {
+    UnknownAttemptEnd {
         id: u32,
         attempt: u32,
     },
-    Gone(usize),
-    Stream(usize),
-    StrayTimer(u64),
-    List {
+    ClientDisconnected(usize),
+    StartStream(usize),
+    UnknownTimer(u64),
+    UpdateEndpoints {
         update: usize,
         states: Vec<(usize, usize, u64, u32)>,
     },
@@ -53,21 +53,21 @@
     prop_oneof![
         4 => (0..400u64).prop_map(Step::Wait),
         8 => (0..4usize, 0..40u64, 0..900u64, any::<bool>(), 0..3usize)
-            .prop_map(|(class, key, life, write, tenant)| Step::Request { class, key, life, write, tenant }),
+            .prop_map(|(class, key, lifetime_ms, write, tenant)| Step::Request { class, key, lifetime_ms, write, tenant }),
         1 => (0..60u32).prop_map(Step::RepeatRequest),
         8 => (0..6usize, 0..9usize, 0..4usize)
             .prop_map(|(nth, outcome, cache_status)| Step::End { nth, outcome, cache_status }),
-        1 => (0..60u32, 0..5u32).prop_map(|(id, attempt)| Step::StrayEnd { id, attempt }),
-        1 => (0..9usize).prop_map(Step::Gone),
-        1 => (0..9usize).prop_map(Step::Stream),
-        1 => any::<u64>().prop_map(Step::StrayTimer),
+        1 => (0..60u32, 0..5u32).prop_map(|(id, attempt)| Step::UnknownAttemptEnd { id, attempt }),
+        1 => (0..9usize).prop_map(Step::ClientDisconnected),
+        1 => (0..9usize).prop_map(Step::StartStream),
+        1 => any::<u64>().prop_map(Step::UnknownTimer),
         2 => (0..5usize, proptest::collection::vec(endpoint, 0..9))
-            .prop_map(|(update, states)| Step::List { update, states }),
+            .prop_map(|(update, states)| Step::UpdateEndpoints { update, states }),
     ]
 }
 
 #[derive(Default)]
-struct Sent {
+struct SentAttempt {
     server: Option<ServerId>,
     at: Micros,
     end: Option<Outcome>,
@@ -78,20 +78,20 @@
     class: usize,
     expires: Micros,
     answers: u32,
-    over: bool,
+    is_finished: bool,
     streaming: bool,
-    sent: Vec<Sent>,
+    sent: Vec<SentAttempt>,
 }
 
 struct Simulation {
     settings: Settings,
     router: Router,
     now: Micros,
-    next: u32,
-    cases: HashMap<RequestId, ExpectedRequest>,
+    next_id: u32,
+    requests: HashMap<RequestId, ExpectedRequest>,
     ids: Vec<RequestId>,
     timers: Vec<(Micros, u64)>,
-    states: HashMap<ServerId, EndpointState>,
+    server_states: HashMap<ServerId, EndpointState>,
 }
 
 impl Simulation {
@@ -101,11 +101,11 @@
             settings,
             router,
             now: ms(100_000),
-            next: 0,
-            cases: HashMap::new(),
+            next_id: 0,
+            requests: HashMap::new(),
             ids: vec![],
             timers: vec![],
-            states: HashMap::new(),
+            server_states: HashMap::new(),
         }
     }
 
@@ -130,18 +130,27 @@
 
     fn check_send(&mut self, id: RequestId, server: ServerId) {
         let limits = &self.settings.limits;
-        let case = self.cases.get_mut(&id).expect("a send for a known request");
-        assert!(!case.over && !case.streaming, "a send after the end");
-        assert!(self.now < case.expires, "a send after the client's time");
+        let expected = self
+            .requests
+            .get_mut(&id)
+            .expect("a send for a known request");
+        assert!(
+            !expected.is_finished && !expected.streaming,
+            "a send after the end"
+        );
+        assert!(
+            self.now < expected.expires,
+            "a send after the client's time"
+        );
         assert_eq!(
-            self.states.get(&server),
+            self.server_states.get(&server),
             Some(&EndpointState::Ready),
             "a send to {server}"
         );
-        assert!(case.sent.len() < limits.max_attempts as usize);
-        let ran = |s: &&Sent| !s.end.is_some_and(Outcome::never_ran);
-        if let Some(first) = case.sent.iter().find(ran) {
-            match self.settings.classes[case.class].idempotency {
+        assert!(expected.sent.len() < limits.max_attempts as usize);
+        let ran = |s: &&SentAttempt| !s.end.is_some_and(Outcome::never_ran);
+        if let Some(first) = expected.sent.iter().find(ran) {
+            match self.settings.classes[expected.class].idempotency {
                 Idempotency::Idempotent => {}
                 Idempotency::NotIdempotent => panic!("a non-idempotent request may run twice"),
                 Idempotency::Keyed {
@@ -153,10 +162,10 @@
             }
         }
         assert!(
-            limits.hedging || case.sent.iter().all(|s| s.end.is_some()),
+            limits.hedging || expected.sent.iter().all(|s| s.end.is_some()),
             "two attempts out"
         );
-        case.sent.push(Sent {
+        expected.sent.push(SentAttempt {
             server: Some(server),
             at: self.now,
             end: None,
@@ -164,37 +173,41 @@
     }
 
     fn check_answer(&mut self, id: RequestId, rejected: bool) {
-        let case = self
-            .cases
+        let expected = self
+            .requests
             .get_mut(&id)
             .expect("an answer for a known request");
-        assert!(!case.over, "a second answer");
+        assert!(!expected.is_finished, "a second answer");
         assert!(
-            self.now <= case.expires.plus(self.settings.rules.answer_grace),
+            self.now <= expected.expires.plus(self.settings.rules.answer_grace),
             "a late answer"
         );
-        let may_have_run = case
+        let may_have_run = expected
             .sent
             .iter()
             .any(|s| !s.end.is_some_and(Outcome::never_ran));
         if rejected && may_have_run {
             assert_ne!(
-                self.settings.classes[case.class].idempotency,
+                self.settings.classes[expected.class].idempotency,
                 Idempotency::NotIdempotent,
                 "a non-idempotent one rejected"
             );
         }
-        case.answers += 1;
-        case.over = true;
+        expected.answers += 1;
+        expected.is_finished = true;
     }
 
     /// Lets time pass, with each timer and each attempt's time-out at its due time.
     fn wait(&mut self, until: Micros) {
         loop {
             let overdue = self.ids.iter().find_map(|id| {
-                let case = &self.cases[id];
-                let out = case.sent.iter().position(|s| s.end.is_none())?;
-                (!case.streaming && case.expires <= until).then_some((case.expires, *id, out))
+                let expected = &self.requests[id];
+                let out = expected.sent.iter().position(|s| s.end.is_none())?;
+                (!expected.streaming && expected.expires <= until).then_some((
+                    expected.expires,
+                    *id,
+                    out,
+                ))
             });
             let timer = self.timers.iter().copied().filter(|t| t.0 <= until).min();
             match (overdue, timer) {
@@ -225,14 +238,14 @@
         outcome: Outcome,
         cache_status: Option<CacheStatus>,
     ) {
-        let case = self.cases.get_mut(&id).expect("a known request");
-        case.sent[out].end = Some(outcome);
-        let ends =
-            outcome == Outcome::Success || (case.streaming && outcome == Outcome::ConnectionLost);
-        case.answers += u32::from(ends && !case.over);
-        case.over |= ends;
-        let complete = case.over;
-        let elapsed = self.now.since(case.sent[out].at);
+        let expected = self.requests.get_mut(&id).expect("a known request");
+        expected.sent[out].end = Some(outcome);
+        let ends = outcome == Outcome::Success
+            || (expected.streaming && outcome == Outcome::ConnectionLost);
+        expected.answers += u32::from(ends && !expected.is_finished);
+        expected.is_finished |= ends;
+        let complete = expected.is_finished;
+        let elapsed = self.now.since(expected.sent[out].at);
         let attempt = AttemptNumber(out as u32);
         let end = AttemptEnd {
             complete,
@@ -242,7 +255,7 @@
         self.event(Event::AttemptEnded(end));
     }
 
-    fn list(&mut self, update: usize, states: &[(usize, usize, u64, u32)]) {
+    fn update_endpoints(&mut self, update: usize, states: &[(usize, usize, u64, u32)]) {
         let update = [
             EndpointUpdate::Delta,
             EndpointUpdate::Snapshot,
@@ -256,7 +269,7 @@
         );
         let states = if has_entries { states } else { &[] };
         if matches!(update, EndpointUpdate::Snapshot | EndpointUpdate::Restored) {
-            for state in self.states.values_mut() {
+            for state in self.server_states.values_mut() {
                 *state = EndpointState::Removed;
             }
         }
@@ -274,7 +287,8 @@
         };
         let endpoints: Vec<Endpoint> = states.iter().map(endpoint).collect();
         for endpoint in &endpoints {
-            self.states.insert(endpoint.server.clone(), endpoint.state);
+            self.server_states
+                .insert(endpoint.server.clone(), endpoint.state);
         }
         self.event(Event::EndpointsChanged { update, endpoints });
     }
@@ -285,15 +299,15 @@
             Step::Request {
                 class,
                 key,
-                life,
+                lifetime_ms,
                 write,
                 tenant,
-            } => self.request(*class, *key, *life, *write, *tenant),
+            } => self.request(*class, *key, *lifetime_ms, *write, *tenant),
             Step::RepeatRequest(id) => {
-                if self.cases.contains_key(&RequestId(*id)) {
-                    let live = !self.cases[&RequestId(*id)].over;
+                if self.requests.contains_key(&RequestId(*id)) {
+                    let is_pending = !self.requests[&RequestId(*id)].is_finished;
                     let request = request(*id, 0, 1, self.now.plus(ms(500)), false, 0);
-                    if live {
+                    if is_pending {
                         self.event(Event::Request(request));
                     }
                 }
@@ -304,7 +318,7 @@
                 cache_status,
             } => {
                 let out = self.ids.iter().flat_map(|id| {
-                    let sent = self.cases[id].sent.iter().enumerate();
+                    let sent = self.requests[id].sent.iter().enumerate();
                     sent.filter(|s| s.1.end.is_none()).map(move |s| (*id, s.0))
                 });
                 let Some((id, out)) = out.collect::<Vec<_>>().get(*nth).copied() else {
@@ -318,8 +332,8 @@
                 ];
                 self.end(id, out, OUTCOMES[*outcome], statuses[*cache_status]);
             }
-            Step::StrayEnd { id, attempt } => {
-                let known = self.cases.get(&RequestId(*id));
+            Step::UnknownAttemptEnd { id, attempt } => {
+                let known = self.requests.get(&RequestId(*id));
                 if known.is_some_and(|c| {
                     c.sent
                         .get(*attempt as usize)
@@ -334,47 +348,47 @@
                     ms(1),
                 )));
             }
-            Step::Gone(nth) => {
+            Step::ClientDisconnected(nth) => {
                 let Some(&id) = self.ids.iter().rev().nth(*nth) else {
                     return;
                 };
-                let case = self.cases.get_mut(&id).expect("a known request");
-                case.answers += u32::from(!case.over);
-                case.over = true;
+                let expected = self.requests.get_mut(&id).expect("a known request");
+                expected.answers += u32::from(!expected.is_finished);
+                expected.is_finished = true;
                 self.event(Event::ClientDisconnected { id });
             }
-            Step::Stream(nth) => {
+            Step::StartStream(nth) => {
                 let Some(&id) = self.ids.iter().rev().nth(*nth) else {
                     return;
                 };
-                let case = self.cases.get_mut(&id).expect("a known request");
-                let out = case.sent.iter().position(|s| s.end.is_none());
-                let Some(out) = out.filter(|_| !case.over) else {
+                let expected = self.requests.get_mut(&id).expect("a known request");
+                let out = expected.sent.iter().position(|s| s.end.is_none());
+                let Some(out) = out.filter(|_| !expected.is_finished) else {
                     return;
                 };
-                case.streaming = true;
+                expected.streaming = true;
                 self.event(Event::StreamStarted {
                     id,
                     attempt: AttemptNumber(out as u32),
                 });
             }
-            Step::StrayTimer(token) => self.event(Event::Timer { token: *token }),
-            Step::List { update, states } => self.list(*update, states),
+            Step::UnknownTimer(token) => self.event(Event::Timer { token: *token }),
+            Step::UpdateEndpoints { update, states } => self.update_endpoints(*update, states),
         }
     }
 
-    fn request(&mut self, class: usize, key: u64, life: u64, write: bool, tenant: usize) {
-        let id = RequestId(self.next);
-        self.next += 1;
-        let expires = self.now.plus(ms(life));
+    fn request(&mut self, class: usize, key: u64, lifetime_ms: u64, write: bool, tenant: usize) {
+        let id = RequestId(self.next_id);
+        self.next_id += 1;
+        let expires = self.now.plus(ms(lifetime_ms));
         if class < self.settings.classes.len() {
-            self.cases.insert(
+            self.requests.insert(
                 id,
                 ExpectedRequest {
                     class,
                     expires,
                     answers: 0,
-                    over: false,
+                    is_finished: false,
                     streaming: false,
                     sent: vec![],
                 },
@@ -407,12 +421,12 @@
     }
 }
 
-fn variant(mode: u8) -> Settings {
+fn settings_variant(flags: u8) -> Settings {
     let mut settings = settings();
-    if mode & 1 == 1 {
+    if flags & 1 == 1 {
         settings.mode = CacheMode::Aside { origin: KindId(9) };
     }
-    if mode & 2 == 2 {
+    if flags & 2 == 2 {
         settings.discovery = DiscoveryMode::Subscribe {
             poll_within: ms(10_000),
         };
@@ -427,8 +441,8 @@
             },
         ];
     }
-    settings.limits.hedging = mode & 4 == 4;
-    if mode & 8 == 8 {
+    settings.limits.hedging = flags & 4 == 4;
+    if flags & 8 == 8 {
         settings.limits.max_attempts = 1;
         settings.rules.slow_start_duration = Micros(0);
         settings.rules.overload_multiple = 0.0;
@@ -447,13 +461,13 @@
         rng,
     );
     let steps = proptest::collection::vec(step(), 1..120);
-    let result = runner.run(&(0..16u8, any::<u64>(), steps), |(mode, seed, steps)| {
+    let result = runner.run(&(0..16u8, any::<u64>(), steps), |(flags, seed, steps)| {
         let mut simulations = [
-            Simulation::new(variant(mode), seed),
-            Simulation::new(variant(mode), seed),
+            Simulation::new(settings_variant(flags), seed),
+            Simulation::new(settings_variant(flags), seed),
         ];
         for simulation in &mut simulations {
-            simulation.list(
+            simulation.update_endpoints(
                 1,
                 &[(1, 0, 0, 1), (2, 0, 0, 1), (3, 0, 99_000, 1), (0, 0, 0, 1)],
             );
@@ -461,20 +475,24 @@
                 simulation.step(step);
             }
             simulation.wait(simulation.now.plus(ms(5_000)));
-            for (id, case) in &simulation.cases {
+            for (id, expected) in &simulation.requests {
                 prop_assert!(
-                    case.streaming || case.answers == 1,
+                    expected.streaming || expected.answers == 1,
                     "{:?} got {} answers",
                     id,
-                    case.answers
+                    expected.answers
                 );
             }
         }
         let [a, b] = &simulations;
-        for (id, case) in &a.cases {
-            let twin: Vec<_> = b.cases[id].sent.iter().map(|s| (&s.server, s.at)).collect();
-            let sent: Vec<_> = case.sent.iter().map(|s| (&s.server, s.at)).collect();
-            prop_assert_eq!(sent, twin, "the same events gave other sends");
+        for (id, expected) in &a.requests {
+            let sent_by_second: Vec<_> = b.requests[id]
+                .sent
+                .iter()
+                .map(|s| (&s.server, s.at))
+                .collect();
+            let sent: Vec<_> = expected.sent.iter().map(|s| (&s.server, s.at)).collect();
+            prop_assert_eq!(sent, sent_by_second, "the same events gave other sends");
         }
         Ok(())
     });
--- a/crates/load-balancer/tests/rejection.rs
+++ b/crates/load-balancer/tests/rejection.rs
@@ -7,8 +7,8 @@
 
 /// Writes that use up every limit.
 fn fill_limit(rig: &mut TestRouter) -> Vec<RequestId> {
-    let asked: Vec<_> = (0..30).map(|key| rig.request(1, key)).collect();
-    asked
+    let requests: Vec<_> = (0..30).map(|key| rig.request(1, key)).collect();
+    requests
         .into_iter()
         .filter(|(_, actions)| sent(actions).is_some())
         .map(|(id, _)| id)
@@ -53,25 +53,29 @@
 /// too late to have any weight, it leaves the capacity to requests that are in time.
 #[test]
 fn a_retry_past_its_objective_leaves_capacity_to_others() {
-    let room = |wait: u64, late_weight: f64| {
+    let sent_count = |wait: u64, late_weight: f64| {
         let mut rig = TestRouter::new(settings_with_late_weight(late_weight), ready(1));
         let keys = 100..130;
         for key in keys.clone() {
             rig.served_by(key);
         }
-        let taken = fill_limit(&mut rig);
+        let in_flight = fill_limit(&mut rig);
         assert!(
             keys.clone().all(|key| rejected(&rig.request(0, key).1)),
             "no capacity is left"
         );
-        for id in taken {
+        for id in in_flight {
             rig.end_attempt(id, 0, Outcome::Success, 20);
         }
         rig.now = rig.now.plus(ms(wait));
         keys.filter(|&key| sent(&rig.retry(0, key).1).is_some())
             .count()
     };
-    let (early, late, late_with_weight) = (room(50, 0.0), room(290, 0.0), room(290, 1.0));
+    let (early, late, late_with_weight) = (
+        sent_count(50, 0.0),
+        sent_count(290, 0.0),
+        sent_count(290, 1.0),
+    );
     assert!(early >= 4, "{early} in time");
     assert!(
         (1..=early / 2).contains(&late),
@@ -87,16 +91,16 @@
 /// gone. It counts as new, and has the capacity of a new one.
 #[test]
 fn a_retry_without_a_known_rejection_counts_as_new() {
-    let room = |was_rejected: bool| {
+    let sent_count = |was_rejected: bool| {
         let mut rig = TestRouter::new(settings_with_late_weight(0.0), ready(1));
         for key in 100..130 {
             rig.served_by(key);
         }
-        let taken = fill_limit(&mut rig);
+        let in_flight = fill_limit(&mut rig);
         for key in (100..130).filter(|_| was_rejected) {
             rig.request(0, key);
         }
-        for id in taken {
+        for id in in_flight {
             rig.end_attempt(id, 0, Outcome::Success, 20);
         }
         rig.now = rig.now.plus(ms(1_200));
@@ -104,10 +108,10 @@
             .filter(|&key| sent(&rig.retry(0, key).1).is_some())
             .count()
     };
-    assert!(room(false) >= 4);
+    assert!(sent_count(false) >= 4);
     assert_eq!(
-        room(true),
-        room(false),
+        sent_count(true),
+        sent_count(false),
         "past the class's deadline nobody waits"
     );
 }
--- a/crates/load-balancer/tests/retries.rs
+++ b/crates/load-balancer/tests/retries.rs
@@ -7,7 +7,7 @@
 
 #[test]
 fn a_non_idempotent_request_is_retried_only_if_it_never_ran() {
-    for (outcome, again) in [
+    for (outcome, is_retried) in [
         (Outcome::Overloaded, true),
         (Outcome::Unreachable, true),
         (Outcome::Failure, false),
@@ -17,10 +17,10 @@
         let mut rig = TestRouter::new(settings(), ready(3));
         let (id, _) = rig.request(1, 5);
         let actions = rig.end_attempt(id, 0, outcome, 20);
-        assert_eq!(sent(&actions).is_some(), again, "{outcome:?}");
+        assert_eq!(sent(&actions).is_some(), is_retried, "{outcome:?}");
         assert_eq!(
             failed(&actions),
-            !again,
+            !is_retried,
             "{outcome:?}: what may have run is failed, never rejected"
         );
         assert!(!rejected(&actions));
@@ -50,21 +50,21 @@
 fn a_keyed_retry_carries_the_rest_of_its_deduplication_window() {
     let mut rig = TestRouter::new(settings(), ready(4));
     let (id, actions) = rig.request(2, 7);
-    let within = |actions: &[Action]| {
+    let write_within_of = |actions: &[Action]| {
         actions.iter().find_map(|a| match a {
             Action::Send { write_within, .. } => Some(*write_within),
             _ => None,
         })
     };
     assert_eq!(
-        within(&actions),
+        write_within_of(&actions),
         Some(None),
         "nothing can have run before the first attempt"
     );
     rig.now = rig.now.plus(ms(390));
     let actions = rig.end_attempt(id, 0, Outcome::ConnectionLost, 390);
     assert_eq!(
-        within(&actions),
+        write_within_of(&actions),
         Some(Some(ms(10))),
         "ten of its 400 ms are left"
     );
--- a/crates/load-balancer/tests/silent_watch.rs
+++ b/crates/load-balancer/tests/silent_watch.rs
@@ -6,19 +6,19 @@
 use load_balancer::*;
 
 const POLL_WITHIN: Micros = Micros(10_000_000);
-const ASKED: DiscoveryMode = DiscoveryMode::Subscribe {
+const SUBSCRIBE: DiscoveryMode = DiscoveryMode::Subscribe {
     poll_within: POLL_WITHIN,
 };
 /// What a silent watch misses counts as known this long after the silence began.
-const KNOWN_AFTER: Micros = Micros(6_000_000);
+const KNOWN_DELAY: Micros = Micros(6_000_000);
 
 /// A call without an answer for so long is given up.
-const LONGEST_CALL: Micros = Micros(2_500_000);
+const MAX_CALL_DURATION: Micros = Micros(2_500_000);
 
 /// The waits after calls that discovery rejected after this time, one behind the other.
 fn waits_after_rejections(seed: u64, waited: Micros, count: usize) -> Vec<Micros> {
     let mut settings = settings();
-    settings.discovery = ASKED;
+    settings.discovery = SUBSCRIBE;
     let mut router = Router::new(settings, seed).expect("usable settings");
     let mut actions = Vec::new();
     let mut waits = Vec::new();
@@ -45,15 +45,15 @@
         .flat_map(|seed| waits_after_rejections(seed, ms(2_000), 5))
         .collect();
     assert!(waits.iter().all(|&wait| wait >= ms(2_000)), "{waits:?}");
-    let is_in_time = |wait: &Micros| wait.plus(LONGEST_CALL) < KNOWN_AFTER;
+    let is_in_time = |wait: &Micros| wait.plus(MAX_CALL_DURATION) < KNOWN_DELAY;
     assert!(waits.iter().all(is_in_time), "{waits:?}");
     let (first, last) = (waits.iter().min(), waits.iter().max());
     let (Some(&first), Some(&last)) = (first, last) else {
         panic!("no waits")
     };
     let middle = first.plus(last).scaled(0.5);
-    let soon = waits.iter().filter(|&&wait| wait < middle).count();
-    assert!((200..300).contains(&soon), "spread evenly: {soon} of 500");
+    let early = waits.iter().filter(|&&wait| wait < middle).count();
+    assert!((200..300).contains(&early), "spread evenly: {early} of 500");
 }
 
 /// Guards against waits after quick failures that grow past the time by which a change counts as known.
@@ -61,7 +61,7 @@
 fn calls_that_keep_failing_at_once_are_repeated_in_time() {
     for seed in 0..100 {
         let waits = waits_after_rejections(seed, ms(2), 12);
-        let is_in_time = |wait: &Micros| wait.plus(LONGEST_CALL) < KNOWN_AFTER;
+        let is_in_time = |wait: &Micros| wait.plus(MAX_CALL_DURATION) < KNOWN_DELAY;
         assert!(waits.iter().all(is_in_time), "{waits:?}");
     }
 }
@@ -74,21 +74,21 @@
 /// Guards against a second and a third call that come after a drain counts as known.
 #[test]
 fn a_small_fleet_has_time_for_three_calls() {
-    for (routers, place) in [(1, 1.0), (5, 0.8), (12, 11.0 / 12.0)] {
-        let policy = SilentWatchPolicy::new(ASKED, routers, place);
+    for (routers, stagger_fraction) in [(1, 1.0), (5, 0.8), (12, 11.0 / 12.0)] {
+        let policy = SilentWatchPolicy::new(SUBSCRIBE, routers, stagger_fraction);
         let interval = policy.hedged_call_interval(None).expect("calls beside one");
         let third = policy.silence_limit.plus(interval).plus(interval);
-        assert!(third < KNOWN_AFTER, "{routers} routers: {third:?}");
+        assert!(third < KNOWN_DELAY, "{routers} routers: {third:?}");
     }
 }
 
 /// Guards against calls beside others at an overloaded discovery.
 #[test]
 fn an_overloaded_discovery_is_called_once() {
-    let small = SilentWatchPolicy::new(ASKED, 5, 0.5);
+    let small = SilentWatchPolicy::new(SUBSCRIBE, 5, 0.5);
     assert!(small.hedged_call_interval(Some(ms(2))).is_some());
     assert_eq!(small.hedged_call_interval(Some(ms(2_000))), None);
-    let large = SilentWatchPolicy::new(ASKED, 100, 0.5);
+    let large = SilentWatchPolicy::new(SUBSCRIBE, 100, 0.5);
     assert_eq!(large.hedged_call_interval(None), None);
-    assert!(large.silence_limit < KNOWN_AFTER);
+    assert!(large.silence_limit < KNOWN_DELAY);
 }
