--- a/crates/load-balancer/tests/admin_overrides.rs
+++ b/crates/load-balancer/tests/admin_overrides.rs
@@ -1,4 +1,5 @@
-//! Servers that operators disable and enable: an override holds whatever the list says, and slow start follows.
+//! Admin overrides: they apply regardless of the endpoint list, and an enabled server goes through
+//! slow start.
 
 mod common;
 
@@ -14,7 +15,7 @@
     rig.event(Event::ServerEnabled { server, at })
 }
 
-/// How many of a hundred keys go to the first server.
+/// Number of a hundred keys that are sent to the first server.
 fn share(rig: &mut TestRouter) -> usize {
     (0..100)
         .filter(|&key| rig.served_by(key) == Some(name(1)))
@@ -88,7 +89,10 @@
     disable(&mut rig, name(1));
     rig.now = rig.now.plus(ms(3_000));
     enable(&mut rig, name(1));
-    assert!(share(&mut rig) * 5 < baseline, "it is sent little at first");
+    assert!(
+        share(&mut rig) * 5 < baseline,
+        "a server in slow start gets few requests"
+    );
     rig.now = rig.now.plus(ms(31_000));
     assert_eq!(share(&mut rig), baseline);
 }
@@ -201,5 +205,8 @@
     let mut new = TestRouter::new(settings(), vec![fresh, Endpoint::ready(name(2))]);
     let now = new.now;
     new.router.restore_warm_state(now, old.router.warm_state());
-    assert!(share(&mut new) * 5 < baseline, "it goes through slow start");
+    assert!(
+        share(&mut new) * 5 < baseline,
+        "a restarted server goes through slow start"
+    );
 }
