--- a/crates/load-balancer/tests/coalescing.rs
+++ b/crates/load-balancer/tests/coalescing.rs
@@ -1,4 +1,4 @@
-//! Requests for which several clients wait.
+//! Coalesced requests, whose answer several clients wait for.
 
 mod common;
 
@@ -13,7 +13,8 @@
     }
 }
 
-/// A client that waits longer joins: the request's own time is not its end any more, and the longer one is.
+/// A joining client with a later deadline extends the deadline of the request; one with an earlier
+/// deadline does not shorten it.
 #[test]
 fn a_coalesced_client_extends_a_deadline_and_never_shortens_it() {
     let mut rig = TestRouter::new(settings(), ready(2));
@@ -36,7 +37,7 @@
     rig.now = asked.plus(ms(999));
     assert!(
         sent(&rig.end_attempt(id, 0, Outcome::Unreachable, 999)).is_none(),
-        "too late for a further attempt"
+        "no time is left for another attempt"
     );
     let (id, _) = rig.request(0, 7);
     rig.event(coalesced(id, None, rig.now.plus(ms(2_000))));
@@ -46,7 +47,7 @@
     });
     assert!(
         rejected(&rig.end_attempt(id, 0, Outcome::Unreachable, 1)),
-        "nobody has the time for a further attempt"
+        "no remaining client has time for another attempt"
     );
     let (id, _) = rig.request(0, 7);
     rig.now = rig.now.plus(ms(800));
@@ -54,11 +55,12 @@
         rejected(&rig.event(Event::Timer {
             token: u64::from(id.0) << 2
         })),
-        "its own time without others"
+        "without other clients its own deadline applies"
     );
 }
 
-/// What floods gets less room; joined by one that does not, a request has the room of that one.
+/// A tenant that sends more than its share gets a lower limit. A request that a client of another
+/// tenant joins has the limit of that tenant.
 #[test]
 fn a_coalesced_request_has_the_priority_of_its_most_entitled_tenant() {
     let tenants = vec![
@@ -91,7 +93,7 @@
                 write: false,
             }))
         };
-        // Tenant 0 floods, so that it may use a part of each limit; then it uses all of that.
+        // Tenant 0 exceeds its share, which lowers its limit; then it fills that limit.
         for number in 0..2_000 {
             send_request(&mut rig, number);
             rig.end_attempt(RequestId(number), 0, Outcome::Success, 5);
@@ -108,7 +110,7 @@
         assert_eq!(
             sent(&again).is_some(),
             has_joined,
-            "there is room for it as tenant 1's alone: {again:?}"
+            "only the limit of tenant 1 leaves capacity for a retry: {again:?}"
         );
     }
 }
