--- a/crates/load-balancer/tests/deadlines.rs
+++ b/crates/load-balancer/tests/deadlines.rs
@@ -1,4 +1,4 @@
-//! Deadlines: each request gets its final answer in time.
+//! Deadlines: each request gets its final answer in time, and no attempt follows its end.
 
 mod common;
 
@@ -46,11 +46,11 @@
     let (_, actions) = rig.request(0, 5);
     assert_eq!(sent(&actions), None);
     assert!(!rejected(&actions));
-    let look_again = actions.iter().filter_map(|a| match a {
+    let placement_timers = actions.iter().filter_map(|a| match a {
         Action::SetTimer { after, token } if *after < ms(100) => Some(*token),
         _ => None,
     });
-    let token = look_again.max().expect("a timer to look again");
+    let token = placement_timers.max().expect("a placement timer");
     rig.update_endpoints(EndpointUpdate::Snapshot, ready(1));
     rig.now = rig.now.plus(ms(30));
     assert_eq!(sent(&rig.event(Event::Timer { token })), Some(name(1)));
