--- a/crates/load-balancer/tests/embedding.rs
+++ b/crates/load-balancer/tests/embedding.rs
@@ -1,9 +1,9 @@
-//! Several routers in one program, each with a small fake fleet behind it: the public API as an embedding program uses it.
+//! The public API as used by an embedding program, with several routers and simulated servers.
 
 use load_balancer::*;
 use std::collections::{BTreeMap, HashMap};
 
-/// One router with what an embedding program keeps beside it.
+/// A router with the state that an embedding program keeps for it.
 struct EmbeddingProgram {
     router: Router,
     timers: BTreeMap<(Micros, u64), u64>,
@@ -121,7 +121,7 @@
             .map(|r| r.last_attempts[&RequestId(id)].0.clone());
         assert!(targets.iter().all(|h| *h == targets[0]), "{targets:?}");
     }
-    // One router finds a server full; the others know nothing of it.
+    // One router finds a server overloaded. The others are not affected.
     let owner = routers[1].last_attempts[&RequestId(0)].0.clone();
     for id in 1_000..1_020 {
         routers[0].handle(now, request(id, 0, now));
@@ -175,7 +175,7 @@
             requests: 0,
             servers: 1
         },
-        "no state remains of requests that have ended"
+        "the state of ended requests is released"
     );
     Ok(())
 }
