--- a/crates/load-balancer/tests/idle_connection_lifetime.rs
+++ b/crates/load-balancer/tests/idle_connection_lifetime.rs
@@ -1,4 +1,5 @@
-//! Connections to servers that a hundred routers share: how long they stay idle, and what a rejected one tells.
+//! Idle connections to servers that a hundred routers share: their lifetime, and rejections of new
+//! connections.
 
 mod common;
 
@@ -6,7 +7,7 @@
 use load_balancer::*;
 use std::ops::Range;
 
-/// One of a hundred routers, with prices as a deployment has them.
+/// One of a hundred routers, with realistic connection costs.
 fn router_of_large_fleet() -> TestRouter {
     let connection_costs = ConnectionCosts {
         connection: 0.08,
@@ -22,7 +23,7 @@
     )
 }
 
-/// One request every 100 ms, each on this connection and ended this way.
+/// Sends one request per key every 100 ms; each attempt has the given connection use and outcome.
 fn run_requests(
     rig: &mut TestRouter,
     keys: Range<u64>,
@@ -51,7 +52,8 @@
 fn a_connection_stays_idle_until_that_costs_half_of_a_new_one() {
     let mut rig = router_of_large_fleet();
     run_requests(&mut rig, 0..200, REUSED, Outcome::Success);
-    // A hundred routers ask ten servers a hundred times a second each: a handshake costs as much as 1.5 s of rest.
+    // Each of a hundred routers sends ten requests per second, spread over ten servers, so a
+    // handshake costs as much as 1.5 s of idle time.
     let lifetime = rig.router.idle_connection_lifetime().as_secs_f64();
     assert!((0.7..0.8).contains(&lifetime), "{lifetime}");
 }
@@ -76,7 +78,7 @@
         "{:?} of {lifetime:?}",
         rig.router.idle_connection_lifetime()
     );
-    // The first ones are not known for what they are.
+    // The first rejections count as overload, since slots are not known to be scarce yet.
     assert!(
         rig.router.diagnostics().limit_mean > 0.8 * limit_mean_before,
         "{} of {limit_mean_before}",
