--- a/crates/load-balancer/tests/load_reports.rs
+++ b/crates/load-balancer/tests/load_reports.rs
@@ -1,4 +1,4 @@
-//! Load reports of servers, and what a router concludes from them and from latency.
+//! Load reports of servers, and the effect of reports and of latency on limits and placement.
 
 mod common;
 
@@ -18,7 +18,7 @@
     report_format().read_row("1.0,12,80,1")
 }
 
-/// A hit after so long, with this report.
+/// Ends the first attempt of a request with a hit after `elapsed_ms` and a load report.
 fn hit(rig: &mut TestRouter, id: RequestId, elapsed_ms: u64, load: Option<LoadReport>) {
     let cache_status = Some(CacheStatus::Hit);
     rig.event(Event::AttemptEnded(AttemptEnd {
@@ -28,7 +28,8 @@
     }));
 }
 
-/// Forty hits in turn, each of so many milliseconds; the mean limit of the servers after each other.
+/// Serves forty hits with the given latencies and returns the mean concurrency limit before and
+/// after.
 fn limits_after(
     rig: &mut TestRouter,
     elapsed_ms: impl Fn(u64) -> u64,
@@ -96,11 +97,12 @@
     assert_eq!(
         LoadReportFormat::default().read_pairs("util=0.5"),
         None,
-        "a deployment without reports"
+        "a deployment without load reports"
     );
 }
 
-/// Guards servers that are slow by nature: at an objective of 300 ms, hits of 200 ms with nothing waiting are no queue.
+/// Guards against treating a server that is always slow as overloaded: with an objective of 300 ms,
+/// constant hits of 200 ms are no sign of a queue.
 #[test]
 fn a_server_slow_by_nature_retains_its_limit_with_and_without_reports() {
     for load in [spare_capacity(), None] {
@@ -114,13 +116,14 @@
 fn a_queue_that_is_reported_or_shows_in_latency_cuts_the_limit() {
     let mut rig = TestRouter::new(settings(), ready(1));
     let (before, after) = limits_after(&mut rig, |_| 200, no_capacity());
-    assert!(after < before / 2.0, "{before} to {after} by its own word");
+    assert!(after < before / 2.0, "{before} to {after} by its report");
     let mut rig = TestRouter::new(settings(), ready(1));
     let (before, after) = limits_after(&mut rig, |turn| if turn < 8 { 60 } else { 200 }, None);
-    assert!(after < before / 2.0, "{before} to {after} by its times");
+    assert!(after < before / 2.0, "{before} to {after} by its latency");
 }
 
-/// Guards against a frozen or lying report: a server whose answers take three times their least has a queue.
+/// Guards against a stale or wrong report of spare capacity: a server whose hits take three times
+/// their minimum or more has a queue.
 #[test]
 fn a_report_of_spare_capacity_is_disproved_by_latency() {
     let mut rig = TestRouter::new(settings(), ready(1));
@@ -133,8 +136,8 @@
     assert_eq!(rig.router.diagnostics().spare_capacity_reported, 0);
 }
 
-/// Guards routers of many: a limit under one spaces requests out, but not at a server that waits for work. A word
-/// that is two seconds old counts no more.
+/// Guards routers of a large fleet: a limit below one paces requests, but must not do so at a
+/// server that reports spare capacity. A report that is two seconds old has no effect.
 #[test]
 fn a_server_with_spare_capacity_gets_one_request_at_a_time_whatever_its_limit() {
     let router_with_low_limit = |load| {
@@ -166,7 +169,7 @@
     };
     assert!(
         !is_sent(&mut router_with_low_limit(None), 100),
-        "its limit is under one"
+        "its limit is below one"
     );
     assert!(is_sent(&mut router_with_low_limit(spare_capacity()), 100));
     assert!(!is_sent(&mut router_with_low_limit(no_capacity()), 100));
@@ -176,12 +179,13 @@
     assert_eq!(
         stale.router.diagnostics().spare_capacity_reported,
         0,
-        "an old word"
+        "an expired report"
     );
 }
 
-/// Nine requests for keys of one server are more than it takes, while one of four others has none and three have some:
-/// who else gets one?
+/// Sends nine requests for keys of server 1, more than its limit, and returns another server that
+/// gets one of them. Servers 2 to 4 have `requests_elsewhere` attempts in flight each, server 5 has
+/// none.
 fn diverted_to(requests_elsewhere: usize, is_failing: bool) -> Option<ServerId> {
     let mut rig = TestRouter::new(settings(), ready(5));
     let owner = |key| {
@@ -190,12 +194,12 @@
             .expect("a server")
     };
     let keys_of = |server: usize| (1_000..).filter(move |&key| owner(key) == name(server));
-    // All are known where they belong, so that none is a fetch.
+    // Each key is cached at its owner, so that no request is a fetch.
     let keys: Vec<Vec<u64>> = (1..=5)
         .map(|server| keys_of(server).take(9).collect())
         .collect();
     for &key in keys.iter().flatten() {
-        rig.served_by(key).expect("room");
+        rig.served_by(key).expect("a server with capacity");
     }
     if is_failing {
         for &key in &keys[0][..4] {
@@ -216,28 +220,38 @@
     targets.into_iter().find(|server| *server != name(1))
 }
 
-/// Guards against overload that sustains itself: where the whole fleet is in use, each key that migrates is a fetch and
-/// drives out another.
+/// Guards against sustained overload: when the whole fleet is in use, each key that moves causes an
+/// origin fetch and evicts another key.
 #[test]
 fn a_key_leaves_a_server_at_capacity_only_with_spare_fleet_capacity_or_if_that_is_in_trouble() {
-    assert!(diverted_to(0, false).is_some(), "with room it moves");
-    assert_eq!(diverted_to(3, false), None, "in use as a whole it does not");
+    assert!(
+        diverted_to(0, false).is_some(),
+        "keys move if the fleet has spare capacity"
+    );
+    assert_eq!(
+        diverted_to(3, false),
+        None,
+        "no key moves if the whole fleet is in use"
+    );
     assert_eq!(
         diverted_to(3, true),
         Some(name(5)),
-        "off one in failure it does"
+        "keys move off a failing server"
     );
 }
 
-/// Guards an origin that takes longer than an objective at its best: late answers are of use up to the deadline by their
-/// late weight, and nothing waits there.
+/// Guards against treating an origin that is always slower than the latency objective as
+/// overloaded: late answers are useful up to the deadline, in proportion to their late weight.
 #[test]
 fn an_origin_slower_than_the_objective_by_nature_has_no_queue() {
     let mut rig = TestRouter::new(settings_with_late_weight(0.5), ready(10));
     let before = rig.router.diagnostics().fetch_limit;
     for key in 0..200 {
         let (id, actions) = rig.request(0, key);
-        assert!(sent(&actions).is_some(), "request {key} of 200");
+        assert!(
+            sent(&actions).is_some(),
+            "request {key} of 200 was not sent"
+        );
         rig.now = rig.now.plus(ms(400));
         let end = ended(id, 0, Outcome::Success, 400);
         rig.event(Event::AttemptEnded(AttemptEnd {
