--- a/crates/load-balancer/tests/rejection.rs
+++ b/crates/load-balancer/tests/rejection.rs
@@ -1,11 +1,11 @@
-//! Rejections, and clients that retry after one.
+//! Rejections, and retries of rejected requests.
 
 mod common;
 
 use common::*;
 use load_balancer::*;
 
-/// Writes that use up every limit.
+/// Sends writes until no limit has capacity, and returns those in flight.
 fn fill_limit(rig: &mut TestRouter) -> Vec<RequestId> {
     let requests: Vec<_> = (0..30).map(|key| rig.request(1, key)).collect();
     requests
@@ -15,8 +15,8 @@
         .collect()
 }
 
-/// Guards against clients that come back at once, into the same overload: a rejection says when to retry, where clients
-/// listen, and never longer than they do.
+/// Guards against clients that retry immediately, during the same overload: a rejection has a
+/// Retry-After time if clients support it, which is not above the limit that they respect.
 #[test]
 fn a_rejection_comes_at_once_with_a_retry_after_time() {
     let retry_after_of = |retry_after: bool, longest: u64| {
@@ -41,7 +41,7 @@
                 Action::Reject { retry_after, .. } => Some(retry_after),
                 _ => None,
             });
-        given.expect("an answer at the outcome, not at the deadline")
+        given.expect("a rejection when the attempt ends, not at the deadline")
     };
     let baseline = retry_after_of(true, 1_000).expect("a retry-after time");
     assert!(baseline > Micros(0) && baseline < ms(1_000), "{baseline:?}");
@@ -49,8 +49,9 @@
     assert_eq!(retry_after_of(false, 1_000), None);
 }
 
-/// Guards against retries in overload: a retry of a rejected request is as old as its first try. Once an answer comes
-/// too late to have any weight, it leaves the capacity to requests that are in time.
+/// Guards against retries that sustain overload: the age of a retry counts from the first try. Once
+/// its answer would be too late to have any weight, the capacity is left to requests that are in
+/// time.
 #[test]
 fn a_retry_past_its_objective_leaves_capacity_to_others() {
     let sent_count = |wait: u64, late_weight: f64| {
@@ -79,16 +80,13 @@
     assert!(early >= 4, "{early} in time");
     assert!(
         (1..=early / 2).contains(&late),
-        "{late} late, without late weight; {early} in time"
-    );
-    assert_eq!(
-        late_with_weight, early,
-        "where late answers have full weight"
+        "{late} sent late without late weight; {early} in time"
     );
+    assert_eq!(late_with_weight, early, "late answers have full weight");
 }
 
-/// Guards what only looks like a late retry: of a request never rejected here, or so long ago that its client has
-/// gone. It counts as new, and has the capacity of a new one.
+/// Guards retries that are not known to be late: a retry of a request that this router did not
+/// reject, or rejected longer ago than the deadline of its class, counts as a new request.
 #[test]
 fn a_retry_without_a_known_rejection_counts_as_new() {
     let sent_count = |was_rejected: bool| {
@@ -112,6 +110,6 @@
     assert_eq!(
         sent_count(true),
         sent_count(false),
-        "past the class's deadline nobody waits"
+        "a rejection older than the deadline has no effect"
     );
 }
