--- a/crates/load-balancer/tests/retries.rs
+++ b/crates/load-balancer/tests/retries.rs
@@ -1,4 +1,5 @@
-//! Retries: when a request may run again, where, how often, and after which time.
+//! Retries: whether a request may be sent again, to which servers, how often, and when an attempt
+//! times out.
 
 mod common;
 
@@ -21,7 +22,7 @@
         assert_eq!(
             failed(&actions),
             !is_retried,
-            "{outcome:?}: what may have run is failed, never rejected"
+            "{outcome:?}: a request that may have run fails and is not rejected"
         );
         assert!(!rejected(&actions));
     }
@@ -38,14 +39,14 @@
     let (id, _) = rig.request(2, 5);
     rig.now = rig.now.plus(ms(400));
     let actions = rig.end_attempt(id, 0, Outcome::ConnectionLost, 400);
-    assert_eq!(sent(&actions), None, "its memory is over");
+    assert_eq!(sent(&actions), None, "its deduplication window is over");
     assert!(
         rejected(&actions),
-        "all servers share the memory, so that the client may still repeat it"
+        "all servers drop duplicates, so the client may repeat the request"
     );
 }
 
-/// The repeat may wait for its connection: it says for how long.
+/// A retry may have to wait for its connection, so it carries the time by which it must be written.
 #[test]
 fn a_keyed_retry_carries_the_rest_of_its_deduplication_window() {
     let mut rig = TestRouter::new(settings(), ready(4));
@@ -59,14 +60,14 @@
     assert_eq!(
         write_within_of(&actions),
         Some(None),
-        "nothing can have run before the first attempt"
+        "the first attempt has no limit"
     );
     rig.now = rig.now.plus(ms(390));
     let actions = rig.end_attempt(id, 0, Outcome::ConnectionLost, 390);
     assert_eq!(
         write_within_of(&actions),
         Some(Some(ms(10))),
-        "ten of its 400 ms are left"
+        "10 of 400 ms are left"
     );
 }
 
@@ -113,7 +114,7 @@
     assert!(rejected(&actions));
 }
 
-/// Retries are earned: a fleet that fails as a whole is not sent three times the load.
+/// Guards the retry budget: a fleet that fails as a whole must not get a multiple of the load.
 #[test]
 fn retries_are_a_small_part_of_the_load() {
     let mut rig = TestRouter::new(settings(), ready(5));
@@ -132,8 +133,8 @@
     );
 }
 
-/// Guards the successor of a hot or unresponsive server: further attempts of many routers are spread over a few servers,
-/// and still find the only one that is left.
+/// Guards the server that follows a hot or unresponsive one on the ring: retries of many routers
+/// are spread over several servers, and still find the last available one.
 #[test]
 fn retries_of_many_routers_are_spread() {
     let second = |seed: u64, count: usize| {
@@ -155,13 +156,14 @@
     assert!((2..=4).contains(&servers_used.len()), "{servers_used:?}");
     assert!(
         (0..40).all(|seed| second(seed, 2).is_some()),
-        "the only one left"
+        "the last available server"
     );
 }
 
-/// Guards against silence: while a retry can follow, an attempt may take only a part of the time to the objective, where
-/// late answers have no weight. Where they have, or the request is not idempotent, it is waited for; and so it is where
-/// answers usually take a good part of that time: most would be given up shortly before they come.
+/// Guards against servers that do not respond: while a retry can follow and late answers have no
+/// weight, an attempt times out after a part of the time to the objective. There is no timeout if
+/// late answers have weight, if the request is not idempotent, or if the typical latency is a large
+/// part of that time, since most attempts would then be abandoned shortly before their response.
 #[test]
 fn an_overdue_attempt_times_out_while_a_retry_can_follow() {
     let timeout = |class: usize, late_weight: f64, baseline: u64| {
@@ -180,11 +182,11 @@
     };
     assert!(timeout(0, 0.0, 20).is_some_and(|t| t > ms(60) && t < ms(300)));
     assert!(timeout(2, 0.0, 20).is_some());
-    assert_eq!(timeout(1, 0.0, 20), None, "a non-idempotent one");
+    assert_eq!(timeout(1, 0.0, 20), None, "a non-idempotent request");
     assert_eq!(timeout(0, 0.3, 20), None, "late answers have weight");
     assert_eq!(
         timeout(0, 0.0, 100),
         None,
-        "a third of the objective is typical here"
+        "the typical latency is a third of the objective"
     );
 }
