--- a/crates/load-balancer/tests/settings.rs
+++ b/crates/load-balancer/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings that cannot be used are refused with their path and what is wrong.
+//! Invalid settings are refused with an error that has their path and the reason.
 
 mod common;
 
