--- a/crates/load-balancer/tests/silent_watch.rs
+++ b/crates/load-balancer/tests/silent_watch.rs
@@ -1,4 +1,4 @@
-//! Calls of discovery after a silence, and after calls that waited in its queue in vain.
+//! Calls to discovery after a silent watch, and after calls that were rejected or failed.
 
 mod common;
 
@@ -9,13 +9,13 @@
 const SUBSCRIBE: DiscoveryMode = DiscoveryMode::Subscribe {
     poll_within: POLL_WITHIN,
 };
-/// What a silent watch misses counts as known this long after the silence began.
+/// A change that a silent watch misses counts as known this long after the silence began.
 const KNOWN_DELAY: Micros = Micros(6_000_000);
 
-/// A call without an answer for so long is given up.
+/// A call without an answer is abandoned after this time.
 const MAX_CALL_DURATION: Micros = Micros(2_500_000);
 
-/// The waits after calls that discovery rejected after this time, one behind the other.
+/// The retry delays after `count` consecutive calls that discovery rejected after `waited`.
 fn waits_after_rejections(seed: u64, waited: Micros, count: usize) -> Vec<Micros> {
     let mut settings = settings();
     settings.discovery = SUBSCRIBE;
@@ -37,8 +37,8 @@
     waits
 }
 
-/// Guards against a fleet that calls an overloaded discovery again at once and in step, and against waits that grow past
-/// the time by which a change counts as known.
+/// Guards against routers that all retry an overloaded discovery immediately or at the same time,
+/// and against delays that exceed the time after which a change counts as known.
 #[test]
 fn calls_that_waited_in_vain_are_repeated_apart_and_in_time() {
     let waits: Vec<Micros> = (0..100)
@@ -49,14 +49,15 @@
     assert!(waits.iter().all(is_in_time), "{waits:?}");
     let (first, last) = (waits.iter().min(), waits.iter().max());
     let (Some(&first), Some(&last)) = (first, last) else {
-        panic!("no waits")
+        panic!("no delays")
     };
     let middle = first.plus(last).scaled(0.5);
     let early = waits.iter().filter(|&&wait| wait < middle).count();
     assert!((200..300).contains(&early), "spread evenly: {early} of 500");
 }
 
-/// Guards against waits after quick failures that grow past the time by which a change counts as known.
+/// Guards against delays after immediate failures that exceed the time after which a change counts
+/// as known.
 #[test]
 fn calls_that_keep_failing_at_once_are_repeated_in_time() {
     for seed in 0..100 {
@@ -71,18 +72,18 @@
     assert!(waits_after_rejections(3, ms(2), 1)[0] <= ms(1_000));
 }
 
-/// Guards against a second and a third call that come after a drain counts as known.
+/// Guards against a second or third call that comes too late, after a change counts as known.
 #[test]
 fn a_small_fleet_has_time_for_three_calls() {
     for (routers, stagger_fraction) in [(1, 1.0), (5, 0.8), (12, 11.0 / 12.0)] {
         let policy = SilentWatchPolicy::new(SUBSCRIBE, routers, stagger_fraction);
-        let interval = policy.hedged_call_interval(None).expect("calls beside one");
+        let interval = policy.hedged_call_interval(None).expect("hedged calls");
         let third = policy.silence_limit.plus(interval).plus(interval);
         assert!(third < KNOWN_DELAY, "{routers} routers: {third:?}");
     }
 }
 
-/// Guards against calls beside others at an overloaded discovery.
+/// Guards against hedged calls to an overloaded discovery.
 #[test]
 fn an_overloaded_discovery_is_called_once() {
     let small = SilentWatchPolicy::new(SUBSCRIBE, 5, 0.5);
