--- a/crates/load-balancer/tests/stale_connections.rs
+++ b/crates/load-balancer/tests/stale_connections.rs
@@ -1,12 +1,12 @@
-//! Connections that are dropped unseen while idle.
+//! Connections that are dropped without notice while idle.
 
 mod common;
 
 use common::*;
 use load_balancer::*;
 
-/// Guards against connections dropped unseen while idle: after one that broke, those idle as long are closed before
-/// they are used; busy ones and those in steady use are not.
+/// Guards against requests on dead idle connections: after one such connection broke, connections
+/// with a similar idle time are closed before use. Connections in steady use are not.
 #[test]
 fn idle_connections_are_closed_before_use_after_a_stale_one() {
     let mut rig = TestRouter::new(settings(), ready(1));
@@ -23,10 +23,10 @@
     };
     assert!(!round(&mut rig, 0, Outcome::Success));
     assert!(!round(&mut rig, 4_000, Outcome::ConnectionLost));
-    assert!(round(&mut rig, 3_000, Outcome::Success), "idle for long");
+    assert!(round(&mut rig, 3_000, Outcome::Success), "idle too long");
     assert!(!round(&mut rig, 100, Outcome::Success), "in steady use");
     assert!(
         !round(&mut rig, 16_000, Outcome::Success),
-        "beyond its idle time there is none"
+        "after the idle timeout there is no idle connection"
     );
 }
