--- a/crates/load-balancer/tests/random_events.rs
+++ b/crates/load-balancer/tests/random_events.rs
@@ -1,4 +1,6 @@
-//! Random event sequences, sensible and not: no panic, one final answer, none late, effects once, drains respected.
+//! Random event sequences, both valid and invalid. Checks that the router does not panic, that each
+//! request gets exactly one final answer and none late, that no non-idempotent request
+//! runs twice, and that nothing is sent to servers that are not ready.
 
 mod common;
 use common::*;
@@ -73,7 +75,7 @@
     end: Option<Outcome>,
 }
 
-/// What a router has done for one request, and still has to do.
+/// The recorded attempts and answers of a request, to check the actions of the router against.
 struct ExpectedRequest {
     class: usize,
     expires: Micros,
@@ -133,19 +135,16 @@
         let expected = self
             .requests
             .get_mut(&id)
-            .expect("a send for a known request");
+            .expect("an attempt of a known request");
         assert!(
             !expected.is_finished && !expected.streaming,
-            "a send after the end"
-        );
-        assert!(
-            self.now < expected.expires,
-            "a send after the client's time"
+            "sent after the final answer"
         );
+        assert!(self.now < expected.expires, "sent after the deadline");
         assert_eq!(
             self.server_states.get(&server),
             Some(&EndpointState::Ready),
-            "a send to {server}"
+            "sent to {server}"
         );
         assert!(expected.sent.len() < limits.max_attempts as usize);
         let ran = |s: &&SentAttempt| !s.end.is_some_and(Outcome::never_ran);
@@ -163,7 +162,7 @@
         }
         assert!(
             limits.hedging || expected.sent.iter().all(|s| s.end.is_some()),
-            "two attempts out"
+            "two attempts in flight"
         );
         expected.sent.push(SentAttempt {
             server: Some(server),
@@ -176,7 +175,7 @@
         let expected = self
             .requests
             .get_mut(&id)
-            .expect("an answer for a known request");
+            .expect("an answer to a known request");
         assert!(!expected.is_finished, "a second answer");
         assert!(
             self.now <= expected.expires.plus(self.settings.rules.answer_grace),
@@ -190,14 +189,14 @@
             assert_ne!(
                 self.settings.classes[expected.class].idempotency,
                 Idempotency::NotIdempotent,
-                "a non-idempotent one rejected"
+                "a non-idempotent request that may have run was rejected"
             );
         }
         expected.answers += 1;
         expected.is_finished = true;
     }
 
-    /// Lets time pass, with each timer and each attempt's time-out at its due time.
+    /// Advances the time, firing timers and attempt timeouts when they are due.
     fn wait(&mut self, until: Micros) {
         loop {
             let overdue = self.ids.iter().find_map(|id| {
@@ -492,7 +491,11 @@
                 .map(|s| (&s.server, s.at))
                 .collect();
             let sent: Vec<_> = expected.sent.iter().map(|s| (&s.server, s.at)).collect();
-            prop_assert_eq!(sent, sent_by_second, "the same events gave other sends");
+            prop_assert_eq!(
+                sent,
+                sent_by_second,
+                "the same events led to different attempts"
+            );
         }
         Ok(())
     });
