--- a/crates/load-balancer/tests/common/mod.rs
+++ b/crates/load-balancer/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A router with its list, clock and actions, as an embedding program would hold it.
+//! A router with a clock and an endpoint list, and helpers to create events and inspect actions.
 #![allow(dead_code)]
 
 use load_balancer::*;
@@ -17,7 +17,8 @@
     }
 }
 
-/// One of four routers. Class 0 is idempotent, 1 is not, 2 is keyed (all servers, 400 ms).
+/// Settings of one of four routers. Class 0 is idempotent, class 1 is not, class 2 is keyed (all
+/// servers, 400 ms).
 pub fn settings() -> Settings {
     let keyed = Idempotency::Keyed {
         scope: DeduplicationScope::All,
@@ -34,7 +35,7 @@
     }
 }
 
-/// The same, where an answer past the objective has this share of its weight.
+/// [`settings`] with this late weight for all classes.
 pub fn settings_with_late_weight(late_weight: f64) -> Settings {
     let mut settings = settings();
     for class in &mut settings.classes {
@@ -83,12 +84,12 @@
         self.event(Event::EndpointsChanged { update, endpoints })
     }
 
-    /// A request with 800 ms to live.
+    /// Sends a request with a deadline of 800 ms.
     pub fn request(&mut self, class: usize, key: u64) -> (RequestId, Vec<Action>) {
         self.request_as(class, key, false)
     }
 
-    /// A client's repeat, marked as such, with 800 ms to live.
+    /// Sends a request that is marked as a retry, with a deadline of 800 ms.
     pub fn retry(&mut self, class: usize, key: u64) -> (RequestId, Vec<Action>) {
         self.request_as(class, key, true)
     }
@@ -120,7 +121,7 @@
         self.event(Event::AttemptEnded(ended(id, attempt, outcome, elapsed_ms)))
     }
 
-    /// Requests a key, serves it, and returns the server.
+    /// Requests a key, serves it, and returns the server; `None` if no attempt was sent.
     pub fn served_by(&mut self, key: u64) -> Option<ServerId> {
         let (id, actions) = self.request(0, key);
         let server = sent(&actions)?;
@@ -153,7 +154,7 @@
     actions.iter().any(|a| matches!(a, Action::Fail { .. }))
 }
 
-/// A key of the given server in a rig of `count` idle servers.
+/// A key that `server` owns in a fleet of `count` idle servers.
 pub fn key_of(server: usize, count: usize) -> u64 {
     let mut rig = TestRouter::new(settings(), ready(count));
     (0..)
@@ -161,19 +162,19 @@
         .expect("a key")
 }
 
-/// Keys of the given server, each asked for once, so that none of them is hot.
+/// Keys that `server` owns in a fleet of `count` servers. None of them is hot.
 pub fn keys_of(server: usize, count: usize) -> impl Iterator<Item = u64> {
     (1_000..).filter(move |&key| server_for_key(key, count) == name(server))
 }
 
-/// The ring's own server of a key among `count`.
+/// The server that owns a key in a fleet of `count` servers.
 pub fn server_for_key(key: u64, count: usize) -> ServerId {
     TestRouter::new(settings(), ready(count))
         .served_by(key)
         .expect("a server")
 }
 
-/// The end of a first attempt, and how the server came by its answer.
+/// The end of a first attempt with a cache status.
 pub fn ended_with_status(
     id: RequestId,
     outcome: Outcome,
