--- a/crates/load-balancer/examples/two_routers.rs
+++ b/crates/load-balancer/examples/two_routers.rs
@@ -1,4 +1,4 @@
-//! Two routers that share nothing send each key to the same server. Run with
+//! Two independent routers that send each key to the same server. Run with
 //! `cargo run --example two_routers`.
 
 use load_balancer::*;
@@ -30,7 +30,7 @@
         router.handle(now, event, &mut actions);
     }
     for (number, key) in (1..=6).zip([17, 4, 99, 17, 4, 99]) {
-        let mut to = Vec::new();
+        let mut targets = Vec::new();
         for router in &mut routers {
             actions.clear();
             let request = Request {
@@ -44,13 +44,13 @@
                 write: false,
             };
             router.handle(now, Event::Request(request), &mut actions);
-            to.extend(actions.iter().filter_map(|action| match action {
+            targets.extend(actions.iter().filter_map(|action| match action {
                 Action::Send { server, .. } => Some(server.clone()),
                 _ => None,
             }));
         }
-        assert_eq!(to[0], to[1]);
-        println!("key {key}: {}", to[0]);
+        assert_eq!(targets[0], targets[1]);
+        println!("key {key}: {}", targets[0]);
     }
     Ok(())
 }
