--- a/crates/load-balancer/src/rejected_requests.rs
+++ b/crates/load-balancer/src/rejected_requests.rs
@@ -49,11 +49,11 @@
     ) -> Micros {
         let oldest = now.since(deadline);
         let signature = signature(ring_position, request);
-        let fits = |entry: &RejectedRequest| {
+        let is_match = |entry: &RejectedRequest| {
             entry.signature == signature && entry.first_arrived_at >= oldest
         };
         let first = entries(ring_position, request)
-            .filter(|&i| fits(&self.0[i]))
+            .filter(|&i| is_match(&self.0[i]))
             .min_by_key(|&i| self.0[i].first_arrived_at);
         first.map_or(now, |i| std::mem::take(&mut self.0[i]).first_arrived_at)
     }
--- a/crates/load-balancer/tests/coalescing.rs
+++ b/crates/load-balancer/tests/coalescing.rs
@@ -98,19 +98,19 @@
             send_request(&mut rig, number);
             rig.end_attempt(RequestId(number), 0, Outcome::Success, 5);
         }
-        let out = (10_000..10_400)
+        let sent_count = (10_000..10_400)
             .filter(|&number| sent(&send_request(&mut rig, number)).is_some())
             .count();
-        assert!((2..400).contains(&out), "{out}");
+        assert!((2..400).contains(&sent_count), "{sent_count}");
         if has_joined {
             rig.event(coalesced(RequestId(10_000), Some(1), rig.now.plus(ms(800))));
             rig.event(coalesced(RequestId(10_000), Some(0), rig.now.plus(ms(800))));
         }
-        let again = rig.end_attempt(RequestId(10_000), 0, Outcome::Overloaded, 5);
+        let actions = rig.end_attempt(RequestId(10_000), 0, Outcome::Overloaded, 5);
         assert_eq!(
-            sent(&again).is_some(),
+            sent(&actions).is_some(),
             has_joined,
-            "only the limit of tenant 1 leaves capacity for a retry: {again:?}"
+            "only the limit of tenant 1 leaves capacity for a retry: {actions:?}"
         );
     }
 }
--- a/crates/load-balancer/tests/random_events.rs
+++ b/crates/load-balancer/tests/random_events.rs
@@ -201,18 +201,18 @@
         loop {
             let overdue = self.ids.iter().find_map(|id| {
                 let expected = &self.requests[id];
-                let out = expected.sent.iter().position(|s| s.end.is_none())?;
+                let in_flight = expected.sent.iter().position(|s| s.end.is_none())?;
                 (!expected.streaming && expected.expires <= until).then_some((
                     expected.expires,
                     *id,
-                    out,
+                    in_flight,
                 ))
             });
             let timer = self.timers.iter().copied().filter(|t| t.0 <= until).min();
             match (overdue, timer) {
-                (Some((at, id, out)), timer) if timer.is_none_or(|t| at <= t.0) => {
+                (Some((at, id, in_flight)), timer) if timer.is_none_or(|t| at <= t.0) => {
                     self.now = self.now.max(at);
-                    self.end(id, out, Outcome::TimedOut, None);
+                    self.end(id, in_flight, Outcome::TimedOut, None);
                 }
                 (_, Some(timer)) => {
                     let index = self
@@ -233,19 +233,19 @@
     fn end(
         &mut self,
         id: RequestId,
-        out: usize,
+        in_flight: usize,
         outcome: Outcome,
         cache_status: Option<CacheStatus>,
     ) {
         let expected = self.requests.get_mut(&id).expect("a known request");
-        expected.sent[out].end = Some(outcome);
+        expected.sent[in_flight].end = Some(outcome);
         let ends = outcome == Outcome::Success
             || (expected.streaming && outcome == Outcome::ConnectionLost);
         expected.answers += u32::from(ends && !expected.is_finished);
         expected.is_finished |= ends;
         let complete = expected.is_finished;
-        let elapsed = self.now.since(expected.sent[out].at);
-        let attempt = AttemptNumber(out as u32);
+        let elapsed = self.now.since(expected.sent[in_flight].at);
+        let attempt = AttemptNumber(in_flight as u32);
         let end = AttemptEnd {
             complete,
             cache_status,
@@ -316,11 +316,11 @@
                 outcome,
                 cache_status,
             } => {
-                let out = self.ids.iter().flat_map(|id| {
+                let in_flight = self.ids.iter().flat_map(|id| {
                     let sent = self.requests[id].sent.iter().enumerate();
                     sent.filter(|s| s.1.end.is_none()).map(move |s| (*id, s.0))
                 });
-                let Some((id, out)) = out.collect::<Vec<_>>().get(*nth).copied() else {
+                let Some((id, in_flight)) = in_flight.collect::<Vec<_>>().get(*nth).copied() else {
                     return;
                 };
                 let statuses = [
@@ -329,7 +329,7 @@
                     Some(CacheStatus::Miss),
                     Some(CacheStatus::MissPending),
                 ];
-                self.end(id, out, OUTCOMES[*outcome], statuses[*cache_status]);
+                self.end(id, in_flight, OUTCOMES[*outcome], statuses[*cache_status]);
             }
             Step::UnknownAttemptEnd { id, attempt } => {
                 let known = self.requests.get(&RequestId(*id));
@@ -361,14 +361,14 @@
                     return;
                 };
                 let expected = self.requests.get_mut(&id).expect("a known request");
-                let out = expected.sent.iter().position(|s| s.end.is_none());
-                let Some(out) = out.filter(|_| !expected.is_finished) else {
+                let in_flight = expected.sent.iter().position(|s| s.end.is_none());
+                let Some(in_flight) = in_flight.filter(|_| !expected.is_finished) else {
                     return;
                 };
                 expected.streaming = true;
                 self.event(Event::StreamStarted {
                     id,
-                    attempt: AttemptNumber(out as u32),
+                    attempt: AttemptNumber(in_flight as u32),
                 });
             }
             Step::UnknownTimer(token) => self.event(Event::Timer { token: *token }),
--- a/crates/load-balancer/tests/retries.rs
+++ b/crates/load-balancer/tests/retries.rs
@@ -106,9 +106,12 @@
     let mut rig = TestRouter::new(settings(), ready(2));
     let (id, actions) = rig.request(0, 5);
     let first = sent(&actions).expect("sent");
-    let mut gone: Vec<Endpoint> = ready(2).into_iter().filter(|m| m.server != first).collect();
-    gone[0].state = EndpointState::Draining;
-    rig.update_endpoints(EndpointUpdate::Delta, gone);
+    let mut draining: Vec<Endpoint> = ready(2)
+        .into_iter()
+        .filter(|endpoint| endpoint.server != first)
+        .collect();
+    draining[0].state = EndpointState::Draining;
+    rig.update_endpoints(EndpointUpdate::Delta, draining);
     let actions = rig.end_attempt(id, 0, Outcome::Unreachable, 5);
     assert_eq!(sent(&actions), None);
     assert!(rejected(&actions));
@@ -137,7 +140,7 @@
 /// are spread over several servers, and still find the last available one.
 #[test]
 fn retries_of_many_routers_are_spread() {
-    let second = |seed: u64, count: usize| {
+    let second_target = |seed: u64, count: usize| {
         let mut rig = TestRouter::new(settings(), vec![]);
         rig.router = Router::new(
             Settings {
@@ -152,10 +155,10 @@
         sent(&rig.end_attempt(id, 0, Outcome::TimedOut, 200))
     };
     let servers_used: std::collections::BTreeSet<_> =
-        (0..40).filter_map(|seed| second(seed, 20)).collect();
+        (0..40).filter_map(|seed| second_target(seed, 20)).collect();
     assert!((2..=4).contains(&servers_used.len()), "{servers_used:?}");
     assert!(
-        (0..40).all(|seed| second(seed, 2).is_some()),
+        (0..40).all(|seed| second_target(seed, 2).is_some()),
         "the last available server"
     );
 }
--- a/crates/load-balancer/tests/stale_connections.rs
+++ b/crates/load-balancer/tests/stale_connections.rs
@@ -15,18 +15,24 @@
             .iter()
             .any(|a| matches!(a, Action::CloseIdle { .. }))
     };
-    let round = |rig: &mut TestRouter, wait: u64, outcome: Outcome| {
+    let request_after = |rig: &mut TestRouter, wait: u64, outcome: Outcome| {
         rig.now = rig.now.plus(ms(wait));
         let (id, actions) = rig.request(0, 7);
         rig.end_attempt(id, 0, outcome, 5);
         closes(&actions)
     };
-    assert!(!round(&mut rig, 0, Outcome::Success));
-    assert!(!round(&mut rig, 4_000, Outcome::ConnectionLost));
-    assert!(round(&mut rig, 3_000, Outcome::Success), "idle too long");
-    assert!(!round(&mut rig, 100, Outcome::Success), "in steady use");
+    assert!(!request_after(&mut rig, 0, Outcome::Success));
+    assert!(!request_after(&mut rig, 4_000, Outcome::ConnectionLost));
     assert!(
-        !round(&mut rig, 16_000, Outcome::Success),
+        request_after(&mut rig, 3_000, Outcome::Success),
+        "idle too long"
+    );
+    assert!(
+        !request_after(&mut rig, 100, Outcome::Success),
+        "in steady use"
+    );
+    assert!(
+        !request_after(&mut rig, 16_000, Outcome::Success),
         "after the idle timeout there is no idle connection"
     );
 }
