--- a/crates/load-balancer/src/deployment.rs
+++ b/crates/load-balancer/src/deployment.rs
@@ -36,7 +36,7 @@
         /// The given value.
         value: String,
     },
-    /// A value is not a flag.
+    /// A value is none of `true`, `1`, `false` and `0`.
     #[error("setting {path}: '{value}' is neither true nor false")]
     NotAFlag {
         /// The path of the setting.
--- a/crates/load-balancer/src/lib.rs
+++ b/crates/load-balancer/src/lib.rs
@@ -27,8 +27,11 @@
 //! let mut router = Router::new(settings, 42)?;
 //! let mut actions = Vec::new();
 //! let now = Micros::from_millis(5_000);
-//! let endpoints = ["10.0.0.1:80", "10.0.0.2:80"].map(|name| Endpoint::ready(name.into())).to_vec();
-//! router.handle(now, Event::EndpointsChanged { update: EndpointUpdate::Snapshot, endpoints }, &mut actions);
+//! let endpoints = ["10.0.0.1:80", "10.0.0.2:80"]
+//!     .map(|name| Endpoint::ready(name.into()))
+//!     .to_vec();
+//! let update = EndpointUpdate::Snapshot;
+//! router.handle(now, Event::EndpointsChanged { update, endpoints }, &mut actions);
 //! router.handle(
 //!     now,
 //!     Event::Request(Request {
--- a/crates/load-balancer/src/settings.rs
+++ b/crates/load-balancer/src/settings.rs
@@ -116,7 +116,7 @@
     pub drain_close: Option<Micros>,
 }
 
-/// What the router may do.
+/// Limits on the attempts and rejections of a router.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
     /// Maximum number of attempts per request; at least 1.
@@ -156,7 +156,7 @@
     pub weight_kind: WeightKind,
     /// The rules of the deployment.
     pub rules: Rules,
-    /// What the router may do.
+    /// Limits on attempts and rejections.
     pub limits: Limits,
     /// Either side closes idle connections after this time.
     pub connection_idle_timeout: Micros,
