--- a/crates/cache-router/src/summary.rs
+++ b/crates/cache-router/src/summary.rs
@@ -102,7 +102,7 @@
         ("idle", usage.idle_upstream_connections as u64),
         ("clients", usage.client_connections as u64),
         ("owed", usage.unanswered_requests as u64),
-        ("ready", diagnostics.accepting as u64),
+        ("ready", diagnostics.accepting_servers as u64),
         ("fetches_out", u64::from(diagnostics.fetches_in_flight)),
         ("fetches_limit_m", thousandths(diagnostics.fetch_limit)),
         ("misses_m", thousandths(diagnostics.miss_ratio)),
--- a/crates/cache-router/tests/warm_state_format.rs
+++ b/crates/cache-router/tests/warm_state_format.rs
@@ -82,7 +82,7 @@
     let elapsed = Micros::from_millis(3 + u64::from(number % 5));
     let is_miss = number.is_multiple_of(4);
     let end = AttemptEnd {
-        complete: true,
+        is_answered: true,
         cache_status: Some(if is_miss {
             CacheStatus::Miss
         } else {
--- a/crates/load-balancer/benches/decision.rs
+++ b/crates/load-balancer/benches/decision.rs
@@ -101,7 +101,7 @@
             Micros::from_millis(u64::from(IN_FLIGHT_COUNT)),
         );
         let end = AttemptEnd {
-            complete: true,
+            is_answered: true,
             cache_status: Some(CacheStatus::Hit),
             ..end
         };
--- a/crates/load-balancer/src/diagnostics.rs
+++ b/crates/load-balancer/src/diagnostics.rs
@@ -35,9 +35,9 @@
     /// The largest concurrency limit of an accepting server; 0 without one.
     pub limit_max: f64,
     /// Number of accepting servers.
-    pub accepting: usize,
+    pub accepting_servers: usize,
     /// Number of accepting servers that report spare capacity.
-    pub spare_capacity_reported: usize,
+    pub servers_with_spare_capacity: usize,
     /// Number of candidates by verdict since the start, in the order of [`CandidateVerdict::ALL`].
     pub verdicts: [u64; CandidateVerdict::ALL.len()],
     /// Number of times that no server was found for a request, by verdict, in the same order.
@@ -57,16 +57,16 @@
     /// The current state of this router.
     pub fn diagnostics(&self) -> Diagnostics {
         let limits = || self.servers.accepting().map(|s| s.limit.current(self.now));
-        let accepting = limits().count();
+        let accepting_servers = limits().count();
         let limit_sum = limits().sum::<f64>();
-        let limit_min = if accepting == 0 {
+        let limit_min = if accepting_servers == 0 {
             0.0
         } else {
             limits().fold(f64::INFINITY, f64::min)
         };
         let miss_ratios = self.origin_fetches.miss_ratios();
         let in_flight = self.servers.accepting().map(|s| s.limit.in_flight);
-        let with_spare_capacity = self
+        let servers_with_spare_capacity = self
             .servers
             .accepting()
             .filter(|s| s.queue.reports_spare_capacity(self.now));
@@ -80,10 +80,10 @@
             typical_hit_latency: self.typical_latency,
             attempts_in_flight: in_flight.sum(),
             limit_min,
-            limit_mean: limit_sum / accepting.max(1) as f64,
+            limit_mean: limit_sum / accepting_servers.max(1) as f64,
             limit_max: limits().fold(0.0, f64::max),
-            accepting,
-            spare_capacity_reported: with_spare_capacity.count(),
+            accepting_servers,
+            servers_with_spare_capacity: servers_with_spare_capacity.count(),
             verdicts: self.verdict_counts.verdicts,
             unplaced: self.verdict_counts.unplaced,
         }
--- a/crates/load-balancer/src/request.rs
+++ b/crates/load-balancer/src/request.rs
@@ -91,7 +91,7 @@
     /// How it ended.
     pub outcome: Outcome,
     /// Whether the client has received its final answer.
-    pub complete: bool,
+    pub is_answered: bool,
     /// Time since the attempt was sent.
     pub elapsed: Micros,
     /// Whether the server had the object cached; `None` if not known.
@@ -113,7 +113,7 @@
             id,
             attempt,
             outcome,
-            complete: false,
+            is_answered: false,
             elapsed,
             cache_status: None,
             response_started: false,
--- a/crates/load-balancer/src/router/attempts.rs
+++ b/crates/load-balancer/src/router/attempts.rs
@@ -211,7 +211,7 @@
                     .attribute(end, self.settings.mode, self.typical_latency);
             let ended = EndedAttempt { attempt, end };
             self.record_attempt_end(&pending, &ended);
-            pending.is_answered |= end.complete;
+            pending.is_answered |= end.is_answered;
             pending.has_missed |= end.outcome == Outcome::Miss;
             if !pending.is_answered && !pending.has_attempt_in_flight() {
                 self.retry_or_answer(&mut pending, &ended);
--- a/crates/load-balancer/tests/common/mod.rs
+++ b/crates/load-balancer/tests/common/mod.rs
@@ -130,11 +130,11 @@
     }
 }
 
-/// An end without a cache status; a success completes the request.
+/// An end without a cache status; a success answers the request.
 pub fn ended(id: RequestId, attempt: u32, outcome: Outcome, elapsed_ms: u64) -> AttemptEnd {
-    let complete = outcome == Outcome::Success;
+    let is_answered = outcome == Outcome::Success;
     AttemptEnd {
-        complete,
+        is_answered,
         ..AttemptEnd::new(id, AttemptNumber(attempt), outcome, ms(elapsed_ms))
     }
 }
--- a/crates/load-balancer/tests/embedding.rs
+++ b/crates/load-balancer/tests/embedding.rs
@@ -53,7 +53,7 @@
         self.answers.insert(id, "served");
         let end = AttemptEnd::new(id, attempt, Outcome::Success, Micros::from_millis(12));
         let end = AttemptEnd {
-            complete: true,
+            is_answered: true,
             cache_status: Some(CacheStatus::Hit),
             ..end
         };
--- a/crates/load-balancer/tests/load_reports.rs
+++ b/crates/load-balancer/tests/load_reports.rs
@@ -133,7 +133,7 @@
         spare_capacity(),
     );
     assert!(after < before / 2.0, "{before} to {after}");
-    assert_eq!(rig.router.diagnostics().spare_capacity_reported, 0);
+    assert_eq!(rig.router.diagnostics().servers_with_spare_capacity, 0);
 }
 
 /// Guards routers of a large fleet: a limit below one paces requests, but must not do so at a
@@ -177,7 +177,7 @@
     stale.now = stale.now.plus(ms(2_000));
     stale.update_endpoints(EndpointUpdate::Delta, Vec::new());
     assert_eq!(
-        stale.router.diagnostics().spare_capacity_reported,
+        stale.router.diagnostics().servers_with_spare_capacity,
         0,
         "an expired report"
     );
--- a/crates/load-balancer/tests/random_events.rs
+++ b/crates/load-balancer/tests/random_events.rs
@@ -243,11 +243,11 @@
             || (expected.streaming && outcome == Outcome::ConnectionLost);
         expected.answers += u32::from(ends && !expected.is_finished);
         expected.is_finished |= ends;
-        let complete = expected.is_finished;
+        let is_answered = expected.is_finished;
         let elapsed = self.now.since(expected.sent[in_flight].at);
         let attempt = AttemptNumber(in_flight as u32);
         let end = AttemptEnd {
-            complete,
+            is_answered,
             cache_status,
             ..AttemptEnd::new(id, attempt, outcome, elapsed)
         };
--- a/crates/router-runtime/src/dispatcher/attempts.rs
+++ b/crates/router-runtime/src/dispatcher/attempts.rs
@@ -135,7 +135,7 @@
             load,
             streaming_since: _,
         } = result;
-        let complete = self.record_attempt_end(id, number, answer.map(Response::Served));
+        let is_answered = self.record_attempt_end(id, number, answer.map(Response::Served));
         self.upstream
             .metrics()
             .attempt_ended(outcome, connection_use, cache_status);
@@ -143,7 +143,7 @@
             id,
             attempt: number,
             outcome,
-            complete,
+            is_answered,
             elapsed,
             cache_status,
             response_started,
@@ -230,7 +230,7 @@
 fn not_sent_event(request: &mut OpenRequest, id: RequestId) -> Event {
     let number = request.add_attempt(None);
     Event::AttemptEnded(AttemptEnd {
-        complete: request.sink.is_none(),
+        is_answered: request.sink.is_none(),
         ..AttemptEnd::new(id, number, Outcome::NotSent, Micros(0))
     })
 }
--- a/crates/simulator-adapter/src/trace.rs
+++ b/crates/simulator-adapter/src/trace.rs
@@ -130,8 +130,8 @@
             mean(|v| v.limit_min),
             mean(|v| v.limit_mean),
             mean(|v| v.limit_max),
-            mean(|v| v.accepting as f64),
-            mean(|v| v.spare_capacity_reported as f64),
+            mean(|v| v.accepting_servers as f64),
+            mean(|v| v.servers_with_spare_capacity as f64),
             verdicts,
         )?;
         self.file.flush()
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -114,7 +114,7 @@
 
 fn attempt_end(line: &mut Line<'_>, reports: &LoadReportFormat) -> Result<AttemptEnd, WireError> {
     let id = line.request_id()?;
-    let complete = line.flag("complete")?;
+    let is_answered = line.flag("complete")?;
     line.text("server")?;
     let cache_status = cache_status(line)?;
     let outcome = outcome(line)?;
@@ -122,7 +122,7 @@
     let attempt = attempt_number(line)?;
     let load = reports.read_row(line.text("load")?);
     Ok(AttemptEnd {
-        complete,
+        is_answered,
         cache_status,
         load,
         ..AttemptEnd::new(id, attempt, outcome, elapsed)
