--- a/crates/load-balancer/tests/idle_connection_lifetime.rs
+++ b/crates/load-balancer/tests/idle_connection_lifetime.rs
@@ -49,7 +49,7 @@
 const REUSED: ConnectionUse = ConnectionUse::Reused(Micros(50_000));
 
 #[test]
-fn a_connection_stays_idle_until_that_costs_half_of_a_new_one() {
+fn idle_time_costs_at_most_half_of_a_handshake() {
     let mut rig = router_of_large_fleet();
     run_requests(&mut rig, 0..200, REUSED, Outcome::Success);
     // Each of a hundred routers sends ten requests per second, spread over ten servers, so a
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn connections_without_a_price_have_no_lifetime_limit() {
+fn connections_without_a_cost_have_no_lifetime_limit() {
     let rig = TestRouter::new(settings(), ready(10));
     assert_eq!(rig.router.idle_connection_lifetime(), Micros::MAX);
 }
--- a/crates/load-balancer/tests/load_reports.rs
+++ b/crates/load-balancer/tests/load_reports.rs
@@ -104,7 +104,7 @@
 /// Guards against treating a server that is always slow as overloaded: with an objective of 300 ms,
 /// constant hits of 200 ms are no sign of a queue.
 #[test]
-fn a_server_slow_by_nature_retains_its_limit_with_and_without_reports() {
+fn a_constantly_slow_server_keeps_its_limit_with_and_without_reports() {
     for load in [spare_capacity(), None] {
         let mut rig = TestRouter::new(settings(), ready(1));
         let (before, after) = limits_after(&mut rig, |_| 200, load);
@@ -223,7 +223,7 @@
 /// Guards against sustained overload: when the whole fleet is in use, each key that moves causes an
 /// origin fetch and evicts another key.
 #[test]
-fn a_key_leaves_a_server_at_capacity_only_with_spare_fleet_capacity_or_if_that_is_in_trouble() {
+fn a_key_leaves_a_full_server_only_if_the_fleet_has_spare_capacity_or_the_server_fails() {
     assert!(
         diverted_to(0, false).is_some(),
         "keys move if the fleet has spare capacity"
@@ -243,7 +243,7 @@
 /// Guards against treating an origin that is always slower than the latency objective as
 /// overloaded: late answers are useful up to the deadline, in proportion to their late weight.
 #[test]
-fn an_origin_slower_than_the_objective_by_nature_has_no_queue() {
+fn an_origin_that_is_always_slower_than_the_objective_keeps_its_fetch_limit() {
     let mut rig = TestRouter::new(settings_with_late_weight(0.5), ready(10));
     let before = rig.router.diagnostics().fetch_limit;
     for key in 0..200 {
--- a/crates/load-balancer/tests/silent_watch.rs
+++ b/crates/load-balancer/tests/silent_watch.rs
@@ -16,12 +16,12 @@
 const MAX_CALL_DURATION: Micros = Micros(2_500_000);
 
 /// The retry delays after `count` consecutive calls that discovery rejected after `waited`.
-fn waits_after_rejections(seed: u64, waited: Micros, count: usize) -> Vec<Micros> {
+fn retry_delays_after_rejections(seed: u64, waited: Micros, count: usize) -> Vec<Micros> {
     let mut settings = settings();
     settings.discovery = SUBSCRIBE;
     let mut router = Router::new(settings, seed).expect("usable settings");
     let mut actions = Vec::new();
-    let mut waits = Vec::new();
+    let mut delays = Vec::new();
     for _ in 0..count {
         actions.clear();
         let rejected = Event::EndpointsChanged {
@@ -32,44 +32,44 @@
         let [Action::SetTimer { after, .. }] = actions[..] else {
             panic!("{actions:?}")
         };
-        waits.push(after);
+        delays.push(after);
     }
-    waits
+    delays
 }
 
 /// Guards against routers that all retry an overloaded discovery immediately or at the same time,
 /// and against delays that exceed the time after which a change counts as known.
 #[test]
-fn calls_that_waited_in_vain_are_repeated_apart_and_in_time() {
-    let waits: Vec<Micros> = (0..100)
-        .flat_map(|seed| waits_after_rejections(seed, ms(2_000), 5))
+fn retries_of_queued_calls_are_spread_and_in_time() {
+    let delays: Vec<Micros> = (0..100)
+        .flat_map(|seed| retry_delays_after_rejections(seed, ms(2_000), 5))
         .collect();
-    assert!(waits.iter().all(|&wait| wait >= ms(2_000)), "{waits:?}");
-    let is_in_time = |wait: &Micros| wait.plus(MAX_CALL_DURATION) < KNOWN_DELAY;
-    assert!(waits.iter().all(is_in_time), "{waits:?}");
-    let (first, last) = (waits.iter().min(), waits.iter().max());
+    assert!(delays.iter().all(|&delay| delay >= ms(2_000)), "{delays:?}");
+    let is_in_time = |delay: &Micros| delay.plus(MAX_CALL_DURATION) < KNOWN_DELAY;
+    assert!(delays.iter().all(is_in_time), "{delays:?}");
+    let (first, last) = (delays.iter().min(), delays.iter().max());
     let (Some(&first), Some(&last)) = (first, last) else {
         panic!("no delays")
     };
     let middle = first.plus(last).scaled(0.5);
-    let early = waits.iter().filter(|&&wait| wait < middle).count();
+    let early = delays.iter().filter(|&&delay| delay < middle).count();
     assert!((200..300).contains(&early), "spread evenly: {early} of 500");
 }
 
 /// Guards against delays after immediate failures that exceed the time after which a change counts
 /// as known.
 #[test]
-fn calls_that_keep_failing_at_once_are_repeated_in_time() {
+fn retries_of_immediately_failing_calls_are_in_time() {
     for seed in 0..100 {
-        let waits = waits_after_rejections(seed, ms(2), 12);
-        let is_in_time = |wait: &Micros| wait.plus(MAX_CALL_DURATION) < KNOWN_DELAY;
-        assert!(waits.iter().all(is_in_time), "{waits:?}");
+        let delays = retry_delays_after_rejections(seed, ms(2), 12);
+        let is_in_time = |delay: &Micros| delay.plus(MAX_CALL_DURATION) < KNOWN_DELAY;
+        assert!(delays.iter().all(is_in_time), "{delays:?}");
     }
 }
 
 #[test]
-fn calls_that_are_rejected_at_once_are_repeated_soon() {
-    assert!(waits_after_rejections(3, ms(2), 1)[0] <= ms(1_000));
+fn an_immediately_rejected_call_is_retried_within_a_second() {
+    assert!(retry_delays_after_rejections(3, ms(2), 1)[0] <= ms(1_000));
 }
 
 /// Guards against a second or third call that comes too late, after a change counts as known.
