--- a/crates/router-runtime/src/endpoint_list.rs
+++ b/crates/router-runtime/src/endpoint_list.rs
@@ -1,22 +1,24 @@
-//! Lists of servers as discovery writes them, and the reader that takes them from a watch's answer. Free of I/O.
+//! Endpoint lists as discovery sends them, and an incremental reader for the response of a watch.
+//! No I/O.
 //!
-//! An answer holds one JSON object after another, with white space between them: an object may stand on one line or on
-//! many, and be cut anywhere. The names of the fields on the wire and in stored lists are mapped here.
+//! A response is a sequence of JSON objects, separated by white space. An object may span several
+//! lines, and may be split at any byte. Field names on the wire and in stored lists differ from
+//! those in the code; the attributes below map them.
 
 use bytes::{Buf, BytesMut};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The longest object, in bytes: a longer one is no list of any fleet.
+/// Maximum length of a list in bytes, above that of the largest fleet.
 const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
 
-/// A list of servers, or the changes to one.
+/// An endpoint list, or the changes to one.
 #[derive(Debug, Default, Deserialize, Serialize)]
 pub struct EndpointList {
-    /// Its version, as one discovery server counts.
+    /// Version of the list, as counted by its discovery server.
     #[serde(rename = "seq")]
     pub(crate) version: u64,
-    /// Whether it names all servers, rather than those that have changed.
+    /// Whether it contains all servers, rather than only those that have changed.
     #[serde(default, rename = "whole")]
     pub(crate) is_snapshot: bool,
     #[serde(default, rename = "hosts")]
@@ -24,13 +26,13 @@
 }
 
 impl EndpointList {
-    /// How many entries it has.
+    /// Number of entries.
     pub fn endpoint_count(&self) -> usize {
         self.entries.len()
     }
 }
 
-/// One server of a list.
+/// One entry of an endpoint list.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) struct ListedEndpoint {
     #[serde(rename = "host")]
@@ -46,12 +48,12 @@
     pub(crate) health: Health,
     #[serde(default = "default_weight", rename = "share")]
     pub(crate) weight: f64,
-    /// When its process started, in milliseconds since the Unix epoch; 0: unknown.
+    /// When its process started, in milliseconds since the Unix epoch; 0 if unknown.
     #[serde(default, rename = "born_ms")]
     pub(crate) started_ms: u64,
 }
 
-/// What a server may be used for.
+/// Health of a server, as discovery reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum Health {
@@ -64,40 +66,40 @@
     1.0
 }
 
-/// Why the rest of an answer cannot be read.
+/// Why the rest of a response cannot be read.
 #[derive(Debug, thiserror::Error)]
 pub enum ListError {
-    /// An object is longer than any list.
-    #[error("a list of more than {MAX_LIST_BYTES} bytes")]
+    /// A list exceeds the maximum length.
+    #[error("list of more than {MAX_LIST_BYTES} bytes")]
     TooLong,
-    /// An object is no list: what is wrong, and where.
+    /// An object is not an endpoint list; the source tells what is wrong, and where.
     #[error("malformed list: {0}")]
     Malformed(#[source] serde_json::Error),
-    /// The body is no object: its first byte.
-    #[error("malformed list: begins with '{}'", .0.escape_ascii())]
+    /// The body has this byte where an object should begin.
+    #[error("malformed list: expected an object, found '{}'", .0.escape_ascii())]
     NotAnObject(u8),
 }
 
-/// Reads lists from an answer as it arrives.
+/// Reads endpoint lists from a response as it arrives.
 #[derive(Debug, Default)]
 pub struct EndpointListReader {
-    /// What has arrived and is not read yet.
+    /// Bytes that have arrived and are not parsed yet.
     bytes: BytesMut,
-    /// An object may have become whole since the last look.
+    /// Whether an object may have been completed since the last attempt to parse it.
     may_be_complete: bool,
 }
 
 impl EndpointListReader {
-    /// More has arrived.
+    /// Adds bytes that have arrived.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.bytes.extend_from_slice(bytes);
         self.may_be_complete |= bytes.contains(&b'}');
     }
 
-    /// Takes the next list that has arrived whole, if there is one.
+    /// Returns the next list that has arrived completely, if there is one.
     ///
     /// # Errors
-    /// When what arrived is no list: nothing that follows can be read.
+    /// When the bytes are not a list. Nothing after them can be read.
     pub fn next_list(&mut self) -> Result<Option<EndpointList>, ListError> {
         self.skip_white_space();
         match self.bytes.first() {
@@ -124,8 +126,8 @@
         Ok(None)
     }
 
-    /// Whether a list has begun and is not whole. White space alone is then no sign of life: a discovery server that
-    /// writes half a list and nothing but empty lines has fallen silent.
+    /// Whether a list has begun and is not complete. White space alone does not count as data then:
+    /// a discovery server that sends half a list followed only by empty lines is silent.
     pub fn has_partial_list(&self) -> bool {
         !self.bytes.is_empty()
     }
--- a/crates/router-runtime/tests/endpoint_list.rs
+++ b/crates/router-runtime/tests/endpoint_list.rs
@@ -1,14 +1,14 @@
-//! Lists of servers come out of a watch's answer as they went in, however they are laid out and cut.
+//! The incremental reader of endpoint lists: layout, chunking, field names and errors.
 
 use proptest::collection::vec;
 use proptest::prelude::*;
 use router_runtime::EndpointList;
 use router_runtime::endpoint_list::{EndpointListReader, ListError};
 
-/// The longest list, in bytes.
+/// Maximum length of a list, in bytes.
 const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
 
-/// A list whose hosts have names with the characters that end objects and texts.
+/// A list with server names that contain braces and quotation marks.
 fn list(version: u64, hosts: usize) -> EndpointList {
     let host = |number: usize| {
         serde_json::json!({
@@ -27,7 +27,8 @@
     serde_json::from_value(list).expect("a list")
 }
 
-/// The lists of a text that comes in pieces, each as long as the next of `cuts` says.
+/// Reads the lists of a text that arrives in chunks. `cuts` are the lengths of the chunks, in a
+/// cycle.
 fn read(text: &str, cuts: &[usize]) -> Result<Vec<String>, ListError> {
     let mut reader = EndpointListReader::default();
     let mut taken = Vec::new();
@@ -48,9 +49,9 @@
 }
 
 proptest! {
-    /// However lists are laid out and cut, they come out as they went in.
+    /// Lists are read correctly in any layout, wherever they are split.
     #[test]
-    fn lists_come_out_whole(
+    fn lists_are_read_in_any_layout_and_chunking(
         sizes in vec((0_usize..4, any::<bool>(), "[ \r\n\t]{0,3}"), 1..5),
         cuts in vec(1_usize..40, 1..8),
     ) {
@@ -78,7 +79,7 @@
 }
 
 #[test]
-fn what_is_no_list_is_told_with_its_place() {
+fn malformed_lists_are_rejected_with_a_message_of_one_line() {
     for text in [
         "what?\n",
         "[]\n",
@@ -96,7 +97,7 @@
 }
 
 #[test]
-fn what_never_ends_is_bounded() {
+fn the_length_of_an_incomplete_list_is_bounded() {
     let mut reader = EndpointListReader::default();
     reader.feed(b"{\"seq\":1,\"hosts\":[");
     let fed = (0..).find(|_| {
