--- a/crates/router-runtime/src/mutation.rs
+++ b/crates/router-runtime/src/mutation.rs
@@ -1,7 +1,7 @@
-//! Deliberate defects for mutation testing: the simulation has to catch each of them.
+//! Deliberate defects for mutation testing: the simulation has to detect each of them.
 //!
-//! Production code calls the functions of `hooks`. Without the feature `mutations`, which service builds leave out,
-//! each of them is the identity.
+//! Production code calls the functions of `hooks`. Without the feature `mutations`, which
+//! production builds leave out, no defect can be activated.
 
 pub(crate) mod hooks;
 
@@ -10,68 +10,69 @@
 pub enum Mutation {
     /// Each response is written twice.
     AnswersTwice,
-    /// At SIGTERM, connections on which several responses are pending are dropped.
+    /// After SIGTERM, connections on which several responses are pending are dropped.
     DropsPipelined,
-    /// Deadlines of clients count as 100 ms later.
+    /// Deadlines of requests are extended by 100 ms.
     DeadlinesLate,
-    /// Each attempt tells its server 200 ms more than is left to its client.
+    /// Each attempt announces 200 ms more to its server than the client still waits.
     TellsTooMuchTime,
-    /// Each attempt is followed by an unrequested copy.
+    /// Each attempt is followed by a copy that the decision library has not asked for.
     SendsAfterAnswer,
-    /// An attempt that waited for its connection is sent although its client has disconnected.
+    /// An attempt that waited for its connection is sent even if its client has disconnected.
     SendsAfterDisconnect,
-    /// A connection to the previous process of a server is kept for the process that the list names now.
+    /// A connection to the previous process of a server is reused for its current process.
     KeepsOldConnections,
-    /// A connection whose response is still to come is used for the next request.
+    /// A connection on which a response is still outstanding is reused for the next request.
     ReusesTimedOut,
-    /// A reset after the last byte counts as proof that the request did not run.
+    /// A connection lost after the last byte of a command counts as proof that it was not executed.
     RetriesNotIdempotent,
-    /// A request that may have run is rejected instead of failed.
+    /// A request that may have been executed is rejected instead of failed.
     RejectsWhatMayHaveRun,
     /// Keyed requests are retried as if their deduplication window never ended.
     RetriesPastDeduplicationWindow,
-    /// Keyed requests of a zone are retried in other zones.
+    /// Keyed requests are retried outside their deduplication scope, such as their zone.
     LeavesDeduplicationScope,
-    /// Drains and removals reach the decision library 251 ms late.
+    /// Drains and removals of servers are applied 251 ms late.
     DrainsLate,
-    /// Disconnects of clients that are not being read are not noticed.
+    /// Disconnects of clients are not noticed while nothing is read from them.
     OverlooksDisconnects,
-    /// Requests that are pending when the process has to end get no response.
+    /// Requests that are pending when the process has to exit get no response.
     DropsPendingAtShutdown,
-    /// A pause stands before each call of discovery.
+    /// Scheduled calls of discovery are made 500 ms late.
     PausesBeforeCalls,
-    /// A silent watch in push mode is kept.
+    /// A silent watch in push mode is not replaced.
     KeepsSilentPush,
-    /// Servers that the list removes are kept.
+    /// Servers that the list reports as removed are kept.
     KeepsRemoved,
-    /// All servers count as started long ago: none is warmed up.
+    /// All servers count as started long ago, so that slow start is skipped.
     SkipsSlowStart,
-    /// A restarted server counts as the same process.
+    /// A restarted server is not recognized as a new process.
     MissesRestart,
-    /// Fired timers are set once more, for an hour later.
+    /// Timers that have fired are set again, one hour later.
     LeaksTimers,
-    /// Broken connections are kept open.
+    /// Broken connections are not closed.
     LeaksConnections,
-    /// Finished requests are kept in memory.
+    /// Finished requests are not removed from memory.
     LeaksRequests,
-    /// A list that names a server as up lifts the operators' override.
+    /// A list that reports a server as up clears its admin override.
     ListLiftsOverrides,
-    /// A restarted process ignores the operators' overrides.
+    /// A new process ignores the admin overrides of its predecessor.
     ForgetsOverrides,
     /// Writes of any class are coalesced like reads.
     CoalescesWrites,
     /// A write does not end coalescing on its key.
     CoalescesAcrossWrites,
-    /// Waiters of a flight wait for its end, also past their own deadlines.
+    /// Waiters of a flight wait for its end, even past their own deadlines.
     HoldsWaiters,
-    /// After a failed flight each of its waiters sends a request of its own.
+    /// After a failed flight, each of its waiters sends a request of its own.
     Stampedes,
 }
 
 impl Mutation {
-    /// The mutations that randomly drawn runs catch. Scenarios catch the others, whose faults are too rare in drawn
-    /// runs: [`Mutation::PausesBeforeCalls`], [`Mutation::KeepsSilentPush`], [`Mutation::DropsPendingAtShutdown`], [`Mutation::KeepsOldConnections`] and
-    /// [`Mutation::OverlooksDisconnects`].
+    /// The mutations that randomly drawn runs have to detect. Scenarios detect the others, since
+    /// the faults that reveal them are too rare in drawn runs: [`Mutation::PausesBeforeCalls`],
+    /// [`Mutation::KeepsSilentPush`], [`Mutation::DropsPendingAtShutdown`],
+    /// [`Mutation::KeepsOldConnections`] and [`Mutation::OverlooksDisconnects`].
     pub const CAUGHT_BY_DRAWN_RUNS: [Mutation; 24] = [
         Mutation::AnswersTwice,
         Mutation::DropsPipelined,
@@ -99,7 +100,7 @@
         Mutation::Stampedes,
     ];
 
-    /// Whether the defect shows only where reads are coalesced.
+    /// Whether the defect has an effect only where reads are coalesced.
     pub fn requires_coalescing(self) -> bool {
         use Mutation::{CoalescesAcrossWrites, CoalescesWrites, HoldsWaiters, Stampedes};
         matches!(
