--- a/crates/router-runtime/src/mutation/hooks.rs
+++ b/crates/router-runtime/src/mutation/hooks.rs
@@ -1,5 +1,5 @@
-//! The sites at which a mutation changes what the runtime does, one function a site. Without an active mutation each
-//! gives back what it is given.
+//! The points at which a mutation changes the behaviour of the runtime, one function for each.
+//! Without an active mutation they change nothing.
 
 use super::{Mutation, is_active};
 use crate::endpoint_list::{Health, ListedEndpoint};
@@ -12,10 +12,10 @@
 };
 use std::time::{Duration, Instant};
 
-/// Past the end of any simulated run.
+/// Longer than any simulated run.
 const AFTER_RUN_END: Duration = Duration::from_secs(3_600);
 
-/// The settings that the decision library gets.
+/// The settings that are passed to the decision library.
 pub(crate) fn settings(mut settings: Settings) -> Settings {
     for class in &mut settings.classes {
         let Idempotency::Keyed {
@@ -35,7 +35,7 @@
     settings
 }
 
-/// An event on its way to the decision library.
+/// An event that is passed to the decision library.
 pub(crate) fn event(mut event: Event) -> Event {
     if is_active(Mutation::RetriesNotIdempotent)
         && let Event::AttemptEnded(end) = &mut event
@@ -46,7 +46,7 @@
     event
 }
 
-/// An action on its way from the decision library.
+/// An action that the decision library has returned.
 pub(crate) fn action(action: Action) -> Action {
     match action {
         Action::Fail { id } if is_active(Mutation::RejectsWhatMayHaveRun) => Action::Reject {
@@ -57,7 +57,7 @@
     }
 }
 
-/// The deadline of a request that has arrived.
+/// The deadline of a new request.
 pub(crate) fn deadline(deadline: Micros) -> Micros {
     if is_active(Mutation::DeadlinesLate) {
         deadline.plus(Micros::from_millis(100))
@@ -66,7 +66,7 @@
     }
 }
 
-/// The time that an attempt tells its server, in milliseconds.
+/// The remaining time that an attempt announces to its server, in milliseconds.
 pub(crate) fn remaining_time(wait_ms: u64) -> u64 {
     if is_active(Mutation::TellsTooMuchTime) {
         wait_ms + 200
@@ -75,22 +75,22 @@
     }
 }
 
-/// When to set a timer again that has fired: never.
+/// When to set a timer again that has fired; `None` without a mutation.
 pub(crate) fn rearm_fired_timer(now: Instant) -> Option<Instant> {
     is_active(Mutation::LeaksTimers).then(|| now + AFTER_RUN_END)
 }
 
-/// Whether a request that has ended is removed from memory.
+/// Whether to remove a request from memory, given whether it is over.
 pub(crate) fn may_remove_request(is_over: bool) -> bool {
     is_over && !is_active(Mutation::LeaksRequests)
 }
 
-/// Whether an attempt that has not begun is still wanted.
+/// Whether an attempt is still wanted.
 pub(crate) fn is_attempt_wanted(is_wanted: bool) -> bool {
     is_wanted || is_active(Mutation::SendsAfterAnswer) || is_active(Mutation::SendsAfterDisconnect)
 }
 
-/// An attempt goes out, once.
+/// Called for each attempt that is sent. A mutation sends a copy; `attempt` makes it.
 pub(crate) fn duplicate_attempt<E, A, F>(environment: &E, attempt: A)
 where
     E: Environment,
@@ -107,7 +107,7 @@
     }
 }
 
-/// When discovery is called.
+/// The time of a scheduled call of discovery.
 pub(crate) fn discovery_call_at(at: Instant) -> Instant {
     if is_active(Mutation::PausesBeforeCalls) {
         at + Duration::from_millis(500)
@@ -116,7 +116,7 @@
     }
 }
 
-/// By when a watch has to say something.
+/// The time by which a watch has to bring data.
 pub(crate) fn silence_deadline(deadline: Instant, is_push: bool, now: Instant) -> Instant {
     if is_active(Mutation::KeepsSilentPush) && is_push {
         now + AFTER_RUN_END
@@ -125,7 +125,7 @@
     }
 }
 
-/// The entries of a list, as they are applied now. `apply_later` gets those that are held back.
+/// The entries of a list to apply now. A mutation passes entries that it delays to `apply_later`.
 pub(crate) fn listed_endpoints<E: Environment>(
     environment: &E,
     update: EndpointUpdate,
@@ -159,7 +159,7 @@
     entries
 }
 
-/// Servers that a list names.
+/// Called with the endpoints of each list. A mutation calls `enable` for those that are up.
 pub(crate) fn lift_overrides(endpoints: &[Endpoint], mut enable: impl FnMut(&ServerId)) {
     if !is_active(Mutation::ListLiftsOverrides) {
         return;
@@ -171,7 +171,7 @@
     }
 }
 
-/// The operators' overrides that a new process takes over.
+/// The admin overrides that a new process takes over from its predecessor.
 pub(crate) fn admin_overrides(
     overrides: impl IntoIterator<Item = (ServerId, AdminOverride)>,
 ) -> impl Iterator<Item = (ServerId, AdminOverride)> {
@@ -180,26 +180,26 @@
         .filter(|_| !is_active(Mutation::ForgetsOverrides))
 }
 
-/// Answers what is pending when the process has to end.
+/// Calls `fail`, which answers pending requests when the process has to exit.
 pub(crate) fn fail_pending(fail: impl FnOnce()) {
     if !is_active(Mutation::DropsPendingAtShutdown) {
         fail();
     }
 }
 
-/// Whether a connection leads to the process that the list names.
+/// Whether a connection leads to the listed process of its server.
 pub(crate) fn is_same_process(is_same: bool) -> bool {
     is_same || is_active(Mutation::KeepsOldConnections)
 }
 
-/// A connection whose attempt has timed out.
+/// Drops a connection whose attempt has timed out. A mutation passes it to `reuse`.
 pub(crate) fn timed_out_connection<C>(connection: C, reuse: impl FnOnce(C)) {
     if is_active(Mutation::ReusesTimedOut) {
         reuse(connection);
     }
 }
 
-/// Takes connections that broke, to close them.
+/// Closes broken connections. A mutation keeps them open.
 pub(crate) struct BrokenConnections<C> {
     #[cfg(feature = "mutations")]
     leaked: std::cell::RefCell<Vec<C>>,
@@ -208,7 +208,7 @@
 }
 
 impl<C> BrokenConnections<C> {
-    /// None have broken yet.
+    /// Without any connection.
     pub(crate) fn new() -> Self {
         BrokenConnections {
             #[cfg(feature = "mutations")]
@@ -218,7 +218,7 @@
         }
     }
 
-    /// Closes a connection.
+    /// Closes a broken connection.
     #[cfg_attr(not(feature = "mutations"), allow(clippy::unused_self))]
     pub(crate) fn close(&self, connection: C) {
         #[cfg(feature = "mutations")]
@@ -240,26 +240,26 @@
     is_coalesced || is_active(Mutation::CoalescesWrites)
 }
 
-/// A write separates the reads before it from those after it.
-pub(crate) fn end_coalescing(separate: impl FnOnce()) {
+/// Calls `end`, which ends coalescing on the key of a write.
+pub(crate) fn end_coalescing(end: impl FnOnce()) {
     if !is_active(Mutation::CoalescesAcrossWrites) {
-        separate();
+        end();
     }
 }
 
-/// When the next waiter's own deadline is.
+/// The earliest deadline of any waiter.
 pub(crate) fn next_waiter_deadline(deadline: Option<Micros>) -> Option<Micros> {
     deadline.filter(|_| !is_active(Mutation::HoldsWaiters))
 }
 
-/// Answers waiters whose own deadline has passed.
+/// Calls `expire`, which answers waiters whose own deadline has passed.
 pub(crate) fn expire_waiters(expire: impl FnOnce()) {
     if !is_active(Mutation::HoldsWaiters) {
         expire();
     }
 }
 
-/// What is kept of a coalesced read beside its waiter: nothing.
+/// The request of a coalesced read, kept with its waiter for a mutation; empty in other builds.
 pub(crate) struct WaiterRequest {
     #[cfg(feature = "mutations")]
     request: ClientRequest,
@@ -268,7 +268,7 @@
 }
 
 impl WaiterRequest {
-    /// Of a read that has arrived.
+    /// The request of a new waiter.
     #[cfg_attr(not(feature = "mutations"), allow(unused_variables))]
     pub(crate) fn new(request: &ClientRequest, deadline: Micros) -> Self {
         WaiterRequest {
@@ -279,7 +279,7 @@
         }
     }
 
-    /// The request that the waiter of a failed flight sends by itself: none.
+    /// The request that the waiter sends itself after a failed flight; `None` without a mutation.
     #[cfg_attr(
         not(feature = "mutations"),
         allow(unused_variables, clippy::unused_self, clippy::unnecessary_wraps)
@@ -297,7 +297,8 @@
     }
 }
 
-/// How reading a connection ends before the client has sent more.
+/// Why reading from a connection ends before more input arrives; `None` if it goes on. A mutation
+/// returns `drop` for a closing connection with several pending responses.
 pub(crate) fn read_end<T>(end: Option<T>, is_closing: bool, pending: usize, drop: T) -> Option<T> {
     if is_active(Mutation::DropsPipelined) && is_closing && pending > 1 {
         Some(drop)
@@ -306,12 +307,12 @@
     }
 }
 
-/// Whether a client that is not being read has disconnected.
+/// Whether to act on the disconnect of a client that nothing is read from.
 pub(crate) fn is_disconnect_noticed(has_disconnected: bool) -> bool {
     has_disconnected && !is_active(Mutation::OverlooksDisconnects)
 }
 
-/// The bytes of a response as they are written.
+/// The bytes of a response that are written to the client.
 pub(crate) fn response_bytes(bytes: Bytes) -> Bytes {
     if is_active(Mutation::AnswersTwice) {
         [&bytes[..], &bytes[..]].concat().into()
