--- a/crates/router-runtime/src/metrics.rs
+++ b/crates/router-runtime/src/metrics.rs
@@ -1,43 +1,44 @@
-//! Counts of requests, attempts and connections, and what a router holds.
+//! Counters of requests, attempts and connections, and the resources that a router uses.
 //!
-//! Requests are counted where the client gets its response, attempts where their last byte is written: no figure
-//! differs from what the peers see. Counts are in cells: they rely on one thread.
+//! Requests are counted when the response is written to the client, and attempts when their last
+//! byte is written, so that the counts match what the peers see. Counters are `Cell`s, used by one
+//! thread.
 
 use load_balancer::{CacheStatus, ConnectionUse, Outcome};
 use std::cell::{Cell, RefCell};
 
-/// How a request ended for its client.
+/// The final result of a request, as its client sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEnd {
-    /// Served, the last byte included.
+    /// Served completely.
     Served,
     /// Rejected.
     Rejected,
-    /// Failed; also a value that was broken off.
+    /// Failed, or its value was cut off.
     Failed,
 }
 
-/// What a router shows operators. Counts begin at 0 with the process.
+/// Metrics of a router for operators. Counts start at 0 with the process.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Metrics {
-    /// By class, under its name.
+    /// Counts of requests for each class name.
     pub requests_by_class: Vec<(String, ClassCounts)>,
-    /// Attempts whose last byte was written to a cache server.
+    /// Attempts that were written completely to a cache server.
     pub attempts_written: u64,
-    /// Requests that were taken and have not ended.
+    /// Requests that were accepted and have not ended.
     pub in_progress: usize,
-    /// Cache servers in the list.
+    /// Cache servers in the endpoint list.
     pub endpoints_listed: usize,
-    /// Those of them that this router avoids now: disabled by an operator, or unresponsive.
+    /// Listed cache servers that this router avoids now: disabled by an operator, or unresponsive.
     pub endpoints_avoided: usize,
 }
 
-/// What a router holds at this moment; for tests and for operators.
+/// Resources that a router uses at this moment, for tests and operators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ResourceUsage {
-    /// Requests that wait for their final response.
+    /// Requests without a final response.
     pub unanswered_requests: usize,
-    /// Requests that wait for their response or whose attempts have not all ended.
+    /// Requests without a final response, or with attempts that have not ended.
     pub open_requests: usize,
     /// Timers that are not due yet.
     pub timers: usize,
@@ -45,7 +46,7 @@
     pub tracked_requests: usize,
     /// Servers that the decision library tracks.
     pub tracked_servers: usize,
-    /// Connections of clients.
+    /// Client connections.
     pub client_connections: usize,
     /// Idle connections to cache servers.
     pub idle_upstream_connections: usize,
@@ -55,7 +56,7 @@
     pub coalesced_flights: usize,
 }
 
-/// Counts of one class since the start of the process.
+/// Counts of requests of one class since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClassCounts {
     /// Requests served.
@@ -66,7 +67,7 @@
     pub failed: u64,
 }
 
-/// Counts of one process, from its start.
+/// Counters of one process.
 #[derive(Debug, Default)]
 pub struct RouterMetrics {
     by_class: RefCell<Vec<ClassCounts>>,
@@ -75,7 +76,7 @@
     attempts: Cell<AttemptCounts>,
 }
 
-/// Outcomes of attempts under the names that operators read.
+/// Outcomes of attempts, and their names in the summary line.
 pub const OUTCOMES: [(Outcome, &str); 9] = [
     (Outcome::Success, "served"),
     (Outcome::Failure, "failed"),
@@ -97,16 +98,17 @@
     pub connections_failed: u64,
     /// Calls to discovery.
     pub discovery_calls: u64,
-    /// By outcome, in the order of [`OUTCOMES`].
+    /// Attempts by outcome, in the order of [`OUTCOMES`].
     pub outcomes: [u64; OUTCOMES.len()],
-    /// Attempts that found the server overloaded on a new connection: it may have all the connections that it can hold.
+    /// Attempts on a new connection that the server answered as overloaded, possibly because it had
+    /// reached its limit of connections.
     pub overloaded_when_new: u64,
-    /// Reads that cost an origin fetch.
+    /// Attempts that missed the cache and needed an origin fetch.
     pub misses: u64,
 }
 
 impl RouterMetrics {
-    /// Counts for so many classes.
+    /// Counters for this number of classes.
     pub fn new(classes: usize) -> RouterMetrics {
         RouterMetrics {
             by_class: RefCell::new(vec![ClassCounts::default(); classes]),
@@ -114,12 +116,12 @@
         }
     }
 
-    /// A request was taken.
+    /// Counts a request that was accepted.
     pub fn request_started(&self) {
         self.in_progress.set(self.in_progress.get() + 1);
     }
 
-    /// A request has ended; `None`: its client has disconnected before.
+    /// Counts a request that has ended; `None` if its client disconnected before its response.
     pub fn request_ended(&self, class: usize, end: Option<RequestEnd>) {
         self.in_progress.set(self.in_progress.get() - 1);
         let mut by_class = self.by_class.borrow_mut();
@@ -134,12 +136,12 @@
         }
     }
 
-    /// The last byte of an attempt was written to a cache server.
+    /// Counts an attempt that was written completely.
     pub fn attempt_written(&self) {
         self.attempts_written.set(self.attempts_written.get() + 1);
     }
 
-    /// A connection to a cache server was opened, or could not be.
+    /// Counts an attempt to open a connection to a cache server.
     pub fn connect_ended(&self, is_open: bool) {
         let mut attempts = self.attempts.get();
         if is_open {
@@ -150,14 +152,14 @@
         self.attempts.set(attempts);
     }
 
-    /// Discovery was called.
+    /// Counts a call to discovery.
     pub fn discovery_called(&self) {
         let mut attempts = self.attempts.get();
         attempts.discovery_calls += 1;
         self.attempts.set(attempts);
     }
 
-    /// An attempt has ended.
+    /// Counts an attempt that has ended.
     pub fn attempt_ended(
         &self,
         outcome: Outcome,
@@ -190,12 +192,12 @@
         self.by_class.borrow().clone()
     }
 
-    /// Attempts whose last byte was written.
+    /// Number of attempts that were written completely.
     pub fn attempts_written(&self) -> u64 {
         self.attempts_written.get()
     }
 
-    /// Requests that were taken and have not ended.
+    /// Number of requests that were accepted and have not ended.
     pub fn in_progress(&self) -> usize {
         self.in_progress.get()
     }
