--- a/crates/router-runtime/src/clock.rs
+++ b/crates/router-runtime/src/clock.rs
@@ -1,11 +1,11 @@
-//! The decision library's clock: monotonic, and set to Unix time at the start, so that the start times which cache
-//! servers report compare with it.
+//! The decision library's clock. It is monotonic and starts at the Unix time of the process's
+//! start, so that it can be compared with the start times of cache servers in the endpoint list.
 
 use crate::environment::Environment;
 use load_balancer::Micros;
 use std::time::{Duration, Instant};
 
-/// Translates between instants of the environment and points in time of the decision library.
+/// Converts between instants of the environment and times of the decision library.
 pub struct Clock<E> {
     environment: E,
     start: Instant,
@@ -13,7 +13,7 @@
 }
 
 impl<E: Environment> Clock<E> {
-    /// Starts at the environment's wall-clock time.
+    /// Creates a clock that starts at the environment's wall-clock time.
     pub fn new(environment: E) -> Self {
         let unix_start = Micros(environment.unix_now().as_micros() as u64);
         Clock {
@@ -23,24 +23,24 @@
         }
     }
 
-    /// Now.
+    /// The current time.
     pub fn now(&self) -> Micros {
         self.to_micros(self.environment.now())
     }
 
-    /// The point in time of an instant.
+    /// Converts an instant; instants before the start count as the start.
     pub fn to_micros(&self, instant: Instant) -> Micros {
         let since_start = instant.saturating_duration_since(self.start);
         self.unix_start.plus(Micros(since_start.as_micros() as u64))
     }
 
-    /// The instant of a point in time.
+    /// Converts a time to an instant; times before the start count as the start.
     pub fn to_instant(&self, at: Micros) -> Instant {
         self.start + to_duration(at.since(self.unix_start))
     }
 }
 
-/// A length of time of the decision library.
+/// Converts a duration of the decision library.
 pub fn to_duration(time: Micros) -> Duration {
     Duration::from_micros(time.0)
 }
