--- a/crates/router-runtime/src/socket_error.rs
+++ b/crates/router-runtime/src/socket_error.rs
@@ -1,18 +1,19 @@
-//! What a failed system call on a socket tells: whether it concerns one connection, or this machine alone; and connects
-//! that are tried again after a failure of this machine.
+//! Classification of errors of socket system calls, and a connect that retries after failures local
+//! to this machine.
 
 use crate::environment::Environment;
 use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A connect that fails on this machine is tried again for so long ...
+/// A connect that fails locally is retried for this long.
 const LOCAL_RETRY_TIMEOUT: Duration = Duration::from_millis(100);
-/// ... with this pause in between.
+/// Pause between such retries.
 const LOCAL_RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Whether `accept` reports the end of the one connection that it was to return: the next one may be taken at once.
-/// accept(2) passes errors on that the network has for the new connection.
+/// Whether an error of `accept` concerns only the connection that it was to return, so that the
+/// next one can be accepted at once. `accept(2)` returns pending network errors of the new
+/// connection.
 pub fn affects_one_connection(error: &io::Error) -> bool {
     matches!(
         error.raw_os_error(),
@@ -32,7 +33,7 @@
     )
 }
 
-/// Whether `connect` failed on this machine: no packet has reached the other one.
+/// Whether `connect` failed on this machine, so that no packet has reached the peer.
 pub fn is_local_failure(error: &io::Error) -> bool {
     matches!(
         error.raw_os_error(),
@@ -53,8 +54,8 @@
     )
 }
 
-/// Connects. What fails on this machine says nothing of the other one and passes soon: it is tried again for a while;
-/// `None` if the connection is no longer wanted.
+/// Connects, and retries local failures for a short time: they are usually brief and tell nothing
+/// about the peer. `None` if the connection is no longer wanted after a failure.
 pub async fn connect_with_retry<E: Environment>(
     environment: &E,
     addr: SocketAddr,
