--- a/crates/router-runtime/src/lib.rs
+++ b/crates/router-runtime/src/lib.rs
@@ -1,9 +1,10 @@
-//! The runtime of the asterport router: connections, stages, dispatcher, upstream pools, discovery and RESP2, generic
-//! over the environment's time and network.
+//! Runtime of the asterport router: client connections, request stages, dispatcher, upstream pools,
+//! discovery and RESP2, generic over the environment that provides time and network.
 //!
-//! A request goes one way, and its response the same way back: a client's connection, the stages, the dispatcher, an
-//! attempt on a pooled upstream connection. Facts from the sockets become events of the decision library; its actions
-//! become commands on connections. The runtime decides nothing.
+//! A request passes from its client connection through the stages and the dispatcher to an attempt
+//! on a pooled upstream connection; its response takes the same way back. The runtime reports what
+//! happens on sockets as events to the decision library and carries out the actions that the
+//! library returns. All routing decisions are made by the library.
 
 mod clock;
 mod coalescing_stage;
