--- a/crates/router-runtime/src/discovery.rs
+++ b/crates/router-runtime/src/discovery.rs
@@ -21,7 +21,7 @@
 use endpoint_table::EndpointTable;
 use error::WatchError;
 use load_balancer::deployment::Names;
-use load_balancer::{EndpointUpdate, Micros, RepeatedCalls, SilentWatchPolicy};
+use load_balancer::{CallRetryPolicy, EndpointUpdate, Micros, SilentWatchPolicy};
 use reconnect::{ReconnectSchedule, RetryBackoff};
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -75,7 +75,7 @@
 impl CallSchedule {
     /// Schedules a call at once and resets what was learnt from another discovery server or from
     /// an outage of this one.
-    fn call_now(&mut self, now: Instant, calls: RepeatedCalls) {
+    fn call_now(&mut self, now: Instant, calls: CallRetryPolicy) {
         self.backoff = Some(RetryBackoff::starting_at(now, calls));
         self.next_call_at = Some(now);
         self.longest_rejection_wait = None;
@@ -148,7 +148,7 @@
     }
 
     fn call_now(&self, schedule: &mut CallSchedule) {
-        schedule.call_now(self.environment.now(), self.silent_watch.repeated_calls);
+        schedule.call_now(self.environment.now(), self.silent_watch.call_retry);
     }
 
     /// Returns when the next call is due.
@@ -214,9 +214,9 @@
     /// pause after the last call, in case each watch ends soon after it was opened.
     fn call_after_lost_watch(&self, schedule: &mut CallSchedule) -> Instant {
         let now = self.environment.now();
-        let calls = self.silent_watch.repeated_calls;
+        let calls = self.silent_watch.call_retry;
         schedule.backoff = Some(RetryBackoff::starting_at(now, calls));
-        let earliest = |last_call| last_call + to_duration(calls.max_pause);
+        let earliest = |last_call| last_call + to_duration(calls.max_delay);
         schedule.last_call.map_or(now, earliest).max(now)
     }
 
@@ -232,7 +232,7 @@
     /// or a silent watch stays open while further calls try to replace it.
     async fn watch_until_lost(self: &Rc<Self>, schedule: &mut CallSchedule) -> Option<LostWatch> {
         let mut watches = WatchSet::default();
-        let calls = self.silent_watch.repeated_calls;
+        let calls = self.silent_watch.call_retry;
         let now = self.environment.now();
         let first_call =
             ReconnectSchedule::after_first_call(now, self.call_interval(schedule), calls);
@@ -312,7 +312,7 @@
     fn call_interval(&self, schedule: &CallSchedule) -> Option<Duration> {
         let interval = self
             .silent_watch
-            .call_interval(schedule.longest_rejection_wait);
+            .hedged_call_interval(schedule.longest_rejection_wait);
         interval.map(to_duration)
     }
 
--- a/crates/router-runtime/src/discovery/reconnect.rs
+++ b/crates/router-runtime/src/discovery/reconnect.rs
@@ -8,7 +8,7 @@
 
 use super::watch_set::LostWatch;
 use crate::clock::to_duration;
-use load_balancer::RepeatedCalls;
+use load_balancer::CallRetryPolicy;
 use std::time::{Duration, Instant};
 
 /// Exponential back-off between retries of a failed call.
@@ -21,11 +21,11 @@
 
 impl RetryBackoff {
     /// Starts the back-off at `now` with its first pause.
-    pub fn starting_at(now: Instant, calls: RepeatedCalls) -> RetryBackoff {
+    pub fn starting_at(now: Instant, calls: CallRetryPolicy) -> RetryBackoff {
         RetryBackoff {
-            give_up_at: calls.lasts.map(|lasts| now + to_duration(lasts)),
-            pause: to_duration(calls.first_pause),
-            max_pause: to_duration(calls.max_pause),
+            give_up_at: calls.duration.map(|lasts| now + to_duration(lasts)),
+            pause: to_duration(calls.first_delay),
+            max_pause: to_duration(calls.max_delay),
         }
     }
 
@@ -60,11 +60,11 @@
     pub fn after_first_call(
         now: Instant,
         call_interval: Option<Duration>,
-        calls: RepeatedCalls,
+        calls: CallRetryPolicy,
     ) -> ReconnectSchedule {
         ReconnectSchedule {
             call_interval,
-            give_up_at: calls.lasts.map(|lasts| now + to_duration(lasts)),
+            give_up_at: calls.duration.map(|lasts| now + to_duration(lasts)),
             backoff: None,
             next_call_at: call_interval.map(|interval| now + interval),
             rejected_call_at: None,
@@ -75,7 +75,7 @@
     pub fn after_silence(
         now: Instant,
         call_interval: Option<Duration>,
-        calls: RepeatedCalls,
+        calls: CallRetryPolicy,
     ) -> ReconnectSchedule {
         ReconnectSchedule {
             backoff: Some(RetryBackoff::starting_at(now, calls)),
