--- a/crates/process-lifecycle/src/lib.rs
+++ b/crates/process-lifecycle/src/lib.rs
@@ -7,28 +7,30 @@
 //!     |                          |        SuccessorLost        |
 //!     | Terminate                | Terminate                   | Terminate
 //!     v                          v                             v
-//!  Ending without successor <----------------------------> Ending with successor
+//!  ShuttingDown, no successor <--------------------------> ShuttingDown, with successor
 //!                             SuccessorServes, SuccessorLost
 //! ```
 //!
-//! A process that is still `Starting` goes to `HandingOver` on `SuccessorServes` as well. An event without an arrow
-//! changes nothing. Whether operators have drained the router is independent of the phase: `DrainRouter` and
-//! `ResumeRouter` count in every phase, and are idempotent.
+//! `SuccessorServes` also takes a process from `Starting` to `HandingOver`. An event without an
+//! arrow changes nothing. Whether operators have drained the router is independent of the phase:
+//! `DrainRouter` and `ResumeRouter` apply in every phase, and are idempotent.
 //!
-//! The caller reports events with their time and asks what to do with the listener, a `PING`, and a connection.
-//! Phase and drain stand side by side because they meet: a drain during a replacement, a successor that dies before
-//! it serves, SIGTERM while drained.
+//! The caller reports events with their time, and queries the state for what to do with the
+//! listener, a `PING` and a connection. One state covers both phase and drain because they occur
+//! together: a drain during a replacement, a successor that exits before it serves, SIGTERM while
+//! drained.
 
 use load_balancer::Micros;
 
-/// Time that a client which connects to a drained router has for its first command. The client was on its way before
-/// it saw a failed health check, which takes it at most 0.2 s.
+/// Time for the first command of a client that connects to a drained router. Such a client
+/// connected before it noticed a failed health check, which takes at most 0.2 s.
 pub const FIRST_COMMAND_GRACE: Micros = Micros::from_millis(500);
-/// Time after the start of a drain in which commands are still read from a connection that is never idle. The platform
-/// wants connections closed after 4 s; a request that is read in the last 2 s of these may be answered too late.
+/// Time after the start of a drain in which commands are still read from a connection that does not
+/// become idle. The platform requires connections to be closed after 4 s, and a request that is
+/// read in the last 2 s before that may be answered too late.
 pub const DRAIN_READ_DURATION: Micros = Micros::from_millis(2_100);
 
-/// An event in the life of a process.
+/// An event in the lifecycle of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LifecycleEvent {
     /// The process knows cache servers, and can serve.
@@ -41,7 +43,7 @@
     SuccessorServes,
     /// The successor process has ended, or its channel has failed.
     SuccessorLost,
-    /// SIGTERM was received, and the time in which new clients still connect is over.
+    /// SIGTERM was received, and new clients are no longer accepted.
     Terminate,
 }
 
@@ -53,14 +55,14 @@
     ShuttingDown { has_successor: bool },
 }
 
-/// What to do with an idle connection: one without an unanswered request.
+/// What to do with an idle connection, which has no unanswered request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdleConnectionPolicy {
     /// Keep it open.
     Keep,
-    /// Close it; one that has not sent a command yet only after [`FIRST_COMMAND_GRACE`].
+    /// Close it, but wait [`FIRST_COMMAND_GRACE`] for the first command of a new connection.
     Close,
-    /// Close it at once, whether it has sent a command or not.
+    /// Close it at once, even if it has not sent a command yet.
     CloseNow,
     /// Hand it over to the successor process.
     HandOver,
@@ -70,7 +72,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lifecycle {
     phase: Phase,
-    /// Start of the drain, `None` if the router is not drained.
+    /// Start of the drain; `None` if the router is not drained.
     drained_since: Option<Micros>,
 }
 
@@ -107,7 +109,8 @@
         self.drained_since.is_some()
     }
 
-    /// Whether this process can serve. A drained one can; one whose successor serves cannot.
+    /// Whether this process can serve. A drained process can; one that hands over to a successor
+    /// cannot.
     pub fn is_ready(&self) -> bool {
         self.phase == Phase::Serving
     }
@@ -138,8 +141,8 @@
         }
     }
 
-    /// Whether more commands are read at time `now` from a connection with unanswered requests. If not, the
-    /// connection becomes idle once these are answered.
+    /// Whether more commands are read at time `now` from a connection with unanswered requests. If
+    /// not, the connection becomes idle once these are answered.
     pub fn may_read_more(&self, now: Micros) -> bool {
         match self.drained_since {
             _ if self.hands_over_connections() => false,
@@ -153,15 +156,15 @@
     /// The phase after `event`.
     fn after(self, event: LifecycleEvent) -> Phase {
         use LifecycleEvent::{EndpointsKnown, SuccessorLost, SuccessorServes, Terminate};
-        let ending = |has_successor| Phase::ShuttingDown { has_successor };
+        let shutting_down = |has_successor| Phase::ShuttingDown { has_successor };
         match (self, event) {
             (Phase::Starting, EndpointsKnown) => Phase::Serving,
             (Phase::Starting | Phase::Serving, SuccessorServes) => Phase::HandingOver,
             (Phase::HandingOver, SuccessorLost) => Phase::Serving,
-            (Phase::Starting | Phase::Serving, Terminate) => ending(false),
-            (Phase::HandingOver, Terminate) => ending(true),
-            (Phase::ShuttingDown { .. }, SuccessorServes) => ending(true),
-            (Phase::ShuttingDown { .. }, SuccessorLost) => ending(false),
+            (Phase::Starting | Phase::Serving, Terminate) => shutting_down(false),
+            (Phase::HandingOver, Terminate) => shutting_down(true),
+            (Phase::ShuttingDown { .. }, SuccessorServes) => shutting_down(true),
+            (Phase::ShuttingDown { .. }, SuccessorLost) => shutting_down(false),
             (phase, _) => phase,
         }
     }
