--- a/crates/process-lifecycle/tests/lifecycle.rs
+++ b/crates/process-lifecycle/tests/lifecycle.rs
@@ -1,11 +1,11 @@
-//! What a process does with health checks, the listener and connections in each phase, drained or not.
+//! Handling of health checks, the listener and connections in each phase, drained or not.
 
 use load_balancer::Micros;
 use process_lifecycle::{DRAIN_READ_DURATION, IdleConnectionPolicy, Lifecycle, LifecycleEvent};
 
 const START: Micros = Micros::from_millis(1_000);
 
-/// A process after these events, all at `START`.
+/// The state of a new process after these events, all at `START`.
 fn after(events: &[LifecycleEvent]) -> Lifecycle {
     events
         .iter()
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_resume_ends_the_drain_and_without_one_changes_nothing() {
+fn a_resume_ends_the_drain_and_does_nothing_without_one() {
     let serving = after(&[LifecycleEvent::EndpointsKnown]);
     assert_eq!(
         after(&[
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn with_a_successor_idle_connections_are_handed_over_and_none_is_accepted() {
+fn with_a_successor_idle_connections_are_handed_over_and_no_new_ones_are_accepted() {
     let lifecycle = after(&[
         LifecycleEvent::EndpointsKnown,
         LifecycleEvent::SuccessorServes,
@@ -73,27 +73,27 @@
 }
 
 #[test]
-fn a_lost_successor_returns_the_service_to_its_predecessor() {
+fn a_process_serves_again_when_its_successor_is_lost() {
     let lifecycle = after(&[
         LifecycleEvent::EndpointsKnown,
         LifecycleEvent::SuccessorServes,
         LifecycleEvent::SuccessorLost,
     ]);
     assert_eq!(lifecycle, after(&[LifecycleEvent::EndpointsKnown]));
-    let ending = after(&[
+    let shutting_down = after(&[
         LifecycleEvent::EndpointsKnown,
         LifecycleEvent::SuccessorServes,
         LifecycleEvent::Terminate,
         LifecycleEvent::SuccessorLost,
     ]);
     assert_eq!(
-        ending.idle_connection_policy(),
+        shutting_down.idle_connection_policy(),
         IdleConnectionPolicy::CloseNow
     );
 }
 
 #[test]
-fn sigterm_while_drained_closes_connections_and_leaves_the_drain() {
+fn sigterm_while_drained_closes_connections_and_keeps_the_drain() {
     let lifecycle = after(&[
         LifecycleEvent::EndpointsKnown,
         LifecycleEvent::DrainRouter,
