--- a/crates/hot-restart/src/channel.rs
+++ b/crates/hot-restart/src/channel.rs
@@ -1,6 +1,8 @@
-//! A channel between two processes of one router: messages and descriptors over a Unix stream socket.
+//! A channel between two processes of one router, which carries messages and file descriptors over
+//! a Unix stream socket.
 //!
-//! Descriptors travel as ancillary data (`SCM_RIGHTS`, `unix(7)`) with the first byte of their message.
+//! A descriptor is sent as ancillary data (`SCM_RIGHTS`, `unix(7)`) with the first byte of its
+//! message.
 
 use crate::message::{FRAME_HEADER_BYTES, FrameHeader, Message, MessageError};
 use rustix::net::{
@@ -16,29 +18,30 @@
 use tokio::io::Interest;
 use tokio::net::UnixStream;
 
-/// Why a channel is of no further use.
+/// Why a channel can no longer be used.
 #[derive(Debug, Error)]
 pub enum ChannelError {
-    /// The socket failed, or the other process has ended.
+    /// The socket failed, or the other process has closed it.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The bytes or the message are not usable.
+    /// A message is malformed or unexpected.
     #[error(transparent)]
     Message(#[from] MessageError),
 }
 
-/// A message, and the descriptor that came with it.
+/// A message, and the descriptor that came with it, if any.
 pub type Received = (Message, Option<OwnedFd>);
 
 /// One end of a channel.
 ///
-/// Neither [`send`](HandoverChannel::send) nor [`receive`](HandoverChannel::receive) is cancel-safe: a future that is
-/// dropped halfway leaves a part of a message, and the channel is of no further use.
+/// Neither [`send`](HandoverChannel::send) nor [`receive`](HandoverChannel::receive) is
+/// cancel-safe: if a future is dropped before it completes, part of a message is lost and the
+/// channel can no longer be used.
 #[derive(Debug)]
 pub struct HandoverChannel(UnixStream);
 
 impl HandoverChannel {
-    /// A channel over this socket.
+    /// Creates a channel over a connected socket.
     pub fn new(stream: UnixStream) -> HandoverChannel {
         HandoverChannel(stream)
     }
@@ -46,7 +49,7 @@
     /// Sends a message, with a copy of `descriptor` if there is one.
     ///
     /// # Errors
-    /// When the other process has ended, or the message is too long.
+    /// When the socket fails, or the message is too long.
     pub async fn send(
         &self,
         message: &Message,
@@ -82,7 +85,7 @@
     /// Receives the next message, and the descriptor that came with it.
     ///
     /// # Errors
-    /// When the other process has ended, or the bytes are not a message.
+    /// When the socket fails or is closed, or the bytes are not a message.
     pub async fn receive(&self) -> Result<Received, ChannelError> {
         let mut header = [0; FRAME_HEADER_BYTES];
         let mut descriptor = None;
@@ -94,7 +97,7 @@
         Ok((message, descriptor))
     }
 
-    /// Fills `buffer`; a descriptor that comes with the bytes replaces `descriptor`.
+    /// Fills `buffer`. A descriptor that comes with the bytes replaces `descriptor`.
     async fn read_exact(
         &self,
         buffer: &mut [u8],
@@ -135,17 +138,17 @@
     }
 }
 
-/// Receives from a channel inside of a `select!`.
+/// A cancel-safe receiver, for use in `select!`.
 ///
-/// A receive that is dropped halfway loses a part of a message. This one keeps the unfinished receive for the next
-/// call, so that [`receive`](MessageReceiver::receive) is cancel-safe.
+/// It keeps an unfinished [`HandoverChannel::receive`] for the next call, so that no part of a
+/// message is lost when its own [`receive`](MessageReceiver::receive) is cancelled.
 pub struct MessageReceiver<'a> {
     channel: &'a HandoverChannel,
     unfinished: Pin<Box<dyn Future<Output = Result<Received, ChannelError>> + 'a>>,
 }
 
 impl<'a> MessageReceiver<'a> {
-    /// A receiver of this channel; the channel has to have no other one.
+    /// Creates the receiver of a channel. A channel must not have more than one.
     pub fn new(channel: &'a HandoverChannel) -> MessageReceiver<'a> {
         MessageReceiver {
             channel,
@@ -156,7 +159,7 @@
     /// Receives the next message, and the descriptor that came with it.
     ///
     /// # Errors
-    /// As [`HandoverChannel::receive`].
+    /// See [`HandoverChannel::receive`].
     pub async fn receive(&mut self) -> Result<Received, ChannelError> {
         let received = self.unfinished.as_mut().await;
         self.unfinished = Box::pin(self.channel.receive());
