--- a/crates/hot-restart/src/message.rs
+++ b/crates/hot-restart/src/message.rs
@@ -1,102 +1,106 @@
-//! Messages between two processes of one router, and their bytes.
+//! Messages between two processes of one router, and their encoding.
 //!
-//! A frame is the length of its body and the CRC-32C of that body (Castagnoli, RFC 3720), both little-endian `u32`,
-//! and the body in postcard. Postcard writes no names: the order and the types of fields and variants are the format,
-//! names are not. A change to them needs another [`VERSION`].
+//! A frame consists of the length of its body and the CRC-32C of the body (Castagnoli, RFC 3720),
+//! both as little-endian `u32`, followed by the body in postcard. Postcard writes no names: the
+//! format depends on the order and the types of fields and variants, and a change to either needs a
+//! new [`VERSION`].
 //!
-//! The first message of each side carries the version and the router's name. Bytes that are truncated, corrupted, of
-//! another version or another router are an error that names the cause, and never a part of a message.
+//! The first message of each side carries the version and the router's name. A message that is
+//! truncated, corrupted, or from another version or router is rejected as a whole, with an error
+//! that tells the cause.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Version of the messages; a process refuses every other.
+/// Version of the messages. A process rejects every other version.
 pub const VERSION: u16 = 1;
-/// Bytes of a frame's header: length and checksum of its body.
+/// Length in bytes of a frame's header: length and checksum of the body.
 pub const FRAME_HEADER_BYTES: usize = 8;
-/// Bytes of the largest body: a connection with 4 MiB of an incomplete command, or the endpoints of a very large fleet.
+/// Maximum length of a body in bytes, for a connection with 4 MiB of an incomplete command or the
+/// endpoint list of a very large fleet.
 pub const MAX_BODY_BYTES: usize = 6 * 1024 * 1024;
 
-/// An operator's last override for one cache server.
+/// The last admin override of one cache server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoredOverride {
     /// The server gets no new requests.
     Disabled,
-    /// The server was put back into service at this time, in microseconds since the Unix epoch.
+    /// The server was enabled again at this time, in microseconds since the Unix epoch.
     EnabledAt(u64),
 }
 
-/// What a process knows that its successor cannot get elsewhere.
+/// State of a process that its successor cannot get elsewhere.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HandoverState {
-    /// The operators' overrides, by the id of the cache server.
+    /// Admin overrides, each with the id of its cache server.
     pub overrides: Vec<(String, StoredOverride)>,
     /// Whether operators have drained the router.
     pub drained: bool,
-    /// The discovery that the endpoint list came from, and the list in discovery's own form.
+    /// Address of the discovery server that the endpoint list comes from, and the list as JSON.
     pub endpoint_list: Option<(SocketAddr, Vec<u8>)>,
-    /// Warm state of the decision library, in a form of its own.
+    /// Warm state of the decision library, in its own encoding.
     pub warm_state: Vec<u8>,
 }
 
 /// A message between two processes of one router.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// First message of the new process.
+    /// The first message of the new process.
     Hello {
         /// [`VERSION`] of the sender.
         version: u16,
         /// The router's name.
         name: String,
     },
-    /// The old process's answer to [`Message::Hello`], and the content of a state file.
+    /// The old process's reply to [`Message::Hello`]; also the content of a state file.
     State {
         /// [`VERSION`] of the sender.
         version: u16,
         /// The router's name.
         name: String,
-        /// What the sender knows.
+        /// State of the sender.
         state: HandoverState,
     },
-    /// The new process serves: the old one accepts no more connections, and hands over those that become idle.
+    /// The new process serves. The old one stops accepting connections, and hands its own over as
+    /// they become idle.
     SuccessorServes,
-    /// A client's connection, whose descriptor comes with the message.
+    /// A client connection, whose descriptor is sent with the message.
     Connection {
-        /// Bytes of a command that is still incomplete.
+        /// Received bytes of an incomplete command.
         unread: Vec<u8>,
-        /// Whether the client has sent a complete command before.
+        /// Whether the client has already sent a complete command.
         has_sent_command: bool,
     },
-    /// Operators gave the sender an override for the cache server of this id.
+    /// An operator has set an override of the cache server of this id at the sender.
     Override(String, StoredOverride),
-    /// Operators drained the router (true), or ended the drain.
+    /// An operator has drained the router (true) or ended the drain (false).
     Drained(bool),
 }
 
-/// Why bytes are not taken as a message, or a message not as the expected one.
+/// Why bytes or a message are rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum MessageError {
     /// The bytes end within the message.
-    #[error("cut off")]
+    #[error("message cut off")]
     Truncated,
-    /// The body is longer than [`MAX_BODY_BYTES`]; its length.
-    #[error("a message of {0} bytes")]
+    /// The body has this length, more than [`MAX_BODY_BYTES`].
+    #[error("message of {0} bytes, more than {MAX_BODY_BYTES}")]
     TooLong(usize),
     /// The checksum does not match the body.
-    #[error("the checksum differs")]
+    #[error("checksum mismatch")]
     ChecksumMismatch,
     /// The body is not a message.
-    #[error("no message")]
+    #[error("malformed message")]
     Malformed,
     /// The sender has this version, not [`VERSION`].
-    #[error("of version {0}, not {VERSION}")]
+    #[error("message of version {0}, expected {VERSION}")]
     OtherVersion(u16),
     /// The sender belongs to the router of this name.
-    #[error("of the router '{}'", .0.escape_default())]
+    #[error("message of another router, '{}'", .0.escape_default())]
     OtherRouter(String),
-    /// The message is out of order.
-    #[error("another message was due")]
+    /// Another message was expected.
+    #[error("unexpected message")]
     Unexpected,
 }
 
@@ -131,7 +135,7 @@
     /// Decodes one whole frame.
     ///
     /// # Errors
-    /// When the bytes are anything else.
+    /// When the bytes are not one whole frame with a message.
     pub fn decode(frame: &[u8]) -> Result<Message, MessageError> {
         let (header, rest) = frame
             .split_first_chunk::<FRAME_HEADER_BYTES>()
@@ -143,7 +147,7 @@
         Message::decode_body(body, header.checksum)
     }
 
-    /// Takes the state out of a [`Message::State`] of this version and this router.
+    /// Returns the state of a [`Message::State`] of this version and this router.
     ///
     /// # Errors
     /// When it is of another version or router, or another message.
@@ -195,7 +199,7 @@
     /// Decodes a header.
     ///
     /// # Errors
-    /// [`MessageError::TooLong`] if it announces more than [`MAX_BODY_BYTES`].
+    /// [`MessageError::TooLong`] if the body would exceed [`MAX_BODY_BYTES`].
     pub fn decode(header: [u8; FRAME_HEADER_BYTES]) -> Result<FrameHeader, MessageError> {
         let [l0, l1, l2, l3, c0, c1, c2, c3] = header;
         let body_bytes = u32::from_le_bytes([l0, l1, l2, l3]) as usize;
