--- a/crates/hot-restart/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -1,8 +1,9 @@
-//! Hot restart: a router process is replaced by another one without a gap.
+//! Hot restart: replaces a router process by a new one without interrupting service.
 //!
-//! [`message`] defines the messages and their bytes, without I/O; [`channel`] carries messages and descriptors over a
-//! Unix socket; [`rendezvous`] is where a new process finds the one that serves; [`store`] keeps the operators'
-//! overrides on disk; [`inherited_listener`] takes the listening socket that the platform holds.
+//! [`message`] defines the messages and their encoding, without I/O. [`channel`] carries messages
+//! and file descriptors over a Unix socket. [`rendezvous`] is the socket at which a new process
+//! finds the one that serves. [`store`] keeps the admin overrides on disk. [`inherited_listener`]
+//! opens the listening socket that the process has inherited from the platform.
 
 pub mod channel;
 mod inherited_listener;
@@ -12,11 +13,11 @@
 
 pub use inherited_listener::{InheritError, inherited_listener};
 
-/// Bytes of a router's name that its files' names show; a file name has at most 255 bytes.
+/// Maximum number of bytes of a router's name in its file names; a file name has at most 255 bytes.
 const MAX_NAME_BYTES: usize = 60;
 
-/// The name of a router's state file or rendezvous socket. Bytes other than ASCII letters, digits and dashes are written as hex numbers, so that
-/// the name contains no path separator.
+/// The name of a router's state file or rendezvous socket. Bytes other than ASCII letters, digits
+/// and dashes are written in hexadecimal, so that the name contains no path separator.
 fn router_file_name(router: &str, extension: &str) -> String {
     let mut name = String::from("asterport-");
     for byte in router.bytes().take(MAX_NAME_BYTES) {
