--- a/crates/hot-restart/src/store.rs
+++ b/crates/hot-restart/src/store.rs
@@ -1,7 +1,8 @@
-//! The operators' overrides on disk, so that a ban outlives a process that is killed.
+//! Storage of the admin overrides on disk, so that a disabled server stays disabled after the
+//! process is killed.
 //!
-//! One file a router, written whole to a temporary file and renamed over the old one: a reader finds the old content
-//! or the new.
+//! Each router has one file. It is written to a temporary file that is renamed over the old one, so
+//! that a reader finds either the old or the new content.
 
 use crate::message::{HandoverState, Message, MessageError, VERSION};
 use crate::router_file_name;
@@ -10,16 +11,17 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Bytes that are read of a state file at most; the overrides of the largest fleet take far less.
+/// Maximum number of bytes read from a state file. The overrides of the largest fleet take far
+/// less.
 const MAX_FILE_BYTES: u64 = 1024 * 1024;
 
-/// Why a state file is not read or written.
+/// Why a state file cannot be read or written.
 #[derive(Debug, Error)]
 pub enum StoreError {
-    /// The file cannot be read or written.
+    /// Reading or writing failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The content is not usable.
+    /// The content is invalid, or too long to write.
     #[error(transparent)]
     Message(#[from] MessageError),
 }
@@ -32,7 +34,7 @@
 }
 
 impl StateStore {
-    /// In `directory`, for the router of this name. Nothing is created yet.
+    /// The state file of this router in `directory`. Creates nothing yet.
     pub fn new(directory: &Path, router: &str) -> StateStore {
         StateStore {
             path: directory.join(router_file_name(router, "state")),
@@ -40,15 +42,15 @@
         }
     }
 
-    /// Path of the file.
+    /// Path of the state file.
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// Reads what the last process saved; `None` if there is no file.
+    /// Loads the state that the last process saved; `None` if there is no file.
     ///
-    /// # Errors
-    /// When the file cannot be read, is truncated, corrupted, of another version or another router.
+    /// # Errors When the file cannot be read, is truncated or corrupted, or is from another version
+    /// or router.
     pub fn load(&self) -> Result<Option<HandoverState>, StoreError> {
         let file = match File::open(&self.path) {
             Ok(file) => file,
@@ -64,7 +66,7 @@
     /// Saves a state for the next process.
     ///
     /// # Errors
-    /// When the file cannot be written; the old content stays.
+    /// When the file cannot be written. The old content is kept.
     pub fn save(&self, state: HandoverState) -> Result<(), StoreError> {
         let message = Message::State {
             version: VERSION,
@@ -78,10 +80,10 @@
         Ok(())
     }
 
-    /// Waits until the disk has what was saved last, and the name that it has.
+    /// Syncs the saved file and its directory entry to disk.
     ///
     /// # Errors
-    /// When the disk does not take it: it is to be saved again.
+    /// When the sync fails. The state has to be saved again then.
     pub fn sync(&self) -> Result<(), StoreError> {
         File::open(&self.path)?.sync_all()?;
         if let Some(directory) = self.path.parent() {
