--- a/crates/hot-restart/src/rendezvous.rs
+++ b/crates/hot-restart/src/rendezvous.rs
@@ -1,7 +1,7 @@
 //! The Unix socket at which a new process of a router finds the one that serves.
 //!
-//! Each process that serves binds the socket anew and renames it over the one of its predecessor, so that a process
-//! that starts always finds the newest.
+//! Each process that serves binds a new socket and renames it over that of its predecessor, so that
+//! a new process always connects to the latest one.
 
 use crate::channel::HandoverChannel;
 use crate::router_file_name;
@@ -18,16 +18,17 @@
     file_name: String,
 }
 
-/// An open directory, and a path to it through its descriptor. The path is valid while the directory is open.
+/// An open directory, and a path to it through its file descriptor, which is valid while it is
+/// open.
 ///
-/// Guards against directories whose own path is too long for a socket address (108 bytes, `unix(7)`).
+/// The directory's own path may be too long for a socket address (108 bytes, `unix(7)`).
 struct OpenDirectory {
     _directory: File,
     path: PathBuf,
 }
 
 impl RendezvousSocket {
-    /// In `directory`, for the router of this name. Nothing is created yet.
+    /// The rendezvous socket of this router in `directory`. Creates nothing yet.
     pub fn new(directory: &Path, router: &str) -> RendezvousSocket {
         RendezvousSocket {
             directory: directory.to_path_buf(),
@@ -53,14 +54,15 @@
             .map(HandoverChannel::new)
     }
 
-    /// Binds the socket in place of another process's: from here on new processes connect to this one.
+    /// Binds the socket, replacing that of another process. From then on new processes connect to
+    /// this one.
     ///
     /// # Errors
-    /// When the directory takes no socket.
+    /// When the socket cannot be created in the directory.
     pub fn bind(&self) -> io::Result<UnixListener> {
         let directory = self.open_directory()?;
         let temporary_path = directory.path.join(format!("{}.new", self.file_name));
-        // Left by a process that was killed between bind and rename.
+        // Remove the socket of a process that was killed between bind and rename.
         let _ = std::fs::remove_file(&temporary_path);
         let listener = UnixListener::bind(&temporary_path)?;
         std::fs::rename(&temporary_path, directory.path.join(&self.file_name))?;
