--- a/crates/hot-restart/tests/message.rs
+++ b/crates/hot-restart/tests/message.rs
@@ -1,4 +1,4 @@
-//! A message is decoded as it was encoded, or refused with the cause.
+//! Messages are decoded as they were encoded, and invalid bytes are rejected with the cause.
 
 mod support;
 
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_message_that_is_truncated_at_any_byte_is_refused() {
+fn a_message_truncated_at_any_byte_is_rejected() {
     let bytes = message().encode().expect("short enough");
     assert_eq!(Message::decode(&bytes), Ok(message()));
     for length in 0..bytes.len() {
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn another_version_or_router_is_refused_with_its_value() {
+fn another_version_or_router_is_rejected_with_its_value() {
     let other = |version, name: &str| Message::State {
         version,
         name: name.into(),
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_message_over_the_maximum_is_neither_encoded_nor_announced() {
+fn a_message_over_the_maximum_length_is_neither_encoded_nor_decoded() {
     let long = Message::Connection {
         unread: vec![0; MAX_BODY_BYTES],
         has_sent_command: true,
@@ -88,9 +88,13 @@
 }
 
 proptest! {
-    /// Corrupted bytes are refused, and arbitrary ones cause no panic.
+    /// Corrupted bytes are rejected, and arbitrary bytes cause no panic.
     #[test]
-    fn corrupted_bytes_are_refused(position in 0_usize..1_000, bit in 0_u8..8, noise in vec(any::<u8>(), 0..200)) {
+    fn corrupted_bytes_are_rejected(
+        position in 0_usize..1_000,
+        bit in 0_u8..8,
+        noise in vec(any::<u8>(), 0..200),
+    ) {
         let mut bytes = message().encode().expect("short enough");
         let position = FRAME_HEADER_BYTES + position % (bytes.len() - FRAME_HEADER_BYTES);
         bytes[position] ^= 1 << bit;
--- a/crates/hot-restart/tests/state_store.rs
+++ b/crates/hot-restart/tests/state_store.rs
@@ -1,4 +1,5 @@
-//! The state file of a router: read as it was saved, in the directory that was given, and of this router only.
+//! A state file is loaded as it was saved, lies in the given directory, and is rejected by other
+//! routers.
 
 mod support;
 
@@ -7,7 +8,7 @@
 use support::state;
 
 #[test]
-fn a_state_file_is_read_as_saved_and_another_routers_is_refused() {
+fn a_state_file_is_loaded_as_saved_and_that_of_another_router_is_rejected() {
     let directory = std::env::temp_dir().join(format!("asterport-store-{}", std::process::id()));
     std::fs::create_dir_all(&directory).expect("a directory");
     let store = StateStore::new(&directory, "n/../1");
@@ -17,7 +18,7 @@
     assert_eq!(
         store.path().parent(),
         Some(&*directory),
-        "no name leads elsewhere"
+        "a router's name cannot lead to another directory"
     );
     let other = StateStore::new(&directory, "n2");
     std::fs::copy(store.path(), other.path()).expect("copied");
--- a/crates/hot-restart/tests/stored_forms.rs
+++ b/crates/hot-restart/tests/stored_forms.rs
@@ -1,6 +1,8 @@
-//! Messages and state files that an earlier version of the program wrote are read, and written again byte for byte.
+//! Messages and state files written by an earlier version of the program can be read, and are
+//! encoded to the same bytes.
 //!
-//! The files under `golden/` are that program's own output: one process of a router may be older than its successor.
+//! The files under `golden/` are output of that version. Compatibility matters because a process
+//! may have to hand over to one of a later version.
 
 use hot_restart::message::{HandoverState, Message, StoredOverride, VERSION};
 use hot_restart::store::StateStore;
@@ -24,7 +26,7 @@
 }
 
 #[test]
-fn every_message_of_the_earlier_program_is_read_and_written_alike() {
+fn messages_of_an_earlier_version_are_decoded_and_encoded_to_the_same_bytes() {
     let rows: [(&[u8], Message); 8] = [
         (
             include_bytes!("golden/hello.message"),
@@ -75,7 +77,7 @@
 }
 
 #[test]
-fn a_whole_state_of_the_earlier_program_is_read_and_written_alike() {
+fn a_full_state_of_an_earlier_version_is_decoded_and_encoded_to_the_same_bytes() {
     let bytes: &[u8] = include_bytes!("golden/state.message");
     let message = Message::decode(bytes).expect("readable");
     let state = message.clone().into_state("n1").expect("of this router");
@@ -85,13 +87,14 @@
         state.endpoint_list,
         Some((([127, 0, 0, 1], 8500).into(), br#"{"seq":41}"#.to_vec()))
     );
-    // What these bytes hold is load-balancer's: cache-router/tests/warm_state_format.rs reads them.
+    // The load-balancer crate defines the content of the warm state;
+    // cache-router/tests/warm_state_format.rs checks it.
     assert_eq!(state.warm_state.len(), 511);
     assert_eq!(message.encode().as_deref(), Ok(bytes));
 }
 
 #[test]
-fn a_state_file_of_the_earlier_program_is_found_read_and_written_alike() {
+fn a_state_file_of_an_earlier_version_is_loaded_and_saved_with_the_same_bytes() {
     let bytes: &[u8] = include_bytes!("golden/asterport-n_2f1.state");
     let directory = std::env::temp_dir().join(format!("asterport-golden-{}", std::process::id()));
     std::fs::create_dir_all(&directory).expect("a directory");
--- a/crates/hot-restart/tests/support/mod.rs
+++ b/crates/hot-restart/tests/support/mod.rs
@@ -1,8 +1,8 @@
-//! What several tests of hot restart use.
+//! Shared by the tests of hot restart.
 
 use hot_restart::message::{HandoverState, StoredOverride};
 
-/// A state with something in each of its fields.
+/// A state with a value in each of its fields.
 pub fn state() -> HandoverState {
     HandoverState {
         overrides: vec![
