--- a/crates/request-coalescing/tests/operator_texts.rs
+++ b/crates/request-coalescing/tests/operator_texts.rs
@@ -1,4 +1,5 @@
-//! What operators write and read keeps its words: the keys of `[joining.bounds]`, the errors, the line of counters.
+//! Texts that operators write and read are stable: the keys of `[joining.bounds]`, the error
+//! messages, and the line of counters.
 
 use request_coalescing::{Bounds, Counters, SettingsError};
 use serde::Deserialize;
@@ -62,7 +63,7 @@
 }
 
 #[test]
-fn the_line_of_counters_keeps_its_words() {
+fn the_text_form_of_the_counters_is_stable() {
     let counters = Counters {
         flights: 1,
         joined: 2,
--- a/crates/router-runtime/src/downstream/client.rs
+++ b/crates/router-runtime/src/downstream/client.rs
@@ -1,4 +1,5 @@
-//! The state of one client's connection, as its two halves and the set of connections share it.
+//! The state of one client connection, shared by its reading and writing halves and by the set of
+//! connections.
 
 use crate::request::ResponseStream;
 use load_balancer::RequestId;
@@ -7,69 +8,73 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// A client that sends nothing for this long after it connected is closed. One that has sent no command for this long
-/// since its last response is closed before others when room is needed.
-pub(super) const COMMAND_LIMIT: Duration = Duration::from_secs(2);
-/// A client that has sent nothing so soon after it connected may be about to.
-const YOUNG_LIMIT: Duration = Duration::from_millis(500);
-/// A client that connected within this time most likely has its command on the way: closed now, it would lose it.
-const ARRIVING_LIMIT: Duration = Duration::from_millis(100);
+/// A client that sends nothing for this long after it connected is closed. One that has sent no
+/// command for this long since its last response is evicted before others.
+pub(super) const COMMAND_TIMEOUT: Duration = Duration::from_secs(2);
+/// The age from which a connection without a complete command is evicted first; on a younger one, a
+/// command may still be on its way.
+const SILENT_AGE: Duration = Duration::from_millis(500);
+/// A client that connected within this time most likely has a command on its way, which would be
+/// lost if the connection were closed.
+const ARRIVAL_GRACE: Duration = Duration::from_millis(100);
 /// A client that has sent no command for this long since its last response is idle.
 const IDLE_AFTER: Duration = Duration::from_millis(100);
 
-/// Which idle client is closed first to make room for another.
+/// The order in which clients are evicted to make room for another; the first variant goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum CloseOrder {
-    /// It had its time to send a command and has not.
-    SilentForLong,
-    /// It has sent no command for long.
-    UnusedForLong,
-    /// It has sent no whole command yet.
+enum EvictionPriority {
+    /// It has not completed a command for longer than `SILENT_AGE`.
+    LongSilent,
+    /// It has sent no command for longer than `COMMAND_TIMEOUT` since its last response.
+    LongUnused,
+    /// It has not completed a command for longer than `ARRIVAL_GRACE`.
     Silent,
-    /// It is idle between commands. Closed, it loses nothing.
+    /// It is idle between commands, and loses nothing when closed.
     BetweenCommands,
-    /// It has just connected. Last, so that connections of a crowd do not close each other.
-    Arriving,
+    /// It has just connected, or its command has just begun. Last, so that a burst of new
+    /// connections does not evict itself.
+    JustConnected,
 }
 
-/// Where a client stands among those that may be closed: the smallest is closed first.
+/// The position of a client in the order of eviction: the smallest is evicted first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct CloseRank {
-    order: CloseOrder,
-    /// When it connected, was last used, or its unfinished command began.
+pub(super) struct EvictionRank {
+    priority: EvictionPriority,
+    /// When its incomplete command began, or else when it connected or was last used.
     since: Instant,
 }
 
-/// See the module.
+/// The state of one client connection; see the module documentation.
 pub(super) struct Client {
     /// To be closed as soon as no response is pending.
     pub is_closing: Cell<bool>,
-    /// Told when the connection is to look at its state and the process's again.
+    /// Notified when the state of the connection or of the process has changed.
     pub changed: Notify,
-    /// Responses that are not written yet.
+    /// The number of responses that are not written yet.
     pub pending_responses: Cell<usize>,
-    /// The one pending response is streamed: nothing is read.
+    /// The only pending response is being streamed, and nothing is read.
     pub is_streaming: Cell<bool>,
-    /// Bytes of a further command were read.
+    /// Bytes of a further command have been read.
     pub has_unparsed_input: Cell<bool>,
-    /// It has sent a whole command.
+    /// The client has sent a complete command.
     pub has_sent_command: Cell<bool>,
-    /// When a command began to arrive that is not whole yet.
+    /// When the incomplete command began to arrive.
     pub command_began_at: Cell<Option<Instant>>,
-    /// Commands so far that are not for a router.
+    /// The number of unknown commands so far.
     pub unknown_commands: Cell<u32>,
-    /// When it connected or was last read from or written to.
+    /// When the client connected or was last read from or written to.
     pub last_used_at: Cell<Instant>,
     /// Requests that wait for their response.
     pub pending_requests: RefCell<BTreeSet<RequestId>>,
-    /// Never idle while the router is drained: once no response is pending it is closed.
-    pub is_stopped: Cell<bool>,
-    /// Its place is wanted for another: the rest of a command is not waited for.
+    /// The router is drained and the client never became idle: it is closed once no response is
+    /// pending.
+    pub is_closing_for_drain: Cell<bool>,
+    /// The connection makes room for another: the rest of a command is not waited for.
     pub is_evicted: Cell<bool>,
 }
 
 impl Client {
-    /// A client that connects now.
+    /// The state of a client that connects now.
     pub fn new(has_sent_command: bool, now: Instant) -> Self {
         Client {
             is_closing: Cell::new(false),
@@ -82,7 +87,7 @@
             unknown_commands: Cell::new(0),
             last_used_at: Cell::new(now),
             pending_requests: RefCell::default(),
-            is_stopped: Cell::new(false),
+            is_closing_for_drain: Cell::new(false),
             is_evicted: Cell::new(false),
         }
     }
@@ -92,7 +97,7 @@
         self.pending_responses.get() > 0
     }
 
-    /// A response was written.
+    /// Records that a response was written.
     pub fn response_written(&self, now: Instant) {
         self.pending_responses.set(self.pending_responses.get() - 1);
         self.is_streaming.set(false);
@@ -100,12 +105,12 @@
         self.changed.notify_one();
     }
 
-    /// Whether it has sent a part of a command.
+    /// Whether the client has sent a part of a command.
     pub fn has_begun_command(&self) -> bool {
         self.command_began_at.get().is_some()
     }
 
-    /// Whether it is idle between commands, and not closing yet.
+    /// Whether the client is idle between commands, and not closing yet.
     pub fn is_idle(&self, now: Instant) -> bool {
         let is_at_rest = !self.has_pending_responses()
             && !self.has_begun_command()
@@ -114,25 +119,25 @@
         is_at_rest && now.saturating_duration_since(self.last_used_at.get()) > IDLE_AFTER
     }
 
-    /// Where it stands among the clients that may be closed.
-    pub fn close_rank(&self, now: Instant) -> CloseRank {
+    /// The position in the order of eviction.
+    pub fn eviction_rank(&self, now: Instant) -> EvictionRank {
         let since = self
             .command_began_at
             .get()
             .unwrap_or(self.last_used_at.get());
         let age = now.saturating_duration_since(since);
         let is_silent = !self.has_sent_command.get() || self.has_begun_command();
-        let order = match is_silent {
-            true if age > YOUNG_LIMIT => CloseOrder::SilentForLong,
-            true if age > ARRIVING_LIMIT => CloseOrder::Silent,
-            true => CloseOrder::Arriving,
-            false if age > COMMAND_LIMIT => CloseOrder::UnusedForLong,
-            false => CloseOrder::BetweenCommands,
+        let priority = match is_silent {
+            true if age > SILENT_AGE => EvictionPriority::LongSilent,
+            true if age > ARRIVAL_GRACE => EvictionPriority::Silent,
+            true => EvictionPriority::JustConnected,
+            false if age > COMMAND_TIMEOUT => EvictionPriority::LongUnused,
+            false => EvictionPriority::BetweenCommands,
         };
-        CloseRank { order, since }
+        EvictionRank { priority, since }
     }
 
-    /// Closes the connection for another, as soon as no response is pending.
+    /// Closes the connection to make room for another, as soon as no response is pending.
     pub fn evict(&self) {
         self.is_evicted.set(true);
         self.close();
@@ -147,11 +152,11 @@
 
 impl ResponseStream for Client {
     fn begin_streaming(&self) -> bool {
-        let is_alone = self.pending_responses.get() == 1 && !self.has_unparsed_input.get();
-        if is_alone {
+        let is_only_request = self.pending_responses.get() == 1 && !self.has_unparsed_input.get();
+        if is_only_request {
             self.is_streaming.set(true);
             self.changed.notify_one();
         }
-        is_alone
+        is_only_request
     }
 }
--- a/crates/router-runtime/src/runtime/shutdown.rs
+++ b/crates/router-runtime/src/runtime/shutdown.rs
@@ -58,7 +58,7 @@
         self.apply_lifecycle_event(LifecycleEvent::Terminate);
         let report = self.finish_connections(schedule).await;
         // From here on no connection is handed over.
-        self.clients.hand_over_to(None);
+        self.clients.set_successor(None);
         report
     }
 
--- a/crates/router-runtime/src/upstream/response.rs
+++ b/crates/router-runtime/src/upstream/response.rs
@@ -11,9 +11,9 @@
 use crate::environment::Environment;
 use crate::memory_budget::MemoryReservation;
 use crate::mutation::hooks;
-use crate::request::{Answer, BodyPiece};
+use crate::request::{Answer, BodyChunk};
 use crate::resp::{
-    LoadReportText, LongValue, LongValueReader, READ_SIZE, Reply, ReplyReader, ValuePart,
+    LoadReportText, LongValue, LongValueReader, READ_BYTES, Reply, ReplyReader, ValuePart,
 };
 use bytes::Bytes;
 use load_balancer::{ConnectionUse, LoadReport, Outcome, ServerId};
@@ -50,7 +50,7 @@
     /// When its command was sent.
     sent_at: Instant,
     long: LongValue,
-    pieces: mpsc::Sender<BodyPiece>,
+    pieces: mpsc::Sender<BodyChunk>,
 }
 
 /// The client of a streamed value has disconnected.
@@ -97,7 +97,7 @@
                 Err(_) => return connection_lost(true),
             }
             let pause = response_started.then(|| self.pause_timeout(&reader));
-            let read = connection.read(READ_SIZE);
+            let read = connection.read(READ_BYTES);
             match self.read_more(read, context, pause).await {
                 ReadResult::Received => response_started = true,
                 ReadResult::DeadlineExtended => {}
@@ -185,7 +185,7 @@
         let mut rest = Vec::new();
         let mut memory = self.answer_memory.reserve(connection.received.len());
         let reply = loop {
-            match reader.next_full(&mut connection.received) {
+            match reader.next_full_chunk(&mut connection.received) {
                 Ok(Some(ValuePart::Last(reply))) => break reply,
                 Ok(Some(ValuePart::Bytes(piece))) => {
                     rest.push(piece);
@@ -230,7 +230,7 @@
         while !memory.may_read_more() {
             self.answer_memory.freed().await;
         }
-        let wanted = reader.wanted(&connection.received);
+        let wanted = reader.next_read_bytes(&connection.received);
         let count = connection.read_at_most(wanted).await?;
         memory.add(count);
         Ok(count)
@@ -291,7 +291,7 @@
         let result = self.result(reply);
         if let Some(last) = &result.answer
             && pieces
-                .send(BodyPiece::Last(last.bytes.clone()))
+                .send(BodyChunk::Last(last.bytes.clone()))
                 .await
                 .is_err()
         {
@@ -309,7 +309,7 @@
     /// Sends a piece to the client at the client's pace. Calls `on_stall` at the first stall.
     async fn send_piece(
         &self,
-        pieces: &mpsc::Sender<BodyPiece>,
+        pieces: &mpsc::Sender<BodyChunk>,
         piece: Bytes,
         on_stall: &mut Option<impl FnOnce()>,
     ) -> Result<(), ClientDisconnected> {
@@ -330,7 +330,7 @@
         };
         reserved
             .map_err(|_| ClientDisconnected)?
-            .send(BodyPiece::More(piece));
+            .send(BodyChunk::More(piece));
         Ok(())
     }
 
