--- a/crates/hot-restart/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! [`message`] defines the messages and their encoding, without I/O. [`channel`] carries messages
 //! and file descriptors over a Unix socket. [`rendezvous`] is the socket at which a new process
-//! finds the one that serves. [`store`] keeps the admin overrides on disk. [`inherited_listener`]
+//! finds the one that serves. [`store`] keeps the admin overrides on disk. [`inherited_listener()`]
 //! opens the listening socket that the process has inherited from the platform.
 
 pub mod channel;
