--- a/crates/router-runtime/src/discovery.rs
+++ b/crates/router-runtime/src/discovery.rs
@@ -65,7 +65,7 @@
     /// Time of the next call that does not need a subscription.
     next_call_at: Option<Instant>,
     /// Time of the most recent call.
-    last_call: Option<Instant>,
+    last_call_at: Option<Instant>,
     /// Whether a watch has been lost since the start of the process.
     has_lost_watch: bool,
     /// Longest time that a call waited before discovery rejected it, since the last answer.
@@ -75,8 +75,8 @@
 impl CallSchedule {
     /// Schedules a call at once and resets what was learnt from another discovery server or from
     /// an outage of this one.
-    fn call_now(&mut self, now: Instant, calls: CallRetryPolicy) {
-        self.backoff = Some(RetryBackoff::starting_at(now, calls));
+    fn call_now(&mut self, now: Instant, call_retry: CallRetryPolicy) {
+        self.backoff = Some(RetryBackoff::starting_at(now, call_retry));
         self.next_call_at = Some(now);
         self.longest_rejection_wait = None;
     }
@@ -199,7 +199,9 @@
             self.log_loss(lost, schedule);
         }
         schedule.next_call_at = match &mut schedule.backoff {
-            Some(backoff) if lost.failed_call_at.is_some() => backoff.next(self.environment.now()),
+            Some(backoff) if lost.failed_call_at.is_some() => {
+                backoff.next_retry_at(self.environment.now())
+            }
             _ if self.is_push => Some(self.call_after_lost_watch(schedule)),
             _ => None,
         };
@@ -211,13 +213,13 @@
     }
 
     /// When to call the agent after the loss of a watch: at once, but no sooner than the maximum
-    /// pause after the last call, in case each watch ends soon after it was opened.
+    /// retry delay after the last call, in case each watch ends soon after it was opened.
     fn call_after_lost_watch(&self, schedule: &mut CallSchedule) -> Instant {
         let now = self.environment.now();
-        let calls = self.silent_watch.call_retry;
-        schedule.backoff = Some(RetryBackoff::starting_at(now, calls));
-        let earliest = |last_call| last_call + to_duration(calls.max_delay);
-        schedule.last_call.map_or(now, earliest).max(now)
+        let call_retry = self.silent_watch.call_retry;
+        schedule.backoff = Some(RetryBackoff::starting_at(now, call_retry));
+        let earliest = |last_call_at| last_call_at + to_duration(call_retry.max_delay);
+        schedule.last_call_at.map_or(now, earliest).max(now)
     }
 
     /// The update that reports a loss to the decision library.
@@ -232,12 +234,12 @@
     /// or a silent watch stays open while further calls try to replace it.
     async fn watch_until_lost(self: &Rc<Self>, schedule: &mut CallSchedule) -> Option<LostWatch> {
         let mut watches = WatchSet::default();
-        let calls = self.silent_watch.call_retry;
+        let call_retry = self.silent_watch.call_retry;
         let now = self.environment.now();
-        let first_call =
-            ReconnectSchedule::after_first_call(now, self.call_interval(schedule), calls);
+        let interval = self.hedged_call_interval(schedule);
+        let first_call = ReconnectSchedule::after_first_call(now, interval, call_retry);
         let mut reconnect = Some(first_call);
-        schedule.last_call = Some(now);
+        schedule.last_call_at = Some(now);
         self.open_watch(&mut watches);
         loop {
             let next_call_at = reconnect.as_ref().and_then(ReconnectSchedule::next_call_at);
@@ -255,9 +257,9 @@
                     WatchEvent::Silent => {
                         self.log_loss(&self.silent_watch_lost(None), schedule);
                         let now = self.environment.now();
-                        let call_interval = self.call_interval(schedule);
+                        let interval = self.hedged_call_interval(schedule);
                         reconnect =
-                            Some(ReconnectSchedule::after_silence(now, call_interval, calls));
+                            Some(ReconnectSchedule::after_silence(now, interval, call_retry));
                     }
                     WatchEvent::Lost(lost) => {
                         let now = self.environment.now();
@@ -271,7 +273,8 @@
                                 if !reconnect.replaces_silent_watch() {
                                     self.log_loss(&lost, schedule);
                                 }
-                                reconnect.watch_lost(now, &lost, self.call_interval(schedule));
+                                let interval = self.hedged_call_interval(schedule);
+                                reconnect.watch_lost(now, &lost, interval);
                             }
                             _ => return Some(lost),
                         }
@@ -309,7 +312,7 @@
     }
 
     /// Interval between calls while others are pending; `None` if no further ones are made.
-    fn call_interval(&self, schedule: &CallSchedule) -> Option<Duration> {
+    fn hedged_call_interval(&self, schedule: &CallSchedule) -> Option<Duration> {
         let interval = self
             .silent_watch
             .hedged_call_interval(schedule.longest_rejection_wait);
--- a/crates/router-runtime/src/discovery/reconnect.rs
+++ b/crates/router-runtime/src/discovery/reconnect.rs
@@ -3,7 +3,7 @@
 //!
 //! Calls are made until one is answered: failed ones are retried with an exponential back-off, and
 //! while a call is pending another one may be made at a fixed interval. The decision library's
-//! [`SilentWatchPolicy`](load_balancer::SilentWatchPolicy) sets the pauses and the interval. Where
+//! [`SilentWatchPolicy`](load_balancer::SilentWatchPolicy) sets the delays and the interval. Where
 //! it limits how long calls are repeated, the library's own back-off between subscriptions follows.
 
 use super::watch_set::LostWatch;
@@ -15,28 +15,30 @@
 pub(super) struct RetryBackoff {
     /// No retry is made from this time on; `None`: retries never end.
     give_up_at: Option<Instant>,
-    pause: Duration,
-    max_pause: Duration,
+    delay: Duration,
+    max_delay: Duration,
 }
 
 impl RetryBackoff {
-    /// Starts the back-off at `now` with its first pause.
-    pub fn starting_at(now: Instant, calls: CallRetryPolicy) -> RetryBackoff {
+    /// Starts the back-off at `now` with its first delay.
+    pub fn starting_at(now: Instant, call_retry: CallRetryPolicy) -> RetryBackoff {
         RetryBackoff {
-            give_up_at: calls.duration.map(|lasts| now + to_duration(lasts)),
-            pause: to_duration(calls.first_delay),
-            max_pause: to_duration(calls.max_delay),
+            give_up_at: call_retry
+                .duration
+                .map(|duration| now + to_duration(duration)),
+            delay: to_duration(call_retry.first_delay),
+            max_delay: to_duration(call_retry.max_delay),
         }
     }
 
     /// Time of the next retry after a failed call; `None` if it would come at or after the end of
     /// the retries.
-    pub fn next(&mut self, now: Instant) -> Option<Instant> {
-        let at = now + self.pause;
-        self.pause = (self.pause * 2).min(self.max_pause);
+    pub fn next_retry_at(&mut self, now: Instant) -> Option<Instant> {
+        let retry_at = now + self.delay;
+        self.delay = (self.delay * 2).min(self.max_delay);
         self.give_up_at
-            .is_none_or(|give_up_at| at < give_up_at)
-            .then_some(at)
+            .is_none_or(|give_up_at| retry_at < give_up_at)
+            .then_some(retry_at)
     }
 }
 
@@ -44,7 +46,7 @@
 /// watch.
 pub(super) struct ReconnectSchedule {
     /// Interval between calls while others are pending; `None`: no further call is made.
-    call_interval: Option<Duration>,
+    hedged_call_interval: Option<Duration>,
     /// No call is made from this time on; `None`: calls never end.
     give_up_at: Option<Instant>,
     /// Back-off between retries of failed calls; `None` unless a silent watch is to be replaced.
@@ -59,14 +61,16 @@
     /// The schedule after the first call for a watch, made at `now`.
     pub fn after_first_call(
         now: Instant,
-        call_interval: Option<Duration>,
-        calls: CallRetryPolicy,
+        hedged_call_interval: Option<Duration>,
+        call_retry: CallRetryPolicy,
     ) -> ReconnectSchedule {
         ReconnectSchedule {
-            call_interval,
-            give_up_at: calls.duration.map(|lasts| now + to_duration(lasts)),
+            hedged_call_interval,
+            give_up_at: call_retry
+                .duration
+                .map(|duration| now + to_duration(duration)),
             backoff: None,
-            next_call_at: call_interval.map(|interval| now + interval),
+            next_call_at: hedged_call_interval.map(|interval| now + interval),
             rejected_call_at: None,
         }
     }
@@ -74,13 +78,13 @@
     /// The schedule after a watch has fallen silent: the first call is due at once.
     pub fn after_silence(
         now: Instant,
-        call_interval: Option<Duration>,
-        calls: CallRetryPolicy,
+        hedged_call_interval: Option<Duration>,
+        call_retry: CallRetryPolicy,
     ) -> ReconnectSchedule {
         ReconnectSchedule {
-            backoff: Some(RetryBackoff::starting_at(now, calls)),
+            backoff: Some(RetryBackoff::starting_at(now, call_retry)),
             next_call_at: Some(now),
-            ..ReconnectSchedule::after_first_call(now, call_interval, calls)
+            ..ReconnectSchedule::after_first_call(now, hedged_call_interval, call_retry)
         }
     }
 
@@ -101,26 +105,31 @@
 
     /// Records a call made at `now` and schedules the next one.
     pub fn record_call(&mut self, now: Instant) {
-        let next_call_at = self.call_interval.map(|interval| now + interval);
+        let next_call_at = self.hedged_call_interval.map(|interval| now + interval);
         let is_wanted = |at: &Instant| self.give_up_at.is_none_or(|give_up_at| *at < give_up_at);
         self.next_call_at = next_call_at.filter(is_wanted);
     }
 
-    /// Schedules the next call after one has failed or a watch has ended. `call_interval` is the
-    /// new interval while others are pending; `None`: no further call is made.
-    pub fn watch_lost(&mut self, now: Instant, lost: &LostWatch, call_interval: Option<Duration>) {
+    /// Schedules the next call after one has failed or a watch has ended. `hedged_call_interval` is
+    /// the new interval while others are pending; `None`: no further call is made.
+    pub fn watch_lost(
+        &mut self,
+        now: Instant,
+        lost: &LostWatch,
+        hedged_call_interval: Option<Duration>,
+    ) {
         self.rejected_call_at = lost.rejected_call_at.or(self.rejected_call_at);
-        self.call_interval = call_interval;
-        let Some(interval) = call_interval else {
+        self.hedged_call_interval = hedged_call_interval;
+        let Some(interval) = hedged_call_interval else {
             self.next_call_at = None;
             return;
         };
         // If the failed call was pending for the whole interval, another one was made meanwhile.
-        let has_parallel_call = lost
+        let has_hedged_call = lost
             .failed_call_wait(now)
             .is_some_and(|waited| waited >= interval);
         let retry = match &mut self.backoff {
-            Some(backoff) if !has_parallel_call => backoff.next(now),
+            Some(backoff) if !has_hedged_call => backoff.next_retry_at(now),
             _ => None,
         };
         self.next_call_at = match (self.next_call_at, retry) {
