--- a/crates/cache-router/src/summary.rs
+++ b/crates/cache-router/src/summary.rs
@@ -74,7 +74,7 @@
         ("unopened".to_string(), attempts.connections_failed),
         ("calls".to_string(), attempts.discovery_calls),
         ("misses".to_string(), attempts.misses),
-        ("full_new".to_string(), attempts.overloaded_when_new),
+        ("full_new".to_string(), attempts.overloaded_new_connections),
         ("written".to_string(), metrics.attempts_written),
     ]);
     for ((_, name), count) in OUTCOMES.iter().zip(attempts.outcomes) {
--- a/crates/router-runtime/src/discovery/endpoint_table.rs
+++ b/crates/router-runtime/src/discovery/endpoint_table.rs
@@ -88,8 +88,8 @@
         self.store_list(is_snapshot, &list.entries);
         let table = self.clone();
         let entries =
-            hooks::listed_endpoints(&self.environment, update, list.entries, move |late| {
-                table.apply_entries(late, EndpointUpdate::Delta);
+            hooks::listed_endpoints(&self.environment, update, list.entries, move |delayed| {
+                table.apply_entries(delayed, EndpointUpdate::Delta);
             });
         self.version.set(list.version);
         self.apply_entries(entries, update);
--- a/crates/router-runtime/src/metrics.rs
+++ b/crates/router-runtime/src/metrics.rs
@@ -102,7 +102,7 @@
     pub outcomes: [u64; OUTCOMES.len()],
     /// Attempts on a new connection that the server answered as overloaded, possibly because it had
     /// reached its limit of connections.
-    pub overloaded_when_new: u64,
+    pub overloaded_new_connections: u64,
     /// Attempts that missed the cache and needed an origin fetch.
     pub misses: u64,
 }
@@ -171,7 +171,7 @@
             attempts.outcomes[place] += 1;
         }
         if outcome == Outcome::Overloaded && connection_use == ConnectionUse::New {
-            attempts.overloaded_when_new += 1;
+            attempts.overloaded_new_connections += 1;
         }
         if matches!(
             cache_status,
--- a/crates/router-runtime/src/mutation/hooks.rs
+++ b/crates/router-runtime/src/mutation/hooks.rs
@@ -133,14 +133,14 @@
     apply_later: impl FnOnce(Vec<ListedEndpoint>) + 'static,
 ) -> Vec<ListedEndpoint> {
     if is_active(Mutation::DrainsLate) && update != EndpointUpdate::Restored {
-        let (up, late): (Vec<ListedEndpoint>, Vec<ListedEndpoint>) = entries
+        let (up, delayed): (Vec<ListedEndpoint>, Vec<ListedEndpoint>) = entries
             .into_iter()
             .partition(|entry| entry.health == Health::Up);
-        if !late.is_empty() {
+        if !delayed.is_empty() {
             let clock = environment.clone();
             environment.spawn(async move {
                 clock.sleep(Duration::from_millis(251)).await;
-                apply_later(late);
+                apply_later(delayed);
             });
         }
         return up;
--- a/crates/router-runtime/src/upstream/attempt.rs
+++ b/crates/router-runtime/src/upstream/attempt.rs
@@ -80,7 +80,7 @@
 
 /// What to do with a long value.
 pub enum BodyConsumer {
-    /// Stream it to one client, piece by piece.
+    /// Stream it to one client, chunk by chunk.
     Stream(mpsc::Sender<BodyChunk>),
     /// Buffer it until it is complete: several clients wait for it, or one client that waits for
     /// other values as well. Notified when no client waits any more.
@@ -232,8 +232,8 @@
         if encoded.long_value.is_empty() {
             return Ok(());
         }
-        for piece in &encoded.long_value {
-            self.write(connection, piece, context).await?;
+        for chunk in &encoded.long_value {
+            self.write(connection, chunk, context).await?;
         }
         self.write(connection, b"\r\n", context).await
     }
--- a/crates/router-runtime/src/upstream/response.rs
+++ b/crates/router-runtime/src/upstream/response.rs
@@ -49,8 +49,8 @@
 struct ValueStream {
     /// When its command was sent.
     sent_at: Instant,
-    long: LongValue,
-    pieces: mpsc::Sender<BodyChunk>,
+    long_value: LongValue,
+    chunks: mpsc::Sender<BodyChunk>,
 }
 
 /// The client of a streamed value has disconnected.
@@ -68,13 +68,13 @@
         let mut reader = ReplyReader::default();
         let mut response_started = false;
         loop {
-            if let Some(long) = LongValue::begin(&mut connection.received) {
+            if let Some(long_value) = LongValue::begin(&mut connection.received) {
                 match context.begin_streaming() {
-                    BodyConsumer::Stream(pieces) => {
+                    BodyConsumer::Stream(chunks) => {
                         let value = ValueStream {
                             sent_at,
-                            long,
-                            pieces,
+                            long_value,
+                            chunks,
                         };
                         return self
                             .stream_response(server, connection, value, context)
@@ -82,10 +82,11 @@
                     }
                     BodyConsumer::Discard => return Outcome::Cancelled.into(),
                     BodyConsumer::Buffer(abandoned) => {
-                        let held = self.buffer_response(server, connection, long, context);
+                        let buffered =
+                            self.buffer_response(server, connection, long_value, context);
                         return tokio::select! {
                             biased;
-                            result = held => result,
+                            result = buffered => result,
                             () = abandoned.notified() => Outcome::Cancelled.into(),
                         };
                     }
@@ -103,7 +104,7 @@
                 ReadResult::DeadlineExtended => {}
                 _ if reader.has_value() => {
                     let reply = reader.served_without_report(&connection.received);
-                    return self.result(reply);
+                    return self.attempt_result(reply);
                 }
                 ReadResult::TimedOut => {
                     return self.timed_out(server, connection, response_started);
@@ -126,7 +127,7 @@
         if connection.received.is_empty() {
             self.put_back(server, connection);
         }
-        self.result(reply)
+        self.attempt_result(reply)
     }
 
     /// Closes the connection, since the response may still arrive on it.
@@ -178,17 +179,17 @@
         &self,
         server: &ServerId,
         mut connection: Connection<E>,
-        long: LongValue,
+        long_value: LongValue,
         context: &AttemptContext,
     ) -> AttemptResult {
-        let LongValue { head, mut reader } = long;
+        let LongValue { head, mut reader } = long_value;
         let mut rest = Vec::new();
         let mut memory = self.answer_memory.reserve(connection.received.len());
         let reply = loop {
             match reader.next_full_chunk(&mut connection.received) {
                 Ok(Some(ValuePart::Last(reply))) => break reply,
-                Ok(Some(ValuePart::Bytes(piece))) => {
-                    rest.push(piece);
+                Ok(Some(ValuePart::Bytes(chunk))) => {
+                    rest.push(chunk);
                     continue;
                 }
                 Ok(None) => {}
@@ -255,7 +256,7 @@
     }
 
     /// Forwards a long value as it arrives, with back-pressure: at most one read of the value and
-    /// one piece on its way to the client are in memory.
+    /// one chunk on its way to the client are in memory.
     async fn stream_value(
         &self,
         server: &ServerId,
@@ -263,15 +264,17 @@
         value: ValueStream,
         on_stall: impl FnOnce(),
     ) -> AttemptResult {
-        let ValueStream { long, pieces, .. } = value;
-        let mut reader = long.reader;
-        let mut part = ValuePart::Bytes(long.head);
+        let ValueStream {
+            long_value, chunks, ..
+        } = value;
+        let mut reader = long_value.reader;
+        let mut part = ValuePart::Bytes(long_value.head);
         let mut on_stall = Some(on_stall);
         let reply = loop {
             match part {
                 ValuePart::Last(reply) => break reply,
-                ValuePart::Bytes(piece) => {
-                    let sent = self.send_piece(&pieces, piece, &mut on_stall).await;
+                ValuePart::Bytes(chunk) => {
+                    let sent = self.send_chunk(&chunks, chunk, &mut on_stall).await;
                     if let Err(ClientDisconnected) = sent {
                         return Outcome::Cancelled.into();
                     }
@@ -285,12 +288,12 @@
                 },
                 // The server may pause for seconds; do not hold its connection for a client that
                 // has disconnected.
-                () = pieces.closed() => return Outcome::Cancelled.into(),
+                () = chunks.closed() => return Outcome::Cancelled.into(),
             };
         };
-        let result = self.result(reply);
+        let result = self.attempt_result(reply);
         if let Some(last) = &result.answer
-            && pieces
+            && chunks
                 .send(BodyChunk::Last(last.bytes.clone()))
                 .await
                 .is_err()
@@ -306,14 +309,14 @@
         }
     }
 
-    /// Sends a piece to the client at the client's pace. Calls `on_stall` at the first stall.
-    async fn send_piece(
+    /// Sends a chunk to the client at the client's pace. Calls `on_stall` at the first stall.
+    async fn send_chunk(
         &self,
-        pieces: &mpsc::Sender<BodyChunk>,
-        piece: Bytes,
+        chunks: &mpsc::Sender<BodyChunk>,
+        chunk: Bytes,
         on_stall: &mut Option<impl FnOnce()>,
     ) -> Result<(), ClientDisconnected> {
-        let reserving = pieces.reserve();
+        let reserving = chunks.reserve();
         tokio::pin!(reserving);
         let reserved = self
             .environment
@@ -330,7 +333,7 @@
         };
         reserved
             .map_err(|_| ClientDisconnected)?
-            .send(BodyChunk::More(piece));
+            .send(BodyChunk::More(chunk));
         Ok(())
     }
 
@@ -345,7 +348,7 @@
             if let Some(part) = reader.next(&mut connection.received).ok()? {
                 return Some(part);
             }
-            let has_more = self.read_piece(connection, reader).await;
+            let has_more = self.read_chunk(connection, reader).await;
             if !has_more && reader.has_value() {
                 let reply = reader.without_report(&connection.received);
                 return Some(ValuePart::Last(reply));
@@ -357,7 +360,7 @@
     }
 
     /// Waits for more bytes of a streamed value; false if none arrive.
-    async fn read_piece(&self, connection: &mut Connection<E>, reader: &LongValueReader) -> bool {
+    async fn read_chunk(&self, connection: &mut Connection<E>, reader: &LongValueReader) -> bool {
         let pause = if reader.has_value() {
             LOAD_REPORT_TIMEOUT
         } else {
@@ -369,7 +372,7 @@
     }
 
     /// Converts a reply to the result of its attempt.
-    fn result(&self, reply: Reply) -> AttemptResult {
+    fn attempt_result(&self, reply: Reply) -> AttemptResult {
         let (outcome, cache_status, answer, report) = match reply {
             Reply::Served {
                 bytes,
