--- a/crates/router-runtime/src/discovery.rs
+++ b/crates/router-runtime/src/discovery.rs
@@ -109,7 +109,7 @@
         })
     }
 
-    /// Applies the endpoint list that a previous process of this router had.
+    /// Applies the endpoint list that the router starts with.
     pub fn restore(&self, list: EndpointList) {
         self.endpoints.restore(list);
     }
--- a/crates/router-runtime/src/discovery/endpoint_table.rs
+++ b/crates/router-runtime/src/discovery/endpoint_table.rs
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Applies the list that a previous process of this router had.
+    /// Applies the list that the router starts with.
     pub fn restore(self: &Rc<Self>, list: EndpointList) {
         self.apply(list, EndpointUpdate::Restored);
     }
--- a/crates/router-runtime/src/runtime.rs
+++ b/crates/router-runtime/src/runtime.rs
@@ -42,7 +42,7 @@
 }
 
 impl<E: Environment> RouterRuntime<E> {
-    /// Creates a router from its configuration and its last endpoint list. It accepts no clients
+    /// Creates a router from its configuration and initial endpoint list. It accepts no clients
     /// before [`RouterRuntime::run`].
     ///
     /// # Errors
--- a/crates/router-runtime/src/runtime/config.rs
+++ b/crates/router-runtime/src/runtime/config.rs
@@ -30,7 +30,7 @@
     pub seed: u64,
     /// Address of the discovery server.
     pub discovery: SocketAddr,
-    /// The last endpoint list of a previous process of this router.
+    /// Endpoint list to start with, from a previous process or from the configuration.
     pub initial_endpoints: EndpointList,
     /// Memory that the process may use, in bytes.
     pub memory_bytes: usize,
@@ -65,7 +65,7 @@
     pub upstream_limits: UpstreamLimits,
     /// Configuration of the watch on the endpoint list.
     pub discovery: DiscoveryConfig,
-    /// The last endpoint list of a previous process of this router.
+    /// Endpoint list to start with, from a previous process or from the configuration.
     pub initial_endpoints: EndpointList,
     /// Which reads are coalesced; `None` if coalescing is off.
     pub coalescing: Option<CoalescingRules>,
