--- a/crates/router-runtime/src/coalescing_stage.rs
+++ b/crates/router-runtime/src/coalescing_stage.rs
@@ -114,7 +114,7 @@
             let listener = Rc::downgrade(&stage);
             stage.dispatcher.on_stage_events(move || {
                 if let Some(stage) = listener.upgrade() {
-                    stage.take_stage_events();
+                    stage.handle_stage_events();
                 }
             });
         }
@@ -175,7 +175,7 @@
     }
 
     /// Handles the events that the dispatcher has queued for the stage.
-    fn take_stage_events(&self) {
+    fn handle_stage_events(&self) {
         let Some(coalescing) = &self.coalescing else {
             return;
         };
--- a/crates/router-runtime/src/dispatcher/attempts.rs
+++ b/crates/router-runtime/src/dispatcher/attempts.rs
@@ -185,7 +185,7 @@
     }
 
     fn begin_streaming(self: Rc<Self>, id: RequestId, attempt: AttemptNumber) -> BodyConsumer {
-        let pieces = {
+        let chunks = {
             let mut state = self.state.borrow_mut();
             let Some(request) = state
                 .requests
@@ -198,12 +198,12 @@
                 return BodyConsumer::Buffer(request.abandoned.clone());
             }
             // The channel holds one chunk, so that the server is read at the client's pace.
-            let (pieces, body) = mpsc::channel(1);
+            let (chunks, body) = mpsc::channel(1);
             state.requests.respond(id, Response::Streamed(body));
-            pieces
+            chunks
         };
         self.handle(Event::StreamStarted { id, attempt });
-        BodyConsumer::Stream(pieces)
+        BodyConsumer::Stream(chunks)
     }
 
     fn client_stalled(self: Rc<Self>, id: RequestId, attempt: AttemptNumber, took: Duration) {
--- a/crates/router-runtime/src/downstream/close.rs
+++ b/crates/router-runtime/src/downstream/close.rs
@@ -42,12 +42,12 @@
     /// input resets it, and the last response may be lost.
     pub(super) async fn close_after_discard(&self, mut stream: E::Stream) {
         let discard = async {
-            let mut left = MAX_DISCARD_BYTES;
+            let mut remaining_bytes = MAX_DISCARD_BYTES;
             let mut bytes = [0; READ_BYTES];
             stream.shutdown().await?;
             while let count @ 1.. = stream.read(&mut bytes).await? {
-                left = left.saturating_sub(count);
-                if left == 0 {
+                remaining_bytes = remaining_bytes.saturating_sub(count);
+                if remaining_bytes == 0 {
                     break;
                 }
             }
--- a/crates/router-runtime/src/downstream/commands.rs
+++ b/crates/router-runtime/src/downstream/commands.rs
@@ -39,7 +39,7 @@
 
 impl<E: Environment> ClientConnections<E> {
     /// Handles a complete command; returns its response, or where it will arrive.
-    pub(super) fn take_command(
+    pub(super) fn handle_command(
         &self,
         frame: CommandFrame,
         client: &Rc<Client>,
--- a/crates/router-runtime/src/downstream/connection.rs
+++ b/crates/router-runtime/src/downstream/connection.rs
@@ -84,8 +84,8 @@
                 end = self.read_commands(&mut reader, unread, pending, client) => end,
                 // The client has stopped reading, or an answer broke off.
                 end = &mut writing => {
-                    if let Err(end) = end {
-                        self.log_close(end, client, 0);
+                    if let Err(reason) = end {
+                        self.log_close(reason, client, 0);
                     }
                     ReadEnd::Disconnected
                 }
@@ -117,7 +117,7 @@
         let mut input = CommandInput::new(unread);
         loop {
             let taken = self
-                .take_commands(stream, &mut input, &pending, client)
+                .handle_received_commands(stream, &mut input, &pending, client)
                 .await;
             if let ControlFlow::Break(end) = taken {
                 return end;
@@ -135,16 +135,16 @@
 
     /// Handles the commands that have arrived completely, as long as the client's next one may be
     /// read.
-    async fn take_commands(
+    async fn handle_received_commands(
         &self,
         stream: &<E::Stream as Stream>::Reader<'_>,
         input: &mut CommandInput,
         pending: &mpsc::Sender<PendingResponse>,
         client: &Rc<Client>,
     ) -> ControlFlow<ReadEnd> {
-        while self.may_take_command(client) {
+        while self.may_read_command(client) {
             let response = match input.reader.next(&mut input.buffer) {
-                Ok(Some(arguments)) => self.take_command(arguments, client, input.memory.take()),
+                Ok(Some(arguments)) => self.handle_command(arguments, client, input.memory.take()),
                 Ok(None) => break,
                 Err(error) => PendingResponse::Last(protocol_error(&error)),
             };
--- a/crates/router-runtime/src/downstream/connections.rs
+++ b/crates/router-runtime/src/downstream/connections.rs
@@ -71,7 +71,7 @@
     ended: Notify,
     pub(super) close_log: CloseLog,
     /// Set when the process ends: nothing more is read.
-    is_finishing: Cell<bool>,
+    is_shutting_down: Cell<bool>,
 }
 
 impl<E: Environment> ClientConnections<E> {
@@ -86,7 +86,7 @@
             successor: RefCell::default(),
             ended: Notify::new(),
             close_log: CloseLog::default(),
-            is_finishing: Cell::new(false),
+            is_shutting_down: Cell::new(false),
         })
     }
 
@@ -268,14 +268,14 @@
 
     /// Stops reading, as the process ends. Connections are closed as soon as their responses are
     /// written.
-    pub fn finish(&self) {
-        self.is_finishing.set(true);
+    pub fn shut_down(&self) {
+        self.is_shutting_down.set(true);
         self.lifecycle_changed();
     }
 
     /// Whether the process ends, so that nothing more is read.
-    pub(super) fn is_finishing(&self) -> bool {
-        self.is_finishing.get()
+    pub(super) fn is_shutting_down(&self) -> bool {
+        self.is_shutting_down.get()
     }
 
     /// The lifecycle of the process.
--- a/crates/router-runtime/src/downstream/read_plan.rs
+++ b/crates/router-runtime/src/downstream/read_plan.rs
@@ -91,8 +91,8 @@
     /// Whether the client's next command may be read. While the router is drained, this holds for a
     /// command that has begun, and for one that arrives while no response is pending; a client that
     /// never becomes idle is refused after a while.
-    pub(super) fn may_take_command(&self, client: &Client) -> bool {
-        if self.is_finishing() {
+    pub(super) fn may_read_command(&self, client: &Client) -> bool {
+        if self.is_shutting_down() {
             return false;
         }
         let lifecycle = self.lifecycle();
@@ -122,12 +122,12 @@
         } else if !client.has_begun_command() {
             client.command_began_at.set(Some(self.environment.now()));
         }
-        if self.is_finishing() {
+        if self.is_shutting_down() {
             return ControlFlow::Break(ReadEnd::Shutdown);
         }
         let policy = self.lifecycle().idle_connection_policy();
         let has_pending = client.has_pending_responses();
-        let may_read = self.may_take_command(client) && !client.is_streaming.get();
+        let may_read = self.may_read_command(client) && !client.is_streaming.get();
         if policy == IdleConnectionPolicy::HandOver && !has_pending {
             let reader = std::mem::take(&mut input.reader);
             let unread = reader.into_unread(std::mem::take(&mut input.buffer));
--- a/crates/router-runtime/src/downstream/responses.rs
+++ b/crates/router-runtime/src/downstream/responses.rs
@@ -132,7 +132,7 @@
                 Ok(last) => (RequestEnd::Served, Ok(Answer::short(last))),
                 // Closing the connection tells the client that the answer is incomplete. No other
                 // request waits on it.
-                Err(end) => (RequestEnd::Failed, Err(end)),
+                Err(reason) => (RequestEnd::Failed, Err(reason)),
             },
         };
         record.end = Some(end);
--- a/crates/router-runtime/src/resp/command.rs
+++ b/crates/router-runtime/src/resp/command.rs
@@ -223,11 +223,11 @@
 
     /// Bytes of the current command's value that are no longer in the buffer.
     pub fn held_bytes(&self) -> usize {
-        let pieces = self
+        let chunks = self
             .long_write
             .iter()
             .flat_map(|write| &write.frame.long_value);
-        pieces.map(Bytes::len).sum()
+        chunks.map(Bytes::len).sum()
     }
 
     /// All bytes read of the current command, as they arrived: those taken off the buffer, and the
--- a/crates/router-runtime/src/runtime/shutdown.rs
+++ b/crates/router-runtime/src/runtime/shutdown.rs
@@ -126,7 +126,7 @@
         }
         report.failed = self.unanswered_count();
         hooks::fail_pending(|| self.dispatcher.fail_all());
-        self.clients.finish();
+        self.clients.shut_down();
         let _ = self
             .environment
             .timeout_at(schedule.exit_deadline, self.clients.all_ended())
