--- a/crates/router-runtime/src/coalescing_stage.rs
+++ b/crates/router-runtime/src/coalescing_stage.rs
@@ -251,7 +251,7 @@
         }
     }
 
-    /// Sends a waiter its final response. Nothing else does.
+    /// The only function that sends a waiter the final response of its flight.
     fn answer_waiter(
         &self,
         coalescing: &Coalescing,
@@ -279,7 +279,7 @@
             (FlightOutcome::Rejected(after), _) => Response::Rejected(after),
             _ => Response::Failed,
         };
-        // If the client disconnects at this moment, its connection notices.
+        // If the client has just disconnected, its connection notices that.
         let _ = waiter.response.send(response);
     }
 
