--- a/crates/router-runtime/src/dispatcher/attempts.rs
+++ b/crates/router-runtime/src/dispatcher/attempts.rs
@@ -20,7 +20,7 @@
     pub id: RequestId,
     /// The cache server.
     pub server: ServerId,
-    /// How long the attempt may take; `None` for until the request's deadline.
+    /// How long the attempt may take; `None` means until the request's deadline.
     pub timeout: Option<Micros>,
     /// The time within which its last byte must be written; later, it is not sent.
     pub write_within: Option<Micros>,
@@ -115,8 +115,8 @@
         });
     }
 
-    /// Ends an attempt. Nothing else does. The first attempt that is served gives the request its
-    /// response.
+    /// The only function that ends an attempt in flight. The first attempt that is served gives the
+    /// request its response.
     fn attempt_ended(
         self: &Rc<Self>,
         id: RequestId,
