--- a/crates/router-runtime/src/dispatcher/open_requests.rs
+++ b/crates/router-runtime/src/dispatcher/open_requests.rs
@@ -138,11 +138,11 @@
         is_pending
     }
 
-    /// Sends a request its final response. Nothing else does.
+    /// The only function that sends a request its final response.
     pub fn respond(&mut self, id: RequestId, response: Response) {
         match self.take_sink(id) {
             Some(ResponseSink::Client(client) | ResponseSink::Write(client)) => {
-                // If the client disconnects at this moment, its connection notices.
+                // If the client has just disconnected, its connection notices that.
                 let _ = client.send(response);
             }
             Some(ResponseSink::Stage) => {
