--- a/crates/router-runtime/src/downstream/close.rs
+++ b/crates/router-runtime/src/downstream/close.rs
@@ -18,19 +18,19 @@
 
 impl<E: Environment> ClientConnections<E> {
     /// Completes once a client that is not being read has disconnected. Without this check,
-    /// requests would run for nobody: the end of the connection comes after commands that are not
-    /// read yet.
+    /// requests of a disconnected client would keep running, as the end of its stream comes after
+    /// commands that are not read yet.
     pub(super) async fn disconnected(&self, stream: &impl ReadStream) {
         while !hooks::has_disconnected(stream.has_peer_closed()) {
             self.environment.sleep(DISCONNECT_CHECK_INTERVAL).await;
         }
     }
 
-    /// Shuts down the sending side, and leaves the client time to read that. What it still sends
-    /// stays unread, so that it can send it again elsewhere.
+    /// Shuts down the sending side, and gives the client time to read the last response. Its
+    /// further input stays unread, so that the client can send it again elsewhere.
     pub(super) async fn close_unread(&self, mut stream: E::Stream) {
         if stream.shutdown().await.is_ok() {
-            // The connection is closed whatever the result.
+            // The connection is closed even if this fails.
             let _ = self
                 .environment
                 .timeout(DISCARD_TIMEOUT, self.disconnected(&stream.split().0))
@@ -38,8 +38,8 @@
         }
     }
 
-    /// Shuts down the sending side and reads on for a moment. Closing a connection with unread
-    /// input resets it, and the last response may be lost.
+    /// Shuts down the sending side and discards input for a short time. Closing a connection with
+    /// unread input would reset it, and the last response could be lost.
     pub(super) async fn close_after_discard(&self, mut stream: E::Stream) {
         let discard = async {
             let mut remaining_bytes = MAX_DISCARD_BYTES;
@@ -53,7 +53,7 @@
             }
             io::Result::Ok(())
         };
-        // The connection is closed whatever the result.
+        // The connection is closed even if this fails.
         let _ = self.environment.timeout(DISCARD_TIMEOUT, discard).await;
     }
 }
