--- a/crates/router-runtime/src/downstream/read_plan.rs
+++ b/crates/router-runtime/src/downstream/read_plan.rs
@@ -28,8 +28,8 @@
     Disconnected,
     /// The connection is closed once its pending responses are written.
     Close,
-    /// Like `Close`, but further input is discarded first, as the client may still be sending:
-    /// after an error, or while the router is drained.
+    /// Like `Close`, but further input is discarded before the connection is closed, as the client
+    /// may still be sending: after an error, or while the router is drained.
     CloseAfterDiscard,
     /// Like `Close`, as the process ends; further input stays unread.
     Shutdown,
@@ -62,7 +62,7 @@
     }
 
     /// Whether no byte of a further command has been read. Full chunks of a long value are not in
-    /// the buffer.
+    /// the buffer, so the reader is asked as well.
     pub fn is_empty(&self) -> bool {
         self.buffer.is_empty() && !self.reader.is_in_value()
     }
