--- a/crates/router-runtime/src/downstream/responses.rs
+++ b/crates/router-runtime/src/downstream/responses.rs
@@ -20,15 +20,16 @@
 
 /// The response to one command, queued in command order.
 pub(super) enum PendingResponse {
-    /// It is known.
+    /// A response that is known.
     Ready(Bytes),
-    /// It is known, and the last one: the input after it cannot be parsed or need not be read.
+    /// The last response on the connection: the input after its command cannot be parsed or need
+    /// not be read.
     Last(Bytes),
-    /// It is waited for.
+    /// A response that is still awaited.
     Awaited(AwaitedResponse),
 }
 
-/// The response to a submitted request.
+/// The awaited response to a submitted request.
 pub(super) struct AwaitedResponse {
     /// Counts the request in the metrics.
     pub record: RequestRecord,
@@ -98,7 +99,8 @@
         Ok(())
     }
 
-    /// Waits for a response and returns it; of a streamed one, returns the last chunk.
+    /// Waits for a response and returns it. Writes a streamed one except for its last chunk, which
+    /// is returned.
     async fn await_response(
         &self,
         writer: &mut <E::Stream as Stream>::Writer<'_>,
