--- a/crates/router-runtime/src/resp.rs
+++ b/crates/router-runtime/src/resp.rs
@@ -1,7 +1,7 @@
 //! Incremental RESP2 parsers for the commands of clients, the replies of cache servers, and long
 //! values.
 //!
-//! The readers do no I/O. They look at each byte about once however the input is split, and reject
+//! The readers do no I/O. They examine each byte about once however the input is split, and reject
 //! an oversized frame by its header.
 
 mod command;
@@ -18,7 +18,8 @@
 /// The size of the chunks in which a long value is held, in bytes. Each chunk has its own
 /// allocation.
 pub const CHUNK_BYTES: usize = 64 * 1024;
-/// The room for one read, in bytes: a typical response and what a peer wrote behind it fit in one.
+/// The buffer capacity for one read, in bytes: it fits a typical response and what the peer wrote
+/// after it.
 pub const READ_BYTES: usize = 4 * 1024;
 
 /// Why the rest of a connection's input cannot be parsed.
