--- a/crates/router-runtime/src/resp/command.rs
+++ b/crates/router-runtime/src/resp/command.rs
@@ -399,8 +399,8 @@
             .map(|pair| pair.1)
     }
 
-    /// The value of a numeric field, of digits alone; a number that does not fit becomes the
-    /// largest one.
+    /// The value of a numeric field, which must consist of digits; a number that does not fit
+    /// becomes the largest `u64`.
     pub fn number(&self, name: &str) -> Option<Result<u64, CommandError>> {
         let text = self.field(name)?;
         Some(parse_number(text.as_bytes()).ok_or(CommandError::Number))
@@ -422,12 +422,12 @@
             .map(|argument| argument.len() + MAX_ARGUMENT_HEADER_BYTES)
             .sum();
         let mut head = Vec::with_capacity(arguments_size + COMMAND_OVERHEAD_BYTES);
-        // Writing to a vector does not fail.
         let argument_count = if self.is_write() {
             VALUE + 1
         } else {
             FIELDS + 1
         };
+        // Writing to a vector does not fail.
         let _ = write!(head, "*{argument_count}\r\n");
         for (index, argument) in inline_arguments.iter().enumerate() {
             let argument = if index == FIELDS {
