--- a/crates/router-runtime/src/resp/frame.rs
+++ b/crates/router-runtime/src/resp/frame.rs
@@ -61,7 +61,7 @@
 }
 
 /// Parses an unsigned decimal number, without sign or spaces. A number that does not fit becomes
-/// the largest one.
+/// the largest `u64`.
 pub(super) fn parse_number(digits: &[u8]) -> Option<u64> {
     if digits.is_empty() || !digits.iter().all(u8::is_ascii_digit) {
         return None;
