--- a/crates/router-runtime/src/coalescing_stage.rs
+++ b/crates/router-runtime/src/coalescing_stage.rs
@@ -200,7 +200,7 @@
     /// Called when a write begins or ends: later reads on its key do not join flights that began
     /// before.
     fn separate_reads(&self, coalescing: &Coalescing, key: &[u8]) {
-        hooks::separate_reads(|| self.handle(coalescing, Event::Write { key }, EventPayload::None));
+        hooks::end_coalescing(|| self.handle(coalescing, Event::Write { key }, EventPayload::None));
     }
 
     /// Passes an event to the coalescer and executes the resulting actions.
--- a/crates/router-runtime/src/dispatcher/open_requests.rs
+++ b/crates/router-runtime/src/dispatcher/open_requests.rs
@@ -159,7 +159,7 @@
     /// Removes a request if it has its response and no attempt is in flight.
     pub fn remove_if_finished(&mut self, id: RequestId) {
         let is_finished = self.requests.get(&id).is_some_and(OpenRequest::is_finished);
-        if hooks::is_removed(is_finished) {
+        if hooks::may_remove_request(is_finished) {
             self.requests.remove(&id);
         }
     }
--- a/crates/router-runtime/src/downstream/close.rs
+++ b/crates/router-runtime/src/downstream/close.rs
@@ -21,7 +21,7 @@
     /// requests of a disconnected client would keep running, as the end of its stream comes after
     /// commands that are not read yet.
     pub(super) async fn disconnected(&self, stream: &impl ReadStream) {
-        while !hooks::has_disconnected(stream.has_peer_closed()) {
+        while !hooks::is_disconnect_noticed(stream.has_peer_closed()) {
             self.environment.sleep(DISCONNECT_CHECK_INTERVAL).await;
         }
     }
--- a/crates/router-runtime/src/downstream/connections.rs
+++ b/crates/router-runtime/src/downstream/connections.rs
@@ -7,7 +7,7 @@
 use crate::environment::Environment;
 use crate::memory_budget::MemoryBudget;
 use crate::metrics::RouterMetrics;
-use crate::socket_error::concerns_one_connection;
+use crate::socket_error::affects_one_connection;
 use crate::stage::RequestStage;
 use load_balancer::Class;
 use load_balancer::deployment::Names;
@@ -116,7 +116,7 @@
     /// Evicts a client and backs off, unless the error concerned a single connection. The backoff
     /// is short: requests keep losing time meanwhile, and most shortages are brief.
     async fn accept_failed(&self, error: &io::Error, earlier_failures: u32) {
-        if !concerns_one_connection(error) {
+        if !affects_one_connection(error) {
             self.evict_idle_client();
             let doublings = earlier_failures.min(MAX_ACCEPT_BACKOFF_DOUBLINGS);
             let backoff = INITIAL_ACCEPT_BACKOFF * (1 << doublings);
--- a/crates/router-runtime/src/downstream/read_plan.rs
+++ b/crates/router-runtime/src/downstream/read_plan.rs
@@ -3,7 +3,7 @@
 
 use super::client::{COMMAND_TIMEOUT, Client};
 use super::connections::ClientConnections;
-use crate::clock::duration;
+use crate::clock::to_duration;
 use crate::environment::Environment;
 use crate::memory_budget::MemoryReservation;
 use crate::mutation::hooks;
@@ -96,9 +96,9 @@
             return false;
         }
         let lifecycle = self.lifecycle();
-        if lifecycle.is_handed_over() || !lifecycle.is_drained() {
+        if lifecycle.hands_over_connections() || !lifecycle.is_drained() {
             client.is_closing_for_drain.set(false);
-            return !lifecycle.is_handed_over();
+            return !lifecycle.hands_over_connections();
         }
         let may_finish = !client.has_pending_responses() || client.has_begun_command();
         let must_close = !may_finish && !lifecycle.may_read_more(self.config.requests.now());
@@ -182,7 +182,7 @@
             return Some(value_deadline.unwrap_or(began_at + COMMAND_HEAD_TIMEOUT));
         }
         if awaits_first_command(policy, client) {
-            return Some(last_used_at + duration(FIRST_COMMAND_GRACE));
+            return Some(last_used_at + to_duration(FIRST_COMMAND_GRACE));
         }
         if !client.has_sent_command.get() {
             return Some(last_used_at + COMMAND_TIMEOUT);
@@ -207,7 +207,7 @@
         && !client.has_pending_responses()
         && input.is_empty();
     let must_close = may_close || client.is_evicted.get();
-    hooks::early_end(
+    hooks::read_end(
         must_close.then_some(ReadEnd::Close),
         is_closing,
         client.pending_responses.get(),
--- a/crates/router-runtime/src/upstream/response.rs
+++ b/crates/router-runtime/src/upstream/response.rs
@@ -1,7 +1,9 @@
-//! The response to the one command in flight on a connection: read whole, or streamed if it is long.
+//! Reads the response to the command in flight on a connection: completely if it is short, buffered
+//! or streamed if it is long.
 //!
-//! Whatever is no response may have run, and ends the connection: what follows on it cannot be told apart. So do bytes
-//! behind a good response.
+//! After a malformed response the command counts as possibly executed, and the connection is
+//! closed, since later bytes cannot be matched to a command. It is also closed if bytes follow a
+//! valid response.
 
 use super::attempt::{AttemptContext, AttemptResult, BodyConsumer};
 use super::connection::Connection;
@@ -20,37 +22,39 @@
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc;
 
-/// A value is served without its load report if that does not follow within this time.
-const REPORT_LIMIT: Duration = Duration::from_millis(20);
-/// How much of a long value is read at a time.
-const PIECE_BYTES: usize = 16 * 1024;
-/// A client that takes nothing of a streamed value for this long stalls it: the server has done its work by then.
-const CLIENT_STALL_LIMIT: Duration = Duration::from_millis(50);
-/// A server that sends nothing of a streamed value for this long has broken it off; slow ones pause for seconds.
-const SERVER_STALL_LIMIT: Duration = Duration::from_secs(10);
+/// A value is served without its load report if the report takes longer.
+const LOAD_REPORT_TIMEOUT: Duration = Duration::from_millis(20);
+/// Size of one read of a long value that is streamed.
+const STREAM_READ_BYTES: usize = 16 * 1024;
+/// A client that reads nothing of a streamed value for this long has stalled it; the attempt is
+/// then recorded as ended, since the delay is not the server's.
+const CLIENT_STALL_TIMEOUT: Duration = Duration::from_millis(50);
+/// A server that sends nothing of a streamed value for this long has failed. Slow servers pause for
+/// seconds.
+const SERVER_STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How a wait for more of a response ended.
-enum ReadEnd {
+/// Result of a wait for more bytes of a response.
+enum ReadResult {
     /// Bytes arrived.
     Received,
-    /// The attempt's limit was extended meanwhile.
-    Extended,
-    /// The attempt's limit passed.
+    /// The attempt's deadline was extended during the wait.
+    DeadlineExtended,
+    /// The attempt's deadline passed.
     TimedOut,
-    /// The connection ended, or the server paused for too long within a response.
-    Lost,
+    /// The connection ended or failed, or the server paused for too long within a response.
+    ConnectionLost,
 }
 
-/// A long value on its way to its client.
+/// A long value that is streamed to its client.
 struct ValueStream {
-    /// When its command was written.
+    /// When its command was sent.
     sent_at: Instant,
     long: LongValue,
     pieces: mpsc::Sender<BodyChunk>,
 }
 
 /// The client of a streamed value has disconnected.
-struct ClientGone;
+struct ClientDisconnected;
 
 impl<E: Environment> UpstreamPools<E> {
     /// Reads the response to the command in flight.
@@ -76,9 +80,9 @@
                             .stream_response(server, connection, value, context)
                             .await;
                     }
-                    BodyConsumer::Nobody => return Outcome::Cancelled.into(),
+                    BodyConsumer::Discard => return Outcome::Cancelled.into(),
                     BodyConsumer::Buffer(abandoned) => {
-                        let held = self.hold_response(server, connection, long, context);
+                        let held = self.buffer_response(server, connection, long, context);
                         return tokio::select! {
                             biased;
                             result = held => result,
@@ -92,17 +96,19 @@
                 Ok(None) => {}
                 Err(_) => return connection_lost(true),
             }
-            let pause = response_started.then(|| self.pause_limit(&reader));
+            let pause = response_started.then(|| self.pause_timeout(&reader));
             let read = connection.read(READ_BYTES);
             match self.read_more(read, context, pause).await {
-                ReadEnd::Received => response_started = true,
-                ReadEnd::Extended => {}
+                ReadResult::Received => response_started = true,
+                ReadResult::DeadlineExtended => {}
                 _ if reader.has_value() => {
                     let reply = reader.served_without_report(&connection.received);
                     return self.result(reply);
                 }
-                ReadEnd::TimedOut => return self.timed_out(server, connection, response_started),
-                ReadEnd::Lost => {
+                ReadResult::TimedOut => {
+                    return self.timed_out(server, connection, response_started);
+                }
+                ReadResult::ConnectionLost => {
                     self.broken.close(connection);
                     return connection_lost(response_started);
                 }
@@ -110,7 +116,7 @@
         }
     }
 
-    /// Keeps the connection if nothing stands behind the reply.
+    /// Returns the connection to its pool, unless bytes follow the reply.
     fn reply_received(
         &self,
         server: &ServerId,
@@ -123,7 +129,7 @@
         self.result(reply)
     }
 
-    /// Closes the connection: its response may still arrive.
+    /// Closes the connection, since the response may still arrive on it.
     fn timed_out(
         &self,
         server: &ServerId,
@@ -137,35 +143,38 @@
         }
     }
 
-    /// How long a server may pause within a response: cache servers write one in a few pieces, one soon after the
-    /// other.
-    fn pause_limit(&self, reader: &ReplyReader) -> Duration {
+    /// How long a server may pause within a response. Cache servers write a response in a few
+    /// pieces in quick succession.
+    fn pause_timeout(&self, reader: &ReplyReader) -> Duration {
         if reader.has_value() {
-            REPORT_LIMIT
+            LOAD_REPORT_TIMEOUT
         } else {
             self.limits.connect_timeout
         }
     }
 
-    /// Waits for more of a response, until the attempt's limit or for the length of a pause. `read` reads it.
+    /// Waits for `read` until the attempt's deadline, or for at most `pause`.
     async fn read_more(
         &self,
         read: impl Future<Output = io::Result<usize>>,
         context: &AttemptContext,
         pause: Option<Duration>,
-    ) -> ReadEnd {
-        let end = context.limit.until();
+    ) -> ReadResult {
+        let end = context.deadlines.deadline();
         let read_by = pause.map_or(end, |pause| end.min(self.environment.now() + pause));
         match self.environment.timeout_at(read_by, read).await {
-            Ok(Ok(count)) if count > 0 => ReadEnd::Received,
-            Err(_) if read_by == end && context.limit.until() > end => ReadEnd::Extended,
-            Err(_) if read_by == end => ReadEnd::TimedOut,
-            _ => ReadEnd::Lost,
+            Ok(Ok(count)) if count > 0 => ReadResult::Received,
+            Err(_) if read_by == end && context.deadlines.deadline() > end => {
+                ReadResult::DeadlineExtended
+            }
+            Err(_) if read_by == end => ReadResult::TimedOut,
+            _ => ReadResult::ConnectionLost,
         }
     }
 
-    /// Holds a long value until it is whole: others wait for it as well, or for more on its client's connection.
-    async fn hold_response(
+    /// Buffers a long value until it is complete: several clients wait for it, or its client waits
+    /// for other responses as well.
+    async fn buffer_response(
         &self,
         server: &ServerId,
         mut connection: Connection<E>,
@@ -185,14 +194,14 @@
                 Ok(None) => {}
                 Err(_) => return connection_lost(true),
             }
-            // Within the value the server may pause, as it may where that is streamed.
-            let pause = reader.has_value().then_some(REPORT_LIMIT);
-            let read = self.read_held(&mut connection, &reader, &mut memory);
+            // Within the value the server may pause until the attempt's deadline.
+            let pause = reader.has_value().then_some(LOAD_REPORT_TIMEOUT);
+            let read = self.read_buffered(&mut connection, &reader, &mut memory);
             match self.read_more(read, context, pause).await {
-                ReadEnd::Received | ReadEnd::Extended => {}
+                ReadResult::Received | ReadResult::DeadlineExtended => {}
                 _ if reader.has_value() => break reader.without_report(&connection.received),
-                ReadEnd::TimedOut => return self.timed_out(server, connection, true),
-                ReadEnd::Lost => {
+                ReadResult::TimedOut => return self.timed_out(server, connection, true),
+                ReadResult::ConnectionLost => {
                     self.broken.close(connection);
                     return connection_lost(true);
                 }
@@ -211,8 +220,8 @@
         AttemptResult { answer, ..result }
     }
 
-    /// Reads more of a long value that is held, once there is memory for it.
-    async fn read_held(
+    /// Reads more of a buffered value, once there is memory for it.
+    async fn read_buffered(
         &self,
         connection: &mut Connection<E>,
         reader: &LongValueReader,
@@ -227,7 +236,7 @@
         Ok(count)
     }
 
-    /// Streams a long value to its client, who may stall it.
+    /// Streams a long value to its client, and reports a stall by the client.
     async fn stream_response(
         &self,
         server: &ServerId,
@@ -236,8 +245,8 @@
         context: &AttemptContext,
     ) -> AttemptResult {
         let streaming_since = self.environment.now();
-        let took = streaming_since.saturating_duration_since(value.sent_at);
-        let on_stall = || context.client_stalled(took);
+        let time_to_first_byte = streaming_since.saturating_duration_since(value.sent_at);
+        let on_stall = || context.client_stalled(time_to_first_byte);
         let result = self.stream_value(server, connection, value, on_stall).await;
         AttemptResult {
             streaming_since: Some(streaming_since),
@@ -245,7 +254,7 @@
         }
     }
 
-    /// Passes a long value on as it arrives. The server waits where the client does: at most one read of the value and
+    /// Forwards a long value as it arrives, with back-pressure: at most one read of the value and
     /// one piece on its way to the client are in memory.
     async fn stream_value(
         &self,
@@ -263,7 +272,7 @@
                 ValuePart::Last(reply) => break reply,
                 ValuePart::Bytes(piece) => {
                     let sent = self.send_piece(&pieces, piece, &mut on_stall).await;
-                    if let Err(ClientGone) = sent {
+                    if let Err(ClientDisconnected) = sent {
                         return Outcome::Cancelled.into();
                     }
                 }
@@ -274,7 +283,8 @@
                     Some(part) => part,
                     None => return connection_lost(true),
                 },
-                // The server may pause for long, and its connection is wanted for others.
+                // The server may pause for seconds; do not hold its connection for a client that
+                // has disconnected.
                 () = pieces.closed() => return Outcome::Cancelled.into(),
             };
         };
@@ -296,18 +306,18 @@
         }
     }
 
-    /// Sends a piece to the client, at the client's pace. The first stall is reported.
+    /// Sends a piece to the client at the client's pace. Calls `on_stall` at the first stall.
     async fn send_piece(
         &self,
         pieces: &mpsc::Sender<BodyChunk>,
         piece: Bytes,
         on_stall: &mut Option<impl FnOnce()>,
-    ) -> Result<(), ClientGone> {
+    ) -> Result<(), ClientDisconnected> {
         let reserving = pieces.reserve();
         tokio::pin!(reserving);
         let reserved = self
             .environment
-            .timeout(CLIENT_STALL_LIMIT, &mut reserving)
+            .timeout(CLIENT_STALL_TIMEOUT, &mut reserving)
             .await;
         let reserved = match reserved {
             Ok(reserved) => reserved,
@@ -319,13 +329,13 @@
             }
         };
         reserved
-            .map_err(|_| ClientGone)?
+            .map_err(|_| ClientDisconnected)?
             .send(BodyChunk::More(piece));
         Ok(())
     }
 
-    /// The next part of a streamed value, or its end without a load report that does not follow; none if the value is
-    /// broken off.
+    /// The next part of a streamed value. If the load report does not follow the value, its end is
+    /// returned without one; `None` if the value is cut off.
     async fn next_part(
         &self,
         connection: &mut Connection<E>,
@@ -346,19 +356,19 @@
         }
     }
 
-    /// Waits for more of a streamed value; false if none arrives.
+    /// Waits for more bytes of a streamed value; false if none arrive.
     async fn read_piece(&self, connection: &mut Connection<E>, reader: &LongValueReader) -> bool {
         let pause = if reader.has_value() {
-            REPORT_LIMIT
+            LOAD_REPORT_TIMEOUT
         } else {
-            SERVER_STALL_LIMIT
+            SERVER_STALL_TIMEOUT
         };
-        let read = connection.read(PIECE_BYTES);
+        let read = connection.read(STREAM_READ_BYTES);
         let read = self.environment.timeout(pause, read).await;
         matches!(read, Ok(Ok(1..)))
     }
 
-    /// What a reply means for its attempt.
+    /// Converts a reply to the result of its attempt.
     fn result(&self, reply: Reply) -> AttemptResult {
         let (outcome, cache_status, answer, report) = match reply {
             Reply::Served {
@@ -383,7 +393,7 @@
         }
     }
 
-    /// The load report of a response, where one is expected and can be read.
+    /// The load report of a response; `None` if none is expected or it is malformed.
     fn load_report(&self, report: LoadReportText) -> Option<LoadReport> {
         let report = report.filter(|_| !self.report_format.is_empty())?;
         let text = std::str::from_utf8(&report).ok()?;
