--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -1,8 +1,9 @@
-//! Stand-ins on loopback sockets for the tests of the router's real binary.
+//! Fake peers on loopback sockets for tests that run the router binary.
 //!
-//! A test starts [`CacheServer`]s and a [`Discovery`] on ephemeral ports, a [`RouterProcess`] that knows them, and
-//! [`Client`]s of that. Each stand-in runs on threads of its own, which end with the test's process; a router is
-//! killed when its handle is dropped. Whatever a stand-in cannot do is a panic: the test has failed.
+//! A test starts [`CacheServer`]s and a [`Discovery`] service on ephemeral ports, a
+//! [`RouterProcess`] that is configured with them, and [`Client`]s that connect to it. Each fake
+//! runs on its own threads, which end with the test process. A router is killed when its handle is
+//! dropped. Errors in a fake panic, so that the test fails.
 
 mod admin;
 mod cache_server;
