--- a/crates/test-support/src/admin.rs
+++ b/crates/test-support/src/admin.rs
@@ -1,25 +1,25 @@
-//! Requests to a router's admin API, over HTTP/1.1.
+//! HTTP/1.1 client for a router's admin API.
 
 use crate::wait::MAX_WAIT;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// A response; status 0 and an empty body if none came.
+/// A response. Status 0 and an empty body stand for a connection that was closed without one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HttpResponse {
-    /// Its status.
+    /// HTTP status code.
     pub status: u16,
-    /// Its body.
+    /// Response body.
     pub body: String,
 }
 
-/// Sends these bytes, and reads until the connection is closed.
+/// Sends raw bytes and reads the response until the connection is closed.
 pub fn http_request_raw(addr: SocketAddr, request: &[u8]) -> HttpResponse {
-    let mut stream = TcpStream::connect(addr).expect("connected");
+    let mut stream = TcpStream::connect(addr).expect("failed to connect");
     stream
         .set_read_timeout(Some(MAX_WAIT))
-        .expect("a read timeout");
-    // A request that is answered by its head alone may be answered before all of it is written.
+        .expect("failed to set the read timeout");
+    // The server may answer after the head of a request and close before the rest is written.
     let _ = stream.write_all(request);
     let mut response = Vec::new();
     let _ = stream.read_to_end(&mut response);
@@ -32,7 +32,7 @@
     }
 }
 
-/// Sends a request with a body, which may be empty.
+/// Sends a request with this body, which may be empty.
 pub fn http_request(addr: SocketAddr, method: &str, path: &str, body: &str) -> HttpResponse {
     let length = body.len();
     let request = format!(
