--- a/crates/test-support/src/cache_server.rs
+++ b/crates/test-support/src/cache_server.rs
@@ -1,4 +1,4 @@
-//! A cache server that records its commands and behaves as the test sets it to.
+//! A fake cache server that records the commands it receives and replies as the test configures it.
 
 use crate::discovery::endpoint_entry;
 use crate::resp::{arguments, read_frame, value_reply};
@@ -12,43 +12,45 @@
 /// What a cache server does with a command.
 #[derive(Clone)]
 pub enum Behavior {
-    /// Replies with its name as the value.
+    /// Replies with the server's name as the value.
     Serve,
     /// Replies with these bytes.
     Reply(Vec<u8>),
-    /// Replies with these bytes after so many milliseconds.
+    /// Replies with these bytes after this many milliseconds.
     ReplyAfter(u64, Vec<u8>),
     /// Replies with these bytes and closes the connection.
     ReplyAndClose(Vec<u8>),
-    /// Replies with the first bytes and, so many milliseconds later, with the others.
+    /// Replies with the first bytes and, this many milliseconds later, with the second ones.
     ReplyInTwoParts(Vec<u8>, u64, Vec<u8>),
-    /// Replies with the first bytes, and repeats the others until the connection is closed.
+    /// Replies with the first bytes, and repeats the second ones until the connection is closed.
     ReplyEndlessly(Vec<u8>, Vec<u8>),
-    /// Serves; the first command of each connection after so many milliseconds, as if a handshake took them.
+    /// Serves, and delays the reply to the first command of each connection by this many
+    /// milliseconds to simulate a slow handshake.
     ServeSlowlyOnNewConnection(u64),
-    /// Serves the first command of each connection, and closes it at the second, without a reply.
+    /// Serves the first command of each connection, and closes the connection at the second command
+    /// without a reply.
     CloseOnReuse,
-    /// Does not reply.
+    /// Never replies.
     StaySilent,
-    /// Serves once [`CacheServer::open_gate`] was called.
+    /// Serves after [`CacheServer::open_gate`] is called.
     ServeOnceGateOpens,
 }
 
-/// A command, and the connection that it came on.
+/// A received command and its connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecordedCommand {
-    /// Number of the connection, from 1.
+    /// Number of the connection, counted from 1.
     pub connection: usize,
-    /// Arguments of the command, its name first.
+    /// Arguments of the command; the first one is its name.
     pub arguments: Vec<String>,
 }
 
-/// How many connections a cache server has seen.
+/// Numbers of connections at a cache server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionCounts {
-    /// Connections accepted so far.
+    /// Connections that were accepted.
     pub accepted: usize,
-    /// Those of them that are closed.
+    /// Accepted connections that have been closed.
     pub closed: usize,
 }
 
@@ -70,12 +72,12 @@
     gate_opened: Condvar,
 }
 
-/// A cache server. Clones are handles of the same one.
+/// A fake cache server. Clones share the same server.
 #[derive(Clone)]
 pub struct CacheServer {
-    /// Its id in the endpoint list.
+    /// The server's id in the endpoint list.
     pub name: String,
-    /// Where it listens.
+    /// The address that it listens on.
     pub addr: SocketAddr,
     shared: Arc<Shared>,
 }
@@ -83,12 +85,17 @@
 impl CacheServer {
     /// Starts a cache server on an ephemeral port.
     pub fn start(name: &str) -> CacheServer {
-        CacheServer::start_on(name, TcpListener::bind("127.0.0.1:0").expect("a port"))
+        CacheServer::start_on(
+            name,
+            TcpListener::bind("127.0.0.1:0").expect("failed to bind an ephemeral port"),
+        )
     }
 
-    /// Starts a cache server on this listener.
+    /// Starts a cache server on an existing listener.
     pub fn start_on(name: &str, listener: TcpListener) -> CacheServer {
-        let addr = listener.local_addr().expect("an address");
+        let addr = listener
+            .local_addr()
+            .expect("failed to read the local address");
         let server = CacheServer {
             name: name.to_string(),
             addr,
@@ -110,7 +117,7 @@
 
     fn serve(&self, stream: TcpStream) {
         let connection = self.record_connection(&stream);
-        let mut reader = BufReader::new(stream.try_clone().expect("a handle"));
+        let mut reader = BufReader::new(stream.try_clone().expect("failed to clone the socket"));
         let mut writer = stream;
         let mut is_first_command = true;
         while let Some(frame) = read_frame(&mut reader) {
@@ -131,7 +138,9 @@
     fn record_connection(&self, stream: &TcpStream) -> usize {
         let mut state = self.state();
         state.accepted += 1;
-        state.streams.push(stream.try_clone().expect("a handle"));
+        state
+            .streams
+            .push(stream.try_clone().expect("failed to clone the socket"));
         state.accepted
     }
 
@@ -149,7 +158,7 @@
         behavior.unwrap_or(Behavior::Serve)
     }
 
-    /// Replies to a command; returns whether the connection stays open.
+    /// Replies to a command and returns whether the connection stays open.
     fn reply(&self, writer: &mut TcpStream, behavior: Behavior, is_first_command: bool) -> bool {
         let own_reply = value_reply(&self.name);
         match behavior {
@@ -216,37 +225,38 @@
         );
     }
 
-    /// Sets what it does with commands for all keys without a behavior of their own.
+    /// Sets the behavior for commands with a key that has no behavior of its own.
     pub fn set_default_behavior(&self, behavior: Behavior) {
         self.state().default_behavior = Some(behavior);
     }
 
-    /// Sets what it does with commands for one key.
+    /// Sets the behavior for commands with this key.
     pub fn set_behavior(&self, key: &str, behavior: Behavior) {
         self.state()
             .behaviors_by_key
             .insert(key.to_string(), behavior);
     }
 
-    /// Of each [`Behavior::ReplyInTwoParts`] so far, the time from before its first write until after its second.
+    /// Returns, for each [`Behavior::ReplyInTwoParts`] reply, the time from before the first write
+    /// until after the second.
     pub fn two_part_reply_durations(&self) -> Vec<Duration> {
         self.state().two_part_reply_durations.clone()
     }
 
-    /// Lets all commands with [`Behavior::ServeOnceGateOpens`] go on, from here on.
+    /// Releases all current and future commands with [`Behavior::ServeOnceGateOpens`].
     pub fn open_gate(&self) {
         self.state().is_gate_open = true;
         self.shared.gate_opened.notify_all();
     }
 
-    /// Closes all its connections.
+    /// Closes all connections.
     pub fn close_connections(&self) {
         for stream in self.state().streams.drain(..) {
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
 
-    /// The arguments of all commands so far, in their order.
+    /// Returns the arguments of all received commands, in order.
     pub fn commands(&self) -> Vec<Vec<String>> {
         self.state()
             .commands
@@ -255,12 +265,12 @@
             .collect()
     }
 
-    /// All commands so far with their connections, in their order.
+    /// Returns all received commands with their connections, in order.
     pub fn recorded_commands(&self) -> Vec<RecordedCommand> {
         self.state().commands.clone()
     }
 
-    /// How many connections it has seen so far.
+    /// Returns how many connections were accepted and closed so far.
     pub fn connections(&self) -> ConnectionCounts {
         let state = self.state();
         ConnectionCounts {
@@ -269,7 +279,7 @@
         }
     }
 
-    /// Its entry in an endpoint list.
+    /// Returns the server's entry in an endpoint list.
     pub fn entry(&self, health: &str) -> String {
         endpoint_entry(&self.name, self.addr, health)
     }
