--- a/crates/test-support/src/client.rs
+++ b/crates/test-support/src/client.rs
@@ -1,4 +1,4 @@
-//! A client of the router.
+//! A RESP2 client of the router.
 
 use crate::resp::{encode_command, read_frame};
 use crate::wait::MAX_WAIT;
@@ -8,7 +8,7 @@
 /// Deadline of [`Client::request`], in milliseconds.
 const REQUEST_DEADLINE_MS: u64 = 4_000;
 
-/// One connection of a client.
+/// A client with one connection.
 pub struct Client {
     stream: TcpStream,
     reader: BufReader<TcpStream>,
@@ -18,11 +18,11 @@
 impl Client {
     /// Connects to a router.
     pub fn connect(addr: SocketAddr) -> Client {
-        let stream = TcpStream::connect(addr).expect("connected");
+        let stream = TcpStream::connect(addr).expect("failed to connect");
         stream
             .set_read_timeout(Some(MAX_WAIT))
-            .expect("a read timeout");
-        let reader = BufReader::new(stream.try_clone().expect("a handle"));
+            .expect("failed to set the read timeout");
+        let reader = BufReader::new(stream.try_clone().expect("failed to clone the socket"));
         Client {
             stream,
             reader,
@@ -30,17 +30,17 @@
         }
     }
 
-    /// Writes all these bytes.
+    /// Writes all of these bytes.
     pub fn write(&mut self, bytes: &[u8]) {
-        self.stream.write_all(bytes).expect("written");
+        self.stream.write_all(bytes).expect("failed to write");
     }
 
-    /// Writes these bytes, or as many as the router takes until it closes the connection.
+    /// Writes these bytes, or as many as possible until the router closes the connection.
     pub fn write_until_closed(&mut self, bytes: &[u8]) {
         let _ = self.stream.write_all(bytes);
     }
 
-    /// Sends a request of a class for a key, as a write unless the class is `read`.
+    /// Sends a request for a key: a read for class `read`, a write for any other class.
     pub fn send(&mut self, class: &str, key: &str, deadline_ms: u64) {
         self.request_count += 1;
         let id = format!("id-{key}-{}", self.request_count);
@@ -52,7 +52,7 @@
         self.write(&bytes);
     }
 
-    /// Reads the next reply; `None` if the connection is closed.
+    /// Reads the next reply; `None` if the connection was closed.
     pub fn read_reply(&mut self) -> Option<String> {
         read_frame(&mut self.reader).map(|frame| String::from_utf8_lossy(&frame).into_owned())
     }
@@ -60,22 +60,28 @@
     /// Sends a request and reads its reply.
     pub fn request(&mut self, class: &str, key: &str) -> String {
         self.send(class, key, REQUEST_DEADLINE_MS);
-        self.read_reply().expect("a reply")
+        self.read_reply()
+            .expect("connection closed without a reply")
     }
 
-    /// Disconnects with requests unanswered, and waits until the router has closed the connection: it has seen the
-    /// disconnect by then.
+    /// Disconnects with unanswered requests, and waits until the router closes the connection,
+    /// which shows that it has detected the disconnect.
     pub fn disconnect(mut self) {
         self.shutdown_write();
-        assert!(self.read_to_end().is_empty(), "nothing more comes");
+        assert!(
+            self.read_to_end().is_empty(),
+            "the router sent data after the disconnect"
+        );
     }
 
-    /// Ends the stream to the router, and leaves the other direction open.
+    /// Shuts down the sending direction of the connection, and leaves the other one open.
     pub fn shutdown_write(&self) {
-        self.stream.shutdown(Shutdown::Write).expect("an end");
+        self.stream
+            .shutdown(Shutdown::Write)
+            .expect("failed to shut down the connection");
     }
 
-    /// Reads until the connection is closed.
+    /// Reads until the connection is closed, and returns all bytes.
     pub fn read_to_end(&mut self) -> Vec<u8> {
         let mut bytes = Vec::new();
         let _ = self.reader.read_to_end(&mut bytes);
