--- a/crates/test-support/src/configuration.rs
+++ b/crates/test-support/src/configuration.rs
@@ -3,10 +3,11 @@
 use crate::discovery::endpoint_list;
 use std::net::SocketAddr;
 
-/// A configuration with three classes of requests and one tenant. `known`: entries of the endpoint list to start with.
+/// Returns a configuration with three request classes and one tenant. `known` are the entries of
+/// the initial endpoint list.
 pub fn configuration(discovery: SocketAddr, known: &[String]) -> serde_json::Value {
     let known: serde_json::Value =
-        serde_json::from_str(&endpoint_list(7, true, known)).expect("a list");
+        serde_json::from_str(&endpoint_list(7, true, known)).expect("malformed endpoint list");
     let class = |name: &str, effect: &str| {
         serde_json::json!({"name": name, "effect": effect, "group": "all", "memory_span": 2.0, "target": 0.5,
             "give_up": 4.0, "credit": 1.0, "late_value": 0.5})
