--- a/crates/test-support/src/discovery.rs
+++ b/crates/test-support/src/discovery.rs
@@ -1,4 +1,4 @@
-//! A discovery service: endpoint lists, and a server for one watch of them.
+//! A fake discovery service that serves endpoint lists to one watch at a time.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -6,20 +6,21 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Interval of the empty lines that a watch carries while nothing changes.
+/// Interval of the empty lines that are sent on a watch while nothing changes.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The answer of a discovery that turns a call away.
+/// The response to a rejected call.
 const UNAVAILABLE: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
 
-/// The entry of a cache server in an endpoint list, as JSON.
+/// Returns the entry of a cache server in an endpoint list, as JSON.
 pub fn endpoint_entry(name: &str, addr: SocketAddr, health: &str) -> String {
     format!(
         r#"{{"host":"{name}","dial":"{addr}","site":"a","class":"m","block":1,"health":"{health}","share":1.0,"born_ms":0}}"#
     )
 }
 
-/// An endpoint list of version `seq`, as JSON: the `whole` list, or changes to it.
+/// Returns an endpoint list of version `seq` as JSON: a complete list if `whole`, otherwise changes
+/// to the previous one.
 pub fn endpoint_list(seq: u64, whole: bool, entries: &[String]) -> String {
     format!(
         r#"{{"seq":{seq},"whole":{whole},"hosts":[{}]}}"#,
@@ -29,7 +30,7 @@
 
 #[derive(Default)]
 struct State {
-    /// Request lines of all calls.
+    /// Request lines of all received calls.
     calls: Vec<String>,
     initial_list: String,
     calls_to_fail: usize,
@@ -43,10 +44,10 @@
     watch: Option<TcpStream>,
 }
 
-/// A discovery service with at most one watch, the newest. Clones are handles of the same one.
+/// A fake discovery service, which keeps only the newest watch. Clones share the same service.
 #[derive(Clone)]
 pub struct Discovery {
-    /// Where it listens.
+    /// The address that it listens on.
     pub addr: SocketAddr,
     state: Arc<Mutex<State>>,
 }
@@ -56,10 +57,12 @@
 }
 
 impl Discovery {
-    /// Starts a discovery service whose watches begin with this list.
+    /// Starts a discovery service that sends this list at the start of a watch.
     pub fn start(initial_list: String) -> Discovery {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let addr = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("failed to bind an ephemeral port");
+        let addr = listener
+            .local_addr()
+            .expect("failed to read the local address");
         let discovery = Discovery {
             addr,
             state: Arc::default(),
@@ -125,19 +128,19 @@
         state.watch = Some(stream);
     }
 
-    /// Answers a call 503 after it has waited.
+    /// Answers a call with 503 after a delay.
     fn reject_after(&self, mut stream: TcpStream, delay: Duration) {
         thread::sleep(delay);
         let _ = stream.write_all(UNAVAILABLE);
         self.state().rejections.push(Instant::now());
     }
 
-    /// Request lines of all calls so far.
+    /// Returns the request lines of all received calls.
     pub fn calls(&self) -> Vec<String> {
         self.state().calls.clone()
     }
 
-    /// Whether the router has closed the watch, or there is none.
+    /// Returns whether the router has closed the watch, or there is none.
     pub fn is_watch_closed(&self) -> bool {
         let state = self.state();
         let Some(mut watch) = state.watch.as_ref() else {
@@ -147,53 +150,56 @@
         matches!(watch.read(&mut [0]), Ok(0))
     }
 
-    /// Sets the list that later watches begin with.
+    /// Sets the list that is sent at the start of later watches.
     pub fn set_initial_list(&self, list: String) {
         self.state().initial_list = list;
     }
 
-    /// Lets so many of the next calls fail.
+    /// Answers the next `count` calls with 503.
     pub fn fail_next_calls(&self, count: usize) {
         self.state().calls_to_fail = count;
     }
 
-    /// Breaks so many of the next answers off in the middle of the list.
+    /// Truncates the answers to the next `count` calls in the middle of the list.
     pub fn truncate_next_calls(&self, count: usize) {
         self.state().calls_to_truncate = count;
     }
 
-    /// Lets all calls fail, or none.
+    /// Answers all calls with 503, or none.
     pub fn set_failing(&self, is_failing: bool) {
         self.fail_next_calls(if is_failing { usize::MAX } else { 0 });
     }
 
-    /// Leaves so many of the next calls without a response.
+    /// Leaves the next `count` calls without a response.
     pub fn hang_next_calls(&self, count: usize) {
         self.state().calls_to_hang = count;
     }
 
-    /// Answers so many of the next calls 503 once they have waited for so long, as a discovery with a queue does.
+    /// Answers the next `count` calls with 503 after a delay, like an overloaded discovery service
+    /// with a queue.
     pub fn reject_next_calls(&self, count: usize, after: Duration) {
         let mut state = self.state();
         state.calls_to_reject = count;
         state.rejection_delay = after;
     }
 
-    /// When calls were rejected that had waited.
+    /// Returns when the calls of [`Discovery::reject_next_calls`] were answered.
     pub fn rejections(&self) -> Vec<Instant> {
         self.state().rejections.clone()
     }
 
-    /// Stops the heartbeat, or starts it again.
+    /// Stops or restarts the heartbeat.
     pub fn set_silent(&self, is_silent: bool) {
         self.state().is_silent = is_silent;
     }
 
-    /// Writes to the watch, as one chunk.
+    /// Writes text to the watch as one HTTP chunk.
     pub fn write_to_watch(&self, text: &str) {
         let state = self.state();
-        let mut watch = state.watch.as_ref().expect("a watch");
-        watch.write_all(chunk(text).as_bytes()).expect("written");
+        let mut watch = state.watch.as_ref().expect("no open watch");
+        watch
+            .write_all(chunk(text).as_bytes())
+            .expect("failed to write");
     }
 
     /// Closes the watch.
@@ -204,9 +210,9 @@
     }
 }
 
-/// Reads the head of a request, and returns its first line.
+/// Reads the head of a request and returns its first line.
 fn read_request_line(stream: &TcpStream) -> String {
-    let mut reader = BufReader::new(stream.try_clone().expect("a handle"));
+    let mut reader = BufReader::new(stream.try_clone().expect("failed to clone the socket"));
     let mut request_line = String::new();
     let _ = reader.read_line(&mut request_line);
     let mut line = String::from("-");
