--- a/crates/test-support/src/fleet.rs
+++ b/crates/test-support/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Whole fleets: cache servers, a discovery without news, and a router that knows them.
+//! Helpers that start a router together with its cache servers and discovery service.
 
 use crate::cache_server::CacheServer;
 use crate::configuration::configuration;
@@ -7,32 +7,34 @@
 use crate::wait::wait_until;
 use serde_json::Value;
 
-/// A router and its discovery.
+/// A router and its discovery service.
 pub struct Fleet {
     /// The router.
     pub router: RouterProcess,
-    /// The discovery that it watches.
+    /// The discovery service that the router watches.
     pub discovery: Discovery,
 }
 
-/// Two cache servers and a router that knows them.
+/// A router, its two cache servers and its discovery service.
 pub struct TwoServerFleet {
-    /// The owner of the key.
+    /// The cache server that owns the test's key.
     pub owner: CacheServer,
     /// The other cache server.
     pub other: CacheServer,
     /// The router.
     pub router: RouterProcess,
-    /// The discovery that it watches.
+    /// The discovery service that the router watches.
     pub discovery: Discovery,
 }
 
-/// Starts a router that knows these cache servers.
+/// Starts a router with these cache servers in its initial endpoint list. The discovery service
+/// sends no changes of its own.
 pub fn start_router(servers: &[&CacheServer]) -> Fleet {
     start_router_with_settings(servers, |_| {})
 }
 
-/// The same with other settings: `change` gets the `settings` of the configuration.
+/// Like [`start_router`], with settings that `change` edits in the `settings` object of the
+/// configuration.
 pub fn start_router_with_settings(
     servers: &[&CacheServer],
     change: impl FnOnce(&mut Value),
@@ -46,12 +48,13 @@
     Fleet { router, discovery }
 }
 
-/// Starts two cache servers and a router; the first server is the owner of `key`.
+/// Starts two cache servers and a router, and determines which server owns `key`.
 pub fn start_router_with_two_servers(key: &str) -> TwoServerFleet {
     start_router_with_two_servers_and_settings(key, |_| {})
 }
 
-/// The same with other settings, as in [`start_router_with_settings`].
+/// Like [`start_router_with_two_servers`], with settings that `change` edits as in
+/// [`start_router_with_settings`].
 pub fn start_router_with_two_servers_and_settings(
     key: &str,
     change: impl FnOnce(&mut Value),
