--- a/crates/test-support/src/network.rs
+++ b/crates/test-support/src/network.rs
@@ -1,17 +1,18 @@
-//! Addresses and listeners that no stand-in serves.
+//! Addresses and listeners that do not respond.
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicU16, Ordering};
 use std::time::Duration;
 
-/// First of the ports that [`unused_addr`] draws from: below the range of ephemeral ports, so that the kernel gives none
-/// of them to a connection.
+/// First port that [`unused_addr`] uses. All its ports are below the ephemeral range, so that the
+/// kernel assigns none of them to a connection.
 const FIRST_PORT: u16 = 10_000;
-/// Ports that one test process draws from, and how many processes have ports of their own.
+/// Number of ports for each test process.
 const PORTS_PER_PROCESS: u16 = 40;
+/// Number of port ranges; a test process uses the one that its process id selects.
 const PORT_RANGE_COUNT: u32 = 500;
 
-/// A loopback address that nothing listens on.
+/// Returns a loopback address that nothing listens on.
 pub fn unused_addr() -> SocketAddr {
     static DRAWN_COUNT: AtomicU16 = AtomicU16::new(0);
     let range = (std::process::id() % PORT_RANGE_COUNT) as u16;
@@ -19,13 +20,15 @@
     loop {
         let port = first + DRAWN_COUNT.fetch_add(1, Ordering::Relaxed);
         if let Ok(listener) = TcpListener::bind(("127.0.0.1", port)) {
-            return listener.local_addr().expect("an address");
+            return listener
+                .local_addr()
+                .expect("failed to read the local address");
         }
     }
 }
 
-/// A listener whose backlog is full, and the connections that fill it: the kernel drops further ones, as if the machine
-/// were unreachable.
+/// Returns a listener with a full backlog and the connections that fill it. The kernel drops
+/// further connection attempts, as if the host were unreachable.
 pub fn unresponsive_listener() -> (TcpListener, Vec<TcpStream>) {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket
