--- a/crates/test-support/src/platform.rs
+++ b/crates/test-support/src/platform.rs
@@ -1,4 +1,5 @@
-//! What outlives one process of a router: the listening socket and the folder for its files.
+//! The resources that outlive one router process: the listening socket and the directory for its
+//! files.
 
 use crate::router_process::{Launch, RouterProcess, unique_folder};
 use std::net::{SocketAddr, TcpListener};
@@ -6,37 +7,44 @@
 use std::path::PathBuf;
 use std::process::Stdio;
 
-/// A platform that holds the router's listening socket.
+/// A fake deployment platform, which holds the router's listening socket across processes.
 pub struct Platform {
     /// The listening socket.
     pub listener: TcpListener,
-    /// The folder that all processes of the router share.
+    /// The directory that all processes of the router share.
     pub folder: PathBuf,
-    /// A library that is loaded into each process, and the seed of the system calls that it lets fail.
+    /// A library that is preloaded into each process to make system calls fail, and the seed that
+    /// determines which ones fail.
     pub failing_calls: Option<(PathBuf, u64)>,
 }
 
 impl Platform {
-    /// A platform with a socket on an ephemeral port, and an empty folder that is removed with it.
+    /// Creates a platform with a socket on an ephemeral port, and an empty directory that is
+    /// removed on drop.
     pub fn new() -> Platform {
         Platform {
-            listener: TcpListener::bind("127.0.0.1:0").expect("a port"),
+            listener: TcpListener::bind("127.0.0.1:0").expect("failed to bind an ephemeral port"),
             folder: unique_folder("asterport-tmp"),
             failing_calls: None,
         }
     }
 
-    /// Address of the listening socket.
+    /// Returns the address of the listening socket.
     pub fn addr(&self) -> SocketAddr {
-        self.listener.local_addr().expect("an address")
+        self.listener
+            .local_addr()
+            .expect("failed to read the local address")
     }
 
-    /// Starts a process that inherits the socket as descriptor 3.
+    /// Starts a router process that inherits the socket as descriptor 3.
     pub fn start(&self, configuration: &serde_json::Value) -> RouterProcess {
         let mut configuration = configuration.clone();
         configuration["listen"] = self.addr().to_string().into();
         let folder = self.folder.display();
-        let socket = self.listener.try_clone().expect("a handle");
+        let socket = self
+            .listener
+            .try_clone()
+            .expect("failed to clone the socket");
         RouterProcess::launch(Launch {
             shell_commands: &format!(
                 "exec 3<&0 0</dev/null; export GW_FD=3 TMPDIR='{folder}'; {}",
@@ -49,7 +57,7 @@
 }
 
 impl Platform {
-    /// What the shell runs so that system calls of the process fail.
+    /// Returns the shell command that preloads the library of failing system calls.
     fn preload_exports(&self) -> String {
         let Some((library, seed)) = &self.failing_calls else {
             return String::new();
