--- a/crates/test-support/src/resp.rs
+++ b/crates/test-support/src/resp.rs
@@ -1,8 +1,8 @@
-//! RESP2 frames: commands, replies, and reading either.
+//! Reading and writing of RESP2 frames.
 
 use std::io::BufRead;
 
-/// Reads one frame and returns its bytes; `None` at the end of the stream or within a frame.
+/// Reads one frame and returns its bytes; `None` if the stream ends before or within the frame.
 pub fn read_frame(from: &mut impl BufRead) -> Option<Vec<u8>> {
     let mut frame = Vec::new();
     let mut missing_elements = 1;
@@ -13,7 +13,7 @@
         }
         let line = String::from_utf8_lossy(&frame[start..frame.len() - 2]).into_owned();
         missing_elements -= 1;
-        let count = || line[1..].parse::<i64>().expect("a count");
+        let count = || line[1..].parse::<i64>().expect("malformed RESP length");
         match line.as_bytes()[0] {
             b'*' => missing_elements += count().max(0),
             b'$' if count() >= 0 => {
@@ -27,7 +27,7 @@
     Some(frame)
 }
 
-/// The arguments of a command's frame, its name first.
+/// Returns the arguments of a command frame; the first one is the command's name.
 pub(crate) fn arguments(frame: &[u8]) -> Vec<String> {
     let text = String::from_utf8_lossy(frame).into_owned();
     text.split("\r\n")
@@ -37,7 +37,7 @@
         .collect()
 }
 
-/// The frame of a command.
+/// Encodes a command as a frame.
 pub fn encode_command(arguments: &[&str]) -> Vec<u8> {
     let mut frame = format!("*{}\r\n", arguments.len());
     for argument in arguments {
@@ -46,7 +46,7 @@
     frame.into_bytes()
 }
 
-/// The reply of a cache server that has `text` as its value: a hit, without a load report.
+/// Returns a cache server's reply with `text` as the value: a hit without a load report.
 pub fn value_reply(text: &str) -> Vec<u8> {
     format!("*3\r\n${}\r\n{text}\r\n$3\r\nhit\r\n$-1\r\n", text.len()).into_bytes()
 }
