--- a/crates/test-support/src/router_process.rs
+++ b/crates/test-support/src/router_process.rs
@@ -1,4 +1,4 @@
-//! The router's real binary as a process.
+//! Runs the router binary as a child process.
 
 use crate::client::Client;
 use crate::wait::{MAX_WAIT, wait_until};
@@ -11,7 +11,7 @@
 use std::thread;
 use std::time::Instant;
 
-/// Environment variables of the router that a test does not inherit.
+/// Environment variables of the router that are not inherited from the test's environment.
 const CLEARED_VARIABLES: [&str; 6] = [
     "ASTERPORT_OPERATOR_FILE",
     "GW_LISTEN",
@@ -21,48 +21,49 @@
     "GW_FD",
 ];
 
-/// Creates a folder that no other test uses.
+/// Creates a directory that no other test uses.
 pub(crate) fn unique_folder(prefix: &str) -> PathBuf {
     static COUNT: AtomicUsize = AtomicUsize::new(0);
     let number = COUNT.fetch_add(1, Ordering::Relaxed);
     let folder = std::env::temp_dir().join(format!("{prefix}-{}-{number}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
+    std::fs::create_dir_all(&folder).expect("failed to create a directory");
     folder
 }
 
-/// The router's binary: what `ASTERPORT_PROGRAM` names, else where cargo builds it, one folder above the tests.
+/// Returns the path of the router binary: `ASTERPORT_PROGRAM` if set, otherwise cargo's output
+/// directory, which is the parent of the directory of test binaries.
 fn binary_path() -> PathBuf {
     if let Some(path) = std::env::var_os("ASTERPORT_PROGRAM") {
         return path.into();
     }
-    let test = std::env::current_exe().expect("the test's own path");
+    let test = std::env::current_exe().expect("failed to find the test binary");
     let folder = test
         .parent()
         .and_then(Path::parent)
-        .expect("cargo's folder for binaries");
+        .expect("test binary outside of cargo's output directory");
     folder.join("cache-router")
 }
 
-/// How a process is started.
+/// Options of a process to be started.
 pub(crate) struct Launch<'a> {
-    /// Text of the configuration file.
+    /// Contents of the configuration file.
     pub configuration: &'a str,
-    /// Commands that the shell runs before it executes the binary, each with its semicolon.
+    /// Commands that the shell runs before it executes the binary, each terminated by a semicolon.
     pub shell_commands: &'a str,
-    /// Text of the operator file, if there is one.
+    /// Contents of the operator file, if there is one.
     pub operator_file: Option<&'a str>,
     /// Standard input of the shell.
     pub stdin: Stdio,
 }
 
-/// A child process, and the folder with its files.
+/// A child process and the directory with its files.
 struct Launched {
     child: Child,
     folder: PathBuf,
 }
 
 impl<'a> Launch<'a> {
-    /// A start with this configuration and nothing else.
+    /// Creates options with this configuration and defaults for the rest.
     pub fn new(configuration: &'a str) -> Launch<'a> {
         Launch {
             configuration,
@@ -75,14 +76,14 @@
     fn spawn(self) -> Launched {
         let folder = unique_folder("asterport-test");
         let configuration_path = folder.join("config.json");
-        std::fs::write(&configuration_path, self.configuration).expect("written");
+        std::fs::write(&configuration_path, self.configuration).expect("failed to write");
         let mut command = Command::new("/bin/sh");
         for variable in CLEARED_VARIABLES {
             command.env_remove(variable);
         }
         if let Some(text) = self.operator_file {
             let path = folder.join("operator.toml");
-            std::fs::write(&path, text).expect("written");
+            std::fs::write(&path, text).expect("failed to write");
             command.env("ASTERPORT_OPERATOR_FILE", path);
         }
         let child = command
@@ -93,13 +94,15 @@
             .stdin(self.stdin)
             .stderr(Stdio::piped())
             .spawn()
-            .expect("the router starts");
+            .expect("failed to start the router");
         Launched { child, folder }
     }
 
     fn run_to_end(self) -> Exit {
         let Launched { child, folder } = self.spawn();
-        let output = child.wait_with_output().expect("the router ends");
+        let output = child
+            .wait_with_output()
+            .expect("failed to wait for the router");
         let _ = std::fs::remove_dir_all(folder);
         Exit {
             status: output.status,
@@ -110,18 +113,18 @@
 
 /// How a process ended.
 pub struct Exit {
-    /// Its exit status.
+    /// The exit status.
     pub status: ExitStatus,
-    /// Its log.
+    /// Everything that the process logged.
     pub log: String,
 }
 
-/// Runs the binary to its end.
+/// Runs the binary until it exits.
 pub fn run_to_end(configuration: &str) -> Exit {
     Launch::new(configuration).run_to_end()
 }
 
-/// The same in a shell that runs `shell_commands` before.
+/// Like [`run_to_end`], after `shell_commands` in the same shell.
 pub fn run_to_end_with_shell_commands(configuration: &str, shell_commands: &str) -> Exit {
     let launch = Launch {
         shell_commands,
@@ -130,7 +133,7 @@
     launch.run_to_end()
 }
 
-/// The same with an operator file of this text.
+/// Like [`run_to_end`], with an operator file of these contents.
 pub fn run_to_end_with_operator_file(configuration: &str, operator_file: &str) -> Exit {
     let launch = Launch {
         operator_file: Some(operator_file),
@@ -139,23 +142,23 @@
     launch.run_to_end()
 }
 
-/// A running router; killed by its id when it is dropped.
+/// A running router process, which is killed on drop.
 pub struct RouterProcess {
     child: Child,
-    /// Where clients connect.
+    /// The address at which clients connect.
     pub addr: SocketAddr,
-    /// The lines of its log so far.
+    /// The lines that the router has logged so far.
     pub log: Arc<Mutex<Vec<String>>>,
     folder: PathBuf,
 }
 
 impl RouterProcess {
-    /// Starts a router and waits until it listens.
+    /// Starts a router and waits until it is listening.
     pub fn start(configuration: &serde_json::Value) -> RouterProcess {
         RouterProcess::launch(Launch::new(&configuration.to_string()))
     }
 
-    /// The same in a shell that runs `shell_commands` before.
+    /// Like [`RouterProcess::start`], after `shell_commands` in the same shell.
     pub fn start_with_shell_commands(
         configuration: &serde_json::Value,
         shell_commands: &str,
@@ -166,7 +169,7 @@
         })
     }
 
-    /// The same with an operator file of this text.
+    /// Like [`RouterProcess::start`], with an operator file of these contents.
     pub fn start_with_operator_file(
         configuration: &serde_json::Value,
         operator_file: &str,
@@ -179,7 +182,7 @@
 
     pub(crate) fn launch(launch: Launch<'_>) -> RouterProcess {
         let Launched { mut child, folder } = launch.spawn();
-        let log = collect_log(child.stderr.take().expect("its log"));
+        let log = collect_log(child.stderr.take().expect("standard error is not piped"));
         let addr = wait_for_address(&log);
         RouterProcess {
             child,
@@ -189,12 +192,12 @@
         }
     }
 
-    /// A new client of this router.
+    /// Connects a new client to this router.
     pub fn client(&self) -> Client {
         Client::connect(self.addr)
     }
 
-    /// Whether a line of the log contains this text.
+    /// Returns whether a line of the log contains this text.
     pub fn log_contains(&self, text: &str) -> bool {
         self.log
             .lock()
@@ -208,7 +211,7 @@
             .arg("-c")
             .arg(format!("kill -{name} {}", self.child.id()))
             .status();
-        assert!(kill.expect("kill runs").success());
+        assert!(kill.expect("failed to run kill").success());
     }
 
     /// Sends SIGTERM.
@@ -216,16 +219,17 @@
         self.signal("TERM");
     }
 
-    /// Sends SIGUSR1: the router logs the counters of coalescing.
+    /// Sends SIGUSR1, on which the router logs the counters of coalescing.
     pub fn log_coalescing_counters(&self) {
         self.signal("USR1");
     }
 
-    /// Replaces the configuration file, and sends SIGHUP.
+    /// Replaces the configuration file and sends SIGHUP.
     pub fn reload(&self, configuration: &str) {
         let temporary_path = self.folder.join("new.json");
-        std::fs::write(&temporary_path, configuration).expect("written");
-        std::fs::rename(&temporary_path, self.folder.join("config.json")).expect("replaced");
+        std::fs::write(&temporary_path, configuration).expect("failed to write");
+        std::fs::rename(&temporary_path, self.folder.join("config.json"))
+            .expect("failed to replace the configuration file");
         self.signal("HUP");
     }
 
@@ -233,49 +237,56 @@
         format!("/proc/{}/{file}", self.child.id())
     }
 
-    /// CPU time that it has used, in nanoseconds.
+    /// Returns the CPU time that the router has used, in nanoseconds.
     pub fn cpu_ns(&self) -> u64 {
-        let text = std::fs::read_to_string(self.proc_path("schedstat")).expect("its time");
+        let text =
+            std::fs::read_to_string(self.proc_path("schedstat")).expect("failed to read schedstat");
         text.split_whitespace()
             .next()
             .and_then(|number| number.parse().ok())
-            .expect("a number")
+            .expect("malformed schedstat")
     }
 
-    /// Its process id.
+    /// Returns the router's process id.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// How many descriptors it has open.
+    /// Returns the number of open file descriptors.
     pub fn descriptors(&self) -> usize {
         std::fs::read_dir(self.proc_path("fd"))
-            .expect("its descriptors")
+            .expect("failed to list the open descriptors")
             .count()
     }
 
-    /// Its resident memory, in KB.
+    /// Returns the resident set size, in KB.
     pub fn memory_kb(&self) -> usize {
-        let status = std::fs::read_to_string(self.proc_path("status")).expect("its status");
+        let status = std::fs::read_to_string(self.proc_path("status"))
+            .expect("failed to read the process status");
         let line = status
             .lines()
             .find(|line| line.starts_with("VmRSS"))
-            .expect("its memory");
+            .expect("no VmRSS line");
         line.split_whitespace()
             .nth(1)
             .and_then(|number| number.parse().ok())
-            .expect("a number")
+            .expect("malformed VmRSS line")
     }
 
-    /// Whether it has not ended.
+    /// Returns whether the process has not exited.
     pub fn is_running(&mut self) -> bool {
-        self.child.try_wait().expect("its status").is_none()
+        self.child
+            .try_wait()
+            .expect("failed to read the process status")
+            .is_none()
     }
 
-    /// Waits until it has ended, and returns its exit status.
+    /// Waits until the process has exited, and returns its exit status.
     pub fn wait(&mut self) -> ExitStatus {
-        wait_until("the router ends", || !self.is_running());
-        self.child.wait().expect("its status")
+        wait_until("the router exits", || !self.is_running());
+        self.child
+            .wait()
+            .expect("failed to read the process status")
     }
 }
 
@@ -287,7 +298,7 @@
     }
 }
 
-/// Collects the lines of a log on a thread that ends with the process.
+/// Collects the lines of the log on a thread that ends with the process.
 fn collect_log(stderr: ChildStderr) -> Arc<Mutex<Vec<String>>> {
     let log = Arc::new(Mutex::new(Vec::new()));
     let lines = log.clone();
@@ -299,19 +310,19 @@
     log
 }
 
-/// Waits for the line that says where the router listens.
+/// Waits for the startup line of the log and returns the address in it.
 fn wait_for_address(log: &Mutex<Vec<String>>) -> SocketAddr {
     let address_in = |line: &String| line.split(" on ").nth(1)?.split(',').next()?.parse().ok();
     let start = Instant::now();
     let mut address = None;
-    wait_until("the router listens", || {
+    wait_until("the router is listening", || {
         let log = log.lock().unwrap();
         assert!(
             start.elapsed() < MAX_WAIT / 2,
-            "the router does not listen: {log:?}"
+            "the router has not started to listen; its log: {log:?}"
         );
         address = log.iter().find_map(address_in);
         address.is_some()
     });
-    address.expect("its address")
+    address.expect("no address in the log")
 }
