--- a/crates/cache-router/tests/abandoned_responses.rs
+++ b/crates/cache-router/tests/abandoned_responses.rs
@@ -1,5 +1,6 @@
-//! Clients leave while a cache server pauses within their long answers. The real binary against stand-ins on loopback
-//! sockets.
+//! Clients that disconnect while a cache server pauses in the middle of a long response: the router
+//! has to release the connection to the server. Runs the router binary against fake peers on
+//! loopback sockets.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -9,18 +10,19 @@
 const KEY: &str = "00000000000000aa";
 const OTHER_KEY: &str = "00000000000000bb";
 const VALUE_BYTES: usize = 256 * 1024;
-/// How much of an answer comes before the pause.
+/// Bytes of a response that the cache server sends before the pause.
 const FIRST_PART_BYTES: usize = 100_000;
-/// How long the cache server pauses.
+/// Pause of the cache server within a response.
 const PAUSE_MS: u64 = 8_000;
-/// Connections to cache servers that the router may have.
+/// Maximum number of the router's connections to cache servers.
 const UPSTREAM_SLOTS: usize = 12;
-/// Descriptors that the router reserves; of the others cache servers get half.
+/// Descriptors that the router reserves. Half of the remaining ones are for cache servers.
 const RESERVED_DESCRIPTORS: usize = 48;
-/// How soon after the clients have left others are served.
+/// Other clients have to be served within this time after the disconnects.
 const MAX_RELEASE_TIME: Duration = Duration::from_secs(1);
 
-/// A router whose connections to cache servers run out, and a cache server that pauses within the answers for [`KEY`].
+/// Starts a router with few connections to cache servers, and a cache server that pauses within its
+/// responses for [`KEY`].
 fn start() -> (CacheServer, Discovery, RouterProcess) {
     let server = CacheServer::start("s-a");
     let bytes = value_reply(&"v".repeat(VALUE_BYTES));
@@ -34,17 +36,19 @@
     (server, discovery, router)
 }
 
-/// Sends reads of [`KEY`] on one connection, all at once.
+/// Pipelines reads of [`KEY`] on one connection.
 fn send_reads(router: &RouterProcess, client: usize, count: usize) -> TcpStream {
-    let mut stream = TcpStream::connect(router.addr).expect("connected");
-    stream.set_read_timeout(Some(MAX_WAIT)).expect("a limit");
+    let mut stream = TcpStream::connect(router.addr).expect("failed to connect");
+    stream
+        .set_read_timeout(Some(MAX_WAIT))
+        .expect("failed to set the timeout");
     let commands: Vec<u8> = (0..count)
         .flat_map(|read| {
             let id = format!("id{client}x{read}");
             encode_command(&["C.GET", KEY, &id, "c=read,t=acme,d=4000"])
         })
         .collect();
-    stream.write_all(&commands).expect("written");
+    stream.write_all(&commands).expect("failed to write");
     stream
 }
 
@@ -55,7 +59,8 @@
     assert!(elapsed < MAX_RELEASE_TIME, "{elapsed:?}");
 }
 
-/// Guards against streamed answers that hold their connections for clients that have left, until none is free.
+/// Guards against streamed responses that keep their connections for disconnected clients until no
+/// connection is free.
 #[test]
 fn connections_of_streamed_responses_are_released_after_client_disconnects() {
     let (server, _discovery, router) = start();
@@ -64,24 +69,27 @@
         .collect();
     for client in &mut clients {
         let mut prefix = [0; FIRST_PART_BYTES / 2];
-        client.read_exact(&mut prefix).expect("the first bytes");
+        client
+            .read_exact(&mut prefix)
+            .expect("failed to read the first bytes");
     }
     assert_eq!(server.commands().len(), UPSTREAM_SLOTS);
     drop(clients);
     assert_other_clients_are_served(&router, Instant::now());
 }
 
-/// Guards against answers that are held until they are whole, for clients that have left.
+/// Guards against responses that are buffered until they are complete for disconnected clients. The
+/// router buffers them because the reads are pipelined.
 #[test]
 fn connections_of_buffered_responses_are_released_after_client_disconnects() {
     let (server, _discovery, router) = start();
     let clients: Vec<TcpStream> = (0..UPSTREAM_SLOTS / 2)
         .map(|client| send_reads(&router, client, 2))
         .collect();
-    wait_until("all reads have been sent on", || {
+    wait_until("the server has received all reads", || {
         server.commands().len() == UPSTREAM_SLOTS
     });
-    // The first parts arrive.
+    // Time for the first parts to arrive.
     std::thread::sleep(Duration::from_millis(200));
     drop(clients);
     assert_other_clients_are_served(&router, Instant::now());
