--- a/crates/cache-router/tests/client_connections.rs
+++ b/crates/cache-router/tests/client_connections.rs
@@ -1,4 +1,5 @@
-//! Connections of clients: commands, replies, errors and limits. The real binary against stand-ins on loopback sockets.
+//! Client connections: commands, replies, errors and limits. Runs the router binary against fake
+//! peers on loopback sockets.
 
 use std::time::Instant;
 use test_support::*;
@@ -13,8 +14,11 @@
     client.send("read", "00000000000000aa", 15_000);
     client.send("read", "00000000000000bb", 15_000);
     client.write(&encode_command(&["PING"]));
-    // The server replies to the second while the first is pending: no request waits behind another.
-    wait_until("both are at the server", || server.commands().len() == 2);
+    // The server replies to the second request while the first is pending: requests of a pipeline
+    // do not block each other upstream.
+    wait_until("the server has received both requests", || {
+        server.commands().len() == 2
+    });
     assert_eq!(server.connections().accepted, 2);
     server.open_gate();
     assert!(client.read_reply().unwrap().contains("s-a"));
@@ -40,12 +44,15 @@
         "left",
         "c=read,t=acme,d=15000",
     ]));
-    wait_until("it is at the server", || owner.commands().len() > before);
+    wait_until("the server has received the request", || {
+        owner.commands().len() > before
+    });
     leaving.disconnect();
     let mut client = router.client();
     owner.set_default_behavior(Behavior::ReplyAndClose(Vec::new()));
     owner.close_connections();
-    // Another client's request, whose connection is lost after that of the disconnected one, is retried at the other server.
+    // A request of another client, whose connection is lost later than that of the disconnected
+    // client, is retried at the other server.
     assert!(client.request("read", key).contains(&other.name));
     assert!(
         other
@@ -57,7 +64,7 @@
     );
 }
 
-/// Commands that are none for a cache server; all but the last ones are complete.
+/// Malformed commands, with a description of each. All but the last ones are sent to their end.
 fn malformed_commands() -> Vec<(&'static str, Vec<u8>)> {
     let get = |id: &str, fields: &str| encode_command(&["C.GET", "00000000000000aa", id, fields]);
     let long = "x".repeat(100);
@@ -131,7 +138,8 @@
     ]
 }
 
-/// Each gets an error and a closed connection soon, and none of it reaches a cache server.
+/// Each malformed command is answered promptly with one error and a closed connection, and nothing
+/// is forwarded to a cache server.
 #[test]
 fn a_malformed_command_gets_an_error_and_closes_its_connection() {
     let server = CacheServer::start("s-a");
@@ -167,7 +175,7 @@
     );
 }
 
-/// A deadline past all bounds counts as that of the class, and no arithmetic of time overflows.
+/// A huge deadline is limited to that of the class, and causes no overflow in time arithmetic.
 #[test]
 fn a_huge_deadline_is_capped_by_the_class() {
     let server = CacheServer::start("s-a");
@@ -189,8 +197,8 @@
     assert!(router.is_running());
 }
 
-/// A retry with less than a millisecond left says `d=0`. Guards against its error ending the connection and losing the
-/// requests around it.
+/// A client's retry with less than a millisecond left has `d=0`. Guards against an error for it
+/// that closes the connection and loses the other requests of the pipeline.
 #[test]
 fn an_expired_request_does_not_affect_the_rest_of_its_pipeline() {
     let server = CacheServer::start("s-a");
@@ -228,7 +236,9 @@
             }
             client.write(&bytes);
             for number in 0..before + 1 + after {
-                let reply = client.read_reply().expect("a reply");
+                let reply = client
+                    .read_reply()
+                    .expect("connection closed without a reply");
                 match number == before {
                     true => assert!(reply.starts_with("-BUSY"), "{reply}"),
                     false => assert!(
@@ -253,7 +263,7 @@
     );
 }
 
-/// A client that keeps sending, far more than is read from it, still receives the error.
+/// A client that sends far more data than the router reads still receives the error.
 #[test]
 fn the_error_reaches_a_client_that_keeps_sending() {
     let server = CacheServer::start("s-a");
@@ -281,18 +291,21 @@
     client.send("read", "00000000000000aa", 4_000);
     client.write(b"what?\r\n");
     client.send("read", "00000000000000bb", 4_000);
-    wait_until("it is at the server", || !server.commands().is_empty());
+    wait_until("the server has received the request", || {
+        !server.commands().is_empty()
+    });
     server.open_gate();
     assert!(client.read_reply().unwrap().contains("s-a"));
     assert!(client.read_to_end().starts_with(b"-ERR protocol error"));
     assert_eq!(
         server.commands().len(),
         1,
-        "nothing behind the error is read"
+        "a command after the error was read"
     );
 }
 
-/// The id of another client's open request is an error, never a reply; after that request the id is free again.
+/// A request with the id of another client's open request gets an error and never that client's
+/// reply. The id can be used again after the open request has ended.
 #[test]
 fn a_duplicate_id_of_an_open_request_is_an_error() {
     let server = CacheServer::start("s-a");
@@ -301,9 +314,11 @@
     let bytes = encode_command(&["C.GET", "00000000000000aa", "same", "c=read,t=acme,d=4000"]);
     let (mut first, mut second) = (router.client(), router.client());
     first.write(&bytes);
-    wait_until("it is at the server", || server.commands().len() == 1);
+    wait_until("the server has received the request", || {
+        server.commands().len() == 1
+    });
     second.write(&bytes);
-    // The requests around it on its connection are answered as well.
+    // The requests before and after it on its connection are answered.
     let around = |key: &str, id: &str| encode_command(&["C.GET", key, id, "c=read,t=acme,d=4000"]);
     second.write(&around("00000000000000cc", "before"));
     second.write(&bytes);
@@ -317,22 +332,25 @@
     assert_eq!(server.commands().len(), 3);
     first.write(&bytes);
     assert!(first.read_reply().unwrap().contains("s-a"));
-    // It is free after a disconnect as well.
+    // The id is also free after the client has disconnected.
     let mut leaving = router.client();
     server.set_behavior("00000000000000bb", Behavior::StaySilent);
     let left = encode_command(&["C.GET", "00000000000000bb", "left", "c=read,t=acme,d=4000"]);
     leaving.write(&left);
-    wait_until("it is at the server", || server.commands().len() == 5);
+    wait_until("the server has received the request", || {
+        server.commands().len() == 5
+    });
     drop(leaving);
     server.set_behavior("00000000000000bb", Behavior::Serve);
-    wait_until("its id is free", || {
+    wait_until("the id is free again", || {
         let mut client = router.client();
         client.write(&left);
         client.read_reply().unwrap().contains("s-a")
     });
 }
 
-/// A client that never sends a complete command is closed in time; one that has sent one keeps its connection.
+/// A client that sends no complete command in time is disconnected. A client that has sent one, and
+/// has no incomplete command, keeps its connection.
 #[test]
 fn clients_that_send_no_complete_command_are_disconnected() {
     let server = CacheServer::start("s-a");
@@ -354,13 +372,13 @@
     }
     assert!(
         start.elapsed().as_secs_f64() > 1.0,
-        "not at once: {:?}",
+        "disconnected too early: {:?}",
         start.elapsed()
     );
     assert!(active.request("read", "00000000000000aa").contains("s-a"));
 }
 
-/// Hundreds of silent connections take neither the descriptors of active clients nor their service.
+/// Hundreds of silent connections do not deprive active clients of descriptors or service.
 #[test]
 fn active_clients_are_served_despite_many_silent_ones() {
     let server = CacheServer::start("s-a");
@@ -373,7 +391,7 @@
     for round in 0..30 {
         silent_clients.extend((0..20).map(|_| router.client()));
         for client in &mut active {
-            // One that the router closed between two requests comes anew.
+            // A client that the router closed between two requests reconnects.
             client.send("read", "00000000000000aa", 4_000);
             let answer = client.read_reply().unwrap_or_else(|| {
                 *client = router.client();
@@ -386,9 +404,11 @@
     assert!(router.is_running());
     assert!(
         !router.log_contains("accepting a client"),
-        "it never ran out of descriptors"
+        "the router ran out of descriptors"
     );
-    wait_until("the crowd is closed", || router.descriptors() < 30);
+    wait_until("the silent clients are disconnected", || {
+        router.descriptors() < 30
+    });
 }
 
 #[test]
@@ -402,7 +422,11 @@
     for client in clients.iter_mut().skip(8) {
         assert!(client.request("read", "00000000000000aa").contains("s-a"));
     }
-    assert_eq!(clients[0].read_reply(), None, "closed between requests");
+    assert_eq!(
+        clients[0].read_reply(),
+        None,
+        "the longest idle client stayed connected"
+    );
 }
 
 #[test]
@@ -414,7 +438,7 @@
         "ulimit -n 24;",
     );
     let mut clients: Vec<Client> = (0..40).map(|_| router.client()).collect();
-    wait_until("it has run out", || {
+    wait_until("the router has run out of descriptors", || {
         router.log_contains("accepting a client")
     });
     clients.truncate(2);
@@ -424,7 +448,7 @@
             .request("read", "00000000000000aa")
             .starts_with(['*', '-'])
     );
-    wait_until("it serves again", || {
+    wait_until("the router serves again", || {
         router
             .client()
             .request("read", "00000000000000aa")
@@ -433,8 +457,8 @@
     assert!(router.is_running());
 }
 
-/// Clients that connect together while idle ones take all slots: none of them is closed for the next before its first
-/// command has arrived.
+/// Several clients connect while idle clients occupy all connection slots. Guards against closing a
+/// new client, to make room for the next one, before its first command has arrived.
 #[test]
 fn new_clients_of_a_full_router_are_served() {
     let server = CacheServer::start("s-a");
@@ -442,7 +466,7 @@
     let mut config = configuration(discovery.addr, &[server.entry("up")]);
     // Slots for 24 clients.
     config["limits"]["sockets"] = 96.into();
-    wait_until("a round in time", || {
+    wait_until("a round without a delay of the machine", || {
         let router = RouterProcess::start(&config);
         let mut idle: Vec<Client> = (0..24).map(|_| router.client()).collect();
         let pong = Some("+PONG\r\n");
@@ -452,11 +476,13 @@
         }
         let start = Instant::now();
         let mut new_clients: Vec<Client> = (0..6).map(|_| router.client()).collect();
-        // The last is answered once all are accepted and have made room for themselves.
+        // The last client is answered after all new clients have been accepted in place of idle
+        // ones.
         let mut last = router.client();
         last.write(&encode_command(&["PING"]));
         let _ = last.read_reply();
-        // On a machine that stood still meanwhile they had their time.
+        // After a longer delay the time of a new client for its first command may be over, so that
+        // the round is repeated.
         let in_time = start.elapsed().as_millis() < 80;
         for (number, client) in new_clients.iter_mut().enumerate().filter(|_| in_time) {
             client.write_until_closed(&encode_command(&["PING"]));
@@ -466,7 +492,7 @@
     });
 }
 
-/// Clients that send one request and keep their connection do not fill the router.
+/// Clients that send one request and then stay connected do not occupy all connection slots.
 #[test]
 fn idle_clients_keep_a_quarter_of_the_connection_slots() {
     let server = CacheServer::start("s-a");
@@ -480,16 +506,16 @@
     for client in &mut clients {
         assert!(client.request("read", "00000000000000aa").contains("s-a"));
     }
-    // A few of the slots are connections to the server.
-    wait_until("most places are free", || {
+    // A few descriptors are connections to the server.
+    wait_until("most connection slots are free", || {
         router.descriptors() <= baseline + 6 + 4
     });
     assert_eq!(
         clients[0].read_reply(),
         None,
-        "who asked longest ago is closed"
+        "the longest idle client stayed connected"
     );
-    // The client of the last request may send another.
+    // The client with the latest request is still connected.
     assert!(
         clients[21]
             .request("read", "00000000000000aa")
