--- a/crates/cache-router/tests/client_disconnects.rs
+++ b/crates/cache-router/tests/client_disconnects.rs
@@ -1,9 +1,10 @@
-//! Clients that leave while their requests wait: nothing of theirs is sent on afterwards. The real binary against stand-ins on loopback
-//! sockets; each order of events is forced by a peer.
+//! Clients that disconnect while their requests are waiting: nothing is sent upstream for them
+//! afterwards. Runs the router binary against fake peers on loopback sockets. Each test forces the
+//! order of events through a fake peer.
 
 use test_support::*;
 
-/// The ids of the commands that have reached a server.
+/// Returns the request ids of all commands that a server has received.
 fn received_ids(server: &CacheServer) -> Vec<String> {
     server
         .commands()
@@ -18,7 +19,8 @@
 
 const KEY: &str = "7f3a9c21e0b4d655";
 
-/// A router that knows one server, to which connections are established once the filling connections are dropped.
+/// Starts a router with one server, to which connections cannot be established until the returned
+/// backlog connections are dropped.
 fn start_router_with_unresponsive_server() -> (
     RouterProcess,
     Discovery,
@@ -54,20 +56,26 @@
     let mut leaving = router.client();
     leaving.write(&encode_command(&["PING"]));
     assert_eq!(leaving.read_reply().as_deref(), Some("+PONG\r\n"));
-    wait_until("the router watches", || !discovery.calls().is_empty());
+    wait_until("the router has opened a watch", || {
+        !discovery.calls().is_empty()
+    });
     let before = router.descriptors();
     leaving.write(&encode_read(KEY, "left"));
-    wait_until("it dials", || router.descriptors() > before);
-    // The router has seen the disconnect before the connection can be established.
+    wait_until("the router connects to the server", || {
+        router.descriptors() > before
+    });
+    // The router detects the disconnect before the connection can be established.
     leaving.disconnect();
     drop(backlog_connections);
     let server = CacheServer::start_on("s-a", silent_listener);
-    wait_until("the connection is up", || router.log_contains(" opened=1 "));
+    wait_until("the connection is established", || {
+        router.log_contains(" opened=1 ")
+    });
     let mut client = router.client();
     client.write(&encode_read(KEY, "stayed"));
     assert!(client.read_reply().unwrap().contains("s-a"));
     assert_eq!(received_ids(&server), ["stayed"]);
-    wait_until("it went out on that connection", || {
+    wait_until("the request was written to that connection", || {
         router.log_contains(" written=1 ")
     });
     assert_eq!(
@@ -88,7 +96,7 @@
     server.set_default_behavior(Behavior::StaySilent);
     let discovery = Discovery::start(endpoint_list(7, false, &[]));
     let mut config = configuration(discovery.addr, &[server.entry("up")]);
-    // Slots for two clients and two connections to cache servers.
+    // Connection slots for two clients and two connections to cache servers.
     config["limits"]["sockets"] = 52.into();
     config["settings"]["limits"]["dial_timeout"] = 15.0.into();
     for class in config["settings"]["request_classes"]
@@ -101,7 +109,9 @@
     let mut client = router.client();
     client.send("once", KEY, 15_000);
     client.send("once", KEY, 15_000);
-    wait_until("both places are taken", || server.commands().len() == 2);
+    wait_until("both connection slots are in use", || {
+        server.commands().len() == 2
+    });
     let mut leaving = router.client();
     leaving.write(&encode_read(KEY, "left"));
     leaving.disconnect();
@@ -127,7 +137,9 @@
     server.set_behavior(KEY, Behavior::ServeOnceGateOpens);
     let mut client = router.client();
     client.write(&encode_read(KEY, "before"));
-    wait_until("it is at the server", || server.commands().len() == 1);
+    wait_until("the server has received the request", || {
+        server.commands().len() == 1
+    });
     let restarted = server
         .entry("up")
         .replace(r#""born_ms":0"#, r#""born_ms":1700000000000"#);
@@ -135,12 +147,12 @@
         "{}\n",
         endpoint_list(8, false, &[restarted, new.entry("up")])
     ));
-    // Requests for one key after another, until a reply of the new server shows that the list is applied.
+    // Requests for different keys, until a reply of the new server shows that the list is applied.
     let (mut other, mut key) = (router.client(), 0);
-    wait_until("the list is known", || {
+    wait_until("the router has applied the list", || {
         key += 1;
         let probe_key = format!("{key:016x}");
-        // What is not the new server's hangs at the other, and tells nothing.
+        // A reply of the other server shows nothing.
         server.set_behavior(&probe_key, Behavior::Reply(value_reply("old")));
         other.request("read", &probe_key).contains("s-b")
     });
@@ -152,12 +164,12 @@
             .recorded_commands()
             .into_iter()
             .find(|command| command.arguments[2] == id)
-            .expect("it arrived")
+            .expect("the server has not received the command")
             .connection
     };
-    // Longer than a connection has to stay quiet before it is pooled.
+    // Longer than a connection has to be quiet before it returns to the pool.
     std::thread::sleep(std::time::Duration::from_millis(100));
-    // As many at once as there may be pooled connections.
+    // More concurrent requests than there are pooled connections.
     for number in 0..=opened {
         client.write(&encode_read("000000000000aaaa", &format!("after-{number}")));
         client.write(&encode_read(KEY, &format!("same-{number}")));
@@ -174,20 +186,21 @@
     );
 }
 
-/// The end of the stream follows commands that are not read, since the pipeline is full.
+/// The end of the stream follows commands that the router does not read while the pipeline is full.
 #[test]
 fn a_disconnect_behind_a_full_pipeline_is_detected() {
     let (router, _discovery, silent_listener, backlog_connections) =
         start_router_with_unresponsive_server();
     let mut leaving = router.client();
     (0..100).for_each(|number| leaving.write(&encode_read(KEY, &format!("left-{number}"))));
-    // Long before the deadline of the first request, without a reply.
+    // Returns long before the deadline of the first request, without a reply.
     leaving.disconnect();
     drop(backlog_connections);
     let server = CacheServer::start_on("s-a", silent_listener);
-    // A request that nobody waits for keeps its share of the server until its connection is established.
+    // A cancelled request counts against the server's concurrency limit until its connection is
+    // established.
     let mut client = router.client();
-    wait_until("the server is free", || {
+    wait_until("the server serves again", || {
         client.request("read", KEY).contains("s-a")
     });
     assert!(
@@ -199,7 +212,7 @@
     );
 }
 
-/// The error is still sent, but the requests before it are cancelled.
+/// The error reply is still sent, but the requests before it are cancelled.
 #[test]
 fn a_disconnect_after_a_malformed_command_is_detected() {
     let (router, _discovery, silent_listener, backlog_connections) =
@@ -213,7 +226,10 @@
         leaving.read_to_end(),
         b"-ERR failed\r\n-ERR protocol error\r\n"
     );
-    assert!(start.elapsed().as_secs() < 10, "long before its time is up");
+    assert!(
+        start.elapsed().as_secs() < 10,
+        "the request was not cancelled before its deadline"
+    );
     drop(backlog_connections);
     let server = CacheServer::start_on("s-a", silent_listener);
     let mut client = router.client();
