--- a/crates/cache-router/tests/coalesced_reads.rs
+++ b/crates/cache-router/tests/coalesced_reads.rs
@@ -1,11 +1,13 @@
-//! Identical reads that share one upstream request. The real binary against stand-ins on loopback sockets.
+//! Coalescing: identical reads that share one upstream request. Runs the router binary against fake
+//! peers on loopback sockets.
 
 use std::time::{Duration, Instant};
 use test_support::*;
 
 const KEY: &str = "7f3a9c21e0b4d655";
 
-/// Starts a router with this operator file that knows these cache servers.
+/// Starts a router with this operator file and these cache servers. `change` edits its
+/// configuration.
 fn start_router_with_operator_file(
     operator_file: &str,
     servers: &[&CacheServer],
@@ -17,7 +19,9 @@
     config["settings"]["limits"]["cancel"] = true.into();
     change(&mut config);
     let router = RouterProcess::start_with_operator_file(&config, operator_file);
-    wait_until("the router watches", || !discovery.calls().is_empty());
+    wait_until("the router has opened a watch", || {
+        !discovery.calls().is_empty()
+    });
     Fleet { router, discovery }
 }
 
@@ -41,7 +45,7 @@
     encode_command(&["C.GET", KEY, &id, &fields])
 }
 
-/// Sends 500 reads for the key over 50 connections.
+/// Sends 500 reads of the key over 50 connections.
 fn send_many_reads(router: &RouterProcess, deadline_ms: u64) -> Vec<Client> {
     let mut clients: Vec<Client> = (0..50).map(|_| router.client()).collect();
     for (index, client) in clients.iter_mut().enumerate() {
@@ -53,12 +57,14 @@
     clients
 }
 
-/// Reads their replies: how many are served, and how many declined.
+/// Reads the replies to [`send_many_reads`]; returns the numbers of served and of rejected reads.
 fn count_replies(clients: &mut [Client]) -> (usize, usize) {
     let (mut served, mut rejected) = (0, 0);
     for client in clients {
         for _ in 0..10 {
-            let answer = client.read_reply().expect("an answer");
+            let answer = client
+                .read_reply()
+                .expect("connection closed without an answer");
             served += usize::from(answer.starts_with('*'));
             rejected += usize::from(answer.starts_with("-BUSY "));
         }
@@ -66,12 +72,14 @@
     (served, rejected)
 }
 
-/// Waits until so many reads wait for a flight.
+/// Waits until this many reads wait for a flight.
 fn wait_for_waiters(router: &RouterProcess, count: usize) {
     wait_until("the reads wait", || {
         let before = router.log.lock().unwrap().len();
         router.log_coalescing_counters();
-        wait_until("it tells", || router.log.lock().unwrap().len() > before);
+        wait_until("the counters are logged", || {
+            router.log.lock().unwrap().len() > before
+        });
         router.log.lock().unwrap()[before..]
             .iter()
             .any(|line| line.contains(&format!("now {count} waiters")))
@@ -90,7 +98,7 @@
     assert_eq!(server.commands().len(), 1);
     assert!(
         clients[0].request("read", KEY).starts_with('*'),
-        "and nothing is kept"
+        "the next read was not served"
     );
     assert_eq!(server.commands().len(), 2);
 }
@@ -147,12 +155,12 @@
             .filter(|arguments| arguments[1] == KEY)
             .count()
     };
-    // Reads after the reply start another flight; none has a flight of its own.
+    // Reads after the reply may start further flights, but far fewer than one for each read.
     let sent = attempts_for_key(&a) + attempts_for_key(&b);
     assert!((2..20).contains(&sent), "{sent}");
 }
 
-/// Whether the first of two servers owns the key.
+/// Returns whether the first of two servers owns the key.
 fn owns_key(a: &CacheServer, b: &CacheServer) -> bool {
     let Fleet { router, .. } = start_router(&[a, b]);
     assert!(router.client().request("read", KEY).contains("s-"));
@@ -169,10 +177,20 @@
     first.write(&encode_read(0, 0, 300));
     wait_for_waiters(&router, 1);
     second.write(&encode_read(1, 0, 4_000));
-    assert!(first.read_reply().expect("an answer").starts_with("-BUSY "));
+    assert!(
+        first
+            .read_reply()
+            .expect("connection closed without an answer")
+            .starts_with("-BUSY ")
+    );
     let elapsed_ms = start.elapsed().as_millis();
     assert!((300..1_400).contains(&elapsed_ms), "{elapsed_ms}");
-    assert!(second.read_reply().expect("an answer").starts_with('*'));
+    assert!(
+        second
+            .read_reply()
+            .expect("connection closed without an answer")
+            .starts_with('*')
+    );
     assert_eq!(server.commands().len(), 1);
 }
 
@@ -189,16 +207,23 @@
     drop(leader);
     wait_for_waiters(&router, 1);
     server.open_gate();
-    assert!(other.read_reply().expect("an answer").starts_with('*'));
+    assert!(
+        other
+            .read_reply()
+            .expect("connection closed without an answer")
+            .starts_with('*')
+    );
     assert_eq!(server.commands().len(), 1);
-    // The next flight has no waiter left.
+    // The next flight loses its only waiter.
     server.set_behavior(KEY, Behavior::StaySilent);
     let mut alone = router.client();
     alone.write(&encode_read(2, 0, 4_000));
-    wait_until("it is out", || server.commands().len() == 2);
+    wait_until("the server has received the flight's request", || {
+        server.commands().len() == 2
+    });
     let ended = server.connections().closed;
     drop(alone);
-    wait_until("its connection ends", || {
+    wait_until("the connection of the cancelled flight is closed", || {
         server.connections().closed > ended
     });
 }
@@ -224,15 +249,17 @@
         clients.push(client);
         std::thread::sleep(Duration::from_millis(200));
     }
-    wait_until("the second is out", || {
-        server.commands().len() - before >= 2
-    });
-    assert_eq!(server.commands().len() - before, 2);
-    assert!(
-        clients
-            .iter_mut()
-            .all(|client| client.read_reply().expect("an answer").starts_with("-BUSY"))
+    wait_until(
+        "the server has received the replacement flight's request",
+        || server.commands().len() - before >= 2,
     );
+    assert_eq!(server.commands().len() - before, 2);
+    assert!(clients.iter_mut().all(|client| {
+        client
+            .read_reply()
+            .expect("connection closed without an answer")
+            .starts_with("-BUSY")
+    }));
 }
 
 #[test]
@@ -243,7 +270,9 @@
         let Fleet { router, .. } = start_coalescing_router(&[&server]);
         let mut clients: Vec<Client> = (0..4).map(|_| router.client()).collect();
         clients[0].write(&encode_read(0, 0, 4_000));
-        wait_until("it is out", || server.commands().len() == 1);
+        wait_until("the server has received the flight's request", || {
+            server.commands().len() == 1
+        });
         server.set_behavior(KEY, Behavior::Reply(write_reply.clone()));
         let reply = clients[1].request("put", KEY);
         assert_eq!(reply.as_bytes().first(), write_reply.first());
@@ -259,17 +288,23 @@
                 .filter(|arguments| arguments[0] == "C.GET")
                 .count()
         };
-        wait_until("those after the write are out", || reads() == 2);
+        wait_until("the server has received the read after the write", || {
+            reads() == 2
+        });
         server.open_gate();
         for index in [0, 2, 3] {
             assert!(
                 clients[index]
                     .read_reply()
-                    .expect("an answer")
+                    .expect("connection closed without an answer")
                     .starts_with('*')
             );
         }
-        assert_eq!(reads(), 2, "one before the write, one for both after it");
+        assert_eq!(
+            reads(),
+            2,
+            "not one flight before the write and one for both reads after it"
+        );
     }
 }
 
@@ -291,7 +326,8 @@
     let mut clients = send_many_reads(&router, 4_000);
     let before = router.memory_kb();
     assert_eq!(count_replies(&mut clients), (500, 0));
-    // 1,100 waiters, of which 600 do not read: copies for these alone would take 39 MB.
+    // There are 1,100 waiters, of which 600 do not read. Copies of the reply for these alone would
+    // take 39 MB.
     let growth_kb = router.memory_kb().saturating_sub(before);
     assert!(growth_kb < 20_000, "{growth_kb} KB");
     assert!(server.commands().len() < 10, "{}", server.commands().len());
@@ -320,17 +356,19 @@
     let Fleet { router, discovery } = start_coalescing_router(&[&a, &b]);
     let mut clients = send_many_reads(&router, 4_000);
     wait_for_waiters(&router, 500);
-    wait_until("the flight is out", || owner.commands().len() > before);
+    wait_until("the server has received the flight's request", || {
+        owner.commands().len() > before
+    });
     discovery.write_to_watch(&format!(
         "{}\n",
         endpoint_list(8, false, &[owner.entry("draining")])
     ));
     let (mut other, mut key) = (router.client(), 0);
-    wait_until("the drain is known", || {
+    wait_until("the router has applied the drain", || {
         let had = owner.commands().len();
         (0..20).for_each(|_| {
             key += 1;
-            // Not reads: how quick those are tells when a flight hangs.
+            // Writes, because the latency of reads determines when a flight is considered hung.
             assert!(
                 other
                     .request("put", &format!("{key:016x}"))
@@ -344,7 +382,11 @@
     wait_for_waiters(&router, 501);
     owner.open_gate();
     assert_eq!(count_replies(&mut clients), (500, 0));
-    assert!(late.read_reply().expect("an answer").contains(&owner.name));
+    assert!(
+        late.read_reply()
+            .expect("connection closed without an answer")
+            .contains(&owner.name)
+    );
     assert_eq!(
         owner.commands()[before..]
             .iter()
@@ -363,7 +405,7 @@
     let mut clients: Vec<Client> = (0..5).map(|_| router.client()).collect();
     for (index, client) in clients.iter_mut().enumerate() {
         client.write(&encode_read(index, 0, 4_000));
-        wait_until("it is taken", || {
+        wait_until("the read has been accepted", || {
             index < 3 || server.commands().len() == index - 1
         });
         if index == 2 {
@@ -371,11 +413,12 @@
         }
     }
     server.open_gate();
-    assert!(
-        clients
-            .iter_mut()
-            .all(|client| client.read_reply().expect("an answer").starts_with('*'))
-    );
+    assert!(clients.iter_mut().all(|client| {
+        client
+            .read_reply()
+            .expect("connection closed without an answer")
+            .starts_with('*')
+    }));
     assert_eq!(server.commands().len(), 3);
 }
 
@@ -404,13 +447,16 @@
         ]));
     }
     wait_for_waiters(&router, reads.len());
-    wait_until("all are out", || server.commands().len() >= 3);
+    wait_until("the server has received all requests", || {
+        server.commands().len() >= 3
+    });
     server.open_gate();
     assert!(
-        reads
-            .iter()
-            .all(|_| client.read_reply().expect("an answer").starts_with('*')),
-        "two or more on one connection"
+        reads.iter().all(|_| client
+            .read_reply()
+            .expect("connection closed without an answer")
+            .starts_with('*')),
+        "a read was not served"
     );
     assert_eq!(server.commands().len(), 3);
 }
@@ -423,16 +469,27 @@
     other.set_behavior(KEY, Behavior::ReplyAfter(1_000, value_reply("s-b")));
     let Fleet { router, .. } =
         start_router_with_operator_file(COALESCE_READS, &[&a, &b], |config| {
-            // A further attempt needs a fifth of this.
+            // A retry needs a fifth of this time.
             config["settings"]["request_classes"][0]["target"] = 4.0.into();
         });
     let (mut long, mut short) = (router.client(), router.client());
     long.write(&encode_read(0, 0, 4_000));
     short.write(&encode_read(1, 0, 1_400));
-    assert!(short.read_reply().expect("an answer").starts_with("-BUSY "));
-    assert!(long.read_reply().expect("an answer").starts_with('*'));
+    assert!(
+        short
+            .read_reply()
+            .expect("connection closed without an answer")
+            .starts_with("-BUSY ")
+    );
+    assert!(
+        long.read_reply()
+            .expect("connection closed without an answer")
+            .starts_with('*')
+    );
     router.log_coalescing_counters();
-    wait_until("it tells", || router.log_contains(" 0 expired, 1 outrun"));
+    wait_until("the counters are logged", || {
+        router.log_contains(" 0 expired, 1 outrun")
+    });
 }
 
 #[test]
@@ -449,7 +506,7 @@
         endpoint_list(8, false, &[owner.entry("up")])
     ));
     let (mut writer, mut key) = (router.client(), 0);
-    wait_until("the owner is known", || {
+    wait_until("the router has applied the new list", || {
         key += 1;
         assert!(
             writer
@@ -471,7 +528,8 @@
     assert_eq!(attempts_for_key(), 1);
 }
 
-/// How many of 60 reads of `acme` are sent upstream at once, after 150 of this tenant have shared one flight.
+/// Returns how many of 60 reads of the tenant `acme` are sent upstream at once, after 150 reads of
+/// `tenant` have shared one flight.
 fn reads_sent_after_coalesced_reads_of(tenant: &str) -> usize {
     let server = CacheServer::start("s-a");
     server.set_behavior(KEY, Behavior::ServeOnceGateOpens);
@@ -487,7 +545,12 @@
     wait_for_waiters(&router, 150);
     server.open_gate();
     for client in &mut clients {
-        assert!((0..10).all(|_| client.read_reply().expect("an answer").starts_with('*')));
+        assert!((0..10).all(|_| {
+            client
+                .read_reply()
+                .expect("connection closed without an answer")
+                .starts_with('*')
+        }));
     }
     server.set_default_behavior(Behavior::StaySilent);
     let before = server.commands().len();
@@ -501,7 +564,7 @@
         ])
     };
     client.write(&(0..60).flat_map(read).collect::<Vec<u8>>());
-    wait_until("all are taken", || {
+    wait_until("all reads have been accepted", || {
         router.log_coalescing_counters();
         std::thread::sleep(Duration::from_millis(5));
         router.log_contains("joining: 61 flights, 149 joined")
@@ -517,8 +580,8 @@
     let waiters = line
         .as_deref()
         .and_then(|line| line.split("now ").nth(1)?.split(' ').next()?.parse().ok());
-    let waiters = waiters.expect("a number");
-    wait_until("they are out", || {
+    let waiters = waiters.expect("not a number");
+    wait_until("the server has received all requests", || {
         server.commands().len() - before == waiters
     });
     waiters
@@ -532,6 +595,6 @@
     );
     assert!(
         0 < own && own < other,
-        "{own} after its own crowd, {other} after the other's"
+        "{own} after its own coalesced reads, {other} after those of the other tenant"
     );
 }
