--- a/crates/cache-router/tests/endpoint_discovery.rs
+++ b/crates/cache-router/tests/endpoint_discovery.rs
@@ -1,8 +1,9 @@
-//! The endpoint list: watches, changes and outages of discovery. The real binary against stand-ins on loopback sockets.
+//! Endpoint discovery: watches, changes of the endpoint list, and outages of the discovery service.
+//! Runs the router binary against fake peers on loopback sockets.
 
 use test_support::*;
 
-/// Each way in which a watch is lost is followed by a new call, which continues from the last version.
+/// However a watch is lost, the router makes a new call that continues from the last version.
 #[test]
 fn a_lost_watch_is_reopened_from_the_last_version() {
     type LoseWatch = fn(&Discovery);
@@ -52,8 +53,10 @@
     let discovery = Discovery::start(endpoint_list(7, false, &[]));
     discovery.set_failing(true);
     let router = RouterProcess::start(&configuration(discovery.addr, &[server.entry("up")]));
-    wait_until("it calls again", || discovery.calls().len() >= 3);
-    // The last list stays in use.
+    wait_until("the router has retried the call", || {
+        discovery.calls().len() >= 3
+    });
+    // The previous list stays in use.
     assert!(
         router
             .client()
@@ -64,7 +67,7 @@
     let new = CacheServer::start("s-b");
     discovery.set_initial_list(endpoint_list(9, true, &[new.entry("up")]));
     let mut client = router.client();
-    wait_until("the new list", || {
+    wait_until("the router has applied the new list", || {
         client.request("read", "00000000000000aa").contains("s-b")
     });
 }
@@ -81,7 +84,7 @@
     discovery.write_to_watch(first);
     discovery.write_to_watch(rest);
     let mut client = router.client();
-    wait_until("the change", || {
+    wait_until("the router has applied the change", || {
         client.request("read", "00000000000000aa").contains("s-b")
     });
     assert_eq!(discovery.calls().len(), 1);
@@ -97,7 +100,7 @@
         "{}\n",
         endpoint_list(8, false, &[endpoint_entry("s-a", new.addr, "up")])
     ));
-    wait_until("the new address", || {
+    wait_until("the router uses the new address", || {
         client.request("read", "00000000000000aa").contains("moved")
     });
 }
@@ -116,7 +119,7 @@
         endpoint_list(8, false, &[owner.entry("draining")])
     ));
     let mut client = router.client();
-    wait_until("its key moves", || {
+    wait_until("the key moves to the other server", || {
         client.request("read", key).contains(&other.name)
     });
     let before = owner.commands().len();
@@ -126,8 +129,8 @@
     assert_eq!(owner.commands().len(), before);
 }
 
-/// Servers are replaced again and again, under new ids and at reused addresses: the state of each goes with it, and
-/// requests find the current ones.
+/// Servers are replaced many times, with new ids at reused addresses. Guards against state of
+/// removed servers that is never freed, and against requests to removed servers.
 #[test]
 fn many_replaced_servers_leak_nothing() {
     let servers = [
@@ -137,7 +140,7 @@
     ];
     let discovery = Discovery::start(endpoint_list(7, false, &[]));
     let mut config = configuration(discovery.addr, &[servers[0].entry("up")]);
-    // The state of a removed server stays while it may still have requests, and goes soon after.
+    // Short deadlines, because the state of a removed server is kept while it may have requests.
     for class in config["settings"]["request_classes"]
         .as_array_mut()
         .unwrap()
@@ -146,7 +149,9 @@
         class["target"] = 0.1.into();
     }
     let router = RouterProcess::start(&config);
-    wait_until("the router watches", || !discovery.calls().is_empty());
+    wait_until("the router has opened a watch", || {
+        !discovery.calls().is_empty()
+    });
     let mut client = router.client();
     let mut seq = 8;
     let mut baseline_kb = 0;
@@ -164,7 +169,7 @@
             seq += 1;
             if number % 20 == 0 {
                 let owner = &servers[newest % 3].name;
-                wait_until("the newest serves", || {
+                wait_until("the newest server serves", || {
                     client
                         .request("read", &format!("{newest:016x}"))
                         .contains(owner.as_str())
@@ -180,8 +185,9 @@
     assert!(router.descriptors() < 40, "{}", router.descriptors());
 }
 
-/// A watch that falls silent counts as lost in every discovery mode, and its changes have to be known 6 s later: a new
-/// call is answered by then, with an agent also if the first call hangs. Where discovery is polled a call may wait longer.
+/// A silent watch is treated as lost in every discovery mode, and the changes that it missed have
+/// to be applied within 6 s of the silence. With pushed lists this holds even if the first new call
+/// hangs; when subscribed, a call may take longer, so that none hangs in this test.
 #[test]
 fn a_silent_watch_is_reopened_in_time_in_every_discovery_mode() {
     let run = |mode: &'static str, hanging_calls: usize| {
@@ -190,15 +196,17 @@
         let mut config = configuration(discovery.addr, &[old.entry("up")]);
         config["settings"]["discovery"] = mode.into();
         let router = RouterProcess::start(&config);
-        wait_until("the router watches", || !discovery.calls().is_empty());
-        // It has heard of this: from here on there is silence.
+        wait_until("the router has opened a watch", || {
+            !discovery.calls().is_empty()
+        });
+        // The last data on the watch, so that the silence begins here.
         discovery.write_to_watch(&format!(
             "{}\n",
             endpoint_list(8, false, &[new.entry("up")])
         ));
         let mut client = router.client();
         let mut key = 0;
-        wait_until("the list is known", || {
+        wait_until("the router has applied the list", || {
             key += 1;
             client
                 .request("read", &format!("{key:016x}"))
@@ -208,7 +216,7 @@
         let start = std::time::Instant::now();
         discovery.hang_next_calls(hanging_calls);
         discovery.set_initial_list(endpoint_list(9, true, &[new.entry("up")]));
-        wait_until("the old server is gone", || {
+        wait_until("the old server gets no more requests", || {
             (0..16).all(|key| {
                 client
                     .request("read", &format!("{key:016x}"))
@@ -230,10 +238,11 @@
     let runs = [("subscribe", 0), ("automatic", 1)]
         .map(|(mode, hanging_calls)| std::thread::spawn(move || run(mode, hanging_calls)));
     runs.into_iter()
-        .for_each(|run| run.join().expect("both hold"));
+        .for_each(|run| run.join().expect("a case panicked"));
 }
 
-/// An agent that is silent while discovery is down costs calls, and no endpoint.
+/// While neither the agent nor the discovery service responds, the router repeats its calls and
+/// keeps its endpoints.
 #[test]
 fn a_silent_agent_removes_no_endpoint() {
     let server = CacheServer::start("s-a");
@@ -242,7 +251,7 @@
     let mut config = configuration(discovery.addr, &[server.entry("up")]);
     config["settings"]["discovery"] = "automatic".into();
     let router = RouterProcess::start(&config);
-    wait_until("it has called and called again", || {
+    wait_until("the router has made a second call", || {
         discovery.calls().len() >= 2
     });
     assert!(
@@ -251,8 +260,8 @@
             .request("read", "00000000000000aa")
             .contains("s-a")
     );
-    // The second call is made beside the first, which has not ended yet.
-    wait_until("the first call has ended", || {
+    // The second call is made while the first is still open.
+    wait_until("the first call has timed out", || {
         router.log_contains("discovery watch lost: no answer within 2.5 s")
     });
 }
@@ -261,34 +270,34 @@
 fn lists_may_span_lines_and_chunks() {
     let (old, new) = (CacheServer::start("s-a"), CacheServer::start("s-b"));
     let Fleet { router, discovery } = start_router(&[&old]);
-    let text: serde_json::Value =
-        serde_json::from_str(&endpoint_list(8, true, &[new.entry("up")])).expect("a list");
-    let text = serde_json::to_string_pretty(&text).expect("written") + "\n";
-    // Without its last byte nothing of the list counts.
+    let text: serde_json::Value = serde_json::from_str(&endpoint_list(8, true, &[new.entry("up")]))
+        .expect("malformed endpoint list");
+    let text = serde_json::to_string_pretty(&text).expect("failed to encode") + "\n";
+    // Without its last bytes no part of the list is applied.
     let (prefix, last) = text.split_at(text.len() - 2);
     for piece in prefix.as_bytes().chunks(7) {
-        discovery.write_to_watch(std::str::from_utf8(piece).expect("text"));
+        discovery.write_to_watch(std::str::from_utf8(piece).expect("not UTF-8"));
     }
     let mut client = router.client();
     assert!(client.request("read", "00000000000000aa").contains("s-a"));
     discovery.write_to_watch(last);
-    wait_until("the list is known", || {
+    wait_until("the router has applied the list", || {
         client.request("read", "00000000000000aa").contains("s-b")
     });
-    // Two lists at once, with an empty line between them.
+    // Two lists in one chunk, with an empty line between them.
     let (ready, draining) = (old.entry("up"), new.entry("draining"));
     discovery.write_to_watch(&format!(
         "{}\n\n{}\n",
         endpoint_list(9, true, std::slice::from_ref(&ready)),
         endpoint_list(10, true, &[ready, draining])
     ));
-    wait_until("the last one holds", || {
+    wait_until("the router has applied the last list", || {
         client.request("read", "00000000000000aa").contains("s-a")
     });
     assert_eq!(discovery.calls().len(), 1, "{:?}", discovery.calls());
 }
 
-/// Half a list, followed by nothing but heartbeats.
+/// An incomplete list is followed by heartbeats only: the watch is replaced.
 #[test]
 fn a_list_that_never_completes_counts_as_silence() {
     let (old, new) = (CacheServer::start("s-a"), CacheServer::start("s-b"));
@@ -296,12 +305,12 @@
     discovery.write_to_watch("{\"seq\":8,\n\"hosts\":[\n");
     discovery.set_initial_list(endpoint_list(9, true, &[new.entry("up")]));
     let mut client = router.client();
-    wait_until("a new watch", || {
+    wait_until("the router has applied the list of a new watch", || {
         client.request("read", "00000000000000aa").contains("s-b")
     });
 }
 
-/// A drain in the last chunk before the end of the watch is applied.
+/// Guards against a change in the last chunk that is dropped when the watch ends.
 #[test]
 fn a_change_right_before_the_end_of_a_watch_is_applied() {
     let (old, new) = (CacheServer::start("s-a"), CacheServer::start("s-b"));
@@ -313,7 +322,7 @@
     ));
     discovery.close_watch();
     let mut client = router.client();
-    wait_until("the drain is known", || {
+    wait_until("the router has applied the drain", || {
         (0..16).all(|key| {
             client
                 .request("read", &format!("{key:016x}"))
