--- a/crates/cache-router/tests/long_values.rs
+++ b/crates/cache-router/tests/long_values.rs
@@ -1,5 +1,5 @@
-//! Long values: answers passed on as they come, writes under one budget. The real binary against stand-ins on loopback
-//! sockets.
+//! Long values: responses are streamed as they arrive, and writes share one memory budget. Runs the
+//! router binary against fake peers on loopback sockets.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpStream};
@@ -35,13 +35,15 @@
     let line = text
         .lines()
         .find_map(|line| line.strip_prefix("router_in_progress "))
-        .expect("the figure");
-    line.parse().expect("a number")
+        .expect("no such metric");
+    line.parse().expect("not a number")
 }
 
 fn connect(router: &RouterProcess) -> TcpStream {
-    let stream = TcpStream::connect(router.addr).expect("connected");
-    stream.set_read_timeout(Some(MAX_WAIT)).expect("a limit");
+    let stream = TcpStream::connect(router.addr).expect("failed to connect");
+    stream
+        .set_read_timeout(Some(MAX_WAIT))
+        .expect("failed to set the timeout");
     stream
 }
 
@@ -70,15 +72,21 @@
     );
     let Fleet { router, .. } = start_router(&[&server]);
     let mut client = connect(&router);
-    client.write_all(&read_command("a")).expect("written");
+    client
+        .write_all(&read_command("a"))
+        .expect("failed to write");
     let mut prefix = vec![0; 10_000];
-    client.read_exact(&mut prefix).expect("the first bytes");
+    client
+        .read_exact(&mut prefix)
+        .expect("failed to read the first bytes");
     assert!(
         server.two_part_reply_durations().is_empty(),
         "the rest has not been written yet"
     );
     let mut remainder = vec![0; bytes.len() - 10_000];
-    client.read_exact(&mut remainder).expect("the rest");
+    client
+        .read_exact(&mut remainder)
+        .expect("failed to read the remaining bytes");
     assert!(prefix == first && remainder == rest);
 }
 
@@ -87,16 +95,18 @@
     let server = CacheServer::start("s-a");
     let (router, _discovery, admin) = start_router_with_memory_limit(&server, 192);
     let bytes = long_reply();
-    // Within the first bytes of the value, at half, before its last byte.
+    // Truncated near the start of the value, in its middle, and before its last byte.
     for length in [8_000, VALUE_BYTES / 2, bytes.len() - 20] {
         server.set_behavior(KEY, Behavior::ReplyAndClose(bytes[..length].to_vec()));
         let mut client = connect(&router);
-        client.write_all(&read_command("a")).expect("written");
+        client
+            .write_all(&read_command("a"))
+            .expect("failed to write");
         let mut got = Vec::new();
         let _ = client.read_to_end(&mut got);
         assert!(got.len() <= length, "{length}: {}", got.len());
     }
-    // A load report that never arrives is no failure: an empty one is sent instead.
+    // A missing load report is not a failure: the router sends an empty one.
     server.set_behavior(
         KEY,
         Behavior::ReplyAndClose(bytes[..bytes.len() - 1].to_vec()),
@@ -120,30 +130,35 @@
         .map(|i| {
             let mut client = connect(&router);
             let mut has_started = false;
-            wait_until("it is begun", || {
+            wait_until("the response has started", || {
                 client
                     .write_all(&read_command(&format!("id{i}")))
-                    .expect("written");
+                    .expect("failed to write");
                 let mut first = [0; 16];
-                let count = client.read(&mut first).expect("the first bytes");
-                // Turned away until the server's work for the others has ended.
+                let count = client
+                    .read(&mut first)
+                    .expect("failed to read the first bytes");
+                // Requests are rejected while the server is busy with those of the other clients.
                 has_started = first[..count].starts_with(b"*3");
                 has_started || !first.starts_with(b"-BUSY")
             });
-            assert!(has_started, "no answer but a refusal");
+            assert!(
+                has_started,
+                "the response is neither a value nor a rejection"
+            );
             client
         })
         .collect();
     assert_eq!(in_progress(admin), 100);
-    // 400 MiB are in flight.
+    // Responses of 400 MiB in total are in flight.
     assert!(router.memory_kb() < 32 * 1024, "{} KB", router.memory_kb());
     let mut other = router.client();
-    wait_until("another is served", || {
+    wait_until("another client is served", || {
         other.request("read", "00000000000000bb").contains("s-a")
     });
-    // All disconnect in the middle.
+    // All clients disconnect in the middle of their responses.
     drop(clients);
-    wait_until("nothing is under way", || in_progress(admin) == 0);
+    wait_until("no request is in progress", || in_progress(admin) == 0);
 }
 
 #[test]
@@ -160,27 +175,33 @@
                 &"w".repeat(VALUE_BYTES),
             ]);
             let mut client = connect(&router);
-            client.set_write_timeout(Some(MAX_WAIT)).expect("a limit");
+            client
+                .set_write_timeout(Some(MAX_WAIT))
+                .expect("failed to set the timeout");
             std::thread::spawn(move || {
-                // In pieces, all of them half-written before any is whole.
+                // Written in pieces, so that all writes are in progress before any is complete.
                 for piece in text.chunks(256 * 1024) {
-                    client.write_all(piece).expect("written");
+                    client.write_all(piece).expect("failed to write");
                     std::thread::sleep(Duration::from_millis(5));
                 }
                 let mut answer = [0; 4];
-                client.read_exact(&mut answer).expect("an answer");
-                client.shutdown(Shutdown::Both).expect("an end");
+                client
+                    .read_exact(&mut answer)
+                    .expect("connection closed without an answer");
+                client
+                    .shutdown(Shutdown::Both)
+                    .expect("failed to shut down the connection");
                 answer
             })
         })
         .collect();
     let mut peak_memory_kb = 0;
-    wait_until("all have ended", || {
+    wait_until("all writers have finished", || {
         peak_memory_kb = peak_memory_kb.max(router.memory_kb());
         writers.iter().all(|writer| writer.is_finished())
     });
     for writer in writers {
-        assert!(writer.join().expect("an answer").starts_with(b"*3"));
+        assert!(writer.join().expect("a writer panicked").starts_with(b"*3"));
     }
     assert!(peak_memory_kb < 48 * 1024, "{peak_memory_kb} KB");
     assert_eq!(in_progress(admin), 0);
@@ -192,7 +213,8 @@
     assert_eq!(longest, Some(VALUE_BYTES));
 }
 
-/// Guards against a write that counts as not begun while all that was read of its value is held.
+/// Guards against a write that is treated as not begun, and dropped at shutdown, while the received
+/// part of its value is still buffered.
 #[test]
 fn a_partially_received_long_write_is_completed_after_sigterm() {
     const PIECE_BYTES: usize = 64 * 1024;
@@ -216,24 +238,31 @@
         runs.push(std::thread::spawn(move || {
             let Fleet { mut router, .. } = start_router(&[&server]);
             let mut client = connect(&router);
-            client.write_all(&text[..sent_bytes]).expect("written");
+            client
+                .write_all(&text[..sent_bytes])
+                .expect("failed to write");
             std::thread::sleep(Duration::from_millis(200));
             router.terminate();
-            // New connections are accepted until 0.55 s after it; connections at rest are closed then.
+            // New connections are accepted until 0.55 s after SIGTERM; then idle connections are
+            // closed.
             std::thread::sleep(Duration::from_millis(1_000));
-            client.write_all(&text[sent_bytes..]).expect("written");
+            client
+                .write_all(&text[sent_bytes..])
+                .expect("failed to write");
             let mut answer = [0; 4];
-            client.read_exact(&mut answer).expect("an answer");
+            client
+                .read_exact(&mut answer)
+                .expect("connection closed without an answer");
             assert!(answer.starts_with(b"*3"), "{sent_bytes}: {answer:?}");
             assert_eq!(router.wait().code(), Some(0));
         }));
     }
     for run in runs {
-        run.join().expect("served");
+        run.join().expect("a case panicked");
     }
 }
 
-/// A corrupted length is detected before any byte is forwarded: the read is served elsewhere.
+/// A wrong length is detected before any byte is forwarded, so that another server serves the read.
 #[test]
 fn a_short_value_with_an_oversized_length_is_not_forwarded() {
     let TwoServerFleet {
@@ -247,7 +276,8 @@
     assert!(router.client().request("read", KEY).contains(&other.name));
 }
 
-/// A server that is still sending is waited for after the client's deadline: breaking off would lose the value.
+/// After the client's deadline the router waits for a server that is still sending, because closing
+/// the connection would lose the value.
 #[test]
 fn a_slow_value_is_forwarded_whole_after_the_deadline() {
     let server = CacheServer::start("s-a");
@@ -265,6 +295,8 @@
         "id",
         "c=read,t=acme,d=500",
     ]));
-    let answer = client.read_reply().expect("an answer");
+    let answer = client
+        .read_reply()
+        .expect("connection closed without an answer");
     assert!(answer.as_bytes() == bytes, "{} bytes", answer.len());
 }
