--- a/crates/cache-router/tests/lost_watches.rs
+++ b/crates/cache-router/tests/lost_watches.rs
@@ -1,25 +1,26 @@
-//! A watch on the list is lost, or a process starts, while a cache server begins to drain: what discovery has then counts as
-//! told, at once where an agent pushes lists, and within 6 s where discovery is asked. The real binary against stand-ins on
-//! loopback sockets.
+//! A watch on the endpoint list is lost, or a process starts, while a cache server begins to drain.
+//! The router has to apply the drain at once if an agent pushes lists, and within 6 s if it
+//! subscribes to discovery. Runs the router binary against fake peers on loopback sockets.
 
 use std::thread;
 use std::time::{Duration, Instant};
 use test_support::*;
 
-/// `drain_grace` of the configuration, and the slack of time limits on sockets.
+/// `drain_grace` of the configuration, and a tolerance for delays on sockets.
 const DRAIN_GRACE: Duration = Duration::from_millis(250 + 50);
-/// Where discovery is asked, a change counts as told this long after discovery can be reached at the latest.
+/// When subscribed, a change has to be applied within this time after discovery can be reached.
 const MAX_PROPAGATION_DELAY: Duration = Duration::from_secs(6);
-/// A change counts as told this long after a new configuration that names another discovery.
+/// A change has to be applied within this time after a reload that switches to another discovery
+/// service.
 const MAX_PROPAGATION_DELAY_AFTER_RELOAD: Duration = Duration::from_secs(4);
-/// How long after its time the draining server is watched.
+/// Time for which the draining server is observed after the limit.
 const OBSERVATION_TIME: Duration = Duration::from_millis(700);
-/// All rejections of a case come within this time.
+/// Limit for the time until all rejections of a case have been sent.
 const MAX_REJECTED_TIME: Duration = Duration::from_secs(45);
-/// Between requests of the client.
+/// Interval between requests of the client.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Two cache servers, one of which is to drain.
+/// Two cache servers, one of which begins to drain.
 struct DrainingServers {
     draining: CacheServer,
     other: CacheServer,
@@ -33,35 +34,37 @@
         }
     }
 
-    /// The list before the drain.
+    /// Returns the endpoint entries before the drain.
     fn entries(&self) -> [String; 2] {
         [self.draining.entry("up"), self.other.entry("up")]
     }
 
-    /// The whole list with the drain.
+    /// Returns the complete endpoint list with the drain.
     fn drained_list(&self) -> String {
         let entries = [self.draining.entry("draining"), self.other.entry("up")];
         endpoint_list(10, true, &entries)
     }
 
-    /// The configuration of a router that has the list before the drain.
+    /// Returns the configuration of a router with the endpoint list before the drain.
     fn configuration(&self, discovery: &Discovery, mode: &str) -> serde_json::Value {
         let mut config = configuration(discovery.addr, &self.entries());
         config["settings"]["discovery"] = mode.into();
-        // As long as the operators' settings have it: waits between calls grow with it.
+        // The value of operators' settings. Delays between calls grow with it.
         config["settings"]["invariants"]["ask_within"] = 10.0.into();
         config
     }
 
-    /// A router with a watch on the list before the drain.
+    /// Starts a router with an open watch and the endpoint list before the drain.
     fn watching_router(&self, discovery: &Discovery, mode: &str) -> RouterProcess {
         let router = RouterProcess::start(&self.configuration(discovery, mode));
-        wait_until("the router watches", || !discovery.calls().is_empty());
+        wait_until("the router has opened a watch", || {
+            !discovery.calls().is_empty()
+        });
         thread::sleep(Duration::from_millis(100));
         router
     }
 
-    /// Sends requests, and gives the commands that the draining server got after this time.
+    /// Sends requests, and returns how many commands the draining server received after `end`.
     fn commands_after(&self, router: &RouterProcess, end: Instant) -> usize {
         let mut client = router.client();
         let mut key = 0;
@@ -79,14 +82,14 @@
     }
 }
 
-/// What becomes of the first calls after a watch is lost.
+/// Faults of the first calls after a watch is lost.
 #[derive(Clone, Copy, Debug, Default)]
 struct CallFaults {
-    /// They connect, and are never answered.
+    /// Number of calls that connect and are never answered.
     hanging: usize,
-    /// They are answered 503 at once.
+    /// Number of calls that are answered with 503 at once.
     failing: usize,
-    /// They are cut in the middle of the list.
+    /// Number of calls that are truncated in the middle of the list.
     truncated: usize,
 }
 
@@ -124,7 +127,8 @@
     discovery.truncate_next_calls(faults.truncated);
 }
 
-/// Plays cases side by side, and wants no late command in any.
+/// Runs the cases concurrently, and asserts that none has a command to the draining server after
+/// the limit.
 fn assert_none_late<Case: Copy + Send + std::fmt::Debug + 'static>(
     cases: impl IntoIterator<Item = Case>,
     late_commands: fn(Case) -> usize,
@@ -135,7 +139,7 @@
         .collect();
     let late = runs
         .into_iter()
-        .map(|(case, run)| (case, run.join().expect("the case ran")));
+        .map(|(case, run)| (case, run.join().expect("the thread of a case panicked")));
     let violations: Vec<_> = late.filter(|(_, count)| *count > 0).collect();
     assert!(
         violations.is_empty(),
@@ -143,7 +147,8 @@
     );
 }
 
-/// Guards against a pause before the call that follows a lost watch: what the agent has counts as told, watch or none.
+/// Guards against a delay before the call that follows a lost watch: with pushed lists a change has
+/// to be applied at once, even while there is no watch.
 #[test]
 fn a_drain_around_a_watch_reset_is_applied_in_time_when_lists_are_pushed() {
     let drain_delays = [0, 100].map(Duration::from_millis);
@@ -164,7 +169,8 @@
     });
 }
 
-/// Guards against a new process that serves from its old list: what the agent has counts as told from its first moment.
+/// Guards against a new process that serves from an outdated list: with pushed lists it has to
+/// apply the current one from its start.
 #[test]
 fn a_drain_before_process_start_is_applied_in_time_when_lists_are_pushed() {
     assert_none_late(CALL_FAULTS, |faults| {
@@ -177,7 +183,7 @@
     });
 }
 
-/// Guards against waits after calls that waited in vain, which outlast the time by which a change counts as told.
+/// Guards against delays that follow slow rejections and exceed the limit for applying a change.
 #[test]
 fn a_drain_after_slow_rejections_is_applied_in_time_when_subscribed() {
     assert_none_late([1, 2, 3], |rejected| {
@@ -198,7 +204,8 @@
     });
 }
 
-/// Guards against a new configuration whose calls follow the waits, and the single calls, of an outage before it.
+/// Guards against a reload whose calls are still delayed, or limited to one at a time, by an outage
+/// of the previous discovery service.
 #[test]
 fn a_drain_after_reloads_during_an_outage_is_applied_in_time_when_subscribed() {
     assert_none_late([1, 3], |reloads| {
@@ -207,7 +214,7 @@
         let router = servers.watching_router(&old_discovery, "subscribe");
         old_discovery.reject_next_calls(usize::MAX, Duration::from_secs(2));
         old_discovery.close_watch();
-        wait_until("two calls in the outage", || {
+        wait_until("two calls have been made during the outage", || {
             old_discovery.calls().len() >= 3
         });
         thread::sleep(Duration::from_millis(2_100));
