--- a/crates/cache-router/tests/operator_commands.rs
+++ b/crates/cache-router/tests/operator_commands.rs
@@ -1,15 +1,16 @@
-//! Operators' commands: overrides, drains and metrics. The real binary against stand-ins on loopback sockets.
+//! Operators' commands: overrides, drains and metrics. Runs the router binary against fake peers on
+//! loopback sockets.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use test_support::*;
 
-/// Keys of which each of two servers owns some.
+/// Returns keys of which each of two servers owns some.
 fn keys() -> impl Iterator<Item = String> {
     (0..40).map(|i| format!("{i:016x}"))
 }
 
-/// Starts a router that knows these servers and has an admin API.
+/// Starts a router with these servers and an admin API.
 fn start_router_with_admin(servers: &[&CacheServer]) -> (RouterProcess, Discovery, SocketAddr) {
     let discovery = Discovery::start(endpoint_list(7, false, &[]));
     let known: Vec<String> = servers.iter().map(|server| server.entry("up")).collect();
@@ -17,7 +18,9 @@
     let admin = unused_addr();
     config["admin"] = admin.to_string().into();
     let router = RouterProcess::start(&config);
-    wait_until("the router watches", || !discovery.calls().is_empty());
+    wait_until("the router has opened a watch", || {
+        !discovery.calls().is_empty()
+    });
     (router, discovery, admin)
 }
 
@@ -48,12 +51,12 @@
     assert!(served_before > 0 && served_before < 40);
     assert_eq!(post_server_command(admin, "/api/exclude", "s-a"), 200);
     assert_eq!(count_served_by_a(&mut client), 0);
-    // Whatever the endpoint list says.
+    // The override holds regardless of the endpoint list.
     discovery.write_to_watch(&format!(
         "{}\n",
         endpoint_list(8, true, &[a.entry("up"), b.entry("up")])
     ));
-    wait_until("the list is taken", || {
+    wait_until("the router has applied the list", || {
         metric_value(admin, "router_skipped_cache_servers") == 1.0
     });
     assert_eq!(
@@ -71,7 +74,9 @@
         (200, 200)
     );
     assert_eq!(metric_value(admin, "router_skipped_cache_servers"), 0.0);
-    wait_until("it is used again", || count_served_by_a(&mut client) > 0);
+    wait_until("the server is used again", || {
+        count_served_by_a(&mut client) > 0
+    });
 }
 
 #[test]
@@ -114,16 +119,17 @@
     let a = CacheServer::start("s-a");
     let (_router, _discovery, admin) = start_router_with_admin(&[&a]);
     let silent: Vec<TcpStream> = (0..200)
-        .map(|_| TcpStream::connect(admin).expect("connected"))
+        .map(|_| TcpStream::connect(admin).expect("failed to connect"))
         .collect();
     assert_eq!(http_request(admin, "GET", "/api/ready", "").status, 200);
-    let mut slow = TcpStream::connect(admin).expect("connected");
+    let mut slow = TcpStream::connect(admin).expect("failed to connect");
     for byte in b"GET /api/ready HTTP/1.1\r\nHost: x\r\n\r\n" {
-        slow.write_all(&[*byte]).expect("written");
+        slow.write_all(&[*byte]).expect("failed to write");
         assert_eq!(http_request(admin, "GET", "/api/ready", "").status, 200);
     }
     let mut answer = String::new();
-    slow.read_to_string(&mut answer).expect("an answer");
+    slow.read_to_string(&mut answer)
+        .expect("connection closed without an answer");
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
     drop(silent);
 }
@@ -148,7 +154,9 @@
     );
     let mut waiting = router.client();
     waiting.send("read", "00000000000000cc", 4_000);
-    wait_until("it is at the server", || a.commands().len() == 5);
+    wait_until("the server has received the request", || {
+        a.commands().len() == 5
+    });
     assert_eq!(metric_value(admin, "router_in_progress"), 1.0);
     a.open_gate();
     assert!(waiting.read_reply().is_some());
@@ -176,7 +184,9 @@
     assert!(idle.request("read", "00000000000000aa").contains("s-a"));
     busy.send("read", "00000000000000cc", 4_000);
     pipelined.send("read", "00000000000000ce", 4_000);
-    wait_until("both are at the server", || a.commands().len() == 3);
+    wait_until("the server has received both requests", || {
+        a.commands().len() == 3
+    });
     assert_eq!(http_request(admin, "POST", "/api/evacuate", "").status, 200);
     assert_eq!(idle.read_reply(), None);
     let mut health_check = router.client();
@@ -189,16 +199,16 @@
     assert_eq!(
         health_check.read_reply(),
         None,
-        "the front's own connection is closed too"
+        "the connection of the health check stayed open"
     );
-    // A client that still connects is served once, and closed.
+    // A client that connects during the drain is served once and then closed.
     let mut late = router.client();
     assert!(late.request("read", "00000000000000aa").contains("s-a"));
     assert_eq!(late.read_reply(), None);
     assert_eq!(
         router.client().read_reply(),
         None,
-        "one that says nothing is closed"
+        "a silent client stayed connected"
     );
     pipelined.send("read", "00000000000000dd", 4_000);
     a.open_gate();
@@ -239,7 +249,7 @@
     assert_eq!(http_request(admin, "POST", "/api/evacuate", "").status, 200);
     let start = std::time::Instant::now();
     let mut sent = 2;
-    // Always one more request than replies.
+    // One more request than replies at all times.
     while client.read_reply().is_some() {
         client.write_until_closed(&encode_command(&[
             "C.GET",
@@ -248,7 +258,10 @@
             "c=read,d=4000",
         ]));
         sent += 1;
-        assert!(start.elapsed().as_secs() < 4, "it is still read");
+        assert!(
+            start.elapsed().as_secs() < 4,
+            "the drained router still reads requests"
+        );
     }
     assert!(sent > 3);
 }
