--- a/crates/cache-router/tests/operator_file.rs
+++ b/crates/cache-router/tests/operator_file.rs
@@ -1,5 +1,5 @@
-//! The operator file: what cannot be read ends the start in one line that names the place; the shipped file changes
-//! nothing. The real binary.
+//! The operator file: an invalid file prevents the start with a one-line error that names the line
+//! in the file, and the shipped file leaves coalescing off. Runs the router binary.
 
 use request_coalescing::CoalescingFile;
 use test_support::*;
@@ -35,9 +35,9 @@
 #[test]
 fn the_shipped_file_is_valid_and_disables_coalescing() {
     let text = include_str!("../../../deploy/operator.toml");
-    let mut tables: toml::Table = toml::from_str(text).expect("readable");
-    let joining = tables.remove("joining").expect("the table");
-    let joining: CoalescingFile = joining.try_into().expect("readable");
+    let mut tables: toml::Table = toml::from_str(text).expect("failed to decode");
+    let joining = tables.remove("joining").expect("no [joining] table");
+    let joining: CoalescingFile = joining.try_into().expect("failed to decode");
     assert_eq!(joining, CoalescingFile::default());
     let server = CacheServer::start("s-a");
     let discovery = Discovery::start(endpoint_list(7, false, &[]));
@@ -47,10 +47,10 @@
     );
     let answer = router.client().request("read", "00000000000000aa");
     assert!(answer.contains("s-a"), "{answer}");
-    // A router that coalesces logs its counters before the last line.
+    // A router with coalescing would log its counters before the last line.
     router.terminate();
     assert_eq!(router.wait().code(), Some(0));
-    wait_until("the last line", || {
+    wait_until("the last line is logged", || {
         router.log_contains("stopped, all answered")
     });
     assert!(!router.log_contains("joining: "));
