--- a/crates/cache-router/tests/pipelined_requests.rs
+++ b/crates/cache-router/tests/pipelined_requests.rs
@@ -1,5 +1,5 @@
-//! Requests behind a long answer on one connection: each gets its own answer, whatever becomes of the long one. The
-//! real binary against stand-ins on loopback sockets.
+//! Requests that are pipelined behind a long response: each gets its own reply, even if the long
+//! response is truncated. Runs the router binary against fake peers on loopback sockets.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
@@ -8,14 +8,15 @@
 
 const LONG_KEY: &str = "00000000000000aa";
 const LONG_VALUE_BYTES: usize = 1024 * 1024;
-/// Most commands that wait for their answers on one connection.
+/// Maximum number of commands that wait for their replies on one connection.
 const MAX_PIPELINE_DEPTH: usize = 64;
 
 fn long_reply() -> Vec<u8> {
     value_reply(&"v".repeat(LONG_VALUE_BYTES))
 }
 
-/// Lengths at which a long reply is broken off: in its header, in its value, before its last byte.
+/// Lengths to which a long reply is truncated: in its header, in its value, and before the end of
+/// the value.
 fn truncated_lengths() -> [usize; 4] {
     let whole = long_reply().len();
     let end_of_value = whole - value_reply("").len() + "*3\r\n$0\r\n".len();
@@ -26,7 +27,7 @@
     encode_command(&["C.GET", LONG_KEY, id, "c=read,t=acme,d=4000"])
 }
 
-/// A read or a write of a key of its own.
+/// Returns a read or a write of a separate key.
 fn short_command(number: usize) -> Vec<u8> {
     let (key, id) = (format!("{number:016x}"), format!("short{number}"));
     match number % 3 {
@@ -41,13 +42,13 @@
     }
 }
 
-/// The long read, and so many short commands behind it.
+/// Returns a pipeline of the long read and this many short commands.
 fn pipeline(following: usize) -> Vec<u8> {
     let short = (0..following).flat_map(short_command);
     read_long("long").into_iter().chain(short).collect()
 }
 
-/// A router that sends the long read to a server that breaks its reply off, once and again.
+/// Starts a router and a server that truncates every reply to the long read to this length.
 fn start_fleet_with_truncated_reply(length: usize) -> (CacheServer, Fleet) {
     let server = CacheServer::start("s-a");
     server.set_behavior(
@@ -58,7 +59,8 @@
     (server, fleet)
 }
 
-/// Reads the answers of [`pipeline`]: an error for the long read, any answer for each command behind it.
+/// Reads the replies to [`pipeline`] and asserts an error for the long read and any reply for each
+/// following command.
 fn assert_all_answered(client: &mut Client, following: usize, what: &str) {
     let long = client.read_reply();
     assert!(
@@ -71,7 +73,7 @@
     }
 }
 
-/// Guards against requests that are lost with a connection whose streamed answer broke off.
+/// Guards against requests that are lost with the connection of a truncated streamed response.
 #[test]
 fn requests_behind_a_truncated_response_are_answered() {
     for length in truncated_lengths() {
@@ -89,7 +91,8 @@
     }
 }
 
-/// The same while a long write is under way behind the answer.
+/// Guards against losing a long write that is being received while the response before it is
+/// truncated.
 #[test]
 fn a_long_write_behind_a_truncated_response_is_answered() {
     let server = CacheServer::start("s-a");
@@ -102,7 +105,7 @@
     let write = encode_command(&["C.SET", "00000000000000bb", "write", fields, &value]);
     let (first, rest) = write.split_at(write.len() / 2);
     client.write(&[read_long("long"), first.to_vec()].concat());
-    wait_until("the long read is at the server", || {
+    wait_until("the server has received the long read", || {
         !server.commands().is_empty()
     });
     std::thread::sleep(Duration::from_millis(100));
@@ -111,35 +114,52 @@
     client.write(rest);
     let long = client.read_reply();
     assert!(long.is_some_and(|reply| reply.starts_with('-')));
-    assert!(client.read_reply().is_some(), "the write's answer");
+    assert!(client.read_reply().is_some(), "no reply to the write");
 }
 
-/// A command that arrives while an answer is streamed stays unread: its client may send it again elsewhere.
+/// Commands that arrive while a response is streamed stay unread. If the response is then
+/// truncated, the client may safely send them again to another router.
 #[test]
 fn commands_received_during_a_truncated_response_stay_unread() {
     let server = CacheServer::start("s-a");
     let prefix = long_reply()[..LONG_VALUE_BYTES / 2].to_vec();
     server.set_behavior(LONG_KEY, Behavior::Reply(prefix));
     let Fleet { router, .. } = start_router(&[&server]);
-    let mut client = TcpStream::connect(router.addr).expect("connected");
-    client.set_read_timeout(Some(MAX_WAIT)).expect("a limit");
-    client.write_all(&read_long("long")).expect("written");
+    let mut client = TcpStream::connect(router.addr).expect("failed to connect");
+    client
+        .set_read_timeout(Some(MAX_WAIT))
+        .expect("failed to set the timeout");
+    client
+        .write_all(&read_long("long"))
+        .expect("failed to write");
     let mut prefix = vec![0; 16 * 1024];
-    client.read_exact(&mut prefix).expect("the first bytes");
+    client
+        .read_exact(&mut prefix)
+        .expect("failed to read the first bytes");
     for number in 0..20 {
-        client.write_all(&short_command(number)).expect("written");
+        client
+            .write_all(&short_command(number))
+            .expect("failed to write");
     }
     std::thread::sleep(Duration::from_millis(100));
-    assert_eq!(server.commands().len(), 1, "none is taken meanwhile");
+    assert_eq!(
+        server.commands().len(),
+        1,
+        "a command was read while the response was streamed"
+    );
     server.close_connections();
     let end = client.read_to_end(&mut Vec::new());
-    // A connection that is closed with bytes unread is reset.
+    // The kernel resets a connection that is closed with unread bytes.
     let error = end.expect_err("a reset");
     assert_eq!(error.kind(), ErrorKind::ConnectionReset);
-    assert_eq!(server.commands().len(), 1, "none is taken later");
+    assert_eq!(
+        server.commands().len(),
+        1,
+        "a command was read after the response was truncated"
+    );
 }
 
-/// What arrived while an answer was streamed is served once that is whole.
+/// Commands that arrive while a response is streamed are served when it is complete.
 #[test]
 fn commands_received_during_a_streamed_response_are_served_after_it() {
     let server = CacheServer::start("s-a");
@@ -150,15 +170,25 @@
         Behavior::ReplyInTwoParts(first.to_vec(), 300, rest.to_vec()),
     );
     let Fleet { router, .. } = start_router(&[&server]);
-    let mut client = TcpStream::connect(router.addr).expect("connected");
-    client.set_read_timeout(Some(MAX_WAIT)).expect("a limit");
-    client.write_all(&read_long("long")).expect("written");
+    let mut client = TcpStream::connect(router.addr).expect("failed to connect");
+    client
+        .set_read_timeout(Some(MAX_WAIT))
+        .expect("failed to set the timeout");
+    client
+        .write_all(&read_long("long"))
+        .expect("failed to write");
     let mut long = vec![0; bytes.len()];
-    client.read_exact(&mut long[..16]).expect("the first bytes");
+    client
+        .read_exact(&mut long[..16])
+        .expect("failed to read the first bytes");
     for number in 0..20 {
-        client.write_all(&short_command(number)).expect("written");
+        client
+            .write_all(&short_command(number))
+            .expect("failed to write");
     }
-    client.read_exact(&mut long[16..]).expect("the rest");
+    client
+        .read_exact(&mut long[16..])
+        .expect("failed to read the remaining bytes");
     assert!(long == bytes);
     let mut reader = std::io::BufReader::new(client);
     for number in 0..20 {
@@ -166,7 +196,7 @@
     }
 }
 
-/// The break comes after SIGTERM.
+/// The response is truncated after SIGTERM.
 #[test]
 fn requests_behind_a_truncated_response_are_answered_after_sigterm() {
     let server = CacheServer::start("s-a");
@@ -175,7 +205,7 @@
     let Fleet { mut router, .. } = start_router(&[&server]);
     let mut client = router.client();
     client.write(&pipeline(20));
-    wait_until("the long read is at the server", || {
+    wait_until("the server has received the long read", || {
         !server.commands().is_empty()
     });
     router.terminate();
@@ -186,7 +216,7 @@
     assert_eq!(router.wait().code(), Some(0));
 }
 
-/// The break comes while another process takes the router over.
+/// The response is truncated while another process takes over the router.
 #[test]
 fn requests_behind_a_truncated_response_are_answered_during_a_takeover() {
     let server = CacheServer::start("s-a");
@@ -198,13 +228,13 @@
     let mut old = platform.start(&config);
     let mut client = old.client();
     client.write(&pipeline(20));
-    wait_until("the long read is at the server", || {
+    wait_until("the server has received the long read", || {
         !server.commands().is_empty()
     });
     let admin = unused_addr();
     config["admin"] = admin.to_string().into();
     let _new = platform.start(&config);
-    wait_until("the next process serves", || {
+    wait_until("the new process serves", || {
         TcpStream::connect(admin).is_ok()
             && http_request(admin, "GET", "/api/ready", "").status == 200
     });
@@ -216,7 +246,7 @@
     assert!(client.request("read", "00000000000000ff").contains("s-a"));
 }
 
-/// Long values to clients that pipeline, more at once than memory holds.
+/// Long values for pipelining clients, which exceed the memory limit in total.
 #[test]
 fn long_values_for_pipelining_clients_stay_within_the_memory_limit() {
     const CLIENT_COUNT: usize = 24;
@@ -242,19 +272,19 @@
                 ]));
             }
             std::thread::spawn(move || {
-                // Slow at first: all answers are under way before any is read.
+                // Reads start late, so that all responses are in progress before any is read.
                 std::thread::sleep(Duration::from_millis(500));
                 (0..3).filter(|_| client.read_reply().is_some()).count()
             })
         })
         .collect();
     let mut peak_memory_kb = 0;
-    wait_until("all have ended", || {
+    wait_until("all readers have finished", || {
         peak_memory_kb = peak_memory_kb.max(router.memory_kb());
         readers.iter().all(|reader| reader.is_finished())
     });
     for reader in readers {
-        assert_eq!(reader.join().expect("answers"), 3);
+        assert_eq!(reader.join().expect("a reader panicked"), 3);
     }
     assert!(peak_memory_kb < MEMORY_MB * 1024, "{peak_memory_kb} KB");
 }
