--- a/crates/cache-router/tests/process_replacement.rs
+++ b/crates/cache-router/tests/process_replacement.rs
@@ -1,9 +1,10 @@
-//! Replacement of one process of the router by another, on a listening socket that the platform holds. The real binary
-//! against stand-ins on loopback sockets.
+//! Replacement of a router process by another one, on a listening socket that the platform holds.
+//! Runs the router binary against fake peers on loopback sockets.
 
 use test_support::*;
 
-/// A server, its discovery, and the configuration of a router that knows it.
+/// Starts a cache server and a discovery service, and returns them with the configuration of a
+/// router for them.
 fn start_fleet() -> (CacheServer, Discovery, serde_json::Value) {
     let server = CacheServer::start("s-a");
     let discovery = Discovery::start(endpoint_list(7, false, &[]));
@@ -46,7 +47,7 @@
     }
 }
 
-/// The configuration with an address of its own for the admin API, and that address.
+/// Returns the configuration with a separate address for the admin API, and that address.
 fn with_admin_address(config: &serde_json::Value) -> (serde_json::Value, std::net::SocketAddr) {
     let (mut config, admin) = (config.clone(), unused_addr());
     config["admin"] = admin.to_string().into();
@@ -64,12 +65,12 @@
     let platform = Platform::new();
     let (first, admin) = with_admin_address(&config);
     let mut old = platform.start(&first);
-    wait_until("it is ready", || is_ready(admin));
+    wait_until("the process is ready", || is_ready(admin));
     let mut clients: Vec<Client> = (0..8).map(|_| old.client()).collect();
     for _ in 0..10 {
         let (next, admin) = with_admin_address(&config);
         let new = platform.start(&next);
-        wait_until("the next is ready", || is_ready(admin));
+        wait_until("the new process is ready", || is_ready(admin));
         old.terminate();
         for client in &mut clients {
             assert!(client.request("read", "00000000000000aa").contains("s-a"));
@@ -90,16 +91,18 @@
     let platform = Platform::new();
     let (first, admin) = with_admin_address(&config);
     let mut old = platform.start(&first);
-    wait_until("it is ready", || is_ready(admin));
+    wait_until("the process is ready", || is_ready(admin));
     let (mut half, mut pending) = (old.client(), old.client());
     let text = encode_command(&["C.GET", "00000000000000aa", "id-half", "c=read,d=4000"]);
     let (begin, end) = text.split_at(20);
     half.write(begin);
     pending.send("read", "00000000000000cc", 4_000);
-    wait_until("it is at the server", || !server.commands().is_empty());
+    wait_until("the server has received the request", || {
+        !server.commands().is_empty()
+    });
     let (next, admin) = with_admin_address(&config);
     let new = platform.start(&next);
-    wait_until("the next is ready", || is_ready(admin));
+    wait_until("the new process is ready", || is_ready(admin));
     old.terminate();
     half.write(end);
     assert!(half.read_reply().is_some_and(|text| text.contains("s-a")));
@@ -120,22 +123,22 @@
     let platform = Platform::new();
     let (first, admin) = with_admin_address(&config);
     let old = platform.start(&first);
-    wait_until("it is ready", || is_ready(admin));
+    wait_until("the process is ready", || is_ready(admin));
     let (next, new_admin) = with_admin_address(&config);
     let new = platform.start(&next);
-    wait_until("the next is ready", || is_ready(new_admin));
-    // Killed.
+    wait_until("the new process is ready", || is_ready(new_admin));
+    // Kills the new process.
     drop(new);
-    wait_until("the old one serves again", || is_ready(admin));
+    wait_until("the old process serves again", || is_ready(admin));
     assert!(
         old.client()
             .request("read", "00000000000000aa")
             .contains("s-a")
     );
-    // The next process takes over from it.
+    // A further process takes over from the old one.
     let (next, new_admin) = with_admin_address(&config);
     let _new = platform.start(&next);
-    wait_until("the next is ready", || is_ready(new_admin));
+    wait_until("the new process is ready", || is_ready(new_admin));
     assert!(!is_ready(admin));
 }
 
@@ -147,7 +150,7 @@
     let platform = Platform::new();
     let (first, admin) = with_admin_address(&config);
     let mut old = platform.start(&first);
-    wait_until("it is ready", || is_ready(admin));
+    wait_until("the process is ready", || is_ready(admin));
     let post_override = |admin, path: &str, host: &str| {
         assert_eq!(
             http_request(admin, "POST", path, &format!(r#"{{"host":"{host}"}}"#)).status,
@@ -162,24 +165,28 @@
     post_override(admin, "/api/exclude", "s-a");
     let (next, new_admin) = with_admin_address(&config);
     let new = platform.start(&next);
-    wait_until("the next is ready", || is_ready(new_admin));
+    wait_until("the new process is ready", || is_ready(new_admin));
     assert!(has_disabled_server(new_admin));
     let mut client = new.client();
     for i in 0..20 {
         assert!(client.request("read", &format!("{i:016x}")).contains("s-b"));
     }
-    // While both run, an override at one holds at the other.
+    // While both processes run, an override in one also applies in the other.
     post_override(new_admin, "/api/include", "s-a");
-    wait_until("the old one has heard", || !has_disabled_server(admin));
+    wait_until("the old process has applied the override", || {
+        !has_disabled_server(admin)
+    });
     post_override(admin, "/api/exclude", "s-b");
-    wait_until("the new one has heard", || has_disabled_server(new_admin));
+    wait_until("the new process has applied the override", || {
+        has_disabled_server(new_admin)
+    });
     old.terminate();
     assert_eq!(old.wait().code(), Some(0));
-    // Killed, and started again: the overrides are on disk.
+    // After a kill and a new start, the overrides are read from disk.
     drop(new);
     let (next, admin) = with_admin_address(&config);
     let last = platform.start(&next);
-    wait_until("it is ready", || is_ready(admin));
+    wait_until("the process is ready", || is_ready(admin));
     assert!(has_disabled_server(admin));
     assert!(
         last.client()
@@ -188,29 +195,30 @@
     );
 }
 
-/// Guards against a ban that an operator was told of and that is gone after a kill: its write failed once, and that was all.
+/// Guards against losing an acknowledged override in a kill because its write failed once and was
+/// not retried.
 #[test]
 fn an_override_that_could_not_be_written_at_first_survives_a_kill() {
     let (_server, _discovery, config) = start_fleet();
     let platform = Platform::new();
     let path = platform.folder.join("asterport-n1.state");
-    // A folder in the place of the file that is written first: every write fails while it stands there.
+    // A directory in place of the temporary file makes every write fail.
     let obstacle = path.with_extension("state.new");
-    std::fs::create_dir(&obstacle).expect("a folder");
+    std::fs::create_dir(&obstacle).expect("failed to create a directory");
     let (first, admin) = with_admin_address(&config);
     let router = platform.start(&first);
-    wait_until("it is ready", || is_ready(admin));
+    wait_until("the process is ready", || is_ready(admin));
     assert_eq!(
         http_request(admin, "POST", "/api/exclude", r#"{"host":"s-a"}"#).status,
         200
     );
     assert!(!path.exists());
-    std::fs::remove_dir(&obstacle).expect("removed");
-    wait_until("it is written after all", || path.exists());
+    std::fs::remove_dir(&obstacle).expect("failed to remove the directory");
+    wait_until("the state file is written", || path.exists());
     drop(router);
     let (next, admin) = with_admin_address(&config);
     let _next = platform.start(&next);
-    wait_until("it is ready", || is_ready(admin));
+    wait_until("the process is ready", || is_ready(admin));
     let metrics = http_request(admin, "GET", "/api/telemetry", "").body;
     assert!(
         metrics.contains("router_skipped_cache_servers 1"),
@@ -225,13 +233,13 @@
     let path = platform.folder.join("asterport-n1.state");
     let (first, admin) = with_admin_address(&config);
     let router = platform.start(&first);
-    wait_until("it is ready", || is_ready(admin));
+    wait_until("the process is ready", || is_ready(admin));
     assert_eq!(
         http_request(admin, "POST", "/api/exclude", r#"{"host":"s-a"}"#).status,
         200
     );
     drop(router);
-    let good = std::fs::read(&path).expect("the file");
+    let good = std::fs::read(&path).expect("failed to read the state file");
     let mut corrupted = good.clone();
     corrupted[10] ^= 1;
     for (bytes, expected) in [
@@ -239,10 +247,10 @@
         (&good[..3], "cut off"),
         (&corrupted, "checksum"),
     ] {
-        std::fs::write(&path, bytes).expect("written");
+        std::fs::write(&path, bytes).expect("failed to write");
         let (config, admin) = with_admin_address(&config);
         let router = platform.start(&config);
-        wait_until("it is ready", || is_ready(admin));
+        wait_until("the process is ready", || is_ready(admin));
         assert!(
             router.log_contains(expected),
             "{:?}",
@@ -263,11 +271,11 @@
     let platform = Platform::new();
     let (first, admin) = with_admin_address(&config);
     let mut old = platform.start(&first);
-    wait_until("it is ready", || is_ready(admin));
+    wait_until("the process is ready", || is_ready(admin));
     assert_eq!(http_request(admin, "POST", "/api/evacuate", "").status, 200);
     let (next, admin) = with_admin_address(&config);
     let new = platform.start(&next);
-    wait_until("the next is ready", || is_ready(admin));
+    wait_until("the new process is ready", || is_ready(admin));
     old.terminate();
     assert_eq!(old.wait().code(), Some(0));
     let mut health_check = new.client();
@@ -283,7 +291,8 @@
     assert_eq!(health_check.read_reply().as_deref(), Some("+PONG\r\n"));
 }
 
-/// A pending request keeps its connection at the old process, unread; a disconnect is seen all the same.
+/// The connection of a pending request stays with the old process, which does not read from it. The
+/// old process detects a disconnect nevertheless.
 #[test]
 fn a_disconnect_during_a_hand_over_is_detected() {
     let (silent_listener, backlog_connections) = unresponsive_listener();
@@ -306,7 +315,7 @@
     let platform = Platform::new();
     let (first, admin) = with_admin_address(&config);
     let old = platform.start(&first);
-    wait_until("it is ready", || is_ready(admin));
+    wait_until("the process is ready", || is_ready(admin));
     let mut leaving = old.client();
     leaving.write(&encode_command(&[
         "C.GET",
@@ -317,15 +326,15 @@
     leaving.write(&encode_command(&["PING"]));
     let (next, next_admin) = with_admin_address(&config);
     let new = platform.start(&next);
-    wait_until("the next serves", || {
+    wait_until("the new process serves", || {
         is_ready(next_admin) && !is_ready(admin)
     });
-    // Long before its deadline, without a reply.
+    // Returns long before the request's deadline, without a reply.
     leaving.disconnect();
     drop(backlog_connections);
     let server = CacheServer::start_on("s-a", silent_listener);
     let mut client = new.client();
-    wait_until("the server is there", || {
+    wait_until("the new process reaches the server", || {
         client.request("read", "00000000000000aa").contains("s-a")
     });
     assert!(
