--- a/crates/cache-router/tests/silent_watches.rs
+++ b/crates/cache-router/tests/silent_watches.rs
@@ -1,32 +1,34 @@
-//! A watch on the list falls silent while a cache server begins to drain: what it misses counts as told 6 s later, whatever
-//! becomes of the calls that replace it. The real binary against stand-ins on loopback sockets.
+//! A watch on the endpoint list falls silent while a cache server begins to drain. The router has
+//! to apply the drain within 6 s of the silence, even if the calls that replace the watch fail.
+//! Runs the router binary against fake peers on loopback sockets.
 
 use std::thread;
 use std::time::{Duration, Instant};
 use test_support::*;
 
-/// What a silent watch misses counts as told this long after the silence began.
+/// A change that a silent watch misses has to be applied within this time after the silence began.
 const MAX_PROPAGATION_DELAY: Duration = Duration::from_secs(6);
-/// `drain_grace` of the configuration, and the slack of time limits on sockets.
+/// `drain_grace` of the configuration, and a tolerance for delays on sockets.
 const DRAIN_GRACE: Duration = Duration::from_millis(250 + 50);
-/// How long after that the server is watched.
+/// Time for which the draining server is observed after the limit.
 const OBSERVATION_TIME: Duration = Duration::from_millis(700);
 
-/// When late data comes on a silent watch: after it is known to be silent.
+/// Time from the start of the silence to late data on the watch, when the router has already
+/// detected the silence.
 const LATE_LINE_DELAY: Duration = Duration::from_millis(3_400);
 
-/// What becomes of the first calls in the silence.
+/// Faults of the first calls during the silence, in this order.
 #[derive(Clone, Copy, Debug)]
 struct CallFaults {
-    /// They connect, and are never answered.
+    /// Number of calls that connect and are never answered.
     hanging: usize,
-    /// The next ones are answered 503.
+    /// Number of next calls that are answered with 503.
     failing: usize,
-    /// The next ones are cut in the middle of the list.
+    /// Number of next calls that are truncated in the middle of the list.
     truncated: usize,
-    /// The silent watch brings one empty line after all.
+    /// The silent watch sends one late empty line.
     has_late_line: bool,
-    /// A new configuration names another discovery.
+    /// A reload switches to another discovery service.
     switches_discovery: bool,
 }
 
@@ -38,17 +40,19 @@
     switches_discovery: false,
 };
 
-/// Draws out a silence, and gives the commands that the draining server got after its time.
+/// Runs a case, and returns how many commands the draining server received after the limit.
 fn late_commands(mode: &str, faults: CallFaults) -> usize {
     let (draining, other) = (CacheServer::start("s-a"), CacheServer::start("s-b"));
     let known = [draining.entry("up"), other.entry("up")];
     let discovery = Discovery::start(endpoint_list(8, true, &known));
     let mut config = configuration(discovery.addr, &known);
     config["settings"]["discovery"] = mode.into();
-    // As long as the operators' settings have it: the back-off grows with it.
+    // The value of operators' settings. The backoff grows with it.
     config["settings"]["invariants"]["ask_within"] = 10.0.into();
     let router = RouterProcess::start(&config);
-    wait_until("the router watches", || !discovery.calls().is_empty());
+    wait_until("the router has opened a watch", || {
+        !discovery.calls().is_empty()
+    });
     discovery.write_to_watch(&format!("{}\n", endpoint_list(9, true, &known)));
     thread::sleep(Duration::from_millis(100));
     let silent_at = Instant::now();
@@ -84,12 +88,16 @@
     };
     send_until(silent_at + MAX_PROPAGATION_DELAY + DRAIN_GRACE);
     let count_before = draining.commands().len();
-    assert!(count_before > 0, "{mode}, {faults:?}: it is used before");
+    assert!(
+        count_before > 0,
+        "{mode}, {faults:?}: the draining server was never used"
+    );
     send_until(silent_at + MAX_PROPAGATION_DELAY + DRAIN_GRACE + OBSERVATION_TIME);
     draining.commands().len() - count_before
 }
 
-/// Plays cases side by side.
+/// Runs the cases concurrently, and asserts that none has a command to the draining server after
+/// the limit.
 fn assert_none_late(mode: &'static str, cases: impl IntoIterator<Item = CallFaults>) {
     let runs: Vec<_> = cases
         .into_iter()
@@ -97,12 +105,12 @@
         .collect();
     let late = runs
         .into_iter()
-        .map(|(faults, run)| (faults, run.join().expect("the case ran")));
+        .map(|(faults, run)| (faults, run.join().expect("the thread of a case panicked")));
     let violations: Vec<_> = late.filter(|(_, count)| *count > 0).collect();
     assert!(violations.is_empty(), "{mode}: {violations:?}");
 }
 
-/// One and two calls that hang, that fail, that are truncated, and a mix.
+/// Returns cases with one and two calls that hang, fail or are truncated, and a mixed case.
 fn faulty_calls() -> impl Iterator<Item = CallFaults> {
     let hanging = [1, 2].map(|hanging| CallFaults {
         hanging,
@@ -128,7 +136,7 @@
         .chain([mixed])
 }
 
-/// A call that is answered, and a new configuration in the silence.
+/// Returns a case in which the first call is answered, and one with a reload during the silence.
 fn calls_without_faults() -> [CallFaults; 2] {
     let switched = CallFaults {
         switches_discovery: true,
@@ -137,25 +145,25 @@
     [NO_FAULTS, switched]
 }
 
-/// Guards against calls that come too late after a silence.
+/// Guards against calls that are made too late after a silence.
 #[test]
 fn a_drain_during_a_silent_watch_is_applied_in_time_when_subscribed() {
     assert_none_late("subscribe", calls_without_faults());
 }
 
-/// Guards against calls that wait behind one that hangs.
+/// Guards against calls that wait for a hanging call to end.
 #[test]
 fn a_drain_during_a_silent_watch_is_applied_in_time_when_subscribed_and_calls_fail() {
     assert_none_late("subscribe", faulty_calls());
 }
 
-/// The same where an agent pushes lists.
+/// The same as the two tests above, with lists that an agent pushes.
 #[test]
 fn a_drain_during_a_silent_watch_is_applied_in_time_when_lists_are_pushed() {
     assert_none_late("automatic", faulty_calls().chain(calls_without_faults()));
 }
 
-/// So many calls hang, while the silent watch brings late data.
+/// Returns cases with these numbers of hanging calls, while late data arrives on the silent watch.
 fn late_line_cases(hanging: [usize; 2]) -> [CallFaults; 2] {
     hanging.map(|hanging| CallFaults {
         hanging,
@@ -164,13 +172,14 @@
     })
 }
 
-/// Guards against a silent watch that counts as in service again when late data comes, and drops the calls to replace it.
+/// Guards against a silent watch that is considered healthy again on late data, so that the calls
+/// that replace it are cancelled.
 #[test]
 fn late_data_on_a_silent_watch_does_not_cancel_its_replacement_when_subscribed() {
     assert_none_late("subscribe", late_line_cases([1, 2]));
 }
 
-/// The same where an agent pushes lists.
+/// Late data on a silent watch, as in the test above, with lists that an agent pushes.
 #[test]
 fn late_data_on_a_silent_watch_does_not_cancel_its_replacement_when_lists_are_pushed() {
     assert_none_late("automatic", late_line_cases([8, 14]));
