--- a/crates/cache-router/tests/upstream_attempts.rs
+++ b/crates/cache-router/tests/upstream_attempts.rs
@@ -1,5 +1,5 @@
-//! Attempts at cache servers: outcomes, retries, and the bytes on the wire. The real binary against stand-ins on
-//! loopback sockets.
+//! Attempts at cache servers: outcomes, retries, and the commands that are sent. Runs the router
+//! binary against fake peers on loopback sockets.
 
 use std::time::Instant;
 use test_support::*;
@@ -21,7 +21,7 @@
         client.read_reply().unwrap().into_bytes(),
         value_reply("s-a")
     );
-    // A connection is used again once it has stayed quiet for a moment.
+    // A connection returns to the pool only after a short quiet time.
     std::thread::sleep(std::time::Duration::from_millis(100));
     client.write(&encode_command(&[
         "C.SET",
@@ -59,12 +59,12 @@
     assert_eq!(
         server.connections().accepted,
         1,
-        "the second request takes the idle connection"
+        "the second request did not use the idle connection"
     );
 }
 
-/// Each row of the outcome table, with a request that must never run twice: it is rejected only where it cannot have
-/// run.
+/// Covers each outcome of an attempt, with a request that must not run twice: it is rejected as
+/// retryable only if it cannot have run, and fails otherwise.
 #[test]
 fn a_request_is_rejected_only_where_it_cannot_have_run() {
     let null = b"*3\r\n$-1\r\n$3\r\nhit\r\n$-1\r\n".to_vec();
@@ -112,12 +112,12 @@
             .read_reply()
             .unwrap_or_else(|| panic!("{what}: no answer"));
         assert!(answer.starts_with(expected), "{what}: {answer}");
-        assert_eq!(server.commands().len(), 1, "{what}: sent once");
+        assert_eq!(server.commands().len(), 1, "{what}: not sent exactly once");
         client.write(&encode_command(&["PING"]));
         assert_eq!(
             client.read_reply().unwrap(),
             "+PONG\r\n",
-            "{what}: one answer"
+            "{what}: more than one answer"
         );
     }
 }
@@ -136,7 +136,7 @@
     ));
     let start = Instant::now();
     let answer = router.client().request("once", "7f3a9c21e0b4d655");
-    // At once, and with the time in milliseconds after which to retry.
+    // Rejected promptly, with the Retry-After time in milliseconds.
     let retry_after = answer
         .strip_prefix("-BUSY ")
         .unwrap_or_else(|| panic!("{answer}"));
@@ -169,7 +169,9 @@
     assert_eq!(first[4], second[4]);
 }
 
-/// Guards a failing origin: on sockets only the time of an error shows that a fetch has failed.
+/// Guards against additional load on a failing origin: an error that comes late shows that an
+/// origin fetch has failed, and such a request is not retried. The time of the error is the only
+/// sign of that on the wire.
 #[test]
 fn a_failed_fetch_is_not_retried_elsewhere_and_a_quick_error_is() {
     let (a, b) = (CacheServer::start("s-a"), CacheServer::start("s-b"));
@@ -201,7 +203,8 @@
     assert_eq!(attempts_for("00000000000000bb"), 1);
 }
 
-/// A server that hangs delays neither its arc nor the requests of others; one that recovers gets its arc back.
+/// A hanging server delays neither requests for its own keys nor those for other keys, and gets its
+/// keys back when it recovers.
 #[test]
 fn an_unresponsive_server_is_avoided_until_it_recovers() {
     let key = "7f3a9c21e0b4d655";
@@ -218,7 +221,7 @@
         assert!(client.read_reply().unwrap().starts_with('-'));
     }
     let before = owner.commands().len();
-    // Ever new keys, so that none is so popular that it has further homes.
+    // Distinct keys, so that none becomes hot and gets replicas.
     let mut keys =
         (1_u64..).map(|number| format!("{:016x}", number.wrapping_mul(0x9E37_79B9_7F4A_7C15)));
     for key in keys.by_ref().take(20) {
@@ -226,8 +229,8 @@
         assert!(client.read_reply().unwrap().contains(&other.name));
     }
     assert_eq!(owner.commands().len(), before);
-    // One that is tried there now and then goes on to the other when it gets no answer.
-    wait_until("a trial", || {
+    // An occasional request is tried at the hanging server, and then retried at the other one.
+    wait_until("a request is tried at the unresponsive server", || {
         let answer = client.request("read", &keys.next().unwrap());
         assert!(answer.contains(&other.name), "{answer}");
         std::thread::sleep(std::time::Duration::from_millis(20));
@@ -239,17 +242,19 @@
             .request("read", &keys.next().unwrap())
             .contains(&owner.name)
     };
-    wait_until("its arc is its own again", || {
+    wait_until("the owner serves its keys again", || {
         is_served_by_owner() && is_served_by_owner() && is_served_by_owner()
     });
 }
 
-/// A reply after the latency objective of 500 ms is worth nothing.
+/// Sets the late weight of reads to 0, so that a reply after the latency objective of 500 ms has no
+/// value.
 fn without_late_weight(settings: &mut serde_json::Value) {
     settings["request_classes"][0]["late_value"] = 0.0.into();
 }
 
-/// Guards against giving up a reply that is about to come: the work goes on, and the retry costs as much again.
+/// Guards against giving up on a reply that is about to arrive: the server's work continues, and a
+/// retry would double its cost.
 #[test]
 fn a_reply_that_takes_most_of_the_objective_is_waited_for() {
     let key = "7f3a9c21e0b4d655";
@@ -264,8 +269,8 @@
     assert!(other.commands().is_empty(), "{:?}", other.commands());
 }
 
-/// Guards against a lost reply where all others are quick: it is overdue long before the objective, and another server
-/// serves the request.
+/// Guards against waiting for a lost reply up to the latency objective when all other replies are
+/// quick. Such a reply is overdue earlier, and another server serves the request.
 #[test]
 fn an_overdue_reply_is_retried_elsewhere() {
     let key = "7f3a9c21e0b4d655";
@@ -281,8 +286,9 @@
     assert!(client.request("read", key).contains(&other.name));
 }
 
-/// Guards an overload against clients that retry: after the objective a retry of a rejected request takes no capacity
-/// that others need. A new request for the same key is no retry.
+/// Guards against clients' retries that worsen an overload: after the latency objective, a retry of
+/// a rejected request uses no capacity that other requests need. A new request for the same key is
+/// not a retry.
 #[test]
 fn a_retry_past_its_objective_takes_no_capacity_from_others() {
     let key = "7f3a9c21e0b4d655";
@@ -294,15 +300,18 @@
     let mut client = router.client();
     client.send("read", key, 100);
     assert!(
-        client.read_reply().expect("an answer").starts_with("-BUSY"),
-        "its time is up"
+        client
+            .read_reply()
+            .expect("connection closed without an answer")
+            .starts_with("-BUSY"),
+        "the request was not rejected at its deadline"
     );
     let mut others: Vec<Client> = (0..pending_count).map(|_| router.client()).collect();
     others
         .iter_mut()
         .enumerate()
         .for_each(|(i, other)| other.send("read", &format!("other{i}"), 4_000));
-    wait_until("half of the places are taken", || {
+    wait_until("half of the server's capacity is in use", || {
         server.commands().len() == 1 + pending_count
     });
     std::thread::sleep(std::time::Duration::from_millis(600));
@@ -313,13 +322,16 @@
         "c=read,t=acme,d=3000,r=1",
     ]));
     assert!(
-        client.read_reply().expect("an answer").starts_with("-BUSY"),
-        "past its aim"
+        client
+            .read_reply()
+            .expect("connection closed without an answer")
+            .starts_with("-BUSY"),
+        "a retry past the latency objective was not rejected"
     );
     assert_eq!(
         server.commands().len(),
         1 + pending_count,
-        "it was not sent on"
+        "the retry was sent to the server"
     );
     server.set_behavior(key, Behavior::Serve);
     client.write(&encode_command(&[
@@ -328,15 +340,25 @@
         "new",
         "c=read,t=acme,d=3000",
     ]));
-    assert!(client.read_reply().expect("an answer").contains("s-a"));
+    assert!(
+        client
+            .read_reply()
+            .expect("connection closed without an answer")
+            .contains("s-a")
+    );
     server.open_gate();
-    others
-        .iter_mut()
-        .for_each(|other| assert!(other.read_reply().expect("an answer").contains("s-a")));
+    others.iter_mut().for_each(|other| {
+        assert!(
+            other
+                .read_reply()
+                .expect("connection closed without an answer")
+                .contains("s-a")
+        )
+    });
 }
 
-/// Guards a router that is one of forty: it paces what it sends to a server that has rejected requests, unless the
-/// server reports in its replies that it waits for work.
+/// A router that is one of forty limits what it sends to a server that has rejected requests,
+/// unless the load reports in the server's replies show spare capacity.
 #[test]
 fn load_reports_are_used_if_the_settings_name_their_format() {
     let sent_requests = |columns: &str, report: &str| {
@@ -359,15 +381,18 @@
     assert_eq!(
         sent_requests("utilization,backlog", "util=0.2,queue=0"),
         12,
-        "all are sent"
+        "not all requests were sent"
     );
     assert!(
         sent_requests("utilization,backlog", "util=1.0,queue=9") < 8,
-        "a queue"
+        "a load report with a queue"
     );
     assert!(
         sent_requests("utilization,backlog", "util=lots,queue=-3") < 8,
-        "no figures"
+        "a load report without numbers"
+    );
+    assert!(
+        sent_requests("", "util=0.2,queue=0") < 8,
+        "no format of load reports"
     );
-    assert!(sent_requests("", "util=0.2,queue=0") < 8, "no reports here");
 }
