--- a/crates/cache-router/tests/upstream_connections.rs
+++ b/crates/cache-router/tests/upstream_connections.rs
@@ -1,4 +1,5 @@
-//! Connections to cache servers: opened, pooled, retired and lost. The real binary against stand-ins on loopback sockets.
+//! Connections to cache servers: connecting, pooling, closing and loss. Runs the router binary
+//! against fake peers on loopback sockets.
 
 use std::time::Instant;
 use test_support::*;
@@ -16,7 +17,7 @@
         )],
     ));
     let start = Instant::now();
-    // Declined: the proof that nothing ran. And long before the client's 4 s are up.
+    // Rejected as not executed, long before the client's deadline of 4 s.
     assert!(
         router
             .client()
@@ -26,7 +27,8 @@
     assert!(start.elapsed().as_millis() < 3_000, "{:?}", start.elapsed());
 }
 
-/// Guards the drain grace: a connection that is established after the notice carries nothing.
+/// Guards against requests to a server after its drain grace: nothing is sent on a connection that
+/// is established after the router has learned of the drain.
 #[test]
 fn nothing_reaches_a_server_that_drains_while_connecting() {
     let (silent_listener, backlog_connections) = unresponsive_listener();
@@ -42,7 +44,9 @@
         class["give_up"] = 20.0.into();
     }
     let router = RouterProcess::start(&config);
-    wait_until("the router watches", || !discovery.calls().is_empty());
+    wait_until("the router has opened a watch", || {
+        !discovery.calls().is_empty()
+    });
     let mut client = router.client();
     client.send("once", "7f3a9c21e0b4d655", 16_000);
     client.write(&encode_command(&["PING"]));
@@ -53,17 +57,18 @@
     );
     discovery.write_to_watch(&format!("{update}\n"));
     let mut second = router.client();
-    wait_until("the drain is known", || {
+    wait_until("the router has applied the drain", || {
         second.request("read", "00000000000000aa").contains("s-b")
     });
     drop(backlog_connections);
     let drained = CacheServer::start_on("s-a", silent_listener);
-    // It never ran there, so that it may go to the other server.
+    // The request was not sent there, so that it is retried at the other server.
     assert!(client.read_reply().unwrap().contains("s-b"));
     assert!(drained.commands().is_empty(), "{:?}", drained.commands());
 }
 
-/// Guards against a reset of a request that may have run: connections are retired before the server closes them.
+/// Guards against a reset of a request that may have run, which happens if the server closes an
+/// idle connection first.
 #[test]
 fn idle_connections_are_closed_before_the_server_closes_them() {
     let server = CacheServer::start("s-a");
@@ -73,7 +78,7 @@
     let router = RouterProcess::start(&config);
     let mut client = router.client();
     assert!(client.request("read", "00000000000000aa").contains("s-a"));
-    wait_until("the router closes it", || {
+    wait_until("the router closes the idle connection", || {
         server.connections()
             == ConnectionCounts {
                 accepted: 1,
@@ -84,7 +89,8 @@
     assert_eq!(server.connections().accepted, 2);
 }
 
-/// Guards against tables full of idle connections: one that costs more than opening it again is closed.
+/// Guards against an unbounded number of idle connections: a connection is closed when keeping it
+/// costs more than opening a new one.
 #[test]
 fn an_idle_connection_is_closed_once_it_costs_more_than_a_new_one() {
     let server = CacheServer::start("s-a");
@@ -94,7 +100,7 @@
     let router = RouterProcess::start(&config);
     let mut client = router.client();
     assert!(client.request("read", "00000000000000aa").contains("s-a"));
-    wait_until("the router closes it", || {
+    wait_until("the router closes the idle connection", || {
         server.connections()
             == ConnectionCounts {
                 accepted: 1,
@@ -110,26 +116,27 @@
     let mut client = router.client();
     assert!(client.request("once", "00000000000000aa").contains("s-a"));
     server.close_connections();
-    wait_until("it has ended", || {
+    wait_until("the idle connection is closed", || {
         server.connections()
             == ConnectionCounts {
                 accepted: 1,
                 closed: 1,
             }
     });
-    // A request that must never run twice would fail on it.
+    // A request that must not run twice would fail on the closed connection.
     assert!(client.request("once", "00000000000000aa").contains("s-a"));
     assert_eq!(server.connections().accepted, 2);
 }
 
-/// Whatever a server does with the connections of one key, those that carry another key stay in use.
+/// Asserts that a server's behavior on the connections of one key does not close the connections
+/// that are used for another key.
 fn assert_other_connections_stay_open(behavior: Behavior) {
     let server = CacheServer::start("s-a");
     let Fleet { router, .. } = start_router(&[&server]);
     let mut client = router.client();
     server.set_behavior("00000000000000aa", behavior);
     for _ in 0..2 {
-        // The connection that it comes on had been idle.
+        // The connection of the next request has been idle before.
         assert!(client.request("once", "00000000000000bb").contains("s-a"));
         std::thread::sleep(std::time::Duration::from_millis(50));
         assert!(
@@ -145,29 +152,30 @@
     }
     assert!(
         server.connections().accepted <= before + 1,
-        "{} connections more",
+        "{} additional connections",
         server.connections().accepted - before
     );
 }
 
-/// A malformed reply shows nothing about idle connections: the others stay open.
+/// A malformed reply says nothing about idle connections, so that they stay open.
 #[test]
 fn a_malformed_reply_closes_no_other_connection() {
     assert_other_connections_stay_open(Behavior::Reply(b"what?\r\n".to_vec()));
 }
 
-/// A connection that is lost a moment after its last use was not closed for being idle: the others stay open.
+/// A connection that is lost right after its last use was not closed for idleness, so that the
+/// other connections stay open.
 #[test]
 fn a_connection_lost_in_use_closes_no_other_connection() {
     assert_other_connections_stay_open(Behavior::ReplyAndClose(Vec::new()));
 }
 
-/// A handshake counts for the connection: servers whose new connections are slow, while they reply at once on those
-/// they have, are sent as much as before.
+/// The time of a handshake is not part of a server's latency: a server with slow new connections
+/// and quick replies on open ones gets as many requests as before.
 #[test]
 fn slow_handshakes_do_not_reduce_a_servers_share() {
     let server = CacheServer::start("s-a");
-    // Longer than half of the aim, which would be slow for an answer.
+    // Longer than half of the latency objective, which would be slow for a reply.
     server.set_default_behavior(Behavior::ServeSlowlyOnNewConnection(300));
     let Fleet { router, .. } = start_router(&[&server]);
     let mut clients: Vec<Client> = (0..12).map(|_| router.client()).collect();
@@ -180,7 +188,7 @@
         }
         server.close_connections();
         let accepted = server.connections().accepted;
-        wait_until("all have ended", || {
+        wait_until("all connections are closed", || {
             server.connections()
                 == ConnectionCounts {
                     accepted,
@@ -191,16 +199,16 @@
     assert_eq!(
         server.connections().accepted,
         48,
-        "each went out on a new connection"
+        "a request did not use a new connection"
     );
 }
 
-/// A stale connection shows nothing about its server: the key stays there, on another connection, and however often
-/// that happens, no request is rejected for it.
+/// A stale connection says nothing about its server: the request is sent to the same server on
+/// another connection, and no request is rejected however often this happens.
 #[test]
 fn a_stale_connection_neither_diverts_the_key_nor_uses_a_retry() {
     let key = "7f3a9c21e0b4d655";
-    // One of many routers starts with few further attempts in hand.
+    // One of many routers starts with a small retry budget.
     let TwoServerFleet {
         owner,
         other,
@@ -210,7 +218,8 @@
         settings["peers_total"] = 12.into()
     });
     let mut client = router.client();
-    // The router learns how long the owner's answers take: what breaks much sooner did no work.
+    // The router learns the latency of the owner's replies: an attempt that fails much sooner has
+    // done no work.
     owner.set_default_behavior(Behavior::ReplyAfter(100, value_reply(&owner.name)));
     let pause = || std::thread::sleep(std::time::Duration::from_millis(20));
     for _ in 0..12 {
@@ -226,10 +235,10 @@
     }
     assert!(
         owner.connections().accepted >= before + 20,
-        "a new connection each time"
+        "a request did not use a new connection"
     );
     assert!(other.commands().is_empty(), "{:?}", other.commands());
-    // A request that must never run twice may have run.
+    // A request that must not run twice may have run, so that it fails.
     pause();
     assert!(client.request("once", key).starts_with("-ERR"));
 }
