--- a/crates/cache-router/tests/upstream_replies.rs
+++ b/crates/cache-router/tests/upstream_replies.rs
@@ -1,10 +1,11 @@
-//! Replies of cache servers that are late, malformed, too long or duplicate. The real binary against stand-ins on
-//! loopback sockets.
+//! Replies of cache servers that are late, malformed, too long or duplicated. Runs the router
+//! binary against fake peers on loopback sockets.
 
 use std::time::Instant;
 use test_support::*;
 
-/// Guards against replies to the wrong request: a connection with a late reply on it is not reused.
+/// Guards against replies to the wrong request: a connection on which a reply may still arrive is
+/// not reused.
 #[test]
 fn a_late_reply_is_dropped() {
     let server = CacheServer::start("s-a");
@@ -22,8 +23,9 @@
     assert!(client.request("read", "00000000000000dd").contains("s-a"));
 }
 
-/// A request with a malformed reply may have run, so that one that must never run twice fails. It fails soon although
-/// the cache server leaves the connection open, and nothing is written to that connection again.
+/// A request with a malformed reply may have run, so that a request that must not run twice fails.
+/// It fails promptly although the cache server leaves the connection open, and the router closes
+/// that connection instead of using it again.
 #[test]
 fn malformed_replies_fail_soon_and_close_their_connection() {
     let reply = |text: &str| Behavior::Reply(text.as_bytes().to_vec());
@@ -100,7 +102,7 @@
         wait_until(what, || server.connections().closed == count + 1);
         assert!(
             client.request("once", "00000000000000bb").contains("s-a"),
-            "{what}: the next is served"
+            "{what}: the next request was not served"
         );
     }
 }
@@ -118,7 +120,7 @@
     assert!(router.client().request("read", key).contains(&other.name));
 }
 
-/// A complete value is served, whatever follows it; its connection is not reused.
+/// A complete value is served even if invalid bytes follow it, but its connection is not reused.
 #[test]
 fn a_valid_reply_with_trailing_bytes_is_served() {
     let good = "*3\r\n$5\r\nright\r\n$3\r\nhit\r\n";
@@ -149,13 +151,13 @@
         wait_until(what, || server.connections().closed == count + 1);
         assert!(
             client.request("once", "00000000000000bb").contains("s-a"),
-            "{what}: the next is served"
+            "{what}: the next request was not served"
         );
     }
 }
 
-/// Guards against a duplicate that arrives when the connection is back in the pool: the next request, which follows at
-/// once, must not get it.
+/// Guards against a duplicate reply that arrives when the connection is back in the pool: the next
+/// request, which follows at once, must not receive it.
 #[test]
 fn a_duplicate_reply_answers_no_other_request() {
     let server = CacheServer::start("s-a");
@@ -165,7 +167,8 @@
     );
     let Fleet { router, .. } = start_router(&[&server]);
     let mut client = router.client();
-    // A fake that slept for longer than it should proves nothing either way.
+    // A duplicate that the fake server wrote too late shows nothing, because it may arrive after
+    // the next request.
     let count_prompt_copies = || {
         server
             .two_part_reply_durations()
@@ -173,21 +176,21 @@
             .filter(|gap| gap.as_millis() < 5)
             .count()
     };
-    wait_until("copies in time", || {
+    wait_until("enough prompt duplicates", || {
         let before = (
             count_prompt_copies(),
             server.two_part_reply_durations().len(),
         );
         assert!(client.request("read", "00000000000000aa").contains("first"));
         let next = client.request("read", "00000000000000bb");
-        wait_until("the copy is out", || {
+        wait_until("the duplicate has been written", || {
             server.two_part_reply_durations().len() > before.1
         });
         if count_prompt_copies() == before.0 {
-            // Whatever is on its way on that connection goes with it.
+            // Closing the connections also discards the late duplicate.
             let accepted = server.connections().accepted;
             server.close_connections();
-            wait_until("all have ended", || {
+            wait_until("all connections are closed", || {
                 server.connections()
                     == ConnectionCounts {
                         accepted,
