--- a/crates/cache-router/tests/warm_state_format.rs
+++ b/crates/cache-router/tests/warm_state_format.rs
@@ -1,8 +1,8 @@
-//! The warm state that an earlier version of the program handed over is read, restored, and written again byte for
-//! byte.
+//! Compatibility of the stored warm state: the golden bytes of an earlier version are decoded,
+//! restored, and encoded again without any difference.
 //!
-//! The bytes are that program's own: the form is not self-describing, so that a field that is added, moved or of
-//! another type spoils all that follow it.
+//! The golden bytes were written by that version. The format is not self-describing, so that a
+//! field that is added, moved or changed in type corrupts all fields after it.
 
 use hot_restart::message::Message;
 use load_balancer::{
@@ -10,17 +10,21 @@
     Event, Idempotency, Micros, Outcome, Request, RequestId, Router, ServerId, Settings, WarmState,
 };
 
-/// The clock of the earlier program when it wrote the bytes.
+/// The clock of the earlier version when it wrote the golden bytes.
 const GOLDEN_CLOCK: Micros = Micros(100_720_000);
 
-/// The earlier program's bytes: 3 servers, 17 keys, an origin that was asked for new and for known keys.
+/// Returns the golden bytes. They hold 3 servers, 17 keys, and an origin that was asked for new and
+/// for known keys.
 fn golden_bytes() -> Vec<u8> {
     let message = include_bytes!("../../hot-restart/tests/golden/state.message");
-    let message = Message::decode(message).expect("readable");
-    message.into_state("n1").expect("of this router").warm_state
+    let message = Message::decode(message).expect("failed to decode");
+    message
+        .into_state("n1")
+        .expect("state of another router")
+        .warm_state
 }
 
-/// A router with the earlier one's settings and endpoints, new to all else.
+/// Creates a router with the settings and endpoints of the earlier one, without any other state.
 fn new_router() -> Router {
     let class = Class {
         latency_objective: Micros::from_millis(300),
@@ -34,7 +38,7 @@
         classes: vec![class],
         ..Settings::default()
     };
-    let mut router = Router::new(settings, 1).expect("usable settings");
+    let mut router = Router::new(settings, 1).expect("invalid settings");
     let endpoints = ["10.0.0.1:80", "10.0.0.2:80", "10.0.0.3:80"]
         .map(|name| Endpoint::ready(ServerId::from(name)))
         .to_vec();
@@ -49,17 +53,26 @@
 #[test]
 fn the_golden_warm_state_is_read_restored_and_written_unchanged() {
     let bytes = golden_bytes();
-    let (warm_state, rest) = postcard::take_from_bytes::<WarmState>(&bytes).expect("readable");
-    assert!(rest.is_empty(), "{} bytes are left over", rest.len());
+    let (warm_state, rest) =
+        postcard::take_from_bytes::<WarmState>(&bytes).expect("failed to decode");
+    assert!(
+        rest.is_empty(),
+        "{} bytes are left over after decoding",
+        rest.len()
+    );
     let mut router = new_router();
-    let cold = postcard::to_stdvec(&router.warm_state()).expect("written");
-    assert_ne!(cold, bytes, "the bytes say more than a new router knows");
+    let cold = postcard::to_stdvec(&router.warm_state()).expect("failed to encode");
+    assert_ne!(
+        cold, bytes,
+        "the golden bytes hold no more than the state of a new router"
+    );
     router.restore_warm_state(GOLDEN_CLOCK, warm_state);
-    let written = postcard::to_stdvec(&router.warm_state()).expect("written");
+    let written = postcard::to_stdvec(&router.warm_state()).expect("failed to encode");
     assert_eq!(written, bytes);
 }
 
-/// Request `number` of the earlier program's run, and its answer if it is sent; the time after that.
+/// Replays request `number` of the earlier version's run, and its answer if the request is sent.
+/// Returns the time afterwards.
 fn replay_request(router: &mut Router, number: u32, now: Micros) -> Micros {
     let request = Request {
         id: RequestId(number),
@@ -100,7 +113,8 @@
     completed_at
 }
 
-/// A field that changes its place with another of its type is read and written alike, and yet means another thing.
+/// Guards against two fields of the same type that swap places: they would be read and written
+/// without a difference, but with the wrong meaning.
 #[test]
 fn replayed_events_produce_the_golden_warm_state() {
     let mut router = new_router();
@@ -109,7 +123,7 @@
         now = replay_request(&mut router, number, now.plus(Micros::from_millis(7)));
     }
     assert_eq!(now, GOLDEN_CLOCK);
-    let written = postcard::to_stdvec(&router.warm_state()).expect("written");
+    let written = postcard::to_stdvec(&router.warm_state()).expect("failed to encode");
     assert_eq!(written, golden_bytes());
 }
 
