--- a/crates/cache-router/benches/coalescing.rs
+++ b/crates/cache-router/benches/coalescing.rs
@@ -1,14 +1,16 @@
-//! What joining identical reads saves and costs, on and off in one run, with the real binary on loopback sockets.
+//! Benchmark of coalescing: compares upstream load, latency and CPU time of the router binary with
+//! coalescing on and off, on loopback sockets.
 //!
-//! Four stand-ins for cache servers keep each key for a while and fetch it from one slow origin, where misses for one
-//! key do not share a fetch. An open loop sends reads at their intended times whatever came back; latency counts from
-//! there. Then 10,000 reads wait for one flight: memory and CPU for each.
+//! Four fake cache servers cache each key for a limited time and fetch it from one slow origin;
+//! misses for the same key do not share a fetch. An open-loop client sends reads at their intended
+//! times regardless of replies, and latency is measured from the intended time. A second
+//! measurement gives memory and CPU time per read for 10,000 reads that wait for one flight.
 //!
 //! ```text
 //! cargo bench -p cache-router --bench coalescing
 //! ```
-//! A first argument sets the seconds of load for each row (6).
-#![allow(missing_docs)] // A program.
+//! The first argument sets the seconds of load for each row of the table (default 6).
+#![allow(missing_docs)] // A program without a public API.
 
 use std::collections::HashMap;
 use std::io;
@@ -27,28 +29,28 @@
 
 const SERVER_COUNT: usize = 4;
 const KEY_COUNT: usize = 1_000;
-/// Keys that are requested most, by rank.
+/// Number of the most requested keys whose fetches are counted separately.
 const HOT_KEY_COUNT: usize = 10;
 const REQUESTS_PER_SECOND: f64 = 2_000.0;
-/// Time for which a server caches a key.
+/// Time for which a cache server keeps a key.
 const CACHE_TTL: Duration = Duration::from_secs(4);
-/// Time of a fetch from the origin.
+/// Duration of a fetch from the origin.
 const ORIGIN_FETCH_TIME: Duration = Duration::from_millis(300);
-/// Fetches that the origin works on at a time.
+/// Maximum number of concurrent fetches at the origin.
 const MAX_CONCURRENT_FETCHES: usize = 128;
-/// Time of a hit.
+/// Duration of a hit.
 const HIT_TIME: Duration = Duration::from_micros(500);
 const DEADLINE_MS: u64 = 2_000;
 const COALESCE_READS: &str =
     "[joining]\nclasses = [\"read\"]\nbounds = { waiters_per_flight = 20000 }\n";
 const WAITER_COUNT: usize = 10_000;
-/// Commands that may be pending on one connection.
+/// Maximum number of pending commands on one connection.
 const PIPELINE_DEPTH: usize = 64;
 const VALUE_BYTES: usize = 600;
-/// Seed of the sequence of keys, the same in all rows.
+/// Seed of the sequence of keys, which is the same in all rows.
 const KEY_SEED: u64 = 17;
 
-/// The origin behind all cache servers, and what reached them and it.
+/// The origin behind all cache servers, and counters of requests and fetches.
 struct Upstream {
     origin: Semaphore,
     requests: AtomicUsize,
@@ -78,7 +80,7 @@
     }
 }
 
-/// The arguments of the next command in the buffer, if it is whole.
+/// Removes the next command from the buffer and returns its arguments, if it is complete.
 fn next_command(buffer: &mut Vec<u8>) -> Option<Vec<String>> {
     let mut at = 0;
     let mut line = |buffer: &[u8]| {
@@ -125,7 +127,7 @@
         };
         upstream.requests.fetch_add(1, Ordering::Relaxed);
         let key = &arguments[1];
-        let expiry = expiries.lock().expect("expiries").get(key).copied();
+        let expiry = expiries.lock().expect("poisoned lock").get(key).copied();
         let cache_status = if expiry.is_some_and(|expiry| Instant::now() < expiry) {
             tokio::time::sleep(HIT_TIME).await;
             "hit"
@@ -134,7 +136,7 @@
             let expiry = Instant::now() + CACHE_TTL;
             expiries
                 .lock()
-                .expect("expiries")
+                .expect("poisoned lock")
                 .insert(key.clone(), expiry);
             "miss"
         };
@@ -147,17 +149,18 @@
     }
 }
 
-/// What the clients of one row saw.
+/// Results of the clients of one row.
 #[derive(Default)]
 struct ClientResults {
-    /// Of each request that was served, the time from its intended start.
+    /// For each served request, the time from its intended start to the reply.
     latencies: Vec<Duration>,
     not_served: usize,
     idle_connections: Vec<TcpStream>,
 }
 
 impl ClientResults {
-    /// The latency in milliseconds that this share of the requests stays below; needs sorted latencies.
+    /// Returns the latency in milliseconds below which this share of the requests stays. The
+    /// latencies have to be sorted.
     fn percentile_ms(&self, share: f64) -> f64 {
         let index = (self.latencies.len() as f64 * share) as usize;
         self.latencies
@@ -172,7 +175,11 @@
     intended_start: Instant,
     results: &Mutex<ClientResults>,
 ) -> io::Result<()> {
-    let idle = results.lock().expect("results").idle_connections.pop();
+    let idle = results
+        .lock()
+        .expect("poisoned lock")
+        .idle_connections
+        .pop();
     let mut stream = match idle {
         Some(stream) => stream,
         None => TcpStream::connect(router).await?,
@@ -187,7 +194,7 @@
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
     }
-    let mut results = results.lock().expect("results");
+    let mut results = results.lock().expect("poisoned lock");
     if reply.first() == Some(&b'*') {
         results.latencies.push(intended_start.elapsed());
     } else {
@@ -197,7 +204,7 @@
     Ok(())
 }
 
-/// SplitMix64, to a number in [0, 1).
+/// Returns the next number of SplitMix64, scaled to [0, 1).
 fn next_unit_interval(state: &mut u64) -> f64 {
     *state = state.wrapping_add(0x9E37_79B9_7F4A_7C15);
     let mut z = *state;
@@ -215,22 +222,24 @@
     Fleet { router, discovery }
 }
 
-/// Starts the cache servers; returns their entries in the endpoint list.
+/// Starts the cache servers and returns their entries in the endpoint list.
 fn start_servers(runtime: &Runtime, upstream: &Arc<Upstream>) -> Vec<String> {
     (0..SERVER_COUNT)
         .map(|index| {
             let listener = runtime
                 .block_on(TcpListener::bind("127.0.0.1:0"))
-                .expect("a port");
-            let addr = listener.local_addr().expect("an address");
-            // Ends with the runtime, at the end of the row.
+                .expect("failed to bind an ephemeral port");
+            let addr = listener
+                .local_addr()
+                .expect("failed to read the local address");
+            // The task ends with the runtime at the end of the row.
             runtime.spawn(serve(listener, upstream.clone()));
             endpoint_entry(&format!("s-{index}"), addr, "up")
         })
         .collect()
 }
 
-/// Cumulative shares of the keys' requests, by rank: Zipf's law with this exponent.
+/// Returns the cumulative shares of requests by rank of the key, for Zipf's law with this exponent.
 fn cumulative_shares(skew: f64) -> Vec<f64> {
     let weights: Vec<f64> = (1..=KEY_COUNT)
         .map(|rank| (rank as f64).powf(-skew))
@@ -245,7 +254,8 @@
     shares
 }
 
-/// Sends requests at their intended times, whatever came back of earlier ones, and waits for all replies.
+/// Sends requests at their intended times regardless of earlier replies, and then waits for all
+/// replies.
 async fn send_open_loop(
     router: SocketAddr,
     shares: &[f64],
@@ -270,17 +280,19 @@
         }));
     }
     for task in tasks {
-        task.await.expect("a task").expect("a reply");
+        task.await
+            .expect("a task panicked")
+            .expect("connection closed without a reply");
     }
 }
 
-/// One row: load of this skew for so many seconds, with or without joining.
+/// Measures one row: load with this skew for this many seconds, with or without coalescing.
 fn measure_load(skew: f64, coalesces: bool, seconds: f64) -> String {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
         .enable_all()
         .build()
-        .expect("threads");
+        .expect("failed to start the runtime");
     let upstream = Arc::new(Upstream::new());
     let known = start_servers(&runtime, &upstream);
     let Fleet { router, .. } =
@@ -291,7 +303,7 @@
     let cpu_before = router.cpu_ns();
     runtime.block_on(send_open_loop(router.addr, &shares, count, &results));
     let cpu_us = (router.cpu_ns() - cpu_before) as f64 / 1e3 / count as f64;
-    let mut results = results.lock().expect("results");
+    let mut results = results.lock().expect("poisoned lock");
     results.latencies.sort_unstable();
     let value = |counter: &AtomicUsize| counter.load(Ordering::Relaxed);
     format!(
@@ -312,12 +324,15 @@
         .collect();
     for client in &mut clients {
         client.write(&encode_command(&["PING"]));
-        client.read_reply().expect("an answer");
+        client
+            .read_reply()
+            .expect("connection closed without an answer");
     }
     clients
 }
 
-/// Each of the clients sends what `bytes` makes of its number and a position, as many as may wait.
+/// Sends [`WAITER_COUNT`] commands from all clients, up to [`PIPELINE_DEPTH`] from each. `command`
+/// creates each command from its number.
 fn send_from_all(clients: &mut [Client], command: impl Fn(usize) -> Vec<u8>) {
     let mut left = WAITER_COUNT;
     for client in clients {
@@ -335,21 +350,26 @@
     let mut served = 0;
     for client in clients {
         for _ in 0..left.min(PIPELINE_DEPTH) {
-            served += usize::from(client.read_reply().expect("an answer").starts_with('*'));
+            served += usize::from(
+                client
+                    .read_reply()
+                    .expect("connection closed without an answer")
+                    .starts_with('*'),
+            );
         }
         left -= left.min(PIPELINE_DEPTH);
     }
     served
 }
 
-/// Memory and CPU of many reads that wait for one flight.
+/// Measures memory and CPU time of many reads that wait for one flight.
 fn measure_waiters() {
     let server = CacheServer::start("s-a");
     server.set_default_behavior(Behavior::ServeOnceGateOpens);
     let Fleet { router, .. } =
         start_router_with_operator_file(&[server.entry("up")], COALESCE_READS);
     let mut clients = connect_clients(&router);
-    // What the same number of commands costs that nobody waits for.
+    // The cost of the same number of commands that are answered at once, for comparison.
     let cpu_ns = router.cpu_ns();
     send_from_all(&mut clients, |_| encode_command(&["PING"]));
     count_served(&mut clients);
@@ -365,7 +385,7 @@
         ])
     };
     send_from_all(&mut clients, read);
-    wait_until("all wait", || {
+    wait_until("all reads wait", || {
         router.log_coalescing_counters();
         std::thread::sleep(Duration::from_millis(20));
         router.log_contains(&format!("now {WAITER_COUNT} waiters"))
@@ -381,11 +401,11 @@
         clients.len()
     );
     println!(
-        "memory {:.0} bytes each beside their connections ({added_kb} KB)",
+        "memory: {:.0} bytes per read in addition to the connections ({added_kb} KB in total)",
         added_kb as f64 * 1024.0 / WAITER_COUNT as f64
     );
     println!(
-        "CPU {:.2} us each with reading and writing, {:.2} us for as many PINGs: {:.2} us more",
+        "CPU: {:.2} us per read with socket I/O, {:.2} us per PING; difference {:.2} us",
         each_us(read_cpu_ns),
         each_us(ping_cpu_ns),
         each_us(read_cpu_ns.saturating_sub(ping_cpu_ns))
@@ -393,16 +413,16 @@
 }
 
 fn main() {
-    // Cargo adds arguments of its own.
+    // Cargo passes additional arguments, which are skipped.
     let seconds = std::env::args()
         .skip(1)
         .find_map(|word| word.parse().ok())
         .unwrap_or(6.0);
     println!(
-        "{KEY_COUNT} keys by Zipf, {REQUESTS_PER_SECOND} reads a second, a fetch takes {ORIGIN_FETCH_TIME:?}, kept for {CACHE_TTL:?}\n"
+        "{KEY_COUNT} keys with a Zipf distribution, {REQUESTS_PER_SECOND} reads per second, origin fetch {ORIGIN_FETCH_TIME:?}, TTL {CACHE_TTL:?}\n"
     );
     println!(
-        "| skew | joining | reads | served | upstream | fetches | of the {HOT_KEY_COUNT} hottest keys | p50 ms | p99 ms | CPU us a read |"
+        "| skew | coalescing | reads | served | upstream requests | fetches | fetches of the {HOT_KEY_COUNT} hottest keys | p50 ms | p99 ms | CPU us per read |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     for skew in [0.8, 1.0, 1.2] {
