--- a/crates/cache-router/src/process.rs
+++ b/crates/cache-router/src/process.rs
@@ -193,7 +193,7 @@
         terminate.recv().await;
     };
     let report = runtime.run(listener, stop).await;
-    if let Some(hand_over) = hand_over.filter(|_| runtime.lifecycle().is_handed_over()) {
+    if let Some(hand_over) = hand_over.filter(|_| runtime.lifecycle().hands_over_connections()) {
         // Idle connections may still be queued for the successor when the runtime has ended.
         let _ = tokio::time::timeout_at(report.exit_deadline.into(), hand_over).await;
     }
--- a/crates/load-balancer/src/router/attempts.rs
+++ b/crates/load-balancer/src/router/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts of requests: finding a server, sending, and learning from the end.
+//! Attempts: choosing a server, sending, and recording how the attempt ended.
 
 use super::Router;
 use crate::action::Action;
@@ -6,19 +6,20 @@
 use crate::origin_fetch_limit::{FetchPermission, FetchRequest};
 use crate::pending::{Attempt, AttemptState, PendingRequest};
 use crate::placement::{
-    CandidateWalk, FleetUsage, Placement, PlacementInputs, choose_origin, hot_key_replicas,
-    replicas_to_pass,
+    CandidateWalk, FleetUsage, Placement, PlacementInputs, choose_origin, hot_key_replica_count,
+    replica_weight_to_skip,
 };
 use crate::request::{AttemptEnd, Outcome};
 use crate::retry::{self, AttemptTarget, AttemptTimeout};
 use crate::settings::CacheMode;
 use crate::slow_start::SlowStart;
-use crate::stale_connections::met_stale_connection;
+use crate::stale_connections::had_stale_connection;
 use crate::time::Micros;
 
 impl Router {
-    /// Chooses the server for the next attempt of a request, by its index. An extra fetch elsewhere spends its retry token
-    /// here, also if [`Router::send`] then finds that nothing may be sent.
+    /// Chooses the server for the next attempt of a request and returns its index. If the placement
+    /// costs a retry token, the token is spent here, even when [`Router::send`] then refuses to
+    /// send.
     pub(super) fn choose_server(&mut self, pending: &PendingRequest) -> Option<usize> {
         let limit_multiplier = self.priority_context().limit_multiplier(pending);
         let chance = self.random.next_fraction();
@@ -34,7 +35,8 @@
         Some(placement.server)
     }
 
-    /// A router that fetches from the origin itself asks caches without limit.
+    /// The permission to send a request that may cause an origin fetch. In cache-aside mode cache
+    /// servers do not fetch, so there is no limit.
     fn fetch_permission(
         &mut self,
         pending: &PendingRequest,
@@ -47,19 +49,19 @@
             .pending
             .undecided_fetches(self.now, self.typical_latency);
         let ready_servers = self.ring.server_count().max(1) as f64;
-        let hit_round = self
+        let hit_time_per_router = self
             .typical_latency
             .scaled(self.router_count() / ready_servers);
         let request = FetchRequest {
             popularity: pending.popularity,
             limit_multiplier,
-            hit_round,
+            hit_time_per_router,
         };
         self.origin_fetches
             .permission(self.now, &undecided, &request)
     }
 
-    /// Walks over the candidates on the ring.
+    /// Walks over the candidates on the ring and returns the first one that accepts the request.
     fn place(
         &mut self,
         pending: &PendingRequest,
@@ -68,8 +70,8 @@
     ) -> Option<Placement> {
         let ready_servers = self.ring.server_count();
         let key_share = self.traffic.key_share(pending.ring_position);
-        let replicas = hot_key_replicas(key_share, ready_servers);
-        let to_pass = replicas_to_pass(pending, replicas, self.replica_offset, ready_servers);
+        let replicas = hot_key_replica_count(key_share, ready_servers);
+        let to_pass = replica_weight_to_skip(pending, replicas, self.replica_offset, ready_servers);
         let mut counts = std::mem::take(&mut self.verdict_counts);
         let inputs = self.placement_inputs(pending, limit_multiplier, fetch);
         let placement = CandidateWalk::new(inputs, to_pass).run(&self.ring, &mut counts);
@@ -84,13 +86,13 @@
         fetch: FetchPermission,
     ) -> PlacementInputs<'a> {
         let rules = &self.settings.rules;
-        let weights = self.settings.weights;
+        let weight_kind = self.settings.weight_kind;
         PlacementInputs {
             pending,
             servers: &self.servers,
             key_locations: &self.key_locations,
             now: self.now,
-            weights,
+            weight_kind,
             shortest_objective: self.shortest_objective,
             slow_start: SlowStart {
                 now: self.now,
@@ -102,13 +104,14 @@
             priority: self.priority_context().priority(pending, limit_multiplier),
             fetch,
             has_retry_token: self.retry_budget.has_token(),
-            fleet: FleetUsage::of(&self.servers, self.now, rules, weights),
+            fleet: FleetUsage::measure(&self.servers, self.now, rules, weight_kind),
             ready_servers: self.ring.server_count(),
         }
     }
 
-    /// Sends an attempt; the only place that does, so that its conditions hold whatever chose the server. False if
-    /// they do not.
+    /// Sends an attempt unless [`Router::may_send`] forbids it, and returns whether it was sent.
+    /// All attempts go through this function, so that the conditions hold however the server was
+    /// chosen.
     pub(super) fn send(&mut self, pending: &mut PendingRequest, index: usize) -> bool {
         if !self.may_send(pending, index) {
             return false;
@@ -124,7 +127,7 @@
             is_fetch,
             popularity: pending.popularity,
             idle,
-            met_stale_connection: false,
+            had_stale_connection: false,
         });
         self.record_send(index, is_fetch);
         let timeout = self.attempt_timeout(pending, index);
@@ -157,15 +160,16 @@
     }
 
     fn is_likely_fetch(&self, pending: &PendingRequest, index: usize) -> bool {
-        let is_cached = self.key_locations.is_at(pending.ring_position, index);
+        let is_cached = self.key_locations.contains(pending.ring_position, index);
         self.settings.mode == CacheMode::Through && (pending.request.write || !is_cached)
     }
 
-    /// How long the connection of the next attempt has been idle, if it is reused. Stale ones are closed first.
+    /// The idle time of the connection that the next attempt reuses; `None` for a new connection.
+    /// Closes idle connections that are probably stale.
     fn take_idle_connection(&mut self, index: usize) -> Option<Micros> {
         let server = &self.servers[index];
-        let idle = server.idle_time(self.now, self.settings.connection_idle)?;
-        if self.stale_connections.are_stale(self.now, idle) {
+        let idle = server.idle_time(self.now, self.settings.connection_idle_timeout)?;
+        if self.stale_connections.is_stale(self.now, idle) {
             let server = server.endpoint.server.clone();
             self.actions.push(Action::CloseIdle { server });
             return None;
@@ -206,21 +210,21 @@
                 self.failure_attribution
                     .attribute(end, self.settings.mode, self.typical_latency);
             let ended = EndedAttempt { attempt, end };
-            self.learn(&pending, &ended);
+            self.record_attempt_end(&pending, &ended);
             pending.is_answered |= end.complete;
             pending.has_missed |= end.outcome == Outcome::Miss;
             if !pending.is_answered && !pending.has_attempt_in_flight() {
                 self.retry_or_answer(&mut pending, &ended);
             }
         }
-        self.pending.keep(pending);
+        self.pending.reinsert_unless_done(pending);
     }
 
-    /// Marks an attempt as ended; `None` if it was not in flight.
+    /// Marks an attempt as ended and returns it; `None` if it was not in flight.
     fn end_attempt(&self, pending: &mut PendingRequest, end: &AttemptEnd) -> Option<Attempt> {
         let attempt = pending.attempt_in_flight(end.attempt)?;
         let typical_latency = self.servers[attempt.server].typical_latency;
-        attempt.met_stale_connection = met_stale_connection(end, typical_latency);
+        attempt.had_stale_connection = had_stale_connection(end, typical_latency);
         attempt.state = if end.outcome.never_ran() {
             AttemptState::NeverRan
         } else {
@@ -231,17 +235,17 @@
 
     fn retry_or_answer(&mut self, pending: &mut PendingRequest, ended: &EndedAttempt) {
         let has_time = retry::has_time_for_retry(pending, self.class(pending), self.now);
-        let met_stale_connection = ended.attempt.met_stale_connection;
+        let had_stale_connection = ended.attempt.had_stale_connection;
         let budget = &mut self.retry_budget;
-        if has_time && retry::should_retry(&ended.end, met_stale_connection, budget) {
+        if has_time && retry::should_retry(&ended.end, had_stale_connection, budget) {
             self.place_or_answer(pending);
         } else {
-            self.answer(pending);
+            self.answer_unserved(pending);
         }
     }
 
-    /// Everything that the end of an attempt tells.
-    fn learn(&mut self, pending: &PendingRequest, ended: &EndedAttempt) {
+    /// Updates all estimates and limits that depend on how an attempt ended.
+    fn record_attempt_end(&mut self, pending: &PendingRequest, ended: &EndedAttempt) {
         let now = self.now;
         let shortest_objective = self.shortest_objective;
         let EndedAttempt { attempt, end } = ended;
@@ -252,18 +256,18 @@
         }
         self.release(attempt.server, attempt.is_fetch);
         self.servers[attempt.server].record_end(end, now, shortest_objective);
-        self.learn_limits(pending, ended);
+        self.update_limits(pending, ended);
         if end.outcome == Outcome::Success {
             self.retry_budget.record_success();
         }
-        // What an origin answers is cached at the server where the request missed.
+        // A response of the origin is stored at the cache server where the request missed.
         let cache_server = pending.last_cache_server(&self.servers);
         let cache_server = cache_server.unwrap_or(attempt.server);
         self.key_locations
             .record_end(pending.ring_position, cache_server, end);
     }
 
-    /// An attempt is no longer in flight, or is forgotten.
+    /// Releases the state of an attempt that ended or is no longer tracked.
     pub(super) fn release(&mut self, index: usize, is_fetch: bool) {
         self.servers[index].limit.record_end();
         if is_fetch {
@@ -272,7 +276,7 @@
         self.close_idle_if_leaving(index);
     }
 
-    fn learn_limits(&mut self, pending: &PendingRequest, ended: &EndedAttempt) {
+    fn update_limits(&mut self, pending: &PendingRequest, ended: &EndedAttempt) {
         let context = FeedbackContext {
             now: self.now,
             router_count: self.router_count(),
--- a/crates/request-coalescing/tests/coalescer/flight_outcomes.rs
+++ b/crates/request-coalescing/tests/coalescer/flight_outcomes.rs
@@ -1,21 +1,21 @@
 //! What the waiters of a rejected or failed flight are answered.
 
-use crate::rig::*;
+use crate::harness::*;
 use request_coalescing::*;
 
 #[test]
 fn a_rejection_reaches_all_waiters_with_spread_retry_after() {
-    let mut rig = Rig::new();
+    let mut harness = Harness::new();
     for id in 1..=500 {
-        rig.read(id);
+        harness.read(id);
     }
-    let answers = answers(&rig.ended(1, FlightOutcome::Rejected(Some(ms(100)))));
+    let answers = answers(&harness.ended(1, FlightOutcome::Rejected(Some(ms(100)))));
     assert_eq!(answers.len(), 500);
     let mut retry_after_us: Vec<u64> = answers
         .iter()
         .map(|(_, outcome)| match outcome {
             FlightOutcome::Rejected(Some(after)) => after.0,
-            outcome => panic!("{outcome:?}"),
+            outcome => panic!("not rejected with a Retry-After: {outcome:?}"),
         })
         .collect();
     retry_after_us.sort_unstable();
@@ -27,20 +27,20 @@
         .windows(2)
         .map(|pair| pair[1] - pair[0])
         .max()
-        .expect("pairs");
+        .expect("at least two answers");
     assert!(
         widest < 2_000,
-        "500 over 100 ms: no more than ten times their mean distance of 200 us, not {widest}"
+        "gap of {widest} us: 500 values over 100 ms should differ by at most ten times the mean gap of 200 us"
     );
 }
 
 #[test]
 fn a_failure_reaches_all_waiters_unchanged() {
-    let mut rig = Rig::new();
-    rig.read(1);
-    rig.read(2);
+    let mut harness = Harness::new();
+    harness.read(1);
+    harness.read(2);
     assert_eq!(
-        answers(&rig.ended(1, FlightOutcome::Failed)),
+        answers(&harness.ended(1, FlightOutcome::Failed)),
         [(1, FlightOutcome::Failed), (2, FlightOutcome::Failed)]
     );
 }
--- a/crates/request-coalescing/tests/coalescer/rig.rs
+++ b/crates/request-coalescing/tests/coalescer/harness.rs
@@ -1,4 +1,4 @@
-//! A coalescer with a clock of its own, driven event by event.
+//! A test harness that drives a coalescer event by event, with a simulated clock.
 
 use load_balancer::{ClassId, Micros, RequestId, TenantId};
 use request_coalescing::*;
@@ -11,17 +11,17 @@
     FlightId(RequestId(id))
 }
 
-pub struct Rig {
+pub struct Harness {
     pub coalescer: Coalescer,
     pub now: Micros,
 }
 
-impl Rig {
-    pub fn new() -> Rig {
-        Rig::with(Bounds::default())
+impl Harness {
+    pub fn new() -> Harness {
+        Harness::with(Bounds::default())
     }
 
-    pub fn with(bounds: Bounds) -> Rig {
+    pub fn with(bounds: Bounds) -> Harness {
         let coalescer = Coalescer::new(
             bounds,
             &[ClassSettings {
@@ -30,7 +30,7 @@
             }],
         )
         .with_max_retry_after(Some(ms(1_000)));
-        Rig {
+        Harness {
             coalescer,
             now: ms(10_000),
         }
@@ -57,7 +57,7 @@
         actions[0]
     }
 
-    /// A read of the key `key` that waits for one second.
+    /// Sends a read of the key `key` whose deadline is in one second.
     pub fn read(&mut self, id: u32) -> Action {
         self.read_of(id, b"key", b"", 1_000)
     }
--- a/crates/router-runtime/src/dispatcher/attempts.rs
+++ b/crates/router-runtime/src/dispatcher/attempts.rs
@@ -1,11 +1,13 @@
-//! Attempts: sent as the decision library says, ended once each.
+//! Attempts: started when the load balancer asks for them, and ended exactly once each.
 
 use super::open_requests::OpenRequest;
 use super::{Dispatcher, State};
 use crate::environment::Environment;
 use crate::mutation::hooks;
 use crate::request::Response;
-use crate::upstream::{AttemptContext, AttemptLimit, AttemptOwner, AttemptResult, BodyConsumer};
+use crate::upstream::{
+    AttemptContext, AttemptDeadlines, AttemptOwner, AttemptResult, BodyConsumer,
+};
 use load_balancer::{
     AttemptEnd, AttemptNumber, Availability, Event, Micros, Outcome, RequestId, ServerId,
 };
@@ -14,71 +16,71 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
-/// What the decision library wants sent.
-pub(super) struct AttemptOrder {
+/// The parameters of an attempt that the load balancer asks for.
+pub(super) struct AttemptParams {
     /// The request.
     pub id: RequestId,
-    /// Where it goes.
+    /// The cache server.
     pub server: ServerId,
-    /// How long the attempt may take; `None`: until the request's deadline.
+    /// How long the attempt may take; `None` for until the request's deadline.
     pub timeout: Option<Micros>,
-    /// How long writing it may take until the last byte; past that nothing is sent.
+    /// The time within which its last byte must be written; later, it is not sent.
     pub write_within: Option<Micros>,
 }
 
-/// An attempt that is in flight.
-struct InFlight {
+/// An attempt in flight.
+struct InFlightAttempt {
     id: RequestId,
     number: AttemptNumber,
     started: Micros,
     cancelled: oneshot::Receiver<()>,
-    /// Its last byte has been written.
+    /// Whether its last byte has been written.
     is_sent: Rc<Cell<bool>>,
 }
 
 impl<E: Environment> Dispatcher<E> {
-    /// Starts an attempt. Nothing goes out for a request that has its response or no time left.
-    pub(super) fn send(self: &Rc<Self>, state: &mut State, order: AttemptOrder) {
-        let Some(request) = state.requests.get_mut(order.id) else {
+    /// Starts an attempt, unless the request already has its response or has no time left.
+    pub(super) fn send(self: &Rc<Self>, state: &mut State, params: AttemptParams) {
+        let Some(request) = state.requests.get_mut(params.id) else {
             return;
         };
         let started = self.clock.now();
-        let end = attempt_end(request, &order, started);
-        if request.sink.is_none() || end <= started {
-            state.events.push_back(not_sent(request, order.id));
+        let deadline = attempt_deadline(request, &params, started);
+        if request.sink.is_none() || deadline <= started {
+            state.events.push_back(not_sent_event(request, params.id));
             return;
         }
-        let limit = AttemptLimit {
-            write_by: order
+        let deadlines = AttemptDeadlines {
+            write_deadline: params
                 .write_within
-                .map(|within| self.clock.instant(started.plus(within))),
-            until: self.clock.instant(end),
-            extended_until: match order.timeout {
+                .map(|within| self.clock.to_instant(started.plus(within))),
+            deadline: self.clock.to_instant(deadline),
+            extended_deadline: match params.timeout {
                 Some(_) => None,
-                None => request.shared_end.clone(),
+                None => request.shared_attempt_deadline.clone(),
             },
         };
         let (cancel, cancelled) = oneshot::channel();
         let number = request.add_attempt(Some(cancel));
         let command = request.command.clone();
         if number.0 > 0 && request.is_shared() {
-            state.requests.shared_retried(order.id);
+            state.requests.shared_retried(params.id);
         }
         let is_sent = Rc::new(Cell::new(false));
         let context = AttemptContext {
             owner: self.clone(),
-            id: order.id,
+            id: params.id,
             attempt: number,
-            limit,
+            deadlines,
             is_sent: is_sent.clone(),
         };
         let attempt = || {
             let upstream = self.upstream.clone();
-            upstream.attempt(order.server.clone(), command.clone(), context.clone())
+            upstream.attempt(params.server.clone(), command.clone(), context.clone())
         };
-        hooks::attempt_sent(&self.environment, attempt);
-        let in_flight = InFlight {
-            id: order.id,
+        hooks::duplicate_attempt(&self.environment, attempt);
+        let in_flight = InFlightAttempt {
+            id: params.id,
             number,
             started,
             cancelled,
@@ -87,18 +89,20 @@
         self.run_attempt(attempt(), in_flight);
     }
 
-    /// Runs an attempt. The task ends with the attempt, at the latest at its limit, or when it is cancelled.
+    /// Spawns the task of an attempt. It ends with the attempt, when the attempt is cancelled, or
+    /// at the latest at the attempt's limit.
     fn run_attempt(
         self: &Rc<Self>,
         attempt: impl Future<Output = AttemptResult> + 'static,
-        in_flight: InFlight,
+        in_flight: InFlightAttempt,
     ) {
         let dispatcher = self.clone();
         self.environment.spawn(async move {
             let result = tokio::select! {
                 biased;
                 result = attempt => result,
-                // After `client_stalled` the attempt is recorded as ended; the task only forwards the rest.
+                // After `client_stalled` the attempt is recorded as ended; the task only forwards
+                // the rest.
                 Ok(()) = in_flight.cancelled => match in_flight.is_sent.get() {
                     true => Outcome::Cancelled.into(),
                     false => Outcome::NotSent.into(),
@@ -106,14 +110,15 @@
             };
             let end = result.streaming_since.map_or_else(
                 || dispatcher.clock.now(),
-                |since| dispatcher.clock.micros(since),
+                |since| dispatcher.clock.to_micros(since),
             );
             let elapsed = end.since(in_flight.started);
             dispatcher.attempt_ended(in_flight.id, in_flight.number, result, elapsed);
         });
     }
 
-    /// The one place where an attempt ends. The first that serves gives the request its response.
+    /// Ends an attempt. Nothing else does. The first attempt that is served gives the request its
+    /// response.
     fn attempt_ended(
         self: &Rc<Self>,
         id: RequestId,
@@ -130,7 +135,7 @@
             load,
             streaming_since: _,
         } = result;
-        let complete = self.record_end(id, number, answer.map(Response::Served));
+        let complete = self.record_attempt_end(id, number, answer.map(Response::Served));
         self.upstream
             .metrics()
             .attempt_ended(outcome, connection_use, cache_status);
@@ -145,11 +150,17 @@
             connection_use,
             load,
         }));
-        self.remove_if_over(id);
+        self.remove_if_finished(id);
     }
 
-    /// Marks an attempt as ended and passes its response on; whether the request has its response.
-    fn record_end(&self, id: RequestId, number: AttemptNumber, response: Option<Response>) -> bool {
+    /// Marks an attempt as ended and forwards its response; returns whether the request has its
+    /// response.
+    fn record_attempt_end(
+        &self,
+        id: RequestId,
+        number: AttemptNumber,
+        response: Option<Response>,
+    ) -> bool {
         let mut state = self.state.borrow_mut();
         if let Some(response) = response {
             state.requests.respond(id, response);
@@ -172,7 +183,7 @@
         let is_wanted = state.requests.get(id).is_some_and(|request| {
             request.sink.is_some() && request.has_in_flight(attempt.0 as usize)
         });
-        hooks::is_wanted(is_wanted)
+        hooks::is_attempt_wanted(is_wanted)
     }
 
     fn begin_streaming(self: Rc<Self>, id: RequestId, attempt: AttemptNumber) -> BodyConsumer {
@@ -183,12 +194,12 @@
                 .get(id)
                 .filter(|request| request.sink.is_some())
             else {
-                return BodyConsumer::Nobody;
+                return BodyConsumer::Discard;
             };
             if request.is_shared() || !request.connection.begin_streaming() {
                 return BodyConsumer::Buffer(request.abandoned.clone());
             }
-            // One piece on its way beside the one that is read: the server goes at the client's pace.
+            // The channel holds one chunk, so that the server is read at the client's pace.
             let (pieces, body) = mpsc::channel(1);
             state.requests.respond(id, Response::Streamed(body));
             pieces
@@ -207,16 +218,16 @@
     }
 }
 
-/// When an attempt that starts now ends at the latest.
-fn attempt_end(request: &OpenRequest, order: &AttemptOrder, started: Micros) -> Micros {
-    match order.timeout {
+/// The deadline of an attempt that starts now.
+fn attempt_deadline(request: &OpenRequest, params: &AttemptParams, started: Micros) -> Micros {
+    match params.timeout {
         Some(timeout) => started.plus(timeout).min(request.expires),
         None => request.expires,
     }
 }
 
-/// The end of an attempt that is not started.
-fn not_sent(request: &mut OpenRequest, id: RequestId) -> Event {
+/// Records an attempt that is not started, and returns the event of its end.
+fn not_sent_event(request: &mut OpenRequest, id: RequestId) -> Event {
     let number = request.add_attempt(None);
     Event::AttemptEnded(AttemptEnd {
         complete: request.sink.is_none(),
--- a/crates/router-runtime/src/downstream/responses.rs
+++ b/crates/router-runtime/src/downstream/responses.rs
@@ -1,12 +1,12 @@
-//! Responses on one connection, written in the order of its commands.
+//! Writes the responses of one connection in the order of its commands.
 
 use super::client::Client;
+use super::close_log::CloseReason;
 use super::connections::ClientConnections;
-use super::end_log::ConnectionEnd;
 use crate::environment::{Environment, Stream};
 use crate::metrics::{RequestEnd, RouterMetrics};
 use crate::mutation::hooks;
-use crate::request::{Answer, BodyPiece, Response};
+use crate::request::{Answer, BodyChunk, Response};
 use bytes::Bytes;
 use load_balancer::{ClassId, RequestId};
 use std::rc::Rc;
@@ -14,28 +14,30 @@
 use tokio::io::AsyncWriteExt;
 use tokio::sync::{mpsc, oneshot};
 
-/// A client that reads nothing of its response for this long is given up; slow ones pause for seconds.
-const WRITE_STALL_LIMIT: Duration = Duration::from_secs(10);
+/// A client that reads nothing of its response for this long is disconnected; slow clients pause
+/// for seconds.
+const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The response to one command, in its place among the others.
+/// The response to one command, queued in command order.
 pub(super) enum PendingResponse {
-    /// Known.
+    /// It is known.
     Ready(Bytes),
-    /// Known, and the last: what follows it on the connection cannot be told apart or is not worth reading.
+    /// It is known, and the last one: the input after it cannot be parsed or need not be read.
     Last(Bytes),
-    /// To be waited for.
+    /// It is waited for.
     Awaited(AwaitedResponse),
 }
 
-/// The response to a request that was taken.
+/// The response to a submitted request.
 pub(super) struct AwaitedResponse {
-    /// Counts the request.
+    /// Counts the request in the metrics.
     pub record: RequestRecord,
-    /// Gets the response.
+    /// Receives the response.
     pub response: oneshot::Receiver<Response>,
 }
 
-/// Counts a request that was taken, at its end. Dropped without one, its client has disconnected.
+/// Counts a submitted request in the metrics when it ends. If this is dropped without an end, the
+/// client has disconnected.
 pub(super) struct RequestRecord {
     id: RequestId,
     class: ClassId,
@@ -44,7 +46,7 @@
 }
 
 impl RequestRecord {
-    /// A request is taken.
+    /// Counts a request that begins.
     pub fn begin(id: RequestId, class: ClassId, metrics: Rc<RouterMetrics>) -> Self {
         metrics.request_started();
         RequestRecord {
@@ -63,13 +65,14 @@
 }
 
 impl<E: Environment> ClientConnections<E> {
-    /// Writes responses in the order of the commands, until there are no more. An error ends the connection.
+    /// Writes responses in the order of the commands, until the channel is closed. An error ends
+    /// the connection.
     pub(super) async fn write_responses(
         &self,
         mut writer: <E::Stream as Stream>::Writer<'_>,
         mut responses: mpsc::Receiver<PendingResponse>,
         client: &Client,
-    ) -> Result<(), ConnectionEnd> {
+    ) -> Result<(), CloseReason> {
         while let Some(pending) = responses.recv().await {
             let answer = match pending {
                 PendingResponse::Ready(bytes) | PendingResponse::Last(bytes) => {
@@ -79,7 +82,7 @@
                     self.await_response(&mut writer, awaited, client).await?
                 }
             };
-            // The memory is given back once the answer is written.
+            // The memory is released once the answer is written.
             let Answer {
                 bytes,
                 rest,
@@ -87,26 +90,27 @@
             } = answer;
             let bytes = hooks::response_bytes(bytes);
             self.write(&mut writer, &bytes).await?;
-            for piece in rest {
-                self.write(&mut writer, &piece).await?;
+            for chunk in rest {
+                self.write(&mut writer, &chunk).await?;
             }
             client.response_written(self.environment.now());
         }
         Ok(())
     }
 
-    /// Waits for a response and gives it, or what is left of a streamed one.
+    /// Waits for a response and returns it; of a streamed one, returns the last chunk.
     async fn await_response(
         &self,
         writer: &mut <E::Stream as Stream>::Writer<'_>,
         awaited: AwaitedResponse,
         client: &Client,
-    ) -> Result<Answer, ConnectionEnd> {
+    ) -> Result<Answer, CloseReason> {
         let AwaitedResponse {
             mut record,
             response,
         } = awaited;
-        // The sender is never dropped without a response; should it be, the client must not wait.
+        // The sender is never dropped without a response; if it were, the client must not wait
+        // forever.
         let response = response.await.unwrap_or(Response::Failed);
         client.pending_requests.borrow_mut().remove(&record.id);
         let (end, answer) = match response {
@@ -124,9 +128,10 @@
                 let line = Bytes::from_static(b"-ERR failed\r\n");
                 (RequestEnd::Failed, Ok(Answer::short(line)))
             }
-            Response::Streamed(mut pieces) => match self.stream(writer, &mut pieces).await {
+            Response::Streamed(mut chunks) => match self.stream(writer, &mut chunks).await {
                 Ok(last) => (RequestEnd::Served, Ok(Answer::short(last))),
-                // The end of the connection tells the client that the answer is not whole. No other request waits on it.
+                // Closing the connection tells the client that the answer is incomplete. No other
+                // request waits on it.
                 Err(end) => (RequestEnd::Failed, Err(end)),
             },
         };
@@ -139,30 +144,30 @@
         &self,
         writer: &mut <E::Stream as Stream>::Writer<'_>,
         bytes: &[u8],
-    ) -> Result<(), ConnectionEnd> {
+    ) -> Result<(), CloseReason> {
         let mut written = 0;
         while written < bytes.len() {
             let write = writer.write(&bytes[written..]);
-            match self.environment.timeout(WRITE_STALL_LIMIT, write).await {
+            match self.environment.timeout(WRITE_STALL_TIMEOUT, write).await {
                 Ok(Ok(count)) if count > 0 => written += count,
-                _ => return Err(ConnectionEnd::ClientStalled),
+                _ => return Err(CloseReason::ClientStalled),
             }
         }
         Ok(())
     }
 
-    /// Writes a streamed answer but for its last piece, which is given back.
+    /// Writes a streamed answer except for its last chunk, which is returned.
     async fn stream(
         &self,
         writer: &mut <E::Stream as Stream>::Writer<'_>,
-        pieces: &mut mpsc::Receiver<BodyPiece>,
-    ) -> Result<Bytes, ConnectionEnd> {
-        while let Some(piece) = pieces.recv().await {
-            match piece {
-                BodyPiece::Last(bytes) => return Ok(bytes),
-                BodyPiece::More(bytes) => self.write(writer, &bytes).await?,
+        chunks: &mut mpsc::Receiver<BodyChunk>,
+    ) -> Result<Bytes, CloseReason> {
+        while let Some(chunk) = chunks.recv().await {
+            match chunk {
+                BodyChunk::Last(bytes) => return Ok(bytes),
+                BodyChunk::More(bytes) => self.write(writer, &bytes).await?,
             }
         }
-        Err(ConnectionEnd::AnswerBrokenOff)
+        Err(CloseReason::AnswerBrokenOff)
     }
 }
