--- a/crates/cache-router/src/process.rs
+++ b/crates/cache-router/src/process.rs
@@ -32,7 +32,7 @@
 /// Environment variable with the file descriptor number of the inherited listening socket.
 const LISTENER_VARIABLE: &str = "GW_FD";
 /// Environment variable with the directory of the rendezvous socket and the state file.
-const STATE_FOLDER_VARIABLE: &str = "TMPDIR";
+const STATE_DIRECTORY_VARIABLE: &str = "TMPDIR";
 
 /// Why the process cannot start.
 #[derive(Debug, Error)]
@@ -242,16 +242,16 @@
 
 /// Returns the store of operators' overrides; `None` if no directory is set for it.
 fn state_store(router: &str) -> Option<StateStore> {
-    let folder = std::env::var_os(STATE_FOLDER_VARIABLE)?;
-    Some(StateStore::new(Path::new(&folder), router))
+    let directory = std::env::var_os(STATE_DIRECTORY_VARIABLE)?;
+    Some(StateStore::new(Path::new(&directory), router))
 }
 
 /// Returns the socket at which a new process of this router connects to the running one; `None` if
 /// no directory is set for it, or if the platform holds no listener that both processes can share.
 fn rendezvous_socket(router: &str) -> Option<RendezvousSocket> {
     std::env::var_os(LISTENER_VARIABLE)?;
-    let folder = std::env::var_os(STATE_FOLDER_VARIABLE)?;
-    Some(RendezvousSocket::new(Path::new(&folder), router))
+    let directory = std::env::var_os(STATE_DIRECTORY_VARIABLE)?;
+    Some(RendezvousSocket::new(Path::new(&directory), router))
 }
 
 /// Loads the state that the last process of this router left on disk. An invalid file is logged and
--- a/crates/cache-router/tests/coalesced_reads.rs
+++ b/crates/cache-router/tests/coalesced_reads.rs
@@ -105,7 +105,7 @@
 
 #[test]
 fn invalid_coalescing_rules_prevent_the_start_with_a_one_line_error() {
-    let rows = [
+    let cases = [
         (
             "classes = [\"put\"]",
             "joining.classes: 'put' can never be joined: its effect is keyed",
@@ -128,7 +128,7 @@
         ),
         ("clases = [\"read\"]", "line 2: unknown field `clases`"),
     ];
-    for (text, expected) in rows {
+    for (text, expected) in cases {
         let config = configuration(([127, 0, 0, 1], 1).into(), &[]).to_string();
         let Exit { status, log } =
             run_to_end_with_operator_file(&config, &format!("[joining]\n{text}\n"));
--- a/crates/cache-router/tests/operator_file.rs
+++ b/crates/cache-router/tests/operator_file.rs
@@ -8,7 +8,7 @@
 fn an_invalid_file_prevents_the_start_with_a_one_line_error() {
     let discovery = Discovery::start(endpoint_list(7, false, &[]));
     let config = configuration(discovery.addr, &[]).to_string();
-    let rows = [
+    let cases = [
         (
             "[joining]\nclasses = [\"a\"]\nspeed = 3\n",
             "line 3: unknown field `speed`",
@@ -18,7 +18,7 @@
         ("[quotas]\n", "line 1: unknown field `quotas`"),
         ("[joining.bounds]\nwaiters = -1\n", "line 2: "),
     ];
-    for (text, expected) in rows {
+    for (text, expected) in cases {
         let Exit { status, log } = run_to_end_with_operator_file(&config, text);
         assert_eq!(status.code(), Some(2), "{text}: {log}");
         let (_path, problem) = log
--- a/crates/cache-router/tests/process_replacement.rs
+++ b/crates/cache-router/tests/process_replacement.rs
@@ -201,7 +201,7 @@
 fn an_override_that_could_not_be_written_at_first_survives_a_kill() {
     let (_server, _discovery, config) = start_fleet();
     let platform = Platform::new();
-    let path = platform.folder.join("asterport-n1.state");
+    let path = platform.directory.join("asterport-n1.state");
     // A directory in place of the temporary file makes every write fail.
     let obstacle = path.with_extension("state.new");
     std::fs::create_dir(&obstacle).expect("failed to create a directory");
@@ -230,7 +230,7 @@
 fn an_unusable_state_file_is_logged_and_the_router_starts() {
     let (_server, _discovery, config) = start_fleet();
     let platform = Platform::new();
-    let path = platform.folder.join("asterport-n1.state");
+    let path = platform.directory.join("asterport-n1.state");
     let (first, admin) = with_admin_address(&config);
     let router = platform.start(&first);
     wait_until("the process is ready", || is_ready(admin));
--- a/crates/cache-router/tests/upstream_attempts.rs
+++ b/crates/cache-router/tests/upstream_attempts.rs
@@ -68,7 +68,7 @@
 #[test]
 fn a_request_is_rejected_only_where_it_cannot_have_run() {
     let null = b"*3\r\n$-1\r\n$3\r\nhit\r\n$-1\r\n".to_vec();
-    let rows = [
+    let cases = [
         ("a value", Behavior::Serve, "*3"),
         (
             "an error",
@@ -102,7 +102,7 @@
         ),
         ("nothing", Behavior::StaySilent, "-ERR"),
     ];
-    for (what, behavior, expected) in rows {
+    for (what, behavior, expected) in cases {
         let server = CacheServer::start("s-a");
         server.set_default_behavior(behavior);
         let Fleet { router, .. } = start_router(&[&server]);
--- a/crates/cache-router/tests/upstream_replies.rs
+++ b/crates/cache-router/tests/upstream_replies.rs
@@ -29,7 +29,7 @@
 #[test]
 fn malformed_replies_fail_soon_and_close_their_connection() {
     let reply = |text: &str| Behavior::Reply(text.as_bytes().to_vec());
-    let kinds = [
+    let cases = [
         ("a simple string", reply("+x\r\n")),
         ("an integer", reply(":1\r\n")),
         ("a bulk string", reply("$3\r\nabc\r\n")),
@@ -89,7 +89,7 @@
     let server = CacheServer::start("s-a");
     let Fleet { router, .. } = start_router(&[&server]);
     let mut client = router.client();
-    for (count, (what, behavior)) in kinds.into_iter().enumerate() {
+    for (count, (what, behavior)) in cases.into_iter().enumerate() {
         server.set_behavior("00000000000000aa", behavior);
         let start = Instant::now();
         let answer = client.request("once", "00000000000000aa");
@@ -124,7 +124,7 @@
 #[test]
 fn a_valid_reply_with_trailing_bytes_is_served() {
     let good = "*3\r\n$5\r\nright\r\n$3\r\nhit\r\n";
-    let kinds = [
+    let cases = [
         ("a second copy", format!("{good}$-1\r\n{good}$-1\r\n")),
         ("noise behind", format!("{good}$-1\r\n\u{1}\u{2}\u{3}")),
         ("a report of noise", format!("{good}\u{1}\u{2}\u{3}\r\n")),
@@ -144,7 +144,7 @@
     let server = CacheServer::start("s-a");
     let Fleet { router, .. } = start_router(&[&server]);
     let mut client = router.client();
-    for (count, (what, bytes)) in kinds.into_iter().enumerate() {
+    for (count, (what, bytes)) in cases.into_iter().enumerate() {
         server.set_behavior("00000000000000aa", Behavior::Reply(bytes.into_bytes()));
         let answer = client.request("once", "00000000000000aa");
         assert_eq!(answer, format!("{good}$-1\r\n"), "{what}");
--- a/crates/test-support/src/platform.rs
+++ b/crates/test-support/src/platform.rs
@@ -1,7 +1,7 @@
 //! The resources that outlive one router process: the listening socket and the directory for its
 //! files.
 
-use crate::router_process::{Launch, RouterProcess, unique_folder};
+use crate::router_process::{Launch, RouterProcess, unique_directory};
 use std::net::{SocketAddr, TcpListener};
 use std::os::fd::OwnedFd;
 use std::path::PathBuf;
@@ -12,7 +12,7 @@
     /// The listening socket.
     pub listener: TcpListener,
     /// The directory that all processes of the router share.
-    pub folder: PathBuf,
+    pub directory: PathBuf,
     /// A library that is preloaded into each process to make system calls fail, and the seed that
     /// determines which ones fail.
     pub failing_calls: Option<(PathBuf, u64)>,
@@ -24,7 +24,7 @@
     pub fn new() -> Platform {
         Platform {
             listener: TcpListener::bind("127.0.0.1:0").expect("failed to bind an ephemeral port"),
-            folder: unique_folder("asterport-tmp"),
+            directory: unique_directory("asterport-tmp"),
             failing_calls: None,
         }
     }
@@ -40,14 +40,14 @@
     pub fn start(&self, configuration: &serde_json::Value) -> RouterProcess {
         let mut configuration = configuration.clone();
         configuration["listen"] = self.addr().to_string().into();
-        let folder = self.folder.display();
+        let directory = self.directory.display();
         let socket = self
             .listener
             .try_clone()
             .expect("failed to clone the socket");
         RouterProcess::launch(Launch {
             shell_commands: &format!(
-                "exec 3<&0 0</dev/null; export GW_FD=3 TMPDIR='{folder}'; {}",
+                "exec 3<&0 0</dev/null; export GW_FD=3 TMPDIR='{directory}'; {}",
                 self.preload_exports()
             ),
             stdin: Stdio::from(OwnedFd::from(socket)),
@@ -75,6 +75,6 @@
 
 impl Drop for Platform {
     fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.folder);
+        let _ = std::fs::remove_dir_all(&self.directory);
     }
 }
--- a/crates/test-support/src/router_process.rs
+++ b/crates/test-support/src/router_process.rs
@@ -22,12 +22,12 @@
 ];
 
 /// Creates a directory that no other test uses.
-pub(crate) fn unique_folder(prefix: &str) -> PathBuf {
+pub(crate) fn unique_directory(prefix: &str) -> PathBuf {
     static COUNT: AtomicUsize = AtomicUsize::new(0);
     let number = COUNT.fetch_add(1, Ordering::Relaxed);
-    let folder = std::env::temp_dir().join(format!("{prefix}-{}-{number}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("failed to create a directory");
-    folder
+    let directory = std::env::temp_dir().join(format!("{prefix}-{}-{number}", std::process::id()));
+    std::fs::create_dir_all(&directory).expect("failed to create a directory");
+    directory
 }
 
 /// Returns the path of the router binary: `ASTERPORT_PROGRAM` if set, otherwise cargo's output
@@ -37,11 +37,11 @@
         return path.into();
     }
     let test = std::env::current_exe().expect("failed to find the test binary");
-    let folder = test
+    let directory = test
         .parent()
         .and_then(Path::parent)
         .expect("test binary outside of cargo's output directory");
-    folder.join("cache-router")
+    directory.join("cache-router")
 }
 
 /// Options of a process to be started.
@@ -59,7 +59,7 @@
 /// A child process and the directory with its files.
 struct Launched {
     child: Child,
-    folder: PathBuf,
+    directory: PathBuf,
 }
 
 impl<'a> Launch<'a> {
@@ -74,15 +74,15 @@
     }
 
     fn spawn(self) -> Launched {
-        let folder = unique_folder("asterport-test");
-        let configuration_path = folder.join("config.json");
+        let directory = unique_directory("asterport-test");
+        let configuration_path = directory.join("config.json");
         std::fs::write(&configuration_path, self.configuration).expect("failed to write");
         let mut command = Command::new("/bin/sh");
         for variable in CLEARED_VARIABLES {
             command.env_remove(variable);
         }
         if let Some(text) = self.operator_file {
-            let path = folder.join("operator.toml");
+            let path = directory.join("operator.toml");
             std::fs::write(&path, text).expect("failed to write");
             command.env("ASTERPORT_OPERATOR_FILE", path);
         }
@@ -95,15 +95,15 @@
             .stderr(Stdio::piped())
             .spawn()
             .expect("failed to start the router");
-        Launched { child, folder }
+        Launched { child, directory }
     }
 
     fn run_to_end(self) -> Exit {
-        let Launched { child, folder } = self.spawn();
+        let Launched { child, directory } = self.spawn();
         let output = child
             .wait_with_output()
             .expect("failed to wait for the router");
-        let _ = std::fs::remove_dir_all(folder);
+        let _ = std::fs::remove_dir_all(directory);
         Exit {
             status: output.status,
             log: String::from_utf8_lossy(&output.stderr).into_owned(),
@@ -149,7 +149,7 @@
     pub addr: SocketAddr,
     /// The lines that the router has logged so far.
     pub log: Arc<Mutex<Vec<String>>>,
-    folder: PathBuf,
+    directory: PathBuf,
 }
 
 impl RouterProcess {
@@ -181,14 +181,17 @@
     }
 
     pub(crate) fn launch(launch: Launch<'_>) -> RouterProcess {
-        let Launched { mut child, folder } = launch.spawn();
+        let Launched {
+            mut child,
+            directory,
+        } = launch.spawn();
         let log = collect_log(child.stderr.take().expect("standard error is not piped"));
         let addr = wait_for_address(&log);
         RouterProcess {
             child,
             addr,
             log,
-            folder,
+            directory,
         }
     }
 
@@ -226,9 +229,9 @@
 
     /// Replaces the configuration file and sends SIGHUP.
     pub fn reload(&self, configuration: &str) {
-        let temporary_path = self.folder.join("new.json");
+        let temporary_path = self.directory.join("new.json");
         std::fs::write(&temporary_path, configuration).expect("failed to write");
-        std::fs::rename(&temporary_path, self.folder.join("config.json"))
+        std::fs::rename(&temporary_path, self.directory.join("config.json"))
             .expect("failed to replace the configuration file");
         self.signal("HUP");
     }
@@ -294,7 +297,7 @@
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = std::fs::remove_dir_all(&self.folder);
+        let _ = std::fs::remove_dir_all(&self.directory);
     }
 }
 
