--- a/crates/test-support/examples/request_cost.rs
+++ b/crates/test-support/examples/request_cost.rs
@@ -2,7 +2,8 @@
 //! requests are unpipelined reads that all hit.
 //!
 //! ```text
-//! ASTERPORT_PROGRAM=target/release/cache-router cargo run --release -p test-support --example request_cost
+//! ASTERPORT_PROGRAM=target/release/cache-router \
+//!     cargo run --release -p test-support --example request_cost
 //! ```
 //! The first argument sets how many requests each of the 16 clients sends (default 500). With
 //! `strace` as the second argument, system calls are counted.
