--- a/crates/cache-router/src/summary.rs
+++ b/crates/cache-router/src/summary.rs
@@ -3,8 +3,8 @@
 //!
 //! The format is `summary at=UNIX_SECOND name=count ...`. A counter is written as its increase
 //! since the previous line and a gauge as its current value; zeros are omitted. Scripts such as
-//! `tools/fleet.py` parse the names, so that they are stable and mapped to this code's names in
-//! this module.
+//! `tools/fleet.py` parse the names, so the names must not change; this module maps them to the
+//! names of this code.
 
 use crate::Runtime;
 use load_balancer::{CandidateVerdict, Diagnostics};
@@ -74,7 +74,7 @@
         ("unopened".to_string(), attempts.connections_failed),
         ("calls".to_string(), attempts.discovery_calls),
         ("misses".to_string(), attempts.misses),
-        ("full_new".to_string(), attempts.overloaded_when_new),
+        ("full_new".to_string(), attempts.overloaded_new_connections),
         ("written".to_string(), metrics.attempts_written),
     ]);
     for ((_, name), count) in OUTCOMES.iter().zip(attempts.outcomes) {
@@ -102,7 +102,7 @@
         ("idle", usage.idle_upstream_connections as u64),
         ("clients", usage.client_connections as u64),
         ("owed", usage.unanswered_requests as u64),
-        ("ready", diagnostics.accepting as u64),
+        ("ready", diagnostics.accepting_servers as u64),
         ("fetches_out", u64::from(diagnostics.fetches_in_flight)),
         ("fetches_limit_m", thousandths(diagnostics.fetch_limit)),
         ("misses_m", thousandths(diagnostics.miss_ratio)),
--- a/crates/cache-router/tests/upstream_replies.rs
+++ b/crates/cache-router/tests/upstream_replies.rs
@@ -1,10 +1,11 @@
-//! Replies of cache servers that are late, malformed, too long or duplicate. The real binary against stand-ins on
-//! loopback sockets.
+//! Replies of cache servers that are late, malformed, too long or duplicated. Runs the router
+//! binary against fake peers on loopback sockets.
 
 use std::time::Instant;
 use test_support::*;
 
-/// Guards against replies to the wrong request: a connection with a late reply on it is not reused.
+/// Guards against replies to the wrong request: a connection on which a reply may still arrive is
+/// not reused.
 #[test]
 fn a_late_reply_is_dropped() {
     let server = CacheServer::start("s-a");
@@ -22,12 +23,13 @@
     assert!(client.request("read", "00000000000000dd").contains("s-a"));
 }
 
-/// A request with a malformed reply may have run, so that one that must never run twice fails. It fails soon although
-/// the cache server leaves the connection open, and nothing is written to that connection again.
+/// A request with a malformed reply may have run, so a request that must not run twice fails. It
+/// fails promptly although the cache server leaves the connection open, and the router closes that
+/// connection instead of using it again.
 #[test]
 fn malformed_replies_fail_soon_and_close_their_connection() {
     let reply = |text: &str| Behavior::Reply(text.as_bytes().to_vec());
-    let kinds = [
+    let cases = [
         ("a simple string", reply("+x\r\n")),
         ("an integer", reply(":1\r\n")),
         ("a bulk string", reply("$3\r\nabc\r\n")),
@@ -43,19 +45,19 @@
             reply("*3\r\n:7\r\n$3\r\nhit\r\n$-1\r\n"),
         ),
         (
-            "an array within",
+            "a nested array",
             reply("*3\r\n*1\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n"),
         ),
         (
-            "noise on how it went",
+            "an unprintable cache status",
             reply("*3\r\n$1\r\nv\r\n$3\r\n\u{1}\u{2}\u{3}\r\n$-1\r\n"),
         ),
         (
-            "a length that is short",
+            "a length shorter than the value",
             reply("*3\r\n$2\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n"),
         ),
         (
-            "a length that is long",
+            "a length longer than the value",
             reply("*3\r\n$50\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n"),
         ),
         (
@@ -66,28 +68,25 @@
             "a negative length",
             reply("*3\r\n$-2\r\nv\r\n$3\r\nhit\r\n$-1\r\n"),
         ),
-        (
-            "a length past all bounds",
-            reply("*3\r\n$99999999999999999999999\r\n"),
-        ),
-        ("another error", reply("-SYNTAX no\r\n")),
-        ("an error with noise", reply("-ERR \u{1}\u{2}\r\n")),
-        ("half an answer", reply("*3\r\n$5\r\nva")),
+        ("a huge length", reply("*3\r\n$99999999999999999999999\r\n")),
+        ("an unknown error", reply("-SYNTAX no\r\n")),
+        ("an unprintable error", reply("-ERR \u{1}\u{2}\r\n")),
+        ("half a value", reply("*3\r\n$5\r\nva")),
         ("half a header", reply("*")),
-        ("noise", Behavior::Reply(vec![0xFF; 300])),
+        ("bytes that are not RESP", Behavior::Reply(vec![0xFF; 300])),
         (
-            "a line without end",
+            "an endless line",
             Behavior::ReplyEndlessly(b"-ERR ".to_vec(), vec![b'x'; 1_000]),
         ),
         (
-            "3 GB",
+            "a value of 3 GB",
             Behavior::ReplyEndlessly(b"*3\r\n$3221225472\r\n".to_vec(), vec![b'v'; 65_536]),
         ),
     ];
     let server = CacheServer::start("s-a");
     let Fleet { router, .. } = start_router(&[&server]);
     let mut client = router.client();
-    for (count, (what, behavior)) in kinds.into_iter().enumerate() {
+    for (count, (what, behavior)) in cases.into_iter().enumerate() {
         server.set_behavior("00000000000000aa", behavior);
         let start = Instant::now();
         let answer = client.request("once", "00000000000000aa");
@@ -97,10 +96,12 @@
             "{what}: {:?}",
             start.elapsed()
         );
-        wait_until(what, || server.connections().closed == count + 1);
+        wait_until(&format!("the connection is closed after {what}"), || {
+            server.connections().closed == count + 1
+        });
         assert!(
             client.request("once", "00000000000000bb").contains("s-a"),
-            "{what}: the next is served"
+            "{what}: the next request was not served"
         );
     }
 }
@@ -118,44 +119,55 @@
     assert!(router.client().request("read", key).contains(&other.name));
 }
 
-/// A complete value is served, whatever follows it; its connection is not reused.
+/// A complete value is served even if invalid bytes follow it, but its connection is not reused.
 #[test]
 fn a_valid_reply_with_trailing_bytes_is_served() {
     let good = "*3\r\n$5\r\nright\r\n$3\r\nhit\r\n";
-    let kinds = [
-        ("a second copy", format!("{good}$-1\r\n{good}$-1\r\n")),
-        ("noise behind", format!("{good}$-1\r\n\u{1}\u{2}\u{3}")),
-        ("a report of noise", format!("{good}\u{1}\u{2}\u{3}\r\n")),
+    let cases = [
+        ("a duplicate reply", format!("{good}$-1\r\n{good}$-1\r\n")),
+        (
+            "unprintable trailing bytes",
+            format!("{good}$-1\r\n\u{1}\u{2}\u{3}"),
+        ),
         (
-            "an unprintable report",
+            "a load report that is not RESP",
+            format!("{good}\u{1}\u{2}\u{3}\r\n"),
+        ),
+        (
+            "an unprintable load report",
             format!("{good}$3\r\n\u{1}\u{2}\u{3}\r\n"),
         ),
-        ("an integer for a report", format!("{good}:7\r\n")),
-        ("a report past all bounds", format!("{good}$99999\r\n")),
+        ("an integer as the load report", format!("{good}:7\r\n")),
         (
-            "a report that is too long",
+            "a load report with a huge length",
+            format!("{good}$99999\r\n"),
+        ),
+        (
+            "a load report longer than its length",
             format!("{good}$3\r\nutil=0.61\r\n"),
         ),
-        ("half a report", format!("{good}$30\r\nutil=0.61\r\n")),
-        ("no report", good.to_string()),
+        ("half a load report", format!("{good}$30\r\nutil=0.61\r\n")),
+        ("no load report", good.to_string()),
     ];
     let server = CacheServer::start("s-a");
     let Fleet { router, .. } = start_router(&[&server]);
     let mut client = router.client();
-    for (count, (what, bytes)) in kinds.into_iter().enumerate() {
+    for (count, (what, bytes)) in cases.into_iter().enumerate() {
         server.set_behavior("00000000000000aa", Behavior::Reply(bytes.into_bytes()));
         let answer = client.request("once", "00000000000000aa");
         assert_eq!(answer, format!("{good}$-1\r\n"), "{what}");
-        wait_until(what, || server.connections().closed == count + 1);
+        wait_until(&format!("the connection is closed after {what}"), || {
+            server.connections().closed == count + 1
+        });
         assert!(
             client.request("once", "00000000000000bb").contains("s-a"),
-            "{what}: the next is served"
+            "{what}: the next request was not served"
         );
     }
 }
 
-/// Guards against a duplicate that arrives when the connection is back in the pool: the next request, which follows at
-/// once, must not get it.
+/// Guards against a duplicate reply that arrives when the connection is back in the pool: the next
+/// request, which follows at once, must not receive it.
 #[test]
 fn a_duplicate_reply_answers_no_other_request() {
     let server = CacheServer::start("s-a");
@@ -165,7 +177,8 @@
     );
     let Fleet { router, .. } = start_router(&[&server]);
     let mut client = router.client();
-    // A fake that slept for longer than it should proves nothing either way.
+    // A duplicate that the fake server wrote too late shows nothing, because it may arrive after
+    // the next request.
     let count_prompt_copies = || {
         server
             .two_part_reply_durations()
@@ -173,21 +186,21 @@
             .filter(|gap| gap.as_millis() < 5)
             .count()
     };
-    wait_until("copies in time", || {
+    wait_until("enough prompt duplicates", || {
         let before = (
             count_prompt_copies(),
             server.two_part_reply_durations().len(),
         );
         assert!(client.request("read", "00000000000000aa").contains("first"));
         let next = client.request("read", "00000000000000bb");
-        wait_until("the copy is out", || {
+        wait_until("the duplicate has been written", || {
             server.two_part_reply_durations().len() > before.1
         });
         if count_prompt_copies() == before.0 {
-            // Whatever is on its way on that connection goes with it.
+            // Closing the connections also discards the late duplicate.
             let accepted = server.connections().accepted;
             server.close_connections();
-            wait_until("all have ended", || {
+            wait_until("all connections are closed", || {
                 server.connections()
                     == ConnectionCounts {
                         accepted,
--- a/crates/load-balancer/tests/silent_watch.rs
+++ b/crates/load-balancer/tests/silent_watch.rs
@@ -1,4 +1,4 @@
-//! Calls of discovery after a silence, and after calls that waited in its queue in vain.
+//! Calls to discovery after a silent watch, and after calls that were rejected or failed.
 
 mod common;
 
@@ -6,22 +6,22 @@
 use load_balancer::*;
 
 const POLL_WITHIN: Micros = Micros(10_000_000);
-const ASKED: DiscoveryMode = DiscoveryMode::Subscribe {
+const SUBSCRIBE: DiscoveryMode = DiscoveryMode::Subscribe {
     poll_within: POLL_WITHIN,
 };
-/// What a silent watch misses counts as known this long after the silence began.
-const KNOWN_AFTER: Micros = Micros(6_000_000);
+/// A change that a silent watch misses counts as known this long after the silence began.
+const KNOWN_DELAY: Micros = Micros(6_000_000);
 
-/// A call without an answer for so long is given up.
-const LONGEST_CALL: Micros = Micros(2_500_000);
+/// A call without an answer is abandoned after this time.
+const MAX_CALL_DURATION: Micros = Micros(2_500_000);
 
-/// The waits after calls that discovery rejected after this time, one behind the other.
-fn waits_after_rejections(seed: u64, waited: Micros, count: usize) -> Vec<Micros> {
+/// The retry delays after `count` consecutive calls that discovery rejected after `waited`.
+fn retry_delays_after_rejections(seed: u64, waited: Micros, count: usize) -> Vec<Micros> {
     let mut settings = settings();
-    settings.discovery = ASKED;
+    settings.discovery = SUBSCRIBE;
     let mut router = Router::new(settings, seed).expect("usable settings");
     let mut actions = Vec::new();
-    let mut waits = Vec::new();
+    let mut delays = Vec::new();
     for _ in 0..count {
         actions.clear();
         let rejected = Event::EndpointsChanged {
@@ -32,63 +32,64 @@
         let [Action::SetTimer { after, .. }] = actions[..] else {
             panic!("{actions:?}")
         };
-        waits.push(after);
+        delays.push(after);
     }
-    waits
+    delays
 }
 
-/// Guards against a fleet that calls an overloaded discovery again at once and in step, and against waits that grow past
-/// the time by which a change counts as known.
+/// Guards against routers that all retry an overloaded discovery immediately or at the same time,
+/// and against delays that exceed the time after which a change counts as known.
 #[test]
-fn calls_that_waited_in_vain_are_repeated_apart_and_in_time() {
-    let waits: Vec<Micros> = (0..100)
-        .flat_map(|seed| waits_after_rejections(seed, ms(2_000), 5))
+fn retries_of_queued_calls_are_spread_and_in_time() {
+    let delays: Vec<Micros> = (0..100)
+        .flat_map(|seed| retry_delays_after_rejections(seed, ms(2_000), 5))
         .collect();
-    assert!(waits.iter().all(|&wait| wait >= ms(2_000)), "{waits:?}");
-    let is_in_time = |wait: &Micros| wait.plus(LONGEST_CALL) < KNOWN_AFTER;
-    assert!(waits.iter().all(is_in_time), "{waits:?}");
-    let (first, last) = (waits.iter().min(), waits.iter().max());
+    assert!(delays.iter().all(|&delay| delay >= ms(2_000)), "{delays:?}");
+    let is_in_time = |delay: &Micros| delay.plus(MAX_CALL_DURATION) < KNOWN_DELAY;
+    assert!(delays.iter().all(is_in_time), "{delays:?}");
+    let (first, last) = (delays.iter().min(), delays.iter().max());
     let (Some(&first), Some(&last)) = (first, last) else {
-        panic!("no waits")
+        panic!("no delays")
     };
     let middle = first.plus(last).scaled(0.5);
-    let soon = waits.iter().filter(|&&wait| wait < middle).count();
-    assert!((200..300).contains(&soon), "spread evenly: {soon} of 500");
+    let early = delays.iter().filter(|&&delay| delay < middle).count();
+    assert!((200..300).contains(&early), "spread evenly: {early} of 500");
 }
 
-/// Guards against waits after quick failures that grow past the time by which a change counts as known.
+/// Guards against delays after immediate failures that exceed the time after which a change counts
+/// as known.
 #[test]
-fn calls_that_keep_failing_at_once_are_repeated_in_time() {
+fn retries_of_immediately_failing_calls_are_in_time() {
     for seed in 0..100 {
-        let waits = waits_after_rejections(seed, ms(2), 12);
-        let is_in_time = |wait: &Micros| wait.plus(LONGEST_CALL) < KNOWN_AFTER;
-        assert!(waits.iter().all(is_in_time), "{waits:?}");
+        let delays = retry_delays_after_rejections(seed, ms(2), 12);
+        let is_in_time = |delay: &Micros| delay.plus(MAX_CALL_DURATION) < KNOWN_DELAY;
+        assert!(delays.iter().all(is_in_time), "{delays:?}");
     }
 }
 
 #[test]
-fn calls_that_are_rejected_at_once_are_repeated_soon() {
-    assert!(waits_after_rejections(3, ms(2), 1)[0] <= ms(1_000));
+fn an_immediately_rejected_call_is_retried_within_a_second() {
+    assert!(retry_delays_after_rejections(3, ms(2), 1)[0] <= ms(1_000));
 }
 
-/// Guards against a second and a third call that come after a drain counts as known.
+/// Guards against a second or third call that comes too late, after a change counts as known.
 #[test]
 fn a_small_fleet_has_time_for_three_calls() {
-    for (routers, place) in [(1, 1.0), (5, 0.8), (12, 11.0 / 12.0)] {
-        let policy = SilentWatchPolicy::new(ASKED, routers, place);
-        let interval = policy.hedged_call_interval(None).expect("calls beside one");
+    for (routers, stagger_fraction) in [(1, 1.0), (5, 0.8), (12, 11.0 / 12.0)] {
+        let policy = SilentWatchPolicy::new(SUBSCRIBE, routers, stagger_fraction);
+        let interval = policy.hedged_call_interval(None).expect("hedged calls");
         let third = policy.silence_limit.plus(interval).plus(interval);
-        assert!(third < KNOWN_AFTER, "{routers} routers: {third:?}");
+        assert!(third < KNOWN_DELAY, "{routers} routers: {third:?}");
     }
 }
 
-/// Guards against calls beside others at an overloaded discovery.
+/// Guards against hedged calls to an overloaded discovery.
 #[test]
 fn an_overloaded_discovery_is_called_once() {
-    let small = SilentWatchPolicy::new(ASKED, 5, 0.5);
+    let small = SilentWatchPolicy::new(SUBSCRIBE, 5, 0.5);
     assert!(small.hedged_call_interval(Some(ms(2))).is_some());
     assert_eq!(small.hedged_call_interval(Some(ms(2_000))), None);
-    let large = SilentWatchPolicy::new(ASKED, 100, 0.5);
+    let large = SilentWatchPolicy::new(SUBSCRIBE, 100, 0.5);
     assert_eq!(large.hedged_call_interval(None), None);
-    assert!(large.silence_limit < KNOWN_AFTER);
+    assert!(large.silence_limit < KNOWN_DELAY);
 }
--- a/crates/router-runtime/src/coalescing_stage.rs
+++ b/crates/router-runtime/src/coalescing_stage.rs
@@ -114,7 +114,7 @@
             let listener = Rc::downgrade(&stage);
             stage.dispatcher.on_stage_events(move || {
                 if let Some(stage) = listener.upgrade() {
-                    stage.take_stage_events();
+                    stage.handle_stage_events();
                 }
             });
         }
@@ -175,7 +175,7 @@
     }
 
     /// Handles the events that the dispatcher has queued for the stage.
-    fn take_stage_events(&self) {
+    fn handle_stage_events(&self) {
         let Some(coalescing) = &self.coalescing else {
             return;
         };
@@ -251,7 +251,7 @@
         }
     }
 
-    /// Sends a waiter its final response. Nothing else does.
+    /// The only function that sends a waiter the final response of its flight.
     fn answer_waiter(
         &self,
         coalescing: &Coalescing,
@@ -279,7 +279,7 @@
             (FlightOutcome::Rejected(after), _) => Response::Rejected(after),
             _ => Response::Failed,
         };
-        // If the client disconnects at this moment, its connection notices.
+        // If the client has just disconnected, its connection notices that.
         let _ = waiter.response.send(response);
     }
 
--- a/crates/router-runtime/src/dispatcher/attempts.rs
+++ b/crates/router-runtime/src/dispatcher/attempts.rs
@@ -22,7 +22,7 @@
     pub id: RequestId,
     /// The cache server.
     pub server: ServerId,
-    /// How long the attempt may take; `None` for until the request's deadline.
+    /// How long the attempt may take; `None` means until the request's deadline.
     pub timeout: Option<Micros>,
     /// The time within which its last byte must be written; later, it is not sent.
     pub write_within: Option<Micros>,
@@ -117,8 +117,8 @@
         });
     }
 
-    /// Ends an attempt. Nothing else does. The first attempt that is served gives the request its
-    /// response.
+    /// The only function that ends an attempt in flight. The first attempt that is served gives the
+    /// request its response.
     fn attempt_ended(
         self: &Rc<Self>,
         id: RequestId,
@@ -135,7 +135,7 @@
             load,
             streaming_since: _,
         } = result;
-        let complete = self.record_attempt_end(id, number, answer.map(Response::Served));
+        let is_answered = self.record_attempt_end(id, number, answer.map(Response::Served));
         self.upstream
             .metrics()
             .attempt_ended(outcome, connection_use, cache_status);
@@ -143,7 +143,7 @@
             id,
             attempt: number,
             outcome,
-            complete,
+            is_answered,
             elapsed,
             cache_status,
             response_started,
@@ -187,7 +187,7 @@
     }
 
     fn begin_streaming(self: Rc<Self>, id: RequestId, attempt: AttemptNumber) -> BodyConsumer {
-        let pieces = {
+        let chunks = {
             let mut state = self.state.borrow_mut();
             let Some(request) = state
                 .requests
@@ -200,12 +200,12 @@
                 return BodyConsumer::Buffer(request.abandoned.clone());
             }
             // The channel holds one chunk, so that the server is read at the client's pace.
-            let (pieces, body) = mpsc::channel(1);
+            let (chunks, body) = mpsc::channel(1);
             state.requests.respond(id, Response::Streamed(body));
-            pieces
+            chunks
         };
         self.handle(Event::StreamStarted { id, attempt });
-        BodyConsumer::Stream(pieces)
+        BodyConsumer::Stream(chunks)
     }
 
     fn client_stalled(self: Rc<Self>, id: RequestId, attempt: AttemptNumber, took: Duration) {
@@ -230,7 +230,7 @@
 fn not_sent_event(request: &mut OpenRequest, id: RequestId) -> Event {
     let number = request.add_attempt(None);
     Event::AttemptEnded(AttemptEnd {
-        complete: request.sink.is_none(),
+        is_answered: request.sink.is_none(),
         ..AttemptEnd::new(id, number, Outcome::NotSent, Micros(0))
     })
 }
--- a/crates/router-runtime/src/downstream/read_plan.rs
+++ b/crates/router-runtime/src/downstream/read_plan.rs
@@ -28,8 +28,8 @@
     Disconnected,
     /// The connection is closed once its pending responses are written.
     Close,
-    /// Like `Close`, but further input is discarded first, as the client may still be sending:
-    /// after an error, or while the router is drained.
+    /// Like `Close`, but further input is discarded before the connection is closed, as the client
+    /// may still be sending: after an error, or while the router is drained.
     CloseAfterDiscard,
     /// Like `Close`, as the process ends; further input stays unread.
     Shutdown,
@@ -62,7 +62,7 @@
     }
 
     /// Whether no byte of a further command has been read. Full chunks of a long value are not in
-    /// the buffer.
+    /// the buffer, so the reader is asked as well.
     pub fn is_empty(&self) -> bool {
         self.buffer.is_empty() && !self.reader.is_in_value()
     }
@@ -91,8 +91,8 @@
     /// Whether the client's next command may be read. While the router is drained, this holds for a
     /// command that has begun, and for one that arrives while no response is pending; a client that
     /// never becomes idle is refused after a while.
-    pub(super) fn may_take_command(&self, client: &Client) -> bool {
-        if self.is_finishing() {
+    pub(super) fn may_read_command(&self, client: &Client) -> bool {
+        if self.is_shutting_down() {
             return false;
         }
         let lifecycle = self.lifecycle();
@@ -122,12 +122,12 @@
         } else if !client.has_begun_command() {
             client.command_began_at.set(Some(self.environment.now()));
         }
-        if self.is_finishing() {
+        if self.is_shutting_down() {
             return ControlFlow::Break(ReadEnd::Shutdown);
         }
         let policy = self.lifecycle().idle_connection_policy();
         let has_pending = client.has_pending_responses();
-        let may_read = self.may_take_command(client) && !client.is_streaming.get();
+        let may_read = self.may_read_command(client) && !client.is_streaming.get();
         if policy == IdleConnectionPolicy::HandOver && !has_pending {
             let reader = std::mem::take(&mut input.reader);
             let unread = reader.into_unread(std::mem::take(&mut input.buffer));
