--- a/crates/load-balancer/tests/many_routers.rs
+++ b/crates/load-balancer/tests/many_routers.rs
@@ -1,11 +1,13 @@
-//! Fleets of many routers, each with few observations: admission by priority, limits that fade, keys that stay.
+//! Fleets of many routers, of which each observes little: admission by priority, limits whose
+//! observations lose weight with age, and keys that do not migrate.
 
 mod common;
 
 use common::*;
 use load_balancer::*;
 
-/// One router of a hundred: class 0 has priority weight one, class 1 five; both are idempotent.
+/// The settings of one of 100 routers. Class 0 has priority weight 1 and class 1 has 5; both are
+/// idempotent.
 fn one_of_100_routers() -> Settings {
     let high_priority = Class {
         priority_weight: 5.0,
@@ -18,7 +20,7 @@
     }
 }
 
-/// A read of the given class, with 800 ms to live; `number` is its own.
+/// Sends a read of the given class that expires after 800 ms; `number` makes its id unique.
 fn read(rig: &mut TestRouter, number: usize, class: usize, key: u64) -> (RequestId, Vec<Action>) {
     let id = RequestId(1_000_000 + number as u32);
     let expires = rig.now.plus(ms(800));
@@ -35,8 +37,9 @@
     (id, rig.event(Event::Request(request)))
 }
 
-/// One request every `gap` for keys of the first of four servers, `high_priority` of ten of class 1; of nine answers one
-/// takes `elapsed_ms`, past the objective, the others 60 ms. How many of each class were sent on.
+/// Sends one request every `gap` for keys of the first of four servers, `high_priority` of ten with
+/// class 1. One of nine answers takes `elapsed_ms`, which exceeds the objective; the others take 60
+/// ms. Returns how many requests of each class were sent to a server.
 fn send_requests(
     rig: &mut TestRouter,
     requests: usize,
@@ -67,30 +70,33 @@
     sent_on
 }
 
-/// Keys of the given server, each asked for once.
+/// Keys that the given server owns. Each is requested only once, so that none is hot.
 fn keys_owned_by(server: usize, servers: usize) -> impl Iterator<Item = u64> {
     (0..).filter(move |&key| {
         TestRouter::new(settings(), ready(servers)).served_by(key) == Some(name(server))
     })
 }
 
-/// A server that is always slow gets less, and requests of five times the weight go first: the order of
-/// refusals is the same as at few routers.
+/// A server that stays slow is sent less, and requests of five times the priority weight are
+/// admitted first, in the same order as in a fleet of few routers.
 #[test]
 fn higher_priority_is_rejected_last_at_one_of_many_routers() {
     let mut rig = TestRouter::new(one_of_100_routers(), ready(4));
     send_requests(&mut rig, 60, ms(700), 3, 400);
     rig.now = rig.now.plus(ms(1_000));
     let [low, high] = send_requests(&mut rig, 200, ms(700), 3, 400);
-    assert!(low < 140 / 2, "{low} of 140 of low priority");
+    assert!(
+        low < 140 / 2,
+        "{low} of 140 requests of low priority were sent"
+    );
     let (rejected_low, rejected_high) = (140 - low, 60 - high);
     assert!(
         rejected_high * 140 * 3 <= rejected_low * 60,
-        "{rejected_high} of 60 against {rejected_low} of 140"
+        "{rejected_high} of 60 of high priority rejected, {rejected_low} of 140 of low priority"
     );
 }
 
-/// With equal priority weights neither class gives way to the other.
+/// With equal priority weights neither class is preferred.
 #[test]
 fn classes_of_equal_priority_weight_are_admitted_alike() {
     let equal_classes = vec![
@@ -108,11 +114,12 @@
     let [one, other] = send_requests(&mut rig, 200, ms(700), 5, 400);
     assert!(
         one.abs_diff(other) * 4 <= one + other,
-        "{one} against {other}"
+        "{one} requests of one class sent, {other} of the other"
     );
 }
 
-/// One late answer is no state of the server: a minute later its keys are served as before, without an attempt between.
+/// One late answer does not show that the server is slow: 90 s later its keys are served as before,
+/// without any attempt in between.
 #[test]
 fn a_late_answer_loses_effect_with_age() {
     let mut rig = TestRouter::new(one_of_100_routers(), ready(4));
@@ -127,12 +134,16 @@
         ));
     }
     let server_of = |rig: &mut TestRouter, key: u64| sent(&rig.request(0, key).1);
-    assert_eq!(server_of(&mut rig, keys[2]), None, "a pause right after");
+    assert_eq!(
+        server_of(&mut rig, keys[2]),
+        None,
+        "no request is sent right after a late answer"
+    );
     rig.now = rig.now.plus(ms(90_000));
     assert_eq!(server_of(&mut rig, keys[3]), Some(name(1)));
 }
 
-/// A rejection by the server itself does not fade like that.
+/// A rejection by the server itself does not lose weight with age.
 #[test]
 fn a_rejection_by_the_server_holds_until_it_answers() {
     let attempts_there = |outcome: Outcome| {
@@ -159,8 +170,8 @@
     );
 }
 
-/// Few observations migrate no key: a router that got one late answer rejects or waits, it does not send the key elsewhere,
-/// where it would be a fetch that drives out another key.
+/// A key does not migrate on few observations: a router with one late answer rejects requests or
+/// waits. At another server the key would be an origin fetch, which evicts another key.
 #[test]
 fn a_limit_on_few_observations_migrates_no_key() {
     let mut rig = TestRouter::new(one_of_100_routers(), ready(4));
@@ -181,11 +192,11 @@
         ));
         rig.now = rig.now.plus(ms(15_000));
     }
-    assert!(at_owner >= 4, "{at_owner} to the owner");
+    assert!(at_owner >= 4, "{at_owner} requests sent to the owner");
     assert_eq!(elsewhere, 0);
 }
 
-/// A burst that is admitted leaves no trace: after three seconds of twice the usual load all is
+/// A burst has no lasting effect: after three seconds at twice the usual load, all requests are
 /// admitted again within two seconds.
 #[test]
 fn after_a_burst_all_requests_are_admitted_within_two_seconds() {
@@ -209,7 +220,7 @@
     for _ in 0..100 {
         send_request(&mut rig, 600, 60);
     }
-    // In the burst answers take longer, yet come within the objective.
+    // During the burst answers take longer, but within the objective.
     for _ in 0..10 {
         send_request(&mut rig, 300, 140);
     }
@@ -220,7 +231,8 @@
     assert!(rejected <= 1, "{rejected} of 60 rejected after the burst");
 }
 
-/// A write evicts no cached key, so that few observations suffice for it to go where there is capacity.
+/// A write evicts no cached key, so that few observations suffice to divert it to a server with
+/// capacity.
 #[test]
 fn a_write_leaves_a_server_on_few_observations() {
     let keyed = class(Idempotency::Keyed {
@@ -247,13 +259,14 @@
     assert_eq!(
         sent(&rig.request(0, keys[2]).1),
         None,
-        "a read waits for its owner"
+        "a read is not diverted from its owner"
     );
     assert!(sent(&rig.request(1, keys[2]).1).is_some_and(|server| server != name(1)));
 }
 
-/// A slow server's requests fall to what it bears, and the others' are left alone: at a hundred routers that each
-/// see a server once in ten seconds, a router needs about three attempts.
+/// Requests to a slow server drop to what it can serve, and other servers are not affected. With
+/// 100 routers, of which each sends a server one request in ten seconds, a router needs about three
+/// attempts to notice.
 #[test]
 fn one_slow_server_does_not_affect_the_others() {
     let mut rig = TestRouter::new(one_of_100_routers(), ready(15));
@@ -281,7 +294,10 @@
     }
     assert!(
         slow.0 >= 20 && slow.1 * 2 <= slow.0,
-        "{slow:?} of the slow server's"
+        "{slow:?} requests for keys of the slow server, and sent"
+    );
+    assert!(
+        others.1 * 100 >= others.0 * 97,
+        "{others:?} requests for other keys, and sent"
     );
-    assert!(others.1 * 100 >= others.0 * 97, "{others:?} of the others'");
 }
