--- a/crates/load-balancer/tests/origin_failures.rs
+++ b/crates/load-balancer/tests/origin_failures.rs
@@ -1,11 +1,12 @@
-//! Failed fetches: what they tell of the origin, of a server and of the keys that it holds.
+//! Failed fetches, and what they show about the origin, the server and the keys that it holds.
 
 mod common;
 
 use common::*;
 use load_balancer::*;
 
-/// Guards against blaming servers for a slow origin: an error that notes a miss leaves their health alone.
+/// Guards against attributing origin failures to servers: an error that reports a cache miss leaves
+/// the server's limit unchanged.
 #[test]
 fn a_failed_fetch_does_not_count_against_its_server() {
     let mut rig = TestRouter::new(settings(), ready(4));
@@ -24,7 +25,7 @@
         assert_eq!(
             sent(&actions),
             None,
-            "a failed fetch is not tried again elsewhere"
+            "a failed fetch is not retried at another server"
         );
         assert!(rejected(&actions));
     }
@@ -32,11 +33,11 @@
         rig.now = rig.now.plus(ms(2_000));
         sent(&rig.request(1, key).1) == Some(name(1))
     });
-    assert!(reached, "the server is sent other work");
+    assert!(reached, "the server was sent no request of another class");
 }
 
-/// Guards a collapsed origin (incident i545070): fetches shrink to a trickle while they fail, likely hits go on, and
-/// fetches come back when they succeed.
+/// Guards against an origin that fails under overload (incident i545070): fetches are reduced to a
+/// few probes while they fail, likely hits continue, and fetches are sent again once they succeed.
 #[test]
 fn fetches_shrink_while_the_origin_fails_and_recover() {
     let mut rig = TestRouter::new(settings(), ready(4));
@@ -73,20 +74,25 @@
     assert_eq!(
         rig.served_by(cached_key),
         Some(name(1)),
-        "likely hits go on"
+        "likely hits are still sent"
     );
     let sent_at_first = try_fetches(&mut rig, 20_000, 20);
     assert!(
         sent_at_first < 10,
-        "{sent_at_first} of 20 fetches after a collapse"
+        "{sent_at_first} of 20 fetches sent after the origin failed"
     );
     for i in 0..10 {
         try_fetches(&mut rig, 30_000 + i * 100, 100);
     }
-    assert_eq!(try_fetches(&mut rig, 50_000, 100), 100, "all fetches again");
+    assert_eq!(
+        try_fetches(&mut rig, 50_000, 100),
+        100,
+        "all fetches are sent after recovery"
+    );
 }
 
-/// Guards likely hits: a failed fetch forgets its own key, not another that shares its entry in the table of locations.
+/// A failed fetch removes its own key from the table of locations, not another key that shares its
+/// entry, whose requests are likely hits.
 #[test]
 fn a_failed_fetch_forgets_only_its_own_key() {
     use md5::{Digest, Md5};
@@ -97,7 +103,7 @@
     let cached_key = 7;
     let colliding_key = (1_000_000..)
         .find(|&key| entry_index(key) == entry_index(cached_key))
-        .expect("a key of the same slot");
+        .expect("a key of the same entry");
     let mut rig = TestRouter::new(settings(), ready(1));
     assert_eq!(rig.served_by(cached_key), Some(name(1)));
     let others = (10_000..10_400).filter(|&key| entry_index(key) != entry_index(cached_key));
@@ -121,7 +127,8 @@
     }
 }
 
-/// Guards a slow origin behind a thousand routers: each sees few fetches, so that a few failures must be enough.
+/// With 1,000 routers in front of a slow origin each sees few fetches, so that a few failures must
+/// suffice to limit them.
 #[test]
 fn one_of_many_routers_limits_fetches_after_a_few_failures() {
     let mut rig = TestRouter::new(
@@ -153,11 +160,11 @@
         ));
         rig.now = rig.now.plus(ms(500));
     }
-    assert!(admitted < 20, "{admitted} of 100 fetches");
+    assert!(admitted < 20, "{admitted} of 100 fetches sent");
 }
 
-/// Guards the servers of a thousand routers: time-outs of requests that may be fetches are the server's, not the
-/// origin's, unless fetches have failed.
+/// With 1,000 routers, timeouts of requests that may be fetches are attributed to the server, not
+/// to the origin, unless fetches have failed.
 #[test]
 fn timeouts_alone_do_not_limit_fetches_at_one_of_many_routers() {
     let mut rig = TestRouter::new(
@@ -176,25 +183,26 @@
         }
         rig.now = rig.now.plus(ms(60_000));
     }
-    assert!(admitted > 80, "{admitted} of 100 requests");
+    assert!(admitted > 80, "{admitted} of 100 requests sent");
 }
 
-/// Guards a failing origin where errors carry no cache status, as on sockets: a likely fetch that fails later than hits are
-/// served is not tried elsewhere, and enough of them hold further fetches back. A quick error is the server's own.
+/// Guards against a failing origin whose errors carry no cache status, as over RESP2. A likely
+/// fetch that fails later than hits are served is not retried, and several of them limit further
+/// fetches. A quick error is attributed to the server.
 #[test]
 fn a_late_unexplained_failure_is_attributed_to_the_origin() {
     let mut rig = TestRouter::new(settings(), ready(3));
     let (id, _) = rig.request(0, 5);
     assert!(
         sent(&rig.end_attempt(id, 0, Outcome::Failure, 20)).is_some(),
-        "quick: the next server may do"
+        "a quick failure is retried at the next server"
     );
     let mut rig = TestRouter::new(settings(), ready(3));
     let (id, _) = rig.request(0, 5);
     let actions = rig.end_attempt(id, 0, Outcome::Failure, 400);
     assert!(
         sent(&actions).is_none() && rejected(&actions),
-        "late: a further fetch feeds the origin's overload"
+        "a late failure is not retried, as a further fetch adds to the origin's overload"
     );
     for key in 100..140 {
         let (id, actions) = rig.request(0, key);
@@ -203,13 +211,11 @@
         }
     }
     let (_, actions) = rig.request(0, 999);
-    assert!(
-        rejected(&actions),
-        "no fetch is started while the last ones failed"
-    );
+    assert!(rejected(&actions), "no fetch is sent after many failed");
 }
 
-/// Guards against a key whose cached copy expired: it must not be sent past the fetch limit for good.
+/// When a cached copy has expired, its key must not bypass the fetch limit forever because its
+/// server is still believed to hold it.
 #[test]
 fn a_late_failure_forgets_a_key_and_many_attribute_quick_ones_to_the_origin() {
     let mut rig = TestRouter::new(settings(), ready(3));
@@ -217,7 +223,7 @@
     let (id, _) = rig.request(0, 5);
     assert!(
         rejected(&rig.end_attempt(id, 0, Outcome::Failure, 400)),
-        "known, and yet a failed fetch"
+        "a late failure of a cached key counts as a failed fetch"
     );
     for key in 100..110 {
         let (id, _) = rig.request(0, key);
@@ -229,6 +235,6 @@
     let actions = rig.end_attempt(id, 0, Outcome::Failure, 20);
     assert!(
         sent(&actions).is_none() && rejected(&actions),
-        "the origin turns fetches away at once"
+        "a quick failure counts as a fetch that the origin rejected"
     );
 }
