--- a/crates/load-balancer/tests/origin_fetch_limit.rs
+++ b/crates/load-balancer/tests/origin_fetch_limit.rs
@@ -1,11 +1,12 @@
-//! A slow or overloaded origin behind the cache servers: what a router sends it, and what it attributes to it.
+//! A slow or overloaded origin behind the cache servers: which fetches a router sends, and which
+//! failures it attributes to the origin.
 
 mod common;
 
 use common::*;
 use load_balancer::*;
 
-/// Sends requests for new keys until one is rejected; their ids.
+/// Sends requests for new keys until one is rejected, and returns the ids of the requests sent.
 fn fill_fetch_limit(rig: &mut TestRouter, first_key: u64) -> Vec<RequestId> {
     let mut in_flight = Vec::new();
     for key in first_key..first_key + 1_000 {
@@ -15,33 +16,38 @@
         }
         in_flight.push(id);
     }
-    panic!("no bound on fetches");
+    panic!("1,000 fetches were sent without reaching a limit");
 }
 
-/// Guards against overload that sustains itself: an abandoned fetch goes on at the origin, and its slot is free
-/// only once it has most likely ended.
+/// Guards against overload that sustains itself: an abandoned fetch continues at the origin, so
+/// that it counts against the limit until it has most likely ended.
 #[test]
 fn an_abandoned_fetch_counts_as_long_again() {
     let mut rig = TestRouter::new(settings_with_late_weight(0.0), ready(20));
     let in_flight = fill_fetch_limit(&mut rig, 1_000);
-    assert!(in_flight.len() > 10, "{} at once", in_flight.len());
+    assert!(
+        in_flight.len() > 10,
+        "{} fetches in flight at the limit",
+        in_flight.len()
+    );
     rig.now = rig.now.plus(ms(400));
     for &id in &in_flight {
         rig.event(Event::AttemptEnded(ended(id, 0, Outcome::TimedOut, 400)));
     }
     assert!(
         fill_fetch_limit(&mut rig, 5_000).is_empty(),
-        "all of them still are at work at the origin"
+        "abandoned fetches still count against the limit"
     );
     rig.now = rig.now.plus(ms(4_000));
     assert!(
         !fill_fetch_limit(&mut rig, 9_000).is_empty(),
-        "they have ended"
+        "abandoned fetches no longer count after they have ended"
     );
 }
 
-/// Guards against a limit that falls for slow servers and stays down, as rejected clients come back: where fetches take
-/// hardly longer than hits, a few slow ones lift their average to a multiple of the least.
+/// Guards against a limit that is reduced because of slow servers and stays low while rejected
+/// clients retry. If fetches take hardly longer than hits, a few slow servers raise the average
+/// latency to a multiple of the minimum.
 #[test]
 fn late_fetches_of_slow_servers_do_not_decrease_the_limit() {
     let mut rig = TestRouter::new(settings(), ready(20));
@@ -59,10 +65,14 @@
         rig.now = rig.now.plus(ms(20));
     }
     let after = rig.router.diagnostics().fetch_limit;
-    assert!(after >= before, "{before} to {after}, with one in six late");
+    assert!(
+        after >= before,
+        "the limit fell from {before} to {after} with one fetch in six late"
+    );
 }
 
-/// Guards against a limit cut by chance: at an origin that is well some fetches take long, and tell nothing.
+/// Guards against reducing the limit by chance: at a healthy origin some fetches take long, which
+/// shows nothing.
 #[test]
 fn a_few_late_fetches_among_quick_ones_do_not_decrease_the_limit() {
     let mut rig = TestRouter::new(settings(), ready(20));
@@ -82,11 +92,12 @@
     let after = rig.router.diagnostics().fetch_limit;
     assert!(
         after >= before,
-        "{before} to {after}, with one in seven late"
+        "the limit fell from {before} to {after} with one fetch in seven late"
     );
 }
 
-/// Guards recovery: once the origin is well again a few fetches in time let the others follow.
+/// Once the origin has recovered, a few fetches in time must suffice for the limit to admit the
+/// others.
 #[test]
 fn fetches_recover_within_seconds_of_a_collapse() {
     let mut rig = TestRouter::new(settings(), ready(20));
@@ -123,12 +134,12 @@
     }
     assert!(
         served >= 36,
-        "{served} of the last 40 requests, from 3 s after the end"
+        "{served} of the last 40 requests sent, from 3 s after the overload"
     );
 }
 
-/// Guards servers behind a slow origin at a router of many, which sees little of each: likely fetches that time out
-/// at one server after another are the origin's.
+/// A router of a large fleet sees little of each server. Likely fetches that time out at one server
+/// after another must be attributed to the origin, not to the servers.
 #[test]
 fn timeouts_at_many_servers_are_attributed_to_the_origin() {
     let mut rig = TestRouter::new(
@@ -150,20 +161,20 @@
     let after = rig.router.diagnostics();
     assert!(
         after.fetch_limit < before.fetch_limit / 2.0,
-        "{} to {}",
+        "the fetch limit changed from {} to {}",
         before.fetch_limit,
         after.fetch_limit
     );
     assert!(
         after.limit_mean > before.limit_mean / 2.0,
-        "servers {} to {}",
+        "the mean limit of servers changed from {} to {}",
         before.limit_mean,
         after.limit_mean
     );
 }
 
-/// Guards against what is full twice over: while the origin has a queue and its fetches are in use, a key does not
-/// move off a full server, as the move is a fetch and drives out another key.
+/// A key does not migrate from a server at capacity while the origin has a queue and its fetch
+/// limit is largely in use, because the migration is an extra fetch and evicts another key.
 #[test]
 fn a_key_does_not_migrate_while_fetches_are_limited() {
     let server_of_last_key = |fetches_limited: bool| {
@@ -191,7 +202,7 @@
             let limit = rig.router.diagnostics().fetch_limit;
             let mut others = 50_000..;
             while f64::from(rig.router.diagnostics().fetches_in_flight) < limit * 0.6 {
-                rig.request(0, others.next().expect("endless"));
+                rig.request(0, others.next().expect("an unbounded range"));
             }
         }
         for &key in &keys[..8] {
@@ -202,7 +213,11 @@
     let elsewhere = server_of_last_key(false);
     assert!(
         elsewhere.is_some() && elsewhere != Some(name(1)),
-        "without a queue a key migrates: {elsewhere:?}"
+        "a key migrates while the origin has no queue: {elsewhere:?}"
+    );
+    assert_eq!(
+        server_of_last_key(true),
+        None,
+        "a key does not migrate while fetches are limited"
     );
-    assert_eq!(server_of_last_key(true), None, "short of fetches it is not");
 }
