--- a/crates/load-balancer/tests/outliers.rs
+++ b/crates/load-balancer/tests/outliers.rs
@@ -1,11 +1,13 @@
-//! Servers that are unreachable, overloaded or time out: how they are avoided and used again.
+//! Servers that are unreachable, overloaded or time out: how they are avoided, and how they come
+//! back into use.
 
 mod common;
 
 use common::*;
 use load_balancer::*;
 
-/// A server that cannot be reached is left to its successors but for a trickle, and taken back when it serves.
+/// The successors of an unreachable server take over its keys, apart from a few probes, until it
+/// serves again.
 #[test]
 fn an_unreachable_server_is_avoided_and_used_again_once_it_serves() {
     let mut rig = TestRouter::new(settings(), ready(4));
@@ -24,7 +26,7 @@
     }
     assert!(
         (1..20).contains(&sent_while_down),
-        "{sent_while_down} of 60 went to a server that is down"
+        "{sent_while_down} of 60 requests sent to a server that is down"
     );
     for key in keys.by_ref().take(40) {
         rig.served_by(key);
@@ -32,12 +34,12 @@
     }
     assert!(
         keys.take(10).all(|key| rig.served_by(key) == Some(name(1))),
-        "the ring decides again"
+        "keys are placed by the ring alone again"
     );
 }
 
-/// Guards full servers behind a thousand routers (incident iaf5b03, where four of five attempts were rejected):
-/// each router leaves a server that was full alone for long, though it has never been served there.
+/// With 1,000 routers, each must avoid an overloaded server for a long time even if that server
+/// never served it (incident iaf5b03, in which four of five attempts were rejected).
 #[test]
 fn an_overloaded_server_is_avoided_by_one_of_many_routers() {
     let mut rig = TestRouter::new(
@@ -57,10 +59,14 @@
         rig.end_attempt(id, 1, Outcome::Success, 20);
         rig.now = rig.now.plus(ms(1_000));
     }
-    assert!((1..8).contains(&attempts_there), "{attempts_there} of 20");
+    assert!(
+        (1..8).contains(&attempts_there),
+        "{attempts_there} of 20 attempts at an overloaded server"
+    );
 }
 
-/// Guards jammed servers behind many routers (incident i3e2ffc): one time-out is news enough for a pause.
+/// In a large fleet of routers one timeout suffices for a router to pause its requests to an
+/// overloaded server (incident i3e2ffc).
 #[test]
 fn one_timeout_suffices_at_one_of_many_routers() {
     let mut rig = TestRouter::new(
@@ -80,8 +86,8 @@
     assert_ne!(sent(&rig.request(0, key).1), Some(name(1)));
 }
 
-/// Guards against a throttle that never ends: a server that was full or jammed and now answers only misses, as most
-/// answers are at a router that sees little, is taken up again like one that answers hits.
+/// Guards against a limit that stays reduced: a server that was overloaded and now answers only
+/// misses, as most answers are at a router that sees little, recovers like one that answers hits.
 #[test]
 fn a_throttled_server_that_answers_misses_recovers() {
     for (routers, failure) in [
@@ -120,13 +126,13 @@
         }
         assert_eq!(
             sent_at_end, 20,
-            "the ring decides again, {routers} routers after {failure:?}"
+            "keys are placed by the ring alone again, {routers} routers after {failure:?}"
         );
     }
 }
 
-/// Guards the floor of a full server's limit, which a thousand routers start under (incident iaf5b03): each further
-/// "full" lengthens the pause.
+/// The lowest limit of an overloaded server must lie below the limit with which each of 1,000
+/// routers starts (incident iaf5b03), so that each further rejection lengthens the pause.
 #[test]
 fn each_further_rejection_lengthens_the_pause() {
     let mut rig = TestRouter::new(
