--- a/crates/load-balancer/tests/placement.rs
+++ b/crates/load-balancer/tests/placement.rs
@@ -1,11 +1,12 @@
-//! Hot keys, keys that migrate, and small servers: when a request goes elsewhere than to its owner.
+//! Hot keys, keys that migrate, and small servers: when a request is sent to a server other than
+//! the owner of its key.
 
 mod common;
 
 use common::*;
 use load_balancer::*;
 
-/// A hot key gets a second server only while its owner is at capacity.
+/// A second server serves a hot key only while the owner is at capacity.
 #[test]
 fn a_hot_key_spills_to_its_successor_only_while_hot() {
     let mut rig = TestRouter::new(settings(), ready(4));
@@ -32,8 +33,9 @@
     }
 }
 
-/// Guards a key hotter than a server: many routers spread it over several replicas, each router uses one, and
-/// without its heat they all agree again.
+/// Guards against a key with more requests than one server can serve: many routers spread it over
+/// several replicas, of which each router uses one, and all use the owner again once the key is no
+/// longer hot.
 #[test]
 fn a_hot_key_has_several_replicas_among_many_routers() {
     let servers_used = |other_keys: u64| {
@@ -62,13 +64,14 @@
     let (while_hot, afterwards) = (servers_used(0), servers_used(2_000));
     assert!(
         (3..12).contains(&while_hot),
-        "{while_hot} replicas while a sixth of the requests ask for it"
+        "{while_hot} replicas of a key with a sixth of the requests"
     );
     assert_eq!(afterwards, 1);
 }
 
-/// Guards an overloaded fleet: a key that migrates is fetched again and evicts others, so that it goes
-/// to its successor only if that has room to spare. A successor that is half busy with its own keys is not asked.
+/// Guards against migrations in an overloaded fleet: a key that migrates is fetched again and
+/// evicts others, so that it goes to its successor only if that server has spare capacity. A
+/// successor that uses half of its limit for its own keys does not have enough.
 #[test]
 fn a_key_migrates_only_to_a_server_with_spare_capacity() {
     let migrates = |in_flight_at_successor: usize| {
@@ -89,12 +92,16 @@
     };
     assert!(
         migrates(0),
-        "an idle one takes what its owner has no capacity for"
+        "an idle successor takes requests beyond the owner's capacity"
+    );
+    assert!(
+        !migrates(2),
+        "a successor with half of its limit in use takes no such requests"
     );
-    assert!(!migrates(2), "one with half of its limit in use does not");
 }
 
-/// Guards small machines: one of half the mean listed size takes about half of its arcs, the same at every router.
+/// A server with about half of the mean listed weight takes about half of its arcs, the same half
+/// at every router.
 #[test]
 fn a_small_server_takes_part_of_its_arcs() {
     let mut endpoints = ready(4);
@@ -117,6 +124,6 @@
     let (full_arcs, partial_arcs) = (share(WeightKind::Unknown), share(WeightKind::Nominal));
     assert!(
         partial_arcs * 10 > full_arcs * 3 && partial_arcs * 10 < full_arcs * 6,
-        "{partial_arcs} of {full_arcs}"
+        "{partial_arcs} keys of {full_arcs}"
     );
 }
