--- a/crates/load-balancer/tests/ring.rs
+++ b/crates/load-balancer/tests/ring.rs
@@ -1,12 +1,13 @@
-//! The ring, seen through the sends of idle routers.
+//! The consistent-hash ring, observed through the attempts that idle routers send.
 
 mod common;
 use common::*;
 use load_balancer::*;
 use std::collections::HashMap;
 
-/// Computed apart from this crate: MD5 digests cut into little-endian words, five servers 10.0.0.1:80 to 10.0.0.5:80.
-/// Key 769 lies past the highest point and wraps to the lowest.
+/// Keys and the number of their owner among the servers 10.0.0.1:80 to 10.0.0.5:80, computed
+/// independently of this crate from MD5 digests cut into little-endian words. Key 769 lies past the
+/// highest point and wraps around to the lowest.
 const EXPECTED_OWNERS: [(u64, usize); 7] = [
     (1, 5),
     (2, 2),
@@ -61,7 +62,11 @@
     rig.update_endpoints(EndpointUpdate::Delta, vec![endpoints[3].clone()]);
     let after = owners(&mut rig, 0..2_000);
     for (old_owner, new_owner) in before.iter().zip(&after) {
-        assert_ne!(*new_owner, name(4), "a draining server is off the ring");
+        assert_ne!(
+            *new_owner,
+            name(4),
+            "a draining server must not be on the ring"
+        );
         assert!(
             old_owner == new_owner || *old_owner == name(4),
             "a key of {old_owner} moved to {new_owner}"
@@ -92,13 +97,14 @@
     assert_eq!(used.len(), 6);
 }
 
-/// Guards the order of a snapshot: a new server listed before one that stays never takes its table entry.
+/// A new server that a snapshot lists before a retained one must not take the table entry of the
+/// retained one.
 #[test]
 fn a_snapshot_moves_only_the_keys_of_servers_that_come_or_go() {
     let mut rig = TestRouter::new(settings(), ready(4));
     owners(&mut rig, 0..200);
     rig.now = rig.now.plus(ms(60_000));
-    // 10.0.0.9 comes first in the list, 10.0.0.1 has left, the rest stays.
+    // 10.0.0.9 is listed first, 10.0.0.1 has left, and the others are retained.
     let mut endpoints = vec![Endpoint::ready(name(9))];
     endpoints.extend(ready(4).split_off(1));
     rig.update_endpoints(EndpointUpdate::Snapshot, endpoints.clone());
