--- a/crates/load-balancer/tests/slow_start.rs
+++ b/crates/load-balancer/tests/slow_start.rs
@@ -1,12 +1,13 @@
-//! Slow start: servers that warm up are sent little at first.
+//! Slow start: servers that are warming up are sent little at first.
 
 mod common;
 
 use common::*;
 use load_balancer::*;
 
-/// Guards the fourth rule: a started server is sent its present capacity's share of its arcs and no more than that
-/// share of what warm ones are sent; it gets all of them back when warm.
+/// Guards the deployment's rule that a server which is warming up must not be overloaded: a server
+/// that has just started is sent the part of its arcs that its present capacity allows, and all of
+/// them once it is warm.
 #[test]
 fn a_server_in_slow_start_takes_a_growing_part_of_its_arcs() {
     let keys_at_age = |age: u64| {
@@ -42,7 +43,7 @@
             .filter(|&key| rig.served_by(key) == Some(name(1)))
             .count()
     };
-    // One connection that was reset shows nothing yet: the server keeps its keys.
+    // A single connection reset shows nothing: the server keeps its keys.
     fail_one(&mut rig);
     assert!(
         served_count(&mut rig) > 150,
@@ -54,11 +55,12 @@
     let served_after_failures = served_count(&mut rig);
     assert!(
         served_after_failures < 60,
-        "{served_after_failures} of 400 keys at once to a server that has just been down"
+        "{served_after_failures} of 400 keys sent to a server that has just been unreachable"
     );
 }
 
-/// Guards against refusing everything while the whole fleet is new: slices are measured against the warmest server.
+/// Guards against rejecting everything while the whole fleet is warming up: the part of its arcs
+/// that a server takes is relative to the warmest server.
 #[test]
 fn a_fleet_in_slow_start_serves_all_keys() {
     let mut endpoints = ready(4);
@@ -71,11 +73,12 @@
         served += usize::from(rig.served_by(key).is_some());
         rig.now = rig.now.plus(ms(20));
     }
-    assert!(served > 150, "{served} of 200");
+    assert!(served > 150, "{served} of 200 keys served");
 }
 
-/// Guards the fourth rule where hundreds of routers share nothing: a hot key that falls to a server in slow start would come
-/// from each of them once before any hears that the server is slow.
+/// Guards the same rule with hundreds of routers that share no state: without an allowance each of
+/// them would send a hot key of a server in slow start there once before it observes that the
+/// server is slow.
 #[test]
 fn many_routers_together_stay_within_a_slow_start_allowance() {
     let mut endpoints = ready(4);
@@ -104,14 +107,16 @@
             rig.now = rig.now.plus(ms(500));
         }
     }
-    // 0.75 of 2 x 53% of a core for 1.5 s, at 75 to 150 ms a request, is 8 to 16; chance adds half at most.
+    // 0.75 of 2 x 53% of a core for 1.5 s, at 75 to 150 ms a request, is 8 to 16 requests; random
+    // variation adds half at most.
     assert!(
         (1..24).contains(&sent_to_warming_server),
-        "{sent_to_warming_server} requests in 2 s"
+        "{sent_to_warming_server} requests in 2 s to a server that is warming up"
     );
 }
 
-/// Guards the bounded walk: servers that are left out for slow start do not count, so that one warm server is found.
+/// Servers that are excluded for slow start do not end the walk along the ring, so that the only
+/// warm server is found.
 #[test]
 fn the_one_warm_server_is_found_among_many_in_slow_start() {
     let mut endpoints = ready(60);
@@ -125,11 +130,12 @@
         served
     });
     let found = found.count();
-    assert!(found > 190, "{found} of 200");
+    assert!(found > 190, "{found} of 200 keys served");
 }
 
-/// The share of 2,000 keys that a new process of a server gets, at once, after half of its slow start and after all of it;
-/// the list dates its start so much after the moment at which it tells of it (ms), or before.
+/// How many of 2,000 keys a new process of a server gets at once, after half of its slow start and
+/// after all of it. The endpoint list dates its start `listed_start_offset_ms` after the time at
+/// which the list is received; negative values date it before.
 fn keys_of_a_restarted_server(listed_start_offset_ms: i64) -> [usize; 3] {
     let hour = ms(3_600_000);
     let received_at = hour.plus(hour);
@@ -147,8 +153,9 @@
     })
 }
 
-/// Guards against wall clocks that are apart by seconds or an hour: a start that the list dates ahead left the server
-/// without requests until then, one that it dates back left it without slow start.
+/// Guards against wall clocks that differ by seconds or an hour. A server whose listed start lay in
+/// the future got no requests until then, and one whose listed start lay too far in the past got no
+/// slow start.
 #[test]
 fn a_new_process_warms_up_from_when_it_is_told_whatever_the_clocks_say() {
     for listed_start_offset_ms in [3_600_000, 5_000, 0, -5_000, -3_600_000] {
@@ -165,7 +172,8 @@
     }
 }
 
-/// Guards against an operator's word from a process whose wall clock ran ahead: the server got no requests until then.
+/// Guards against an operator override from a process whose wall clock is ahead: the server got no
+/// requests until that time.
 #[test]
 fn a_server_that_was_enabled_in_the_future_warms_up_from_now() {
     let mut rig = TestRouter::new(settings(), ready(4));
