--- a/crates/load-balancer/tests/random_stream.rs
+++ b/crates/load-balancer/tests/random_stream.rs
@@ -1,9 +1,11 @@
-//! Random numbers of a router are SplitMix64, bit for bit: a seed plays the same run on any version.
+//! A router's random numbers are those of SplitMix64, bit for bit, so that a seed reproduces the
+//! same run on any version.
 
 use rand_core::{Rng, SeedableRng};
 use rand_xoshiro::SplitMix64;
 
-/// The 53 highest bits of the first numbers of two seeds, as the router's own generator gave them.
+/// The 53 highest bits of the first numbers of two seeds, as given by the router's own generator
+/// before `rand_xoshiro` replaced it.
 const EXPECTED: [(u64, [u64; 8]); 2] = [
     (
         7,
--- a/crates/load-balancer/tests/verdict_labels.rs
+++ b/crates/load-balancer/tests/verdict_labels.rs
@@ -1,4 +1,4 @@
-//! The names of verdicts in summary lines and traces stay as operators' scripts know them.
+//! The labels of candidate verdicts in summary lines and traces, which operators' scripts match.
 
 use load_balancer::CandidateVerdict;
 
