--- a/crates/load-balancer/benches/decision.rs
+++ b/crates/load-balancer/benches/decision.rs
@@ -1,14 +1,14 @@
-//! Cost of a decision at several sizes of fleet: a request with its attempt and its answer.
-//! `cargo bench -p load-balancer`.
-#![allow(missing_docs)] // A program.
+//! Benchmark of a router's decisions for fleets of several sizes: one request with its attempt and
+//! its answer. Run with `cargo bench -p load-balancer`.
+#![allow(missing_docs)] // A binary target has no public API.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use load_balancer::*;
 use std::hint::black_box;
 
-/// Requests in flight while one is measured, as on a busy router.
+/// Other requests in flight while a request is measured, as on a busy router.
 const IN_FLIGHT_COUNT: u32 = 32;
-/// Keys that are requested in turn.
+/// The number of distinct keys that are requested.
 const KEY_COUNT: u64 = 2_000;
 
 struct Fleet {
@@ -88,7 +88,7 @@
         self.actions.clear();
     }
 
-    /// Serves the oldest request in flight.
+    /// Ends the attempt of the oldest request in flight with a success.
     fn serve(&mut self) {
         if self.in_flight.is_empty() {
             return;
