--- a/crates/router-runtime/tests/endpoint_list.rs
+++ b/crates/router-runtime/tests/endpoint_list.rs
@@ -58,7 +58,10 @@
         let (mut text, mut expected) = (String::new(), Vec::new());
         for (version, (hosts, is_indented, space)) in sizes.into_iter().enumerate() {
             let list = list(version as u64, hosts);
-            let write = if is_indented { serde_json::to_string_pretty } else { serde_json::to_string };
+            let write = match is_indented {
+                true => serde_json::to_string_pretty,
+                false => serde_json::to_string,
+            };
             text += &format!("{}{space}", write(&list).expect("written"));
             expected.push(serde_json::to_string(&list).expect("written"));
         }
