--- a/crates/router-simulation/src/arguments.rs
+++ b/crates/router-simulation/src/arguments.rs
@@ -18,7 +18,7 @@
     #[error(transparent)]
     Number(#[from] ParseIntError),
     /// The name of a kind of faults.
-    #[error("no fault of this name; there are {}", FaultKind::ALL.map(FaultKind::name).join(", "))]
+    #[error("no fault of this name; there are {}", FaultKind::PAIRED.map(FaultKind::name).join(", "))]
     Fault,
 }
 
--- a/crates/router-simulation/src/campaign.rs
+++ b/crates/router-simulation/src/campaign.rs
@@ -22,7 +22,7 @@
 #[derive(Default)]
 struct PendingReports {
     /// The seed that is counted next.
-    next: u64,
+    next_seed: u64,
     reports: BTreeMap<u64, (RunPlan, Report)>,
     summary: Summary,
 }
@@ -30,9 +30,9 @@
 impl PendingReports {
     fn add(&mut self, plan: RunPlan, report: Report) {
         self.reports.insert(plan.seed, (plan, report));
-        while let Some((plan, report)) = self.reports.remove(&self.next) {
+        while let Some((plan, report)) = self.reports.remove(&self.next_seed) {
             self.summary.add(&plan, report);
-            self.next += 1;
+            self.next_seed += 1;
         }
     }
 }
@@ -46,7 +46,7 @@
     on_run: impl Fn() + Sync,
 ) -> Summary {
     let pending = Mutex::new(PendingReports {
-        next: seeds.start,
+        next_seed: seeds.start,
         ..PendingReports::default()
     });
     for_each_parallel(seeds, thread_count, |seed| {
--- a/crates/router-simulation/src/campaign/summary.rs
+++ b/crates/router-simulation/src/campaign/summary.rs
@@ -1,17 +1,17 @@
 //! The summary of many runs.
 
-use crate::fault_plan::{CROWD_READ_COUNT, FaultKind, PAIRS, RunPlan};
+use crate::fault_plan::{CROWD_READ_COUNT, FAULT_PAIR_COUNT, FaultKind, RunPlan};
 use crate::invariant_checker::Counts;
 use crate::run::Report;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
 /// A run of which less than this ratio is served in the calm is listed as jammed.
-const JAMMED_SERVED_RATIO: f64 = 0.5;
+const RECOVERED_SERVED_RATIO: f64 = 0.5;
 /// Jammed runs that are listed.
-const SHOWN_JAMMED_COUNT: usize = 12;
+const SHOWN_UNRECOVERED_COUNT: usize = 12;
 /// When each crowd of a run comes.
-const CROWD_MOMENTS: [&str; 3] = ["while all is well", "in the faults", "in the calm"];
+const CROWD_PHASES: [&str; 3] = ["while all is well", "in the faults", "in the calm"];
 
 /// What many runs came to.
 #[derive(Clone, Debug, Default)]
@@ -35,12 +35,12 @@
     /// The runs with a violation, in the order of their seeds.
     pub runs_with_violations: Vec<Report>,
     /// Runs of which under half of the requests were served in the calm.
-    pub jammed: Vec<JammedRun>,
+    pub unrecovered: Vec<UnrecoveredRun>,
 }
 
 /// A run in which service had not come back in the calm.
 #[derive(Clone, Copy, Debug)]
-pub struct JammedRun {
+pub struct UnrecoveredRun {
     /// Its seed.
     pub seed: u64,
     /// The ratio of requests that were served in the calm.
@@ -60,12 +60,12 @@
             .rotate_left(7)
             .wrapping_mul(0x9E37_79B9_7F4A_7C15)
             ^ report.digest;
-        let taken = report.calm.taken as f64;
-        let served = report.calm.served as f64;
-        if served < JAMMED_SERVED_RATIO * taken {
-            self.jammed.push(JammedRun {
+        let accepted = report.after_faults.accepted as f64;
+        let served = report.after_faults.served as f64;
+        if served < RECOVERED_SERVED_RATIO * accepted {
+            self.unrecovered.push(UnrecoveredRun {
                 seed: report.seed,
-                served_ratio: served / taken,
+                served_ratio: served / accepted,
             });
         }
         if !report.violations.is_empty() {
@@ -76,9 +76,9 @@
     fn add_counts(&mut self, counts: &Counts) {
         self.counts += *counts;
         self.fewest_requests = if self.runs == 1 {
-            counts.taken
+            counts.accepted
         } else {
-            self.fewest_requests.min(counts.taken)
+            self.fewest_requests.min(counts.accepted)
         };
     }
 
@@ -105,23 +105,23 @@
 
     fn write_counts(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Counts {
-            taken,
+            accepted,
             served,
             coalesced,
             rejected,
             failed,
             attempts,
             connections,
-            departed_unsent,
-            sent_after_departure,
+            disconnected_unsent,
+            sent_after_disconnect,
         } = self.counts;
         writeln!(
             f,
-            "requests  {taken}: {served} served ({coalesced} with another's answer), {rejected} refused, {failed} failed; {attempts} attempts on {connections} connections"
+            "requests  {accepted}: {served} served ({coalesced} with another's answer), {rejected} refused, {failed} failed; {attempts} attempts on {connections} connections"
         )?;
         writeln!(
             f,
-            "left      {departed_unsent} requests before anything of them was sent, {sent_after_departure} of them sent over 0.3 s later"
+            "left      {disconnected_unsent} requests before anything of them was sent, {sent_after_disconnect} of them sent over 0.3 s later"
         )
     }
 
@@ -131,11 +131,15 @@
             .map(|(kind, count)| format!("{} {count}", kind.name()))
             .collect();
         writeln!(f, "faults    {}", faults.join(", "))?;
-        writeln!(f, "pairs     {} of {PAIRS} met on a day", self.pairs.len())
+        writeln!(
+            f,
+            "pairs     {} of {FAULT_PAIR_COUNT} met on a day",
+            self.pairs.len()
+        )
     }
 
     fn write_crowds(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (runs, moment) in self.crowd_attempts.iter().zip(CROWD_MOMENTS) {
+        for (runs, moment) in self.crowd_attempts.iter().zip(CROWD_PHASES) {
             let runs_with = |attempts| runs.get(&attempts).copied().unwrap_or(0);
             let most = runs.keys().next_back().copied().unwrap_or(0);
             writeln!(
@@ -149,18 +153,18 @@
         Ok(())
     }
 
-    fn write_jammed(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        if self.jammed.is_empty() {
+    fn write_unrecovered(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        if self.unrecovered.is_empty() {
             return Ok(());
         }
-        let shown = self.jammed.iter().take(SHOWN_JAMMED_COUNT);
+        let shown = self.unrecovered.iter().take(SHOWN_UNRECOVERED_COUNT);
         let shown: Vec<String> = shown
             .map(|run| format!("{} ({:.0} %)", run.seed, run.served_ratio * 100.0))
             .collect();
         writeln!(
             f,
             "jammed    {} days served under half of their requests in the calm: {}",
-            self.jammed.len(),
+            self.unrecovered.len(),
             shown.join(", ")
         )
     }
@@ -176,7 +180,7 @@
         self.write_counts(f)?;
         self.write_faults(f)?;
         self.write_crowds(f)?;
-        self.write_jammed(f)?;
+        self.write_unrecovered(f)?;
         writeln!(f, "digest    {:016x}", self.digest)?;
         let reports = self.runs_with_violations.iter();
         let violations: usize = reports.map(|report| report.violations.len()).sum();
--- a/crates/router-simulation/src/deployment.rs
+++ b/crates/router-simulation/src/deployment.rs
@@ -137,7 +137,7 @@
 
     /// The parameters of the rules for routers of this deployment, on connections that take `window` bytes unread. No
     /// reads are coalesced, and no requests are of crowds.
-    pub(crate) fn rule_parameters(&self, window: usize) -> RuleParameters {
+    pub(crate) fn rule_parameters(&self, receive_window: usize) -> RuleParameters {
         let keyed = |scope| CheckedIdempotency::Keyed(scope, self.deduplication_window);
         let idempotency = [
             CheckedIdempotency::Idempotent,
@@ -155,10 +155,10 @@
             hedging: self.hedging,
             overload_multiple: self.overload_multiple,
             overload_duration: self.overload_duration,
-            window,
+            receive_window,
             overload_slack: OverloadSlack::Work(0.0),
             coalescing: None,
-            crowds_from: u64::MAX,
+            first_crowd_request_id: u64::MAX,
         }
     }
 }
@@ -167,7 +167,7 @@
 pub(crate) fn coalescing_parameters() -> CoalescingParameters {
     CoalescingParameters {
         class: CLASSES[0].to_string(),
-        flights: FLIGHTS_PER_KEY,
+        max_flights_per_key: FLIGHTS_PER_KEY,
     }
 }
 
--- a/crates/router-simulation/src/fault_plan.rs
+++ b/crates/router-simulation/src/fault_plan.rs
@@ -17,7 +17,8 @@
 /// One millisecond, in microseconds.
 pub const MILLI: Time = 1_000;
 /// How many unordered pairs of faults there are.
-pub const PAIRS: u64 = (FaultKind::ALL.len() * (FaultKind::ALL.len() - 1) / 2) as u64;
+pub const FAULT_PAIR_COUNT: u64 =
+    (FaultKind::PAIRED.len() * (FaultKind::PAIRED.len() - 1) / 2) as u64;
 /// Classes of requests: reads, and writes whose repeats all servers drop, those of a zone, or none.
 pub const CLASSES: [&str; 4] = ["ambil", "kirim", "zona", "sekali"];
 
@@ -107,7 +108,7 @@
     /// Descriptors of a router.
     pub descriptor_limit: usize,
     /// How long after an event the list shows it.
-    pub notice_delay: Time,
+    pub announcement_delay: Time,
     /// What the first request on a connection to a server waits for.
     pub handshake_time: Time,
     /// The mean time of a fetch from the origin.
@@ -129,7 +130,7 @@
     /// The faults, in the order of their beginnings.
     pub faults: Vec<Fault>,
     /// From when on all faults are over and service has to be back.
-    pub calm_from: Time,
+    pub recovered_by: Time,
 }
 
 impl RunPlan {
@@ -151,7 +152,7 @@
     }
 
     /// The latest beginning of a fault: all of them hold then.
-    fn faults_meet_at(&self) -> Time {
+    fn latest_fault_start(&self) -> Time {
         let beginnings = self.faults.iter().map(|fault| fault.at);
         beginnings.max().unwrap_or(2 * SECOND)
     }
--- a/crates/router-simulation/src/fault_plan/crowds.rs
+++ b/crates/router-simulation/src/fault_plan/crowds.rs
@@ -30,11 +30,11 @@
         let mut plan = RunPlan::draw(seed, allowed_faults);
         let rng = &mut SeededRng::new(seed, 7);
         plan.coalescing = true;
-        let in_faults = plan.faults_meet_at() + rng.range(0, 300 * MILLI);
+        let in_faults = plan.latest_fault_start() + rng.range(0, 300 * MILLI);
         let objective = plan.latency_objective;
         plan.draw_crowd(rng, REQUESTS_BEGIN + 200 * MILLI, 0, 0);
         plan.draw_crowd(rng, in_faults, objective, WRITE_COUNT);
-        plan.draw_crowd(rng, plan.calm_from + 100 * MILLI, 0, 0);
+        plan.draw_crowd(rng, plan.recovered_by + 100 * MILLI, 0, 0);
         plan
     }
 
--- a/crates/router-simulation/src/fault_plan/draw.rs
+++ b/crates/router-simulation/src/fault_plan/draw.rs
@@ -2,7 +2,8 @@
 
 use super::fault::{Fault, FaultKind, OperatorAction, PlannedAction};
 use super::{
-    MILLI, PAIRS, PlannedRequest, REQUESTS_BEGIN, REQUESTS_END, RunPlan, SECOND, ServerPlan,
+    FAULT_PAIR_COUNT, MILLI, PlannedRequest, REQUESTS_BEGIN, REQUESTS_END, RunPlan, SECOND,
+    ServerPlan,
 };
 use crate::executor::Time;
 use crate::network::{DatagramConditions, NetworkConditions};
@@ -63,7 +64,7 @@
             dial_timeout: rng.range(80 * MILLI, 400 * MILLI),
             idle_timeout: rng.range(3 * SECOND, 15 * SECOND),
             descriptor_limit: 48 + 2 * rng.range(80, 160) as usize,
-            notice_delay: rng.range(100 * MILLI, 900 * MILLI),
+            announcement_delay: rng.range(100 * MILLI, 900 * MILLI),
             handshake_time: rng.range(500, 6 * MILLI),
             origin_time: rng.range(20 * MILLI, 120 * MILLI),
             origin_slots: rng.range(6, 20) as usize,
@@ -74,7 +75,7 @@
             crowds: Vec::new(),
             operator_actions: Vec::new(),
             faults: Vec::new(),
-            calm_from: FAULTS_END + SETTLING_TIME,
+            recovered_by: FAULTS_END + SETTLING_TIME,
         };
         plan.draw_requests(&mut SeededRng::new(seed, 2), rate);
         plan.draw_faults(&mut SeededRng::new(seed, 3), allowed_faults);
@@ -122,14 +123,14 @@
 
     fn draw_faults(&mut self, rng: &mut SeededRng, allowed: &[FaultKind]) {
         let kinds = draw_kinds(rng, self.seed, allowed);
-        let meet_at = rng.range(1_500 * MILLI, 4 * SECOND);
+        let overlap_at = rng.range(1_500 * MILLI, 4 * SECOND);
         for kind in kinds {
             let before = rng.range(50 * MILLI, 900 * MILLI);
             let after = rng.range(50 * MILLI, 1_500 * MILLI);
             let targets = self.draw_targets(rng, kind);
             self.faults.push(Fault {
                 kind,
-                at: meet_at - before,
+                at: overlap_at - before,
                 duration: before + after,
                 targets,
                 severity: rng.unit(),
@@ -158,22 +159,22 @@
             FaultKind::RouterCrash | FaultKind::ClockSteps => {
                 draw_some(rng, self.routers.len(), 0.5)
             }
-            FaultKind::RouterRoll => (0..self.routers.len()).collect(),
-            FaultKind::ZoneCut => vec![rng.index(ZONE_COUNT)],
+            FaultKind::RollingRestart => (0..self.routers.len()).collect(),
+            FaultKind::ZonePartition => vec![rng.index(ZONE_COUNT)],
             _ => draw_some(rng, self.servers.len(), 0.3),
         }
     }
 
     /// Draws rare faults, which hold while all others do.
     fn draw_rare_faults(&mut self, rng: &mut SeededRng) {
-        let meet_at = self.faults_meet_at();
+        let overlap_at = self.latest_fault_start();
         for (ratio, kind) in RARE_FAULT_RATIOS {
             let targets = draw_some(rng, self.servers.len(), 0.6);
             let before = rng.range(50 * MILLI, 900 * MILLI);
             let after = rng.range(100 * MILLI, 1_500 * MILLI);
             let fault = Fault {
                 kind,
-                at: meet_at - before,
+                at: overlap_at - before,
                 duration: before + after,
                 targets,
                 severity: rng.unit(),
@@ -203,8 +204,8 @@
 
     /// Draws operators' actions: in half of the runs they disable a server, in a third of all they drain a router.
     fn draw_operator_actions(&mut self, rng: &mut SeededRng) {
-        let server = OperatorAction::ServerOut(rng.index(self.servers.len()));
-        let router = OperatorAction::RouterDrain(rng.index(self.routers.len()));
+        let server = OperatorAction::DisableServer(rng.index(self.servers.len()));
+        let router = OperatorAction::DrainRouter(rng.index(self.routers.len()));
         for (ratio, action) in [(0.5, server), (0.33, router)] {
             // A drain closes busy connections if it lasts, and their clients send once more what was not read: it is short.
             let planned = PlannedAction {
@@ -296,7 +297,7 @@
 /// Three kinds of faults, or four: the pair of the seed, and drawn ones.
 fn draw_kinds(rng: &mut SeededRng, seed: u64, allowed: &[FaultKind]) -> Vec<FaultKind> {
     let (pool, mut kinds) = if allowed.is_empty() {
-        (&FaultKind::ALL[..], pair(seed).to_vec())
+        (&FaultKind::PAIRED[..], pair(seed).to_vec())
     } else {
         (allowed, vec![allowed[rng.index(allowed.len())]])
     };
@@ -308,15 +309,15 @@
 
 /// The pair of this number.
 fn pair(number: u64) -> [FaultKind; 2] {
-    let mut left = number % PAIRS;
-    for (index, &first) in FaultKind::ALL.iter().enumerate() {
-        let others = &FaultKind::ALL[index + 1..];
+    let mut left = number % FAULT_PAIR_COUNT;
+    for (index, &first) in FaultKind::PAIRED.iter().enumerate() {
+        let others = &FaultKind::PAIRED[index + 1..];
         if left < others.len() as u64 {
             return [first, others[left as usize]];
         }
         left -= others.len() as u64;
     }
-    [FaultKind::ALL[0], FaultKind::ALL[1]]
+    [FaultKind::PAIRED[0], FaultKind::PAIRED[1]]
 }
 
 /// Some of so many numbers: at least one, up to a ratio of them.
--- a/crates/router-simulation/src/fault_plan/fault.rs
+++ b/crates/router-simulation/src/fault_plan/fault.rs
@@ -13,7 +13,7 @@
     /// Some routers crash and come back with the last list that they had.
     RouterCrash,
     /// Every router is restarted in turn, by SIGTERM.
-    RouterRoll,
+    RollingRestart,
     /// The origin is several times slower.
     OriginSlow,
     /// Some servers crash and start again in slow start.
@@ -39,13 +39,13 @@
     /// Watches at discovery end again and again.
     DiscoveryFlaps,
     /// A zone is cut off from the others.
-    ZoneCut,
+    ZonePartition,
     /// Connects to some servers are not answered.
     ConnectsIgnored,
     /// The wall clocks of some routers step.
     ClockSteps,
     /// Clients disconnect before their answer.
-    ClientsLeave,
+    ClientsDisconnect,
     /// Clients pipeline commands.
     ClientsPipeline,
     /// Clients read their answers late.
@@ -66,10 +66,10 @@
         FaultKind::HangingCalls,
     ];
     /// All other kinds: each pair of them meets.
-    pub const ALL: [FaultKind; 21] = [
+    pub const PAIRED: [FaultKind; 21] = [
         FaultKind::FastErrors,
         FaultKind::RouterCrash,
-        FaultKind::RouterRoll,
+        FaultKind::RollingRestart,
         FaultKind::OriginSlow,
         FaultKind::ServerCrash,
         FaultKind::ServerDrain,
@@ -82,10 +82,10 @@
         FaultKind::DiscoveryLate,
         FaultKind::DiscoveryDown,
         FaultKind::DiscoveryFlaps,
-        FaultKind::ZoneCut,
+        FaultKind::ZonePartition,
         FaultKind::ConnectsIgnored,
         FaultKind::ClockSteps,
-        FaultKind::ClientsLeave,
+        FaultKind::ClientsDisconnect,
         FaultKind::ClientsPipeline,
         FaultKind::ClientsReadSlowly,
     ];
@@ -95,7 +95,7 @@
         match self {
             FaultKind::FastErrors => "fast-errors",
             FaultKind::RouterCrash => "router-crash",
-            FaultKind::RouterRoll => "router-roll",
+            FaultKind::RollingRestart => "router-roll",
             FaultKind::OriginSlow => "origin-slow",
             FaultKind::ServerCrash => "server-crash",
             FaultKind::ServerDrain => "server-drain",
@@ -108,10 +108,10 @@
             FaultKind::DiscoveryLate => "discovery-late",
             FaultKind::DiscoveryDown => "discovery-down",
             FaultKind::DiscoveryFlaps => "discovery-flaps",
-            FaultKind::ZoneCut => "zone-cut",
+            FaultKind::ZonePartition => "zone-cut",
             FaultKind::ConnectsIgnored => "deaf",
             FaultKind::ClockSteps => "clock-steps",
-            FaultKind::ClientsLeave => "clients-leave",
+            FaultKind::ClientsDisconnect => "clients-leave",
             FaultKind::ClientsPipeline => "clients-pipeline",
             FaultKind::ClientsReadSlowly => "clients-read-slowly",
             FaultKind::ConnectsDelayed => "late-dials",
@@ -122,7 +122,7 @@
 
     /// The kind of this name.
     pub fn named(name: &str) -> Option<FaultKind> {
-        FaultKind::ALL
+        FaultKind::PAIRED
             .into_iter()
             .chain(FaultKind::RARE)
             .find(|kind| kind.name() == name)
@@ -155,9 +155,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OperatorAction {
     /// They disable a server at every router, restart it, and enable it again.
-    ServerOut(usize),
+    DisableServer(usize),
     /// They drain a router and resume it.
-    RouterDrain(usize),
+    DrainRouter(usize),
 }
 
 /// An action at its time, in microseconds.
--- a/crates/router-simulation/src/invariant_checker.rs
+++ b/crates/router-simulation/src/invariant_checker.rs
@@ -9,7 +9,7 @@
 mod coalescing;
 mod connection;
 mod counts;
-mod departures;
+mod disconnects;
 mod drains;
 mod effects;
 mod request;
@@ -17,7 +17,7 @@
 mod slow_start;
 mod trace;
 
-pub use counts::{CalmService, Counts};
+pub use counts::{Counts, ServiceAfterFaults};
 pub use rule::{
     CoalescingParameters, DeduplicationScope, Idempotency, OverloadSlack, Rule, RuleParameters,
     ServerIdentity, Violation,
@@ -68,7 +68,7 @@
     /// The first violations of the run.
     pub violations: Vec<Violation>,
     /// Service in the calm, if it is to be counted.
-    pub calm: Option<CalmService>,
+    pub after_faults: Option<ServiceAfterFaults>,
 }
 
 impl InvariantChecker {
@@ -93,7 +93,7 @@
             counts: Counts::default(),
             crowd_attempts: BTreeMap::new(),
             violations: Vec::new(),
-            calm: None,
+            after_faults: None,
             parameters,
         }
     }
@@ -303,7 +303,7 @@
                 checker.commands_arrived(now, id, client, count);
             }
             (Connection::Client(client), Side::Listener) => {
-                client.answers_arrived(now, count, checker.parameters.window);
+                client.answers_arrived(now, count, checker.parameters.receive_window);
             }
             (Connection::Server(server), Side::Listener) => {
                 checker.reply_arrived(now, id, server, count);
@@ -348,7 +348,7 @@
             (Connection::Server(server), Side::Listener) => {
                 checker.server_connection_closed(id, server);
             }
-            (Connection::Client(client), Side::Dialer) => checker.client_departed(now, client),
+            (Connection::Client(client), Side::Dialer) => checker.client_disconnected(now, client),
             _ => {}
         });
     }
--- a/crates/router-simulation/src/invariant_checker/answers.rs
+++ b/crates/router-simulation/src/invariant_checker/answers.rs
@@ -107,7 +107,7 @@
             first_sent_at: None,
             served_at: None,
             answered_at: None,
-            departed_at: None,
+            disconnected_at: None,
             is_abandoned: false,
             attempts: Vec::new(),
         };
@@ -128,7 +128,7 @@
     ) {
         for id in connection.commands_arrived(count) {
             if !connection.is_closing && self.requests.arrived(id, now) {
-                self.counts.taken += 1;
+                self.counts.accepted += 1;
                 self.trace.note(now, connection_id, Some(id), || {
                     "its last byte is at the router's machine".into()
                 });
@@ -204,7 +204,7 @@
         let deadline = request.deadline;
         let false_rejection = effects::check_rejection(request);
         let late = answer.began_at.saturating_sub(deadline.max(writable_since));
-        self.count_in_calm(id, deadline, &answer.response);
+        self.count_after_faults(id, deadline, &answer.response);
         if late > self.parameters.answer_grace {
             let text = format!("answered {late} us after its time was up");
             self.record_violation(Rule::Answered, now, Some(id), text);
@@ -221,14 +221,14 @@
         }
     }
 
-    fn count_in_calm(&mut self, id: u64, deadline: Time, response: &Response) {
-        let is_of_crowd = id >= self.parameters.crowds_from;
-        if let Some(calm) = &mut self.calm
-            && deadline >= calm.since
+    fn count_after_faults(&mut self, id: u64, deadline: Time, response: &Response) {
+        let is_of_crowd = id >= self.parameters.first_crowd_request_id;
+        if let Some(service) = &mut self.after_faults
+            && deadline >= service.since
             && !is_of_crowd
         {
-            calm.taken += 1;
-            calm.served += u64::from(matches!(response, Response::Served(_)));
+            service.accepted += 1;
+            service.served += u64::from(matches!(response, Response::Served(_)));
         }
     }
 
@@ -262,7 +262,7 @@
     /// Finds the requests whose time is up without an answer.
     pub(super) fn check_overdue(&mut self, now: Time) {
         while let Some(id) = self.requests.take_overdue(now) {
-            let window = self.parameters.window;
+            let window = self.parameters.receive_window;
             let connection = self
                 .requests
                 .get(id)
@@ -312,13 +312,13 @@
     }
 
     /// A client's disconnect is at the router's machine: nobody waits for its requests from here on.
-    pub(super) fn client_departed(&mut self, now: Time, connection: &ClientConnection) {
+    pub(super) fn client_disconnected(&mut self, now: Time, connection: &ClientConnection) {
         for id in connection.expected_answers() {
             if let Some(request) = self.requests.get_mut(id)
                 && request.answered_at.is_none()
             {
-                request.departed_at.get_or_insert(now);
-                self.counts.departed_unsent += u64::from(request.attempts.is_empty());
+                request.disconnected_at.get_or_insert(now);
+                self.counts.disconnected_unsent += u64::from(request.attempts.is_empty());
             }
         }
     }
--- a/crates/router-simulation/src/invariant_checker/attempts.rs
+++ b/crates/router-simulation/src/invariant_checker/attempts.rs
@@ -4,7 +4,7 @@
 use super::connection::{ServerConnection, take_arrived};
 use super::request::{Attempt, AttemptState, RequestState};
 use super::rule::Rule;
-use super::{InvariantChecker, answers, departures, effects};
+use super::{InvariantChecker, answers, disconnects, effects};
 use crate::executor::Time;
 use crate::fault_plan::MILLI;
 use crate::wire::{CacheRequest, Command, DecodedFrame, Response};
@@ -13,7 +13,7 @@
 const TRIES_PER_REQUEST: u64 = 256;
 
 /// The time that an attempt tells its server may be longer by this than what is left to the client, in microseconds.
-const TOLD_TIME_SLACK: Time = 150_000;
+const UPSTREAM_DEADLINE_SLACK: Time = 150_000;
 
 /// A command that a router has written whole.
 struct SentCommand<'a> {
@@ -25,10 +25,14 @@
 }
 
 /// What is wrong with the time that an attempt tells its server.
-fn check_told_time(now: Time, request: &RequestState, call: &CacheRequest) -> Option<String> {
+fn check_upstream_deadline(
+    now: Time,
+    request: &RequestState,
+    call: &CacheRequest,
+) -> Option<String> {
     let told = call.timeout_ms * MILLI;
     let left = request.deadline.saturating_sub(now);
-    (told > left + TOLD_TIME_SLACK)
+    (told > left + UPSTREAM_DEADLINE_SLACK)
         .then(|| format!("its server is told {told} us where {left} us are left to the client"))
 }
 
@@ -78,15 +82,18 @@
             return;
         };
         let is_flight = self.coalescing.is_some() && !request.is_write;
-        let departed = departures::check_send(now, request, is_flight);
-        let is_late_first_send = departed
+        let after_disconnect = disconnects::check_send(now, request, is_flight);
+        let is_late_first_send = after_disconnect
             .as_ref()
-            .is_some_and(|departed| departed.is_late_first_send);
-        let mut problems = self.check_before_departure(sent, request);
-        problems.extend(departed.map(|departed| (Rule::Departed, departed.text)));
+            .is_some_and(|after_disconnect| after_disconnect.is_late_first_send);
+        let mut problems = self.check_attempt(sent, request);
+        problems.extend(
+            after_disconnect
+                .map(|after_disconnect| (Rule::ClientDisconnect, after_disconnect.text)),
+        );
         let limits = effects::check_attempt_limits(request, &self.parameters);
         problems.extend(limits.into_iter().map(|text| (Rule::Effects, text)));
-        self.counts.sent_after_departure += u64::from(is_late_first_send);
+        self.counts.sent_after_disconnect += u64::from(is_late_first_send);
         for (rule, text) in problems {
             self.record_violation(rule, now, Some(call.id), text);
         }
@@ -94,11 +101,7 @@
     }
 
     /// What is wrong with an attempt as to the request's owner, its answer, and its effect.
-    fn check_before_departure(
-        &self,
-        sent: &SentCommand<'_>,
-        request: &RequestState,
-    ) -> Vec<(Rule, String)> {
+    fn check_attempt(&self, sent: &SentCommand<'_>, request: &RequestState) -> Vec<(Rule, String)> {
         let SentCommand { now, server, .. } = *sent;
         let mut problems = Vec::new();
         let wrong_router = answers::check_router(request, sent.router);
@@ -115,8 +118,8 @@
             problems.extend(after_answer.map(|text| (Rule::Answered, text)));
         }
         if !may_be_answered {
-            let told_time = check_told_time(now, request, sent.call);
-            problems.extend(told_time.map(|text| (Rule::ToldTime, text)));
+            let told_time = check_upstream_deadline(now, request, sent.call);
+            problems.extend(told_time.map(|text| (Rule::UpstreamDeadline, text)));
         }
         let repeats = effects::check_repeat(now, request, server, &self.server_zones);
         problems.extend(repeats.into_iter().map(|text| (Rule::Effects, text)));
@@ -124,7 +127,7 @@
     }
 
     fn count_for_crowd(&mut self, call: &CacheRequest) {
-        let is_of_crowd = call.id >= self.parameters.crowds_from;
+        let is_of_crowd = call.id >= self.parameters.first_crowd_request_id;
         let is_first_try = call.id.is_multiple_of(TRIES_PER_REQUEST);
         if is_of_crowd && is_first_try && !call.is_write {
             *self.crowd_attempts.entry(call.key.clone()).or_default() += 1;
--- a/crates/router-simulation/src/invariant_checker/coalescing.rs
+++ b/crates/router-simulation/src/invariant_checker/coalescing.rs
@@ -124,7 +124,7 @@
             .unwrap_or(now);
         let writes = count_writes_since(table, &requests.writes, oldest);
         // Each begin and each end of a write closes the flights before it.
-        let limit = self.parameters.flights * (1 + 2 * writes);
+        let limit = self.parameters.max_flights_per_key * (1 + 2 * writes);
         (count > limit)
             .then(|| format!("{count} attempts for its key are out where {limit} would do"))
     }
--- a/crates/router-simulation/src/invariant_checker/counts.rs
+++ b/crates/router-simulation/src/invariant_checker/counts.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Requests that a router accepted.
-    pub taken: u64,
+    pub accepted: u64,
     /// Those served.
     pub served: u64,
     /// Of those, with the value that was made for another.
@@ -21,32 +21,32 @@
     /// Connections between routers and cache servers.
     pub connections: u64,
     /// Requests whose clients disconnected before anything of them was sent.
-    pub departed_unsent: u64,
+    pub disconnected_unsent: u64,
     /// Those of them that were sent over 0.3 s later.
-    pub sent_after_departure: u64,
+    pub sent_after_disconnect: u64,
 }
 
 impl AddAssign for Counts {
     fn add_assign(&mut self, other: Counts) {
-        self.taken += other.taken;
+        self.accepted += other.accepted;
         self.served += other.served;
         self.coalesced += other.coalesced;
         self.rejected += other.rejected;
         self.failed += other.failed;
         self.attempts += other.attempts;
         self.connections += other.connections;
-        self.departed_unsent += other.departed_unsent;
-        self.sent_after_departure += other.sent_after_departure;
+        self.disconnected_unsent += other.disconnected_unsent;
+        self.sent_after_disconnect += other.sent_after_disconnect;
     }
 }
 
 /// Service once all faults are over.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct CalmService {
+pub struct ServiceAfterFaults {
     /// When the calm begins, in microseconds: requests whose deadline is later count.
     pub since: Time,
     /// Requests that a router accepted and answered.
-    pub taken: u64,
+    pub accepted: u64,
     /// Those of them served.
     pub served: u64,
 }
--- a/crates/router-simulation/src/invariant_checker/departures.rs
+++ b/crates/router-simulation/src/invariant_checker/disconnects.rs
@@ -6,10 +6,10 @@
 /// How long after a disconnect a request may still be sent: within the 0.3 s that operators allow.
 const DISCONNECT_GRACE: Time = 100_000;
 /// A request sent later than this after the disconnect counts as sent after departure.
-const LATE_SEND: Time = 300_000;
+const LATE_SEND_AFTER: Time = 300_000;
 
 /// A request that is sent after its client has disconnected.
-pub(super) struct SentAfterDeparture {
+pub(super) struct SentAfterDisconnect {
     /// What is wrong.
     pub(super) text: String,
     /// It is the request's first attempt, and later than operators allow.
@@ -22,10 +22,13 @@
     now: Time,
     request: &RequestState,
     is_flight: bool,
-) -> Option<SentAfterDeparture> {
-    let departed_at = request.departed_at.filter(|_| !is_flight)?;
-    (now > departed_at + DISCONNECT_GRACE).then(|| SentAfterDeparture {
-        text: format!("sent {} us after its client had left", now - departed_at),
-        is_late_first_send: request.attempts.is_empty() && now > departed_at + LATE_SEND,
+) -> Option<SentAfterDisconnect> {
+    let disconnected_at = request.disconnected_at.filter(|_| !is_flight)?;
+    (now > disconnected_at + DISCONNECT_GRACE).then(|| SentAfterDisconnect {
+        text: format!(
+            "sent {} us after its client had left",
+            now - disconnected_at
+        ),
+        is_late_first_send: request.attempts.is_empty() && now > disconnected_at + LATE_SEND_AFTER,
     })
 }
--- a/crates/router-simulation/src/invariant_checker/drains.rs
+++ b/crates/router-simulation/src/invariant_checker/drains.rs
@@ -1,7 +1,7 @@
 //! Rule 3: nothing new is sent to a server that drains or is gone, once the router has learned of it.
 //!
 //! A router learns of it when the line of the endpoint list is whole at its machine, when an operator disables the
-//! server there, or at the latest [`DEEMED_KNOWN`] after discovery has announced it. What a silent watch misses counts as
+//! server there, or at the latest [`DEEMED_KNOWN_AFTER`] after discovery has announced it. What a silent watch misses counts as
 //! known so long after the watch fell silent, or at once if it is announced later than that. Where an agent pushes lists, a
 //! router learns of what is announced at once, from its first moment on, unless its watch is silent.
 
@@ -11,7 +11,7 @@
 
 /// What discovery announces counts as known this much later, whether or not it arrived: the longest that PROTOCOL lets
 /// a router do without its list.
-const DEEMED_KNOWN: Time = 6_000_000;
+const DEEMED_KNOWN_AFTER: Time = 6_000_000;
 
 /// What a router knows of a server.
 #[derive(Clone, Copy, Debug)]
@@ -108,9 +108,10 @@
             server,
             announcement,
         };
-        self.add_pending(now + DEEMED_KNOWN, for_all);
+        self.add_pending(now + DEEMED_KNOWN_AFTER, for_all);
         let silent = self.silent.iter();
-        let due = silent.map(|(&router, watch)| (router, now.max(watch.since + DEEMED_KNOWN)));
+        let due =
+            silent.map(|(&router, watch)| (router, now.max(watch.since + DEEMED_KNOWN_AFTER)));
         for (router, deemed_known_at) in due.collect::<Vec<_>>() {
             let for_one = PendingAnnouncement {
                 router: Some(router),
--- a/crates/router-simulation/src/invariant_checker/request.rs
+++ b/crates/router-simulation/src/invariant_checker/request.rs
@@ -52,7 +52,7 @@
     /// When its final answer was whole on the wire.
     pub(super) answered_at: Option<Time>,
     /// When the client's disconnect was at the router's machine.
-    pub(super) departed_at: Option<Time>,
+    pub(super) disconnected_at: Option<Time>,
     /// The client or the router is gone: no answer is due.
     pub(super) is_abandoned: bool,
     pub(super) attempts: Vec<Attempt>,
--- a/crates/router-simulation/src/invariant_checker/rule.rs
+++ b/crates/router-simulation/src/invariant_checker/rule.rs
@@ -10,9 +10,9 @@
     /// Rule 1: whatever a running router accepts gets exactly one final answer in time, and nothing goes out after it.
     Answered,
     /// An attempt tells its server at most the time that is left to the client.
-    ToldTime,
+    UpstreamDeadline,
     /// Nothing is sent for a client that has disconnected.
-    Departed,
+    ClientDisconnect,
     /// Rule 2: no effect happens twice.
     Effects,
     /// Rule 3: nothing new is sent to a server that drains or is gone.
@@ -32,8 +32,8 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Rule::Answered => "rule 1, every request answered once and in time",
-            Rule::ToldTime => "deadlines, servers are told what is left",
-            Rule::Departed => "departures, nothing is sent for who has left",
+            Rule::UpstreamDeadline => "deadlines, servers are told what is left",
+            Rule::ClientDisconnect => "departures, nothing is sent for who has left",
             Rule::Effects => "rule 2, no effect twice",
             Rule::Drains => "rule 3, drains kept",
             Rule::SlowStart => "rule 4, no cold server pushed over",
@@ -101,14 +101,14 @@
     /// ... within this time.
     pub overload_duration: Time,
     /// Bytes that a connection takes without their being read.
-    pub window: usize,
+    pub receive_window: usize,
     /// Work beyond the overload limit that random arrivals may bring, in microseconds.
     pub overload_slack: OverloadSlack,
     /// Which reads may share an answer; `None`: none may.
     pub coalescing: Option<CoalescingParameters>,
     /// Requests from this id on belong to crowds: a few upstream requests decide over all of a crowd, so these do not
     /// count toward the ratio that is served in the calm.
-    pub crowds_from: u64,
+    pub first_crowd_request_id: u64,
 }
 
 /// The parameters of [`Rule::Coalescing`].
@@ -117,7 +117,7 @@
     /// The class whose reads may share an answer.
     pub class: String,
     /// Flights for one key that new reads may join.
-    pub flights: usize,
+    pub max_flights_per_key: usize,
 }
 
 /// A cache server as its endpoint list names it.
--- a/crates/router-simulation/src/run.rs
+++ b/crates/router-simulation/src/run.rs
@@ -14,8 +14,8 @@
 use crate::fault_plan::{Crowd, RunPlan};
 use crate::fleet::{FleetState, Server};
 use crate::invariant_checker::{
-    CalmService, Counts, InvariantChecker, OverloadSlack, Role, Rule, RuleParameters,
-    ServerIdentity, Violation,
+    Counts, InvariantChecker, OverloadSlack, Role, Rule, RuleParameters, ServerIdentity,
+    ServiceAfterFaults, Violation,
 };
 use crate::rng::SeededRng;
 use crate::simulation::{Simulation, Subnet, address};
@@ -37,7 +37,7 @@
     /// What passed.
     pub counts: Counts,
     /// Service once all faults are over.
-    pub calm: CalmService,
+    pub after_faults: ServiceAfterFaults,
     /// Attempts for each crowd of the plan, its clients' own retries aside.
     pub crowd_attempts: Vec<u64>,
     /// The first violations.
@@ -61,7 +61,7 @@
 /// Carries a plan out to its end, or to the instant at which tasks wake one another without end.
 pub fn simulate(plan: &RunPlan, recording: Recording) -> Report {
     let plan = Rc::new(plan.clone());
-    carry_out(&plan, rule_parameters(&plan), recording)
+    execute(&plan, rule_parameters(&plan), recording)
 }
 
 /// The same, where a server in slow start withstands as much as STANDING says: for large fleets, whose servers are alike.
@@ -74,10 +74,10 @@
         },
         ..rule_parameters(&plan)
     };
-    carry_out(&plan, parameters, recording)
+    execute(&plan, parameters, recording)
 }
 
-fn carry_out(plan: &Rc<RunPlan>, parameters: RuleParameters, recording: Recording) -> Report {
+fn execute(plan: &Rc<RunPlan>, parameters: RuleParameters, recording: Recording) -> Report {
     let run = Run::with_parameters(plan, parameters, recording);
     run.fail_system_calls();
     run.schedule_faults();
@@ -89,26 +89,29 @@
     } else {
         run.record_violation(Rule::Liveness, "tasks wake one another without end".into());
     }
-    let report = report(plan, &mut run.simulation.checker.borrow_mut());
+    let report = build_report(plan, &mut run.simulation.checker.borrow_mut());
     run.simulation.executor.end();
     report
 }
 
-fn report(plan: &RunPlan, checker: &mut InvariantChecker) -> Report {
-    let crowd_attempts = plan.crowds.iter().map(|crowd| attempts(checker, crowd));
+fn build_report(plan: &RunPlan, checker: &mut InvariantChecker) -> Report {
+    let crowd_attempts = plan
+        .crowds
+        .iter()
+        .map(|crowd| crowd_attempts(checker, crowd));
     Report {
         seed: plan.seed,
         digest: checker.digest(),
         steps: checker.steps(),
         counts: checker.counts,
-        calm: checker.calm.unwrap_or_default(),
+        after_faults: checker.after_faults.unwrap_or_default(),
         crowd_attempts: crowd_attempts.collect(),
         violations: std::mem::take(&mut checker.violations),
         trace: checker.trace().collect(),
     }
 }
 
-fn attempts(checker: &InvariantChecker, crowd: &Crowd) -> u64 {
+fn crowd_attempts(checker: &InvariantChecker, crowd: &Crowd) -> u64 {
     let key = crowd.requests.first().map(|request| request.key);
     let key = key.map(wire::key_bytes).unwrap_or_default();
     checker.crowd_attempts.get(&key).copied().unwrap_or(0)
@@ -141,7 +144,7 @@
     RuleParameters {
         overload_slack: OverloadSlack::Work(OVERLOAD_SLACK_REQUEST_COUNT * plan.mean_work),
         coalescing: plan.coalescing.then(coalescing_parameters),
-        crowds_from: crowd_ids.min().unwrap_or(u64::MAX),
+        first_crowd_request_id: crowd_ids.min().unwrap_or(u64::MAX),
         ..deployment_parameters(plan).rule_parameters(plan.conditions.receive_window)
     }
 }
@@ -236,7 +239,7 @@
 
     /// Discovery's list says this of a server after its notice delay and this time.
     fn announce(self: &Rc<Self>, server: usize, health: Health, born_ms: u64, delay: Time) {
-        self.after(self.plan.notice_delay + delay, move |run| {
+        self.after(self.plan.announcement_delay + delay, move |run| {
             run.discovery.set(server, health, born_ms);
         });
     }
@@ -253,9 +256,9 @@
 fn new_simulation(plan: &RunPlan, parameters: RuleParameters, recording: Recording) -> Simulation {
     let is_recording = recording == Recording::Trace;
     let mut checker = InvariantChecker::new(parameters, &server_identities(plan), is_recording);
-    checker.calm = Some(CalmService {
-        since: plan.calm_from,
-        ..CalmService::default()
+    checker.after_faults = Some(ServiceAfterFaults {
+        since: plan.recovered_by,
+        ..ServiceAfterFaults::default()
     });
     Simulation::new(
         checker,
--- a/crates/router-simulation/src/run/end_check.rs
+++ b/crates/router-simulation/src/run/end_check.rs
@@ -2,12 +2,12 @@
 
 use super::Run;
 use super::routers::RouterProcess;
-use crate::invariant_checker::{CalmService, Rule};
+use crate::invariant_checker::{Rule, ServiceAfterFaults};
 
 /// From this many requests on, the ratio of served ones in the calm is judged.
-const MIN_CALM_REQUEST_COUNT: u64 = 20;
+const MIN_JUDGED_REQUEST_COUNT: u64 = 20;
 /// The least ratio of them that has to be served for service to have come back.
-const MIN_CALM_SERVED_RATIO: f64 = 0.1;
+const MIN_SERVED_RATIO: f64 = 0.1;
 /// The decision library's poll of the endpoint list may always be set.
 const IDLE_TIMER_COUNT: usize = 1;
 /// A router's watch at discovery.
@@ -19,7 +19,7 @@
         for router in &self.routers {
             self.check_router_is_idle(router);
         }
-        self.check_service_is_back();
+        self.check_service_has_recovered();
     }
 
     fn check_router_is_idle(&self, router: &RouterProcess) {
@@ -46,12 +46,20 @@
         }
     }
 
-    fn check_service_is_back(&self) {
-        let calm = self.simulation.checker.borrow().calm.unwrap_or_default();
-        let CalmService { taken, served, .. } = calm;
-        let required = MIN_CALM_SERVED_RATIO * taken as f64;
-        if taken >= MIN_CALM_REQUEST_COUNT && (served as f64) < required {
-            let text = format!("only {served} of {taken} requests were served once all was calm");
+    fn check_service_has_recovered(&self) {
+        let after_faults = self
+            .simulation
+            .checker
+            .borrow()
+            .after_faults
+            .unwrap_or_default();
+        let ServiceAfterFaults {
+            accepted, served, ..
+        } = after_faults;
+        let required = MIN_SERVED_RATIO * accepted as f64;
+        if accepted >= MIN_JUDGED_REQUEST_COUNT && (served as f64) < required {
+            let text =
+                format!("only {served} of {accepted} requests were served once all was calm");
             self.record_violation(Rule::Liveness, text);
         }
     }
--- a/crates/router-simulation/src/run/faults.rs
+++ b/crates/router-simulation/src/run/faults.rs
@@ -8,16 +8,16 @@
 use std::rc::Rc;
 
 /// How much later than the server the list shows its restart.
-const RESTART_NOTICE: Time = 20 * MILLI;
+const RESTART_ANNOUNCEMENT_DELAY: Time = 20 * MILLI;
 /// A server is listed as draining this much before it stops to accept work.
-const DRAIN_NOTICE: Time = 300 * MILLI;
+const DRAIN_LEAD_TIME: Time = 300 * MILLI;
 /// A server that was drained is away for this time ...
-const DRAINED_PAUSE: Time = 400 * MILLI;
+const DRAINED_DOWNTIME: Time = 400 * MILLI;
 /// ... and listed this much after its restart.
-const DRAINED_RESTART_NOTICE: Time = 300 * MILLI;
+const DRAINED_RESTART_ANNOUNCEMENT_DELAY: Time = 300 * MILLI;
 /// A server that began to drain in a silence restarts this long after the silence began: past the time from which the drain
 /// counts as known.
-const DRAIN_IN_SILENCE: Time = 6_900 * MILLI;
+const RESTART_AFTER_SILENCE: Time = 6_900 * MILLI;
 /// How often watches end while discovery flaps.
 const FLAP_COUNT: Time = 6;
 /// How often idle connections are reset.
@@ -35,7 +35,7 @@
     fn begin(self: &Rc<Self>, fault: &Fault) {
         match fault.kind {
             FaultKind::RouterCrash => self.crash_routers(fault),
-            FaultKind::RouterRoll => self.roll_routers(fault),
+            FaultKind::RollingRestart => self.restart_routers_in_turn(fault),
             FaultKind::ServerCrash => self.crash_servers(fault, false),
             FaultKind::ServerVanish => self.crash_servers(fault, true),
             FaultKind::ServerDrain => self.drain_servers(fault),
@@ -48,7 +48,7 @@
             FaultKind::DiscoveryFlaps => self.flap_discovery(fault),
             // Late news: discovery's zone is cut off for part of the time.
             FaultKind::DiscoveryLate => self.isolate_zone(0, fault.duration / 2),
-            FaultKind::ZoneCut => {
+            FaultKind::ZonePartition => {
                 for &zone in &fault.targets {
                     self.isolate_zone(zone, fault.duration);
                 }
@@ -77,8 +77,9 @@
                 self.impair(fault, |faults, severity| faults.slowdown = 6.0 * severity);
             }
             // These are in what clients do.
-            FaultKind::ClientsLeave | FaultKind::ClientsPipeline | FaultKind::ClientsReadSlowly => {
-            }
+            FaultKind::ClientsDisconnect
+            | FaultKind::ClientsPipeline
+            | FaultKind::ClientsReadSlowly => {}
         }
     }
 
@@ -88,7 +89,7 @@
         }
     }
 
-    fn roll_routers(self: &Rc<Self>, fault: &Fault) {
+    fn restart_routers_in_turn(self: &Rc<Self>, fault: &Fault) {
         let gap = 50 * MILLI + (fault.severity * 300.0) as Time * MILLI;
         for (turn, &router) in fault.targets.iter().enumerate() {
             let router = self.routers[router].clone();
@@ -105,7 +106,7 @@
                 self.announce(server, Health::Removed, born_ms, 0);
             }
             self.after(fault.duration, move |run| {
-                run.start_server(server, RESTART_NOTICE);
+                run.start_server(server, RESTART_ANNOUNCEMENT_DELAY);
             });
         }
     }
@@ -114,14 +115,14 @@
         for &server in &fault.targets {
             let born_ms = self.servers[server].born_ms.get();
             self.announce(server, Health::Draining, born_ms, 0);
-            self.after(self.plan.notice_delay + DRAIN_NOTICE, move |run| {
+            self.after(self.plan.announcement_delay + DRAIN_LEAD_TIME, move |run| {
                 run.servers[server].is_draining.set(true);
             });
-            self.after(self.plan.notice_delay + fault.duration, move |run| {
+            self.after(self.plan.announcement_delay + fault.duration, move |run| {
                 run.announce(server, Health::Removed, born_ms, 0);
                 run.servers[server].kill(false);
-                run.after(DRAINED_PAUSE, move |run| {
-                    run.start_server(server, DRAINED_RESTART_NOTICE);
+                run.after(DRAINED_DOWNTIME, move |run| {
+                    run.start_server(server, DRAINED_RESTART_ANNOUNCEMENT_DELAY);
                 });
             });
         }
@@ -174,9 +175,9 @@
             let born_ms = run.servers[server].born_ms.get();
             run.announce(server, Health::Draining, born_ms, 0);
         });
-        self.after(DRAIN_IN_SILENCE, move |run| {
+        self.after(RESTART_AFTER_SILENCE, move |run| {
             run.servers[server].kill(false);
-            run.start_server(server, DRAINED_RESTART_NOTICE);
+            run.start_server(server, DRAINED_RESTART_ANNOUNCEMENT_DELAY);
         });
     }
 
--- a/crates/router-simulation/src/run/operators.rs
+++ b/crates/router-simulation/src/run/operators.rs
@@ -17,8 +17,8 @@
         } in &self.plan.operator_actions
         {
             self.at(at, move |run| match action {
-                OperatorAction::ServerOut(server) => run.disable_server(server, duration),
-                OperatorAction::RouterDrain(router) => run.drain_router(router, duration),
+                OperatorAction::DisableServer(server) => run.disable_server(server, duration),
+                OperatorAction::DrainRouter(router) => run.drain_router(router, duration),
             });
         }
     }
--- a/crates/router-simulation/src/run/routers.rs
+++ b/crates/router-simulation/src/run/routers.rs
@@ -20,11 +20,11 @@
 /// What the protocol leaves a router after SIGTERM, beside its longest deadline.
 const KILL_MARGIN: Time = 700 * MILLI;
 /// How long a router that ended after SIGTERM is away at least.
-const RESTART_PAUSE: Time = 30 * MILLI;
+const RESTART_DOWNTIME: Time = 30 * MILLI;
 /// How much longer each further router is away.
-const RESTART_PAUSE_STEP: Time = 7 * MILLI;
+const RESTART_DOWNTIME_STEP: Time = 7 * MILLI;
 /// How long a router that had to be killed after SIGTERM is away.
-const KILLED_PAUSE: Time = 50 * MILLI;
+const KILLED_DOWNTIME: Time = 50 * MILLI;
 /// The memory that a router may use.
 const MEMORY_BYTES: usize = 64 << 20;
 /// Random numbers of the first router's failing system calls.
@@ -175,7 +175,7 @@
             .borrow_mut()
             .router_died(self.now(), router.number);
         let router = router.clone();
-        let pause = RESTART_PAUSE + RESTART_PAUSE_STEP * router.number as Time;
+        let pause = RESTART_DOWNTIME + RESTART_DOWNTIME_STEP * router.number as Time;
         self.after(pause, move |run| run.start_router(&router));
     }
 
@@ -206,7 +206,7 @@
             if router.is_running_as(incarnation) {
                 let text = "a router is still there when it is killed";
                 run.record_violation(Rule::Liveness, text.into());
-                run.kill_router(&router, KILLED_PAUSE);
+                run.kill_router(&router, KILLED_DOWNTIME);
             }
         });
     }
--- a/crates/router-simulation/src/run/traffic.rs
+++ b/crates/router-simulation/src/run/traffic.rs
@@ -80,7 +80,7 @@
     fn client_behavior(&self, request: &PlannedRequest) -> ClientBehavior {
         let selector = request.fault_selector;
         let leaves = self
-            .active_fault(request, FaultKind::ClientsLeave)
+            .active_fault(request, FaultKind::ClientsDisconnect)
             .is_some_and(|fault| selector < 0.2 + 0.6 * fault.severity);
         let reads_slowly = self
             .active_fault(request, FaultKind::ClientsReadSlowly)
--- a/crates/router-simulation/tests/drawn_runs.rs
+++ b/crates/router-simulation/tests/drawn_runs.rs
@@ -1,7 +1,7 @@
 //! Drawn runs: they repeat to the step, keep the rules, and catch what is mutated.
 
 use router_simulation::campaign;
-use router_simulation::fault_plan::{FaultKind, PAIRS, RunPlan};
+use router_simulation::fault_plan::{FAULT_PAIR_COUNT, FaultKind, RunPlan};
 use router_simulation::invariant_checker::Rule;
 use router_simulation::run::{Recording, simulate};
 use std::process::{Command, Output};
@@ -87,19 +87,19 @@
 #[test]
 fn each_pair_of_faults_meets_once_in_as_many_seeds_as_there_are_pairs() {
     let mut met = std::collections::BTreeSet::new();
-    for seed in 0..PAIRS {
+    for seed in 0..FAULT_PAIR_COUNT {
         let plan = RunPlan::draw(seed, &[]);
         let paired: Vec<FaultKind> = plan
             .faults
             .iter()
             .map(|fault| fault.kind)
-            .filter(|kind| FaultKind::ALL.contains(kind))
+            .filter(|kind| FaultKind::PAIRED.contains(kind))
             .collect();
         for a in &paired {
             met.extend(paired.iter().filter(|b| a < b).map(|b| (*a, *b)));
         }
     }
-    assert_eq!(met.len() as u64, PAIRS);
+    assert_eq!(met.len() as u64, FAULT_PAIR_COUNT);
 }
 
 #[test]
--- a/crates/router-simulation/tests/failing_system_calls.rs
+++ b/crates/router-simulation/tests/failing_system_calls.rs
@@ -101,7 +101,7 @@
 #[test]
 fn no_rule_breaks_on_drawn_runs_whose_system_calls_fail() {
     for seed in 0..150 {
-        let mut plan = RunPlan::draw(seed, &FaultKind::ALL);
+        let mut plan = RunPlan::draw(seed, &FaultKind::PAIRED);
         plan.failing_calls_ratio = 0.05;
         let report = simulate(&plan, Recording::Violations);
         assert!(
--- a/crates/router-simulation/tests/invariant_checker.rs
+++ b/crates/router-simulation/tests/invariant_checker.rs
@@ -30,7 +30,7 @@
     fn coalescing() -> Wire {
         let coalescing_parameters = CoalescingParameters {
             class: CLASSES[0].to_string(),
-            flights: 2,
+            max_flights_per_key: 2,
         };
         Wire::with(RuleParameters {
             coalescing: Some(coalescing_parameters),
--- a/crates/router-simulation/tests/pushed_lists.rs
+++ b/crates/router-simulation/tests/pushed_lists.rs
@@ -11,7 +11,7 @@
 const RESETS: [FaultKind; 2] = [FaultKind::DiscoveryFlaps, FaultKind::ServerDrain];
 const STARTS: [FaultKind; 3] = [
     FaultKind::RouterCrash,
-    FaultKind::RouterRoll,
+    FaultKind::RollingRestart,
     FaultKind::ServerDrain,
 ];
 
--- a/crates/router-simulation/tests/rare_fault_scenarios.rs
+++ b/crates/router-simulation/tests/rare_fault_scenarios.rs
@@ -103,8 +103,8 @@
 /// Each kind of scenario, and the rule that breaks with its mutation.
 type RareScenario = (fn() -> Scenario, Rule);
 const SCENARIOS: [RareScenario; 5] = [
-    (departure, Rule::Departed),
-    (departure_behind_commands, Rule::Departed),
+    (departure, Rule::ClientDisconnect),
+    (departure_behind_commands, Rule::ClientDisconnect),
     (silent_push, Rule::Drains),
     (unanswered_at_shutdown, Rule::Answered),
     (lost_push, Rule::Drains),
--- a/crates/router-simulation/tests/slow_origin.rs
+++ b/crates/router-simulation/tests/slow_origin.rs
@@ -33,7 +33,7 @@
         })
         .collect();
     plan.mean_work /= times;
-    plan.calm_from = FROM + LONG;
+    plan.recovered_by = FROM + LONG;
     plan
 }
 
@@ -52,20 +52,22 @@
     fault(FaultKind::OriginSlow, FROM, LONG, vec![0], 1.1)
 }
 
-fn served_in_the_calm(plan: &RunPlan) -> u64 {
+fn served_after_faults(plan: &RunPlan) -> u64 {
     let Report {
-        violations, calm, ..
+        violations,
+        after_faults,
+        ..
     } = simulate(plan, Recording::Violations);
     assert!(violations.is_empty(), "{violations:?}");
-    calm.served
+    after_faults.served
 }
 
 /// Of what is served from 5 s after the end without the faults, at least nine tenths are with them.
 fn recovers(mut plan: RunPlan, faults: Vec<Fault>) {
-    plan.calm_from += 5 * SECOND;
-    let before = served_in_the_calm(&plan);
+    plan.recovered_by += 5 * SECOND;
+    let before = served_after_faults(&plan);
     plan.faults = faults;
-    let after = served_in_the_calm(&plan);
+    let after = served_after_faults(&plan);
     assert!(
         after * 10 >= before * 9,
         "seed {}: {after} of {before} served in the calm",
@@ -113,7 +115,7 @@
             vec![0],
             0.5,
         );
-        let cut = fault(FaultKind::ZoneCut, at, 5 * SECOND, vec![1], 0.5);
+        let cut = fault(FaultKind::ZonePartition, at, 5 * SECOND, vec![1], 0.5);
         recovers(plan, vec![slow_origin(), restarts, down, cut]);
     }
 }
@@ -130,6 +132,6 @@
             vec![0, 2, 4],
             0.5,
         )];
-        served_in_the_calm(&plan);
+        served_after_faults(&plan);
     }
 }
--- a/crates/router-soak/src/recorder.rs
+++ b/crates/router-soak/src/recorder.rs
@@ -214,9 +214,9 @@
         // No server fails under load here.
         overload_multiple: f64::MAX,
         overload_duration: 1,
-        window: usize::MAX,
+        receive_window: usize::MAX,
         overload_slack: OverloadSlack::Work(f64::MAX),
         coalescing: None,
-        crowds_from: u64::MAX,
+        first_crowd_request_id: u64::MAX,
     }
 }
