--- a/crates/load-balancer/src/failure_attribution.rs
+++ b/crates/load-balancer/src/failure_attribution.rs
@@ -20,7 +20,8 @@
 /// server's own failures are seldom late.
 const ORIGIN_LATE_FAILURE_RATIO: f64 = 0.2;
 
-/// Tracks how many of the unexplained failures are late.
+/// Tracks how many of the unexplained failures are late. A failure is unexplained if it carries no
+/// cache status.
 #[derive(Debug)]
 pub(crate) struct FailureAttribution {
     late_failures: MovingAverage,
--- a/crates/load-balancer/src/placement.rs
+++ b/crates/load-balancer/src/placement.rs
@@ -242,14 +242,15 @@
     inputs: PlacementInputs<'a>,
     /// Whether no candidate has been considered yet.
     is_first_candidate: bool,
-    /// Whether every candidate so far was excluded or skipped as a replica of other routers.
+    /// Whether every candidate so far was either excluded or skipped in favor of this router's
+    /// replica.
     is_before_first_eligible: bool,
     /// The server weight that is still to be skipped, in units of the mean weight.
     replica_weight_left_to_skip: f64,
     /// Whether the key may migrate: the owner is excluded, or its keys may leave it.
     may_migrate: bool,
-    /// The first eligible server among those skipped as replicas of other routers. It takes the
-    /// request if no other server does.
+    /// The first eligible server among those skipped in favor of this router's replica. It takes
+    /// the request if no other server does.
     fallback: Option<usize>,
 }
 
@@ -332,7 +333,8 @@
         }
     }
 
-    /// The first eligible server is the one to which the key belongs now.
+    /// The verdict for the first eligible server, to which the key belongs while the servers before
+    /// it are excluded.
     fn verdict_for_first_eligible(
         &self,
         server: &Server,
@@ -350,8 +352,9 @@
         }
     }
 
-    /// Beyond the first eligible server a fetch costs a retry token, unless the key is known to be
-    /// cached there. A write is a fetch at any server, so that it is never an extra one.
+    /// The verdict for a server beyond the first eligible one. An origin fetch there costs a retry
+    /// token, unless the key is known to be cached there. A write is a fetch at any server, so that
+    /// it is never an extra one.
     fn verdict_for_successor(&self, server: &Server, is_cached: bool) -> CandidateVerdict {
         let is_extra_fetch = !is_cached && !self.inputs.pending.request.write;
         let limit_ratio = if is_extra_fetch {
--- a/crates/load-balancer/src/queue_estimate.rs
+++ b/crates/load-balancer/src/queue_estimate.rs
@@ -7,7 +7,7 @@
 //! A server that is slow by nature answers late although no request waits there. Reducing its limit
 //! for that would divert its keys, and each diverted key is an origin fetch. In a large fleet of
 //! routers each router sees a server too seldom to know by itself whether it has capacity; there
-//! the reports tell.
+//! the load reports show it.
 
 use crate::latency_baseline::LatencyBaseline;
 use crate::load_report::LoadReport;
--- a/crates/load-balancer/src/slow_start.rs
+++ b/crates/load-balancer/src/slow_start.rs
@@ -17,9 +17,8 @@
 /// overloads it.
 const SAFE_LOAD_RATIO: f64 = 0.75;
 
-/// The greatest age with which a newly listed process is taken to start. An endpoint list may
-/// arrive this late; a greater age more likely comes from a difference between the clocks of two
-/// machines.
+/// The greatest age that is accepted for a newly listed process. An endpoint list may arrive this
+/// late; a greater age more likely comes from a difference between the clocks of two machines.
 const MAX_NEW_PROCESS_AGE: Micros = Micros::from_millis(1_000);
 
 /// Estimates when a process of a server started, on this process's clock; zero means long ago.
