--- a/crates/load-balancer/src/deployment.rs
+++ b/crates/load-balancer/src/deployment.rs
@@ -10,7 +10,7 @@
 //! `limits.conn_idle` and `limits.dial_timeout` unlimited, `deductions.connection` and
 //! `deductions.handshake` 0. All other paths that are read here are required.
 
-use crate::ids::{KindId, ZoneId};
+use crate::ids::{MachineKindId, ZoneId};
 use crate::load_report::LoadReportFormat;
 use crate::settings::{
     CacheMode, Class, ConnectionCosts, DeduplicationScope, DiscoveryMode, Idempotency, Limits,
@@ -63,7 +63,7 @@
     pub tenants: Vec<String>,
     /// Names of the zones, in the order of [`ZoneId`].
     pub zones: Vec<String>,
-    /// Names of the machine kinds, in the order of [`KindId`].
+    /// Names of the machine kinds, in the order of [`MachineKindId`].
     pub kinds: Vec<String>,
 }
 
@@ -330,7 +330,7 @@
     match params.optional("specifics.mode") {
         None | Some("through") => Ok(CacheMode::Through),
         Some("aside") => {
-            let origin = KindId(params.number("specifics.origin_kind")? as usize);
+            let origin = MachineKindId(params.number("specifics.origin_kind")? as usize);
             Ok(CacheMode::Aside { origin })
         }
         Some(other) => Err(unknown_word("specifics.mode", other)),
--- a/crates/load-balancer/src/endpoint.rs
+++ b/crates/load-balancer/src/endpoint.rs
@@ -1,6 +1,6 @@
 //! Entries of the endpoint list, and the kinds of updates to the list.
 
-use crate::ids::{CellId, KindId, ServerId, ZoneId};
+use crate::ids::{CellId, MachineKindId, ServerId, ZoneId};
 use crate::time::Micros;
 
 /// The state of a listed server.
@@ -26,7 +26,7 @@
     /// The server's cell.
     pub cell: CellId,
     /// The machine kind, if it is known.
-    pub kind: Option<KindId>,
+    pub kind: Option<MachineKindId>,
     /// When the server's process started; zero for long ago.
     pub started: Micros,
     /// The server's size relative to others; see [`WeightKind`](crate::WeightKind).
--- a/crates/load-balancer/src/ids.rs
+++ b/crates/load-balancer/src/ids.rs
@@ -50,7 +50,7 @@
 
 /// A machine kind. The embedding router assigns the numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct KindId(pub usize);
+pub struct MachineKindId(pub usize);
 
 /// A cell: a group of servers that share a record of idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
--- a/crates/load-balancer/src/lib.rs
+++ b/crates/load-balancer/src/lib.rs
@@ -97,7 +97,9 @@
 pub use diagnostics::{Diagnostics, TrackedCounts};
 pub use endpoint::{Endpoint, EndpointState, EndpointUpdate};
 pub use event::Event;
-pub use ids::{AttemptNumber, CellId, ClassId, KindId, RequestId, ServerId, TenantId, ZoneId};
+pub use ids::{
+    AttemptNumber, CellId, ClassId, MachineKindId, RequestId, ServerId, TenantId, ZoneId,
+};
 pub use load_report::{LoadReport, LoadReportFormat};
 pub use placement::CandidateVerdict;
 pub use request::{AttemptEnd, CacheStatus, ConnectionUse, Outcome, Request};
--- a/crates/load-balancer/src/settings.rs
+++ b/crates/load-balancer/src/settings.rs
@@ -1,6 +1,6 @@
 //! Settings of a router: types, defaults and validation.
 
-use crate::ids::{KindId, ZoneId};
+use crate::ids::{MachineKindId, ZoneId};
 use crate::time::Micros;
 
 /// Whether a request may be repeated.
@@ -63,7 +63,7 @@
     /// The router, with another attempt (cache-aside). Writes go to the origin as well.
     Aside {
         /// Servers of this machine kind are the origin and are not on the ring.
-        origin: KindId,
+        origin: MachineKindId,
     },
 }
 
--- a/crates/load-balancer/tests/cache_aside.rs
+++ b/crates/load-balancer/tests/cache_aside.rs
@@ -8,10 +8,12 @@
 #[test]
 fn cache_aside_misses_and_writes_go_to_the_origin() {
     let mut settings = settings();
-    settings.mode = CacheMode::Aside { origin: KindId(9) };
+    settings.mode = CacheMode::Aside {
+        origin: MachineKindId(9),
+    };
     let mut endpoints = ready(3);
     let mut origin = Endpoint::ready(ServerId::from("10.9.9.9:80"));
-    origin.kind = Some(KindId(9));
+    origin.kind = Some(MachineKindId(9));
     endpoints.push(origin.clone());
     let mut rig = TestRouter::new(settings, endpoints);
     for key in 0..300 {
@@ -35,9 +37,14 @@
 fn the_first_miss_at_one_of_many_routers_goes_to_the_origin() {
     for seed in 0..20 {
         let mut settings = settings();
-        (settings.mode, settings.routers) = (CacheMode::Aside { origin: KindId(9) }, 600);
+        (settings.mode, settings.routers) = (
+            CacheMode::Aside {
+                origin: MachineKindId(9),
+            },
+            600,
+        );
         let mut origin = Endpoint::ready(ServerId::from("10.9.9.9:80"));
-        origin.kind = Some(KindId(9));
+        origin.kind = Some(MachineKindId(9));
         let mut rig = TestRouter::new(settings.clone(), vec![]);
         rig.router = Router::new(settings, seed).expect("usable settings");
         rig.update_endpoints(
--- a/crates/load-balancer/tests/random_events.rs
+++ b/crates/load-balancer/tests/random_events.rs
@@ -280,7 +280,7 @@
             ][state],
             started: ms(started),
             weight: [0.0, 1.0, f64::MAX, 0.5][weight as usize],
-            kind: (server == 0).then_some(KindId(9)),
+            kind: (server == 0).then_some(MachineKindId(9)),
             zone: Some(ZoneId(server % 3)),
             ..Endpoint::ready(name(server))
         };
@@ -423,7 +423,9 @@
 fn settings_variant(flags: u8) -> Settings {
     let mut settings = settings();
     if flags & 1 == 1 {
-        settings.mode = CacheMode::Aside { origin: KindId(9) };
+        settings.mode = CacheMode::Aside {
+            origin: MachineKindId(9),
+        };
     }
     if flags & 2 == 2 {
         settings.discovery = DiscoveryMode::Subscribe {
--- a/crates/router-runtime/src/discovery/endpoint_table.rs
+++ b/crates/router-runtime/src/discovery/endpoint_table.rs
@@ -9,8 +9,8 @@
 use crate::upstream::UpstreamPools;
 use load_balancer::deployment::Names;
 use load_balancer::{
-    AdminOverride, CellId, Endpoint, EndpointState, EndpointUpdate, KindId, Micros, ServerId,
-    ZoneId,
+    AdminOverride, CellId, Endpoint, EndpointState, EndpointUpdate, MachineKindId, Micros,
+    ServerId, ZoneId,
 };
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashSet};
@@ -140,7 +140,7 @@
             state,
             zone: position(&self.names.zones, entry.zone.as_ref()).map(ZoneId),
             cell: CellId(entry.cell),
-            kind: position(&self.names.kinds, entry.kind.as_ref()).map(KindId),
+            kind: position(&self.names.kinds, entry.kind.as_ref()).map(MachineKindId),
             started: Micros::from_millis(entry.started_ms),
             weight,
         }
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -5,8 +5,8 @@
 use load_balancer::deployment::Names;
 use load_balancer::{
     Action, AttemptEnd, AttemptNumber, CacheStatus, CellId, ClassId, Endpoint, EndpointState,
-    EndpointUpdate, Event, KindId, LoadReportFormat, Micros, Outcome, Request, ServerId, TenantId,
-    ZoneId,
+    EndpointUpdate, Event, LoadReportFormat, MachineKindId, Micros, Outcome, Request, ServerId,
+    TenantId, ZoneId,
 };
 use std::io::{self, Write};
 
@@ -166,7 +166,9 @@
     let server = ServerId::from(line.text("server")?);
     let state = endpoint_state(line)?;
     let zone = line.one_of("dc", &names.zones)?.map(ZoneId);
-    let kind = line.one_of("class_of_host", &names.kinds)?.map(KindId);
+    let kind = line
+        .one_of("class_of_host", &names.kinds)?
+        .map(MachineKindId);
     let started = line.optional_time("start_time")?.unwrap_or_default();
     let weight = line.optional("weight", "a number")?;
     Ok(Endpoint {
