--- a/crates/router-simulation/src/invariant_checker.rs
+++ b/crates/router-simulation/src/invariant_checker.rs
@@ -1,8 +1,8 @@
-//! Holds what passes on the wire, and facts that no router sees, against the rules of the protocol after every step. It
-//! shares nothing with the router's logic.
+//! Checks the traffic on the wire, and facts that no router sees, against the rules of the protocol
+//! after every step. It shares no code with the router.
 //!
-//! The rules' times are kept to the microsecond: the simulated sockets have none of the noise for which the protocol
-//! allows real ones 50 ms.
+//! Time limits are checked to the microsecond. The protocol allows real sockets 50 ms of noise,
+//! which simulated sockets do not have.
 
 mod answers;
 mod attempts;
@@ -34,23 +34,23 @@
 use std::collections::{BTreeMap, BTreeSet};
 use trace::{StepKind, Trace};
 
-/// Violations that are recorded of one run.
+/// The number of violations recorded per run; later ones are discarded.
 const MAX_VIOLATION_COUNT: usize = 8;
 
-/// What runs on a machine.
+/// The kind of process that runs on a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// A router, by its number.
+    /// The router of this number.
     Router(usize),
-    /// A cache server, by its number.
+    /// The cache server of this number.
     Server(usize),
-    /// Clients.
+    /// Any number of clients.
     Client,
-    /// Discovery.
+    /// The discovery service.
     Discovery,
 }
 
-/// The checker of a run.
+/// Checks one run. The network reports to it through [`Observer`].
 pub struct InvariantChecker {
     parameters: RuleParameters,
     roles: Vec<Role>,
@@ -61,19 +61,19 @@
     processes: Vec<ServerProcess>,
     coalescing: Option<Coalescing>,
     trace: Trace,
-    /// What passed.
+    /// Totals of the run so far.
     pub counts: Counts,
-    /// Attempts for reads of crowds, their clients' own retries aside, by key.
+    /// The number of attempts for reads of crowds, by key. Retries by the clients do not count.
     pub crowd_attempts: BTreeMap<Vec<u8>, u64>,
     /// The first violations of the run.
     pub violations: Vec<Violation>,
-    /// Service in the calm, if it is to be counted.
+    /// Requests served after the faults, if they are to be counted.
     pub after_faults: Option<ServiceAfterFaults>,
 }
 
 impl InvariantChecker {
-    /// A checker of a run with these servers, by their numbers. Violations show their last steps if the trace is
-    /// recorded.
+    /// Creates the checker of a run with these servers, in the order of their numbers. Violations
+    /// include the last steps of the request if the trace is recorded.
     pub fn new(
         parameters: RuleParameters,
         servers: &[ServerIdentity],
@@ -98,27 +98,27 @@
         }
     }
 
-    /// The next machine of the network has this role.
+    /// Assigns a role to the next machine of the network.
     pub fn add_machine(&mut self, role: Role) {
         self.roles.push(role);
     }
 
-    /// Steps so far.
+    /// Returns the number of steps so far.
     pub fn steps(&self) -> u64 {
         self.trace.step_count()
     }
 
-    /// A number that is equal for equal runs.
+    /// Returns a digest of all steps, which is equal for equal runs.
     pub fn digest(&self) -> u64 {
         self.trace.digest()
     }
 
-    /// The lines of the trace; none unless it is recorded.
+    /// Returns the lines of the trace, or none if it is not recorded.
     pub fn trace(&self) -> impl Iterator<Item = String> + '_ {
         self.trace.lines()
     }
 
-    /// Records a violation; `time` in microseconds.
+    /// Records a violation at a time in microseconds.
     pub fn record_violation(&mut self, rule: Rule, time: Time, request: Option<u64>, text: String) {
         if self.violations.len() >= MAX_VIOLATION_COUNT {
             return;
@@ -136,7 +136,7 @@
         });
     }
 
-    /// The connections of a request: its client's and those of its attempts.
+    /// Returns the client's connection of a request and the connections of its attempts.
     fn connections_of(&self, request: Option<u64>) -> BTreeSet<u32> {
         let Some(request) = request.and_then(|id| self.requests.get(id)) else {
             return BTreeSet::new();
@@ -145,7 +145,7 @@
         attempts.chain([request.connection]).collect()
     }
 
-    /// Operators disable a server at a router, or enable it again.
+    /// Records that an operator disables a server at a router, or enables it again.
     pub fn server_override_changed(
         &mut self,
         now: Time,
@@ -157,7 +157,7 @@
             .override_changed(now, (router, server), is_disabled);
     }
 
-    /// A router starts, and its configuration holds this list.
+    /// Records that a router starts with this endpoint list in its configuration.
     pub fn router_started(&mut self, now: Time, router: usize, list: &str) {
         self.drains.router_started(now, router, list);
         self.advance(now, 0, StepKind::RouterStarted, &[router as u8]);
@@ -165,7 +165,7 @@
             .note(now, 0, None, || format!("router {router} starts"));
     }
 
-    /// A router's process ends: its clients retry what it has not answered.
+    /// Records that a router's process ends. Its clients retry the requests without an answer.
     pub fn router_died(&mut self, now: Time, router: usize) {
         for id in self.requests.unanswered_of(router) {
             self.requests.abandon(id);
@@ -178,10 +178,10 @@
         }
         self.advance(now, 0, StepKind::RouterDied, &[router as u8]);
         self.trace
-            .note(now, 0, None, || format!("router {router} dies"));
+            .note(now, 0, None, || format!("router {router} process ends"));
     }
 
-    /// A cache server's process starts.
+    /// Records that a cache server's process starts.
     pub fn server_started(&mut self, now: Time, server: usize, start: ProcessStart) {
         self.processes[server] = ServerProcess::started(now, start);
         self.advance(now, 0, StepKind::ServerStarted, &[server as u8]);
@@ -189,7 +189,8 @@
             .note(now, 0, None, || format!("server {server} starts"));
     }
 
-    /// Work arrives at a cache server, in microseconds of its full capacity; whether the server fails under it.
+    /// Records that work arrives at a cache server, in microseconds at full capacity. Returns
+    /// whether the server fails under it.
     pub fn work_arrived(&mut self, now: Time, server: usize, router: usize, work: f64) -> bool {
         let arrival = WorkArrival {
             at: now,
@@ -208,14 +209,15 @@
         true
     }
 
-    /// Discovery's list says this of a server from now on; `born_ms` is Unix time in milliseconds.
+    /// Records that discovery's list has this entry for a server from now on. `born_ms` is Unix
+    /// time in milliseconds.
     pub fn endpoint_announced(&mut self, now: Time, server: usize, is_up: bool, born_ms: u64) {
         let announcement = Announcement { is_up, born_ms };
         self.drains.announced(now, server, announcement);
         self.advance(now, 0, StepKind::EndpointAnnounced, &[server as u8]);
     }
 
-    /// Discovery writes nothing more on this connection, and does not end it.
+    /// Records that discovery stops writing on this connection without closing it.
     pub fn watch_silenced(&mut self, now: Time, connection: u32) {
         if let Some(Connection::Discovery(watch)) = self.connections.get(&connection) {
             self.drains.watch_silenced(now, watch.router, connection);
@@ -325,7 +327,7 @@
         };
         self.advance(now, id, kind, &[how as u8]);
         self.trace
-            .note(now, id, None, || format!("{side:?} leaves: {how:?}"));
+            .note(now, id, None, || format!("{side:?} closes: {how:?}"));
         self.with_connection(id, |checker, connection| match (connection, side) {
             (Connection::Client(client), side) => {
                 let is_by_router = side == Side::Listener;
@@ -356,7 +358,7 @@
     fn out_of_descriptors(&mut self, now: Time, node: Node) {
         self.advance(now, 0, StepKind::OutOfDescriptors, &[node.0 as u8]);
         if let Role::Router(router) = self.roles[node.0 as usize] {
-            let text = format!("router {router} runs out of descriptors");
+            let text = format!("router {router} has no file descriptors left");
             self.record_violation(Rule::ResourceLimits, now, None, text);
         }
     }
--- a/crates/router-simulation/src/invariant_checker/answers.rs
+++ b/crates/router-simulation/src/invariant_checker/answers.rs
@@ -1,7 +1,8 @@
-//! Rule 1: whatever a running router accepts gets exactly one final answer in time.
+//! Rule 1: every request that a running router accepts gets exactly one final answer in time.
 //!
-//! A client's time counts from when the last byte of its request is at the router's machine. Time for which an answer
-//! waits for those before it on the connection, or for a client that reads slowly, is not the router's.
+//! The client's deadline counts from when the last byte of its request is at the router's machine.
+//! Time in which an answer waits for earlier answers on the connection, or for a client that reads
+//! slowly, is not charged to the router.
 
 use super::InvariantChecker;
 use super::connection::{ClientConnection, Connection, Expected};
@@ -11,29 +12,30 @@
 use crate::executor::Time;
 use crate::wire::{self, CacheRequest, Command, DecodedFrame, Response};
 
-/// A whole answer of a router.
+/// A complete answer of a router.
 struct WrittenAnswer {
     /// When its first byte was written.
     began_at: Time,
     response: Response,
 }
 
-/// What is wrong with sending on a request, whoever its client.
+/// Returns the violation if a router sends a request that another router received.
 pub(super) fn check_router(request: &RequestState, router: usize) -> Option<String> {
-    (request.router != router).then(|| "sent on by another router than was asked".to_string())
+    (request.router != router)
+        .then(|| "sent by a router that did not receive the request".to_string())
 }
 
-/// What is wrong with sending a request to a server after its final answer.
+/// Returns the violation if a request is sent to a server after its final answer.
 pub(super) fn check_unanswered(now: Time, request: &RequestState, server: usize) -> Option<String> {
     let answered_at = request.answered_at?;
     let late = now - answered_at;
     Some(format!(
-        "sent to server {server} {late} us after its final answer"
+        "sent to server {server} {late} us after the final answer"
     ))
 }
 
 impl InvariantChecker {
-    /// A client writes bytes.
+    /// Reads the commands in bytes that a client writes.
     pub(super) fn client_wrote(
         &mut self,
         now: Time,
@@ -60,7 +62,7 @@
         }
     }
 
-    /// A client has written a whole command: what it expects for it.
+    /// Records a complete command of a client and returns the answer that it expects.
     fn command_written(
         &mut self,
         now: Time,
@@ -72,7 +74,7 @@
             Command::CacheRequest(call) if self.add_request(connection_id, connection, call) => {
                 connection.command_written(call.id);
                 self.trace.note(now, connection_id, Some(call.id), || {
-                    format!("client asks: {call:?}")
+                    format!("client sends: {call:?}")
                 });
                 Expected::Answer(call.id)
             }
@@ -81,7 +83,7 @@
         }
     }
 
-    /// Adds a request; false if its class is unknown or its id is in use.
+    /// Adds a request. Returns false if its class is unknown or its id is in use.
     fn add_request(
         &mut self,
         connection_id: u32,
@@ -118,7 +120,7 @@
         true
     }
 
-    /// Bytes of a client are at the router's machine.
+    /// Records that bytes of a client arrive at the router's machine.
     pub(super) fn commands_arrived(
         &mut self,
         now: Time,
@@ -130,13 +132,13 @@
             if !connection.is_closing && self.requests.arrived(id, now) {
                 self.counts.accepted += 1;
                 self.trace.note(now, connection_id, Some(id), || {
-                    "its last byte is at the router's machine".into()
+                    "last byte arrives at the router's machine".into()
                 });
             }
         }
     }
 
-    /// A router writes bytes to a client.
+    /// Reads the answers in bytes that a router writes to a client.
     pub(super) fn router_answered(
         &mut self,
         now: Time,
@@ -155,7 +157,7 @@
                 Ok(None) => return,
                 Err(_) => {
                     if !connection.is_malformed {
-                        let text = "an answer that is no RESP2".into();
+                        let text = "malformed RESP2 in an answer".into();
                         self.record_violation(Rule::Answered, now, None, text);
                     }
                     connection.is_malformed = true;
@@ -185,11 +187,11 @@
         if let Some(id) = id {
             self.check_answer(now, id, connection.writable_since, answer);
         } else if expected.is_none() {
-            let text = format!("an answer that nobody waits for, on connection {connection_id}");
+            let text = format!("unexpected answer on connection {connection_id}");
             self.record_violation(Rule::Answered, now, None, text);
         }
         connection.writable_since = now;
-        // The next one's time may have passed while it waited for this one.
+        // The deadline of the next request may have passed while its answer waited for this one.
         if let Some(&Expected::Answer(next)) = connection.expected.front()
             && self.requests.is_past_grace(next, now)
         {
@@ -206,7 +208,7 @@
         let late = answer.began_at.saturating_sub(deadline.max(writable_since));
         self.count_after_faults(id, deadline, &answer.response);
         if late > self.parameters.answer_grace {
-            let text = format!("answered {late} us after its time was up");
+            let text = format!("answered {late} us after the deadline");
             self.record_violation(Rule::Answered, now, Some(id), text);
         }
         match &answer.response {
@@ -232,14 +234,15 @@
         }
     }
 
-    /// A value has to be made for the request that it serves, or for one that it shares a flight with.
+    /// Checks that a value was made for the request that it answers, or for a read that shares its
+    /// flight.
     fn check_value(&mut self, now: Time, id: u64, value: &[u8]) {
         self.counts.served += 1;
         match wire::request_id_of_value(value) {
             Some(own) if own == id => {}
             Some(first) if self.coalescing.is_some() => self.check_shared_value(now, id, first),
             _ => {
-                let text = "served with a value that was not made for it".into();
+                let text = "served with the value of another request".into();
                 self.record_violation(Rule::Answered, now, Some(id), text);
             }
         }
@@ -248,18 +251,19 @@
     fn check_shared_value(&mut self, now: Time, id: u64, first: u64) {
         self.counts.coalesced += 1;
         let requests = self.requests.get(id).zip(self.requests.get(first));
-        let problems = match (&self.coalescing, requests) {
+        let violations = match (&self.coalescing, requests) {
             (Some(coalescing), Some((reader, first))) => {
                 coalescing.check_shared_answer(&self.requests, reader, first)
             }
-            _ => vec!["served with a value that nobody asked for".to_string()],
+            _ => vec!["served with the value of an unknown request".to_string()],
         };
-        for text in problems {
+        for text in violations {
             self.record_violation(Rule::Coalescing, now, Some(id), text);
         }
     }
 
-    /// Finds the requests whose time is up without an answer.
+    /// Records a violation for each request that is past its deadline and the grace without an
+    /// answer.
     pub(super) fn check_overdue(&mut self, now: Time) {
         while let Some(id) = self.requests.take_overdue(now) {
             let window = self.parameters.receive_window;
@@ -273,13 +277,13 @@
             };
             if !is_delayed {
                 self.requests.abandon(id);
-                let text = "no answer when its time was up".into();
+                let text = "no answer within the deadline and the grace".into();
                 self.record_violation(Rule::Answered, now, Some(id), text);
             }
         }
     }
 
-    /// One end closes a client's connection.
+    /// Records that either end closes a client's connection.
     pub(super) fn client_connection_closed(
         &mut self,
         now: Time,
@@ -289,29 +293,31 @@
     ) {
         let was_closing = std::mem::replace(&mut connection.is_closing, true);
         let may_lose = is_by_router && !was_closing && !connection.is_malformed;
-        // A long value that is broken off has failed: its client sees that it is not whole.
-        let begun = connection.answers.has_begun_long_value();
-        let broken_off = connection.expected.front().copied().filter(|_| begun);
+        // An incomplete long value counts as a failed answer: the client sees that it is truncated.
+        let has_begun = connection.answers.has_begun_long_value();
+        let truncated = connection.expected.front().copied().filter(|_| has_begun);
         for id in connection.expected_answers() {
             let Some(request) = self.requests.get(id) else {
                 continue;
             };
-            // What crosses the router's close in transit is sent once more by its client.
+            // A request that is in transit when the router closes the connection is sent again by
+            // its client.
             let was_accepted = request.arrived_at.is_some_and(|at| at < now);
             let was_sent = !request.attempts.is_empty();
-            let is_broken_off = broken_off == Some(Expected::Answer(id));
+            let is_truncated = truncated == Some(Expected::Answer(id));
             let is_lost =
-                may_lose && !request.is_abandoned && !is_broken_off && (was_accepted || was_sent);
+                may_lose && !request.is_abandoned && !is_truncated && (was_accepted || was_sent);
             self.requests.abandon(id);
             if is_lost {
                 let text =
-                    format!("lost: the router ended connection {connection_id} without its answer");
+                    format!("the router closed connection {connection_id} before the answer");
                 self.record_violation(Rule::Answered, now, Some(id), text);
             }
         }
     }
 
-    /// A client's disconnect is at the router's machine: nobody waits for its requests from here on.
+    /// Records that a client's disconnect arrives at the router's machine. Its pending requests
+    /// need no answer from here on.
     pub(super) fn client_disconnected(&mut self, now: Time, connection: &ClientConnection) {
         for id in connection.expected_answers() {
             if let Some(request) = self.requests.get_mut(id)
--- a/crates/router-simulation/src/invariant_checker/attempts.rs
+++ b/crates/router-simulation/src/invariant_checker/attempts.rs
@@ -1,5 +1,5 @@
-//! Attempts at cache servers, as the wire shows them: each is held against the rules when it goes out, and its state
-//! follows from the server's reply or the connection's end.
+//! Attempts at cache servers. Each is checked against the rules when it is written. Its state then
+//! follows from the server's reply or the end of the connection.
 
 use super::connection::{ServerConnection, take_arrived};
 use super::request::{Attempt, AttemptState, RequestState};
@@ -9,13 +9,15 @@
 use crate::fault_plan::MILLI;
 use crate::wire::{CacheRequest, Command, DecodedFrame, Response};
 
-/// The low bits of a request id hold the number of the client's try: 0 for the first.
+/// The low bits of a request id hold the number of the client's retry, 0 for the first try. This is
+/// how many ids each request has.
 const TRIES_PER_REQUEST: u64 = 256;
 
-/// The time that an attempt tells its server may be longer by this than what is left to the client, in microseconds.
+/// How much more time than is left to the client an attempt may pass to its server, in
+/// microseconds.
 const UPSTREAM_DEADLINE_SLACK: Time = 150_000;
 
-/// A command that a router has written whole.
+/// A complete command that a router has written.
 struct SentCommand<'a> {
     now: Time,
     connection: u32,
@@ -24,20 +26,20 @@
     call: &'a CacheRequest,
 }
 
-/// What is wrong with the time that an attempt tells its server.
+/// Returns the violation if an attempt passes its server more time than is left to the client.
 fn check_upstream_deadline(
     now: Time,
     request: &RequestState,
     call: &CacheRequest,
 ) -> Option<String> {
-    let told = call.timeout_ms * MILLI;
+    let sent = call.timeout_ms * MILLI;
     let left = request.deadline.saturating_sub(now);
-    (told > left + UPSTREAM_DEADLINE_SLACK)
-        .then(|| format!("its server is told {told} us where {left} us are left to the client"))
+    (sent > left + UPSTREAM_DEADLINE_SLACK)
+        .then(|| format!("the server got {sent} us where the client has {left} us left"))
 }
 
 impl InvariantChecker {
-    /// A router writes bytes to a server.
+    /// Reads the commands in bytes that a router writes to a server.
     pub(super) fn router_wrote(
         &mut self,
         now: Time,
@@ -77,7 +79,7 @@
         self.counts.attempts += 1;
         self.count_for_crowd(call);
         let Some(request) = self.requests.get(call.id) else {
-            let text = "sent on, but nobody asked for it".into();
+            let text = "sent without a request of a client".into();
             self.record_violation(Rule::Answered, now, Some(call.id), text);
             return;
         };
@@ -86,44 +88,45 @@
         let is_late_first_send = after_disconnect
             .as_ref()
             .is_some_and(|after_disconnect| after_disconnect.is_late_first_send);
-        let mut problems = self.check_attempt(sent, request);
-        problems.extend(
+        let mut violations = self.check_attempt(sent, request);
+        violations.extend(
             after_disconnect
                 .map(|after_disconnect| (Rule::ClientDisconnect, after_disconnect.text)),
         );
         let limits = effects::check_attempt_limits(request, &self.parameters);
-        problems.extend(limits.into_iter().map(|text| (Rule::Effects, text)));
+        violations.extend(limits.into_iter().map(|text| (Rule::Effects, text)));
         self.counts.sent_after_disconnect += u64::from(is_late_first_send);
-        for (rule, text) in problems {
+        for (rule, text) in violations {
             self.record_violation(rule, now, Some(call.id), text);
         }
         self.add_attempt(sent);
     }
 
-    /// What is wrong with an attempt as to the request's owner, its answer, and its effect.
+    /// Checks the router, the answer, the deadline and the effect of an attempt. Client disconnects
+    /// and attempt limits are checked apart.
     fn check_attempt(&self, sent: &SentCommand<'_>, request: &RequestState) -> Vec<(Rule, String)> {
         let SentCommand { now, server, .. } = *sent;
-        let mut problems = Vec::new();
+        let mut violations = Vec::new();
         let wrong_router = answers::check_router(request, sent.router);
-        problems.extend(wrong_router.map(|text| (Rule::Answered, text)));
+        violations.extend(wrong_router.map(|text| (Rule::Answered, text)));
         let mut may_be_answered = false;
         if let Some(coalescing) = &self.coalescing {
-            let stampede = coalescing.check_attempt(now, &self.requests, request);
-            problems.extend(stampede.map(|text| (Rule::Coalescing, text)));
-            // A flight goes on for the others when its first waiter has its answer.
-            may_be_answered = coalescing.covers(&request.class);
+            let excess_attempts = coalescing.check_attempt(now, &self.requests, request);
+            violations.extend(excess_attempts.map(|text| (Rule::Coalescing, text)));
+            // A flight continues for its other waiters after the first waiter has its answer.
+            may_be_answered = coalescing.applies_to(&request.class);
         }
         if !may_be_answered {
             let after_answer = answers::check_unanswered(now, request, server);
-            problems.extend(after_answer.map(|text| (Rule::Answered, text)));
+            violations.extend(after_answer.map(|text| (Rule::Answered, text)));
         }
         if !may_be_answered {
-            let told_time = check_upstream_deadline(now, request, sent.call);
-            problems.extend(told_time.map(|text| (Rule::UpstreamDeadline, text)));
+            let excess_time = check_upstream_deadline(now, request, sent.call);
+            violations.extend(excess_time.map(|text| (Rule::UpstreamDeadline, text)));
         }
         let repeats = effects::check_repeat(now, request, server, &self.server_zones);
-        problems.extend(repeats.into_iter().map(|text| (Rule::Effects, text)));
-        problems
+        violations.extend(repeats.into_iter().map(|text| (Rule::Effects, text)));
+        violations
     }
 
     fn count_for_crowd(&mut self, call: &CacheRequest) {
@@ -147,7 +150,7 @@
         }
     }
 
-    /// Bytes of a server are at the router's machine.
+    /// Reads the replies in bytes of a server that arrive at the router's machine.
     pub(super) fn reply_arrived(
         &mut self,
         now: Time,
@@ -176,8 +179,8 @@
             let server = connection.server;
             self.trace
                 .note(now, connection_id, Some(id), || match &response {
-                    Response::Served(_) => format!("server {server} has served it"),
-                    response => format!("server {server} has answered: {response:?}"),
+                    Response::Served(_) => format!("server {server} replies: served"),
+                    response => format!("server {server} replies: {response:?}"),
                 });
             self.apply_reply(now, connection_id, id, &response);
         }
@@ -196,7 +199,8 @@
         }
     }
 
-    /// The connection of an attempt has ended at the router: what was in flight may have run.
+    /// Records that the connection of an attempt has ended at the router. An attempt in flight may
+    /// have run.
     pub(super) fn server_connection_closed(
         &mut self,
         connection_id: u32,
--- a/crates/router-simulation/src/invariant_checker/coalescing.rs
+++ b/crates/router-simulation/src/invariant_checker/coalescing.rs
@@ -1,5 +1,6 @@
-//! What may be shared: a coalesced answer goes to reads of the same key, from a flight that is not older than the last
-//! write before the read, and each flight is one upstream request for all.
+//! Rules of coalescing. A coalesced answer goes only to reads of the same key, from a flight that
+//! is not older than the last write before the read. Each flight is one upstream request for all
+//! its waiters.
 
 use super::request::{RequestState, RequestTable};
 use super::rule::CoalescingParameters;
@@ -13,7 +14,7 @@
     reads: Vec<u64>,
 }
 
-/// Coalescing's view of the requests: those of each router and key.
+/// The requests of each router and key.
 pub(super) struct Coalescing {
     parameters: CoalescingParameters,
     by_key: BTreeMap<(usize, Vec<u8>), KeyRequests>,
@@ -27,7 +28,7 @@
         }
     }
 
-    /// A client sends a request.
+    /// Adds a request that a client sends.
     pub(super) fn add(&mut self, id: u64, request: &RequestState) {
         let key = (request.router, request.key.clone());
         let requests = self.by_key.entry(key).or_default();
@@ -38,45 +39,51 @@
         }
     }
 
-    /// Whether requests of this class share flights.
-    pub(super) fn covers(&self, class: &str) -> bool {
+    /// Tells whether requests of this class share flights.
+    pub(super) fn applies_to(&self, class: &str) -> bool {
         self.parameters.class == class
     }
 
-    /// What is wrong with serving `reader` the value that a server made for `first`.
+    /// Returns the violations in answering `reader` with the value that a server made for `first`.
     pub(super) fn check_shared_answer(
         &self,
         table: &RequestTable,
         reader: &RequestState,
         first: &RequestState,
     ) -> Vec<String> {
-        let mut problems = Vec::new();
-        if reader.is_write || first.is_write || !self.covers(&reader.class) {
-            problems.push("served with another's value, and it is no read that may be".to_string());
+        let mut violations = Vec::new();
+        if reader.is_write || first.is_write || !self.applies_to(&reader.class) {
+            violations.push(
+                "served with the value of another request where coalescing is not allowed"
+                    .to_string(),
+            );
         }
         let is_same_key = (&reader.class, &reader.key) == (&first.class, &first.key);
         if !is_same_key || reader.router != first.router {
-            problems.push(format!(
-                "served with the value for {:?} of router {}",
+            violations.push(format!(
+                "served with the value of {:?} at router {}",
                 (&first.class, &first.key),
                 first.router
             ));
         }
         let arrived_at = reader.arrived_at.unwrap_or(0);
-        // A value whose load report never came whole has no time.
+        // A value without its complete load report has no time.
         let was_complete = first.served_at.is_some_and(|served| arrived_at > served);
         if first.first_sent_at.is_none() || was_complete {
-            problems.push("served with a value that was there before it asked".to_string());
+            violations
+                .push("served with a value that was complete before the read arrived".to_string());
         }
         if self.is_older_than_write(table, reader, first) {
-            problems
-                .push("served from a flight that is older than a write it came after".to_string());
+            violations.push(
+                "served from a flight that is older than a write before the read".to_string(),
+            );
         }
-        problems
+        violations
     }
 
-    /// Whether the flight of `first` began before a write that `reader` came after. A write begins at the router between
-    /// its arrival and its first attempt, and ends between the reply to that and its answer.
+    /// Tells whether the flight of `first` began before a write that precedes `reader`. The router
+    /// starts a write between its arrival and its first attempt, and ends it between the reply to
+    /// that attempt and the final answer.
     fn is_older_than_write(
         &self,
         table: &RequestTable,
@@ -85,34 +92,38 @@
     ) -> bool {
         let arrived_at = reader.arrived_at.unwrap_or(0);
         let flight_began = first.first_sent_at.unwrap_or(Time::MAX);
-        let separates = |before: Option<Time>, after: Option<Time>| {
+        let is_between = |before: Option<Time>, after: Option<Time>| {
             before
                 .zip(after)
                 .is_some_and(|(before, after)| flight_began < before && arrived_at > after)
         };
         let key = (reader.router, reader.key.clone());
-        let writes = self.by_key.get(&key).map_or(&[][..], |of| &of.writes);
+        let writes = self
+            .by_key
+            .get(&key)
+            .map_or(&[][..], |requests| &requests.writes);
         writes.iter().filter_map(|&id| table.get(id)).any(|write| {
-            separates(write.arrived_at, write.first_sent_at)
-                || separates(write.served_at, write.answered_at)
+            is_between(write.arrived_at, write.first_sent_at)
+                || is_between(write.served_at, write.answered_at)
         })
     }
 
-    /// What is wrong with sending on a read that may share a flight, of which an attempt goes out now.
+    /// Returns the violation if an attempt is sent for a read that no client waits for, or if more
+    /// flights for its key are open than allowed.
     pub(super) fn check_attempt(
         &self,
         now: Time,
         table: &RequestTable,
         request: &RequestState,
     ) -> Option<String> {
-        if request.is_write || !self.covers(&request.class) {
+        if request.is_write || !self.applies_to(&request.class) {
             return None;
         }
         let key = (request.router, request.key.clone());
         let requests = self.by_key.get(&key)?;
         let reads = || requests.reads.iter().filter_map(|&id| table.get(id));
         if request.answered_at.is_some() && !reads().any(RequestState::is_waiting) {
-            return Some("sent on when nobody waits for it any more".to_string());
+            return Some("sent when no client waits for it".to_string());
         }
         let in_flight = || reads().filter(|read| read.has_attempt_in_flight());
         let is_new = !request.has_attempt_in_flight();
@@ -123,18 +134,20 @@
             .min()
             .unwrap_or(now);
         let writes = count_writes_since(table, &requests.writes, oldest);
-        // Each begin and each end of a write closes the flights before it.
+        // The start and the end of each write close the earlier flights to new readers.
         let limit = self.parameters.max_flights_per_key * (1 + 2 * writes);
-        (count > limit)
-            .then(|| format!("{count} attempts for its key are out where {limit} would do"))
+        (count > limit).then(|| {
+            format!("{count} attempts for the key are in flight where {limit} are allowed")
+        })
     }
 }
 
-/// Writes that have arrived and were not answered before this time: no flight is older than its first reader.
+/// Returns the number of writes that have arrived and were not answered before this time, which is
+/// the arrival of the oldest reader: no flight is older than its first reader.
 fn count_writes_since(table: &RequestTable, writes: &[u64], since: Time) -> usize {
-    let is_near = |write: &&RequestState| {
+    let overlaps = |write: &&RequestState| {
         write.arrived_at.is_some() && write.answered_at.is_none_or(|at| at >= since)
     };
     let known = writes.iter().filter_map(|&id| table.get(id));
-    known.filter(is_near).count()
+    known.filter(overlaps).count()
 }
--- a/crates/router-simulation/src/invariant_checker/connection.rs
+++ b/crates/router-simulation/src/invariant_checker/connection.rs
@@ -1,22 +1,22 @@
-//! What the checker knows of each connection of a router: bytes in transit, frames, and what is expected next.
+//! The state of each connection of a router: bytes in transit, decoded frames and expected answers.
 
 use crate::executor::Time;
 use crate::wire::FrameDecoder;
 use std::collections::VecDeque;
 
-/// What a client expects next on its connection.
+/// The answer that a client expects next on its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Expected {
     Pong,
     /// The answer to the request of this id.
     Answer(u64),
-    /// The client sent something that it should not: an error or the connection's end.
+    /// An error or the end of the connection, since the command is not valid.
     ErrorOrClose,
 }
 
 /// A command between the client and the router's machine.
 struct CommandInTransit {
-    /// Bytes of the connection up to its end.
+    /// The offset of its end in the bytes of the connection.
     end: usize,
     id: u64,
 }
@@ -32,11 +32,12 @@
     bytes_written: usize,
     bytes_arrived: usize,
     answer_bytes_in_transit: usize,
-    /// When an answer last could be written: the time before does not count as the router's.
+    /// When the router last became able to write an answer. Time before that is not charged to the
+    /// router.
     pub(super) writable_since: Time,
-    /// One end has begun to close it.
+    /// Either end has begun to close it.
     pub(super) is_closing: bool,
-    /// What was sent on it cannot be read: it is not judged further.
+    /// Its bytes could not be decoded, and it is not checked further.
     pub(super) is_malformed: bool,
 }
 
@@ -48,7 +49,7 @@
         }
     }
 
-    /// The client writes commands; false if they are not to be read any more.
+    /// Takes in bytes of a client. Returns false if they are no longer decoded.
     pub(super) fn client_wrote(&mut self, now: Time, bytes: &[u8]) -> bool {
         self.bytes_written += bytes.len();
         if !self.is_malformed {
@@ -57,13 +58,14 @@
         !self.is_malformed
     }
 
-    /// The command of a request has been read: it is in transit.
+    /// Records that the command of a request is complete and in transit.
     pub(super) fn command_written(&mut self, id: u64) {
         let end = self.bytes_written - self.commands.buffered_bytes();
         self.in_transit.push_back(CommandInTransit { end, id });
     }
 
-    /// Bytes of the client are at the router's machine: the requests that are whole there with them.
+    /// Records that bytes of the client arrive at the router's machine. Returns the requests that
+    /// are complete there with them.
     pub(super) fn commands_arrived(&mut self, count: usize) -> Vec<u64> {
         self.bytes_arrived += count;
         let mut arrived = Vec::new();
@@ -76,13 +78,13 @@
         arrived
     }
 
-    /// The router writes bytes of answers.
+    /// Takes in bytes of answers that the router writes.
     pub(super) fn router_wrote(&mut self, now: Time, bytes: &[u8]) {
         self.answer_bytes_in_transit += bytes.len();
         self.answers.feed(now, bytes);
     }
 
-    /// Bytes of answers are at the client's machine.
+    /// Records that bytes of answers arrive at the client's machine.
     pub(super) fn answers_arrived(&mut self, now: Time, count: usize, window: usize) {
         if self.is_window_full(window) {
             self.writable_since = now;
@@ -94,16 +96,16 @@
         self.answer_bytes_in_transit >= window / 2
     }
 
-    /// Whether an answer has to wait for those before it, or for a client that reads slowly.
+    /// Tells whether an answer has to wait for earlier answers or for a client that reads slowly.
     pub(super) fn delays_answer(&self, id: u64, window: usize) -> bool {
-        let waits_for_another = self
+        let waits_for_earlier = self
             .expected
             .front()
             .is_some_and(|&first| first != Expected::Answer(id));
-        self.answers.buffered_bytes() > 0 || self.is_window_full(window) || waits_for_another
+        self.answers.buffered_bytes() > 0 || self.is_window_full(window) || waits_for_earlier
     }
 
-    /// The requests whose answers are expected, in their order.
+    /// Returns the requests without a complete answer, in the order in which they are answered.
     pub(super) fn expected_answers(&self) -> Vec<u64> {
         let answers = self.expected.iter().filter_map(|expected| match expected {
             Expected::Answer(id) => Some(*id),
@@ -120,11 +122,11 @@
     pub(super) server: usize,
     pub(super) commands: FrameDecoder,
     pub(super) replies: FrameDecoder,
-    /// Bytes that the server has written and that are not yet at the router's machine.
+    /// Bytes that the server has written and that have not arrived at the router's machine.
     pub(super) in_transit: VecDeque<u8>,
-    /// The request whose reply is expected.
+    /// The request that waits for a reply.
     pub(super) current: Option<u64>,
-    /// The server's bytes cannot be read.
+    /// The server's bytes could not be decoded.
     pub(super) is_malformed: bool,
 }
 
@@ -142,9 +144,9 @@
 #[derive(Default)]
 pub(super) struct DiscoveryConnection {
     pub(super) router: usize,
-    /// Bytes that discovery has written and that are not yet at the router's machine.
+    /// Bytes that discovery has written and that have not arrived at the router's machine.
     pub(super) in_transit: VecDeque<u8>,
-    text: Vec<u8>,
+    buffer: Vec<u8>,
 }
 
 impl DiscoveryConnection {
@@ -155,12 +157,14 @@
         }
     }
 
-    /// Bytes are at the router's machine: the lines of JSON that are whole there with them.
+    /// Records that bytes arrive at the router's machine. Returns the lines of JSON that are
+    /// complete there with them.
     pub(super) fn lines_arrived(&mut self, count: usize) -> Vec<String> {
-        self.text.extend(take_arrived(&mut self.in_transit, count));
+        self.buffer
+            .extend(take_arrived(&mut self.in_transit, count));
         let mut lines = Vec::new();
-        while let Some(end) = self.text.iter().position(|&byte| byte == b'\n') {
-            let line: Vec<u8> = self.text.drain(..=end).collect();
+        while let Some(end) = self.buffer.iter().position(|&byte| byte == b'\n') {
+            let line: Vec<u8> = self.buffer.drain(..=end).collect();
             if line.first() == Some(&b'{') {
                 lines.extend(String::from_utf8(line));
             }
@@ -169,12 +173,12 @@
     }
 }
 
-/// Takes the first bytes out of those in transit.
+/// Removes the first bytes from those in transit.
 pub(super) fn take_arrived(in_transit: &mut VecDeque<u8>, count: usize) -> Vec<u8> {
     in_transit.drain(..count.min(in_transit.len())).collect()
 }
 
-/// A connection, by what its ends are.
+/// A connection, by the roles of its two ends.
 pub(super) enum Connection {
     Client(ClientConnection),
     Server(ServerConnection),
--- a/crates/router-simulation/src/invariant_checker/counts.rs
+++ b/crates/router-simulation/src/invariant_checker/counts.rs
@@ -1,28 +1,29 @@
-//! Counts of what passed in a run, and of service once all faults are over.
+//! Totals of a run, and of the requests served after all faults are over.
 
 use crate::executor::Time;
 use std::ops::AddAssign;
 
-/// Counts of what passed.
+/// Totals of a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Requests that a router accepted.
     pub accepted: u64,
-    /// Those served.
+    /// Requests that were served.
     pub served: u64,
-    /// Of those, with the value that was made for another.
+    /// Served requests whose value was made for another request of the same flight.
     pub coalesced: u64,
-    /// Those rejected.
+    /// Requests that were rejected.
     pub rejected: u64,
-    /// Those failed.
+    /// Requests that failed.
     pub failed: u64,
     /// Attempts at cache servers.
     pub attempts: u64,
     /// Connections between routers and cache servers.
     pub connections: u64,
-    /// Requests whose clients disconnected before anything of them was sent.
+    /// Requests whose clients disconnected before the first attempt.
     pub disconnected_unsent: u64,
-    /// Those of them that were sent over 0.3 s later.
+    /// Requests among `disconnected_unsent` whose first attempt went out over 0.3 s after the
+    /// disconnect.
     pub sent_after_disconnect: u64,
 }
 
@@ -40,13 +41,13 @@
     }
 }
 
-/// Service once all faults are over.
+/// Requests answered after all faults are over.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ServiceAfterFaults {
-    /// When the calm begins, in microseconds: requests whose deadline is later count.
+    /// The beginning of the period, in microseconds. Requests with a later deadline count.
     pub since: Time,
     /// Requests that a router accepted and answered.
     pub accepted: u64,
-    /// Those of them served.
+    /// Requests among `accepted` that were served.
     pub served: u64,
 }
--- a/crates/router-simulation/src/invariant_checker/disconnects.rs
+++ b/crates/router-simulation/src/invariant_checker/disconnects.rs
@@ -3,21 +3,23 @@
 use super::request::RequestState;
 use crate::executor::Time;
 
-/// How long after a disconnect a request may still be sent: within the 0.3 s that operators allow.
+/// How long after a disconnect a request may still be sent. It is below the 0.3 s that operators
+/// allow.
 const DISCONNECT_GRACE: Time = 100_000;
-/// A request sent later than this after the disconnect counts as sent after departure.
+/// A request that is first sent later than this after the disconnect counts as sent after the
+/// disconnect.
 const LATE_SEND_AFTER: Time = 300_000;
 
 /// A request that is sent after its client has disconnected.
 pub(super) struct SentAfterDisconnect {
-    /// What is wrong.
+    /// The text of the violation.
     pub(super) text: String,
-    /// It is the request's first attempt, and later than operators allow.
+    /// This is the request's first attempt, and it is later than operators allow.
     pub(super) is_late_first_send: bool,
 }
 
-/// What is wrong with sending a request now. A flight goes out under the name of the read that came first, and others
-/// may wait for it: `is_flight` requests are not judged.
+/// Returns the violation if a request is sent now although its client has disconnected. Flights are
+/// not checked: they carry the id of their first read, and other reads may wait for them.
 pub(super) fn check_send(
     now: Time,
     request: &RequestState,
@@ -26,7 +28,7 @@
     let disconnected_at = request.disconnected_at.filter(|_| !is_flight)?;
     (now > disconnected_at + DISCONNECT_GRACE).then(|| SentAfterDisconnect {
         text: format!(
-            "sent {} us after its client had left",
+            "sent {} us after its client disconnected",
             now - disconnected_at
         ),
         is_late_first_send: request.attempts.is_empty() && now > disconnected_at + LATE_SEND_AFTER,
--- a/crates/router-simulation/src/invariant_checker/drains.rs
+++ b/crates/router-simulation/src/invariant_checker/drains.rs
@@ -1,62 +1,64 @@
-//! Rule 3: nothing new is sent to a server that drains or is gone, once the router has learned of it.
+//! Rule 3: nothing new is sent to a server that drains or is removed, once the router knows of it.
 //!
-//! A router learns of it when the line of the endpoint list is whole at its machine, when an operator disables the
-//! server there, or at the latest [`DEEMED_KNOWN_AFTER`] after discovery has announced it. What a silent watch misses counts as
-//! known so long after the watch fell silent, or at once if it is announced later than that. Where an agent pushes lists, a
-//! router learns of what is announced at once, from its first moment on, unless its watch is silent.
+//! A router knows of a drain from the earliest of these times: the line of the endpoint list is
+//! complete at its machine, an operator disables the server at the router, or
+//! [`DEEMED_KNOWN_AFTER`] has passed since discovery announced the drain. What a silent watch
+//! misses counts as known that long after the watch fell silent, or at once if it is announced
+//! later. Where an agent pushes lists, a router knows of each announcement at once, from its start
+//! on, unless its watch is silent.
 
 use crate::executor::Time;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What discovery announces counts as known this much later, whether or not it arrived: the longest that PROTOCOL lets
-/// a router do without its list.
+/// An announcement counts as known after this time, whether or not it arrived: the longest time for
+/// which PROTOCOL lets a router do without its list.
 const DEEMED_KNOWN_AFTER: Time = 6_000_000;
 
 /// What a router knows of a server.
 #[derive(Clone, Copy, Debug)]
 struct ServerKnowledge {
-    /// Since when the router counts it as draining or gone.
+    /// When the router learned that the server drains or is removed.
     unavailable_since: Option<Time>,
-    /// The start of its process, Unix time in milliseconds.
+    /// The start of the server's process, Unix time in milliseconds.
     born_ms: u64,
 }
 
-/// What discovery says of a server.
+/// An entry of discovery's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Announcement {
     pub(super) is_up: bool,
     pub(super) born_ms: u64,
 }
 
-/// An announcement that has yet to count as known.
+/// An announcement that does not count as known yet.
 #[derive(Clone, Copy)]
 struct PendingAnnouncement {
-    /// The router that it will count as known to; none: all.
+    /// The router to which it will count as known; `None` for all routers.
     router: Option<usize>,
     server: usize,
     announcement: Announcement,
 }
 
-/// A watch that has fallen silent.
+/// A watch on which discovery no longer writes.
 struct SilentWatch {
     connection: u32,
     since: Time,
 }
 
-/// A router and a server, by their numbers.
+/// The numbers of a router and a server.
 type Pair = (usize, usize);
 
-/// What routers know of servers.
+/// What the routers know of the servers.
 pub(super) struct Drains {
     server_numbers: BTreeMap<String, usize>,
     knowledge: BTreeMap<Pair, ServerKnowledge>,
-    /// Since when operators have a server disabled. It holds whatever the list says.
+    /// When an operator disabled a server. It holds independently of the list.
     disabled_since: BTreeMap<Pair, Time>,
-    /// By when they count as known, and their numbers.
+    /// The time from which each counts as known, and a sequence number.
     pending: BTreeMap<(Time, u64), PendingAnnouncement>,
-    last_pending: u64,
-    /// By router, until a list comes on another watch.
+    last_sequence: u64,
+    /// The silent watch of each router, until a list arrives on another watch.
     silent: BTreeMap<usize, SilentWatch>,
     latest: BTreeMap<usize, Announcement>,
     lists_are_pushed: bool,
@@ -70,13 +72,13 @@
             knowledge: BTreeMap::new(),
             disabled_since: BTreeMap::new(),
             pending: BTreeMap::new(),
-            last_pending: 0,
+            last_sequence: 0,
             silent: BTreeMap::new(),
             latest: BTreeMap::new(),
         }
     }
 
-    /// A router starts with this list.
+    /// Records that a router starts with this list.
     pub(super) fn router_started(&mut self, now: Time, router: usize, list: &str) {
         self.knowledge.retain(|&(other, _), _| other != router);
         self.silent.remove(&router);
@@ -140,12 +142,12 @@
     }
 
     fn add_pending(&mut self, deemed_known_at: Time, pending: PendingAnnouncement) {
-        self.last_pending += 1;
+        self.last_sequence += 1;
         self.pending
-            .insert((deemed_known_at, self.last_pending), pending);
+            .insert((deemed_known_at, self.last_sequence), pending);
     }
 
-    /// The watch of a router on this connection brings nothing from now on.
+    /// Records that nothing arrives on the watch of a router from now on.
     pub(super) fn watch_silenced(&mut self, now: Time, router: usize, connection: u32) {
         let watch = SilentWatch {
             connection,
@@ -154,7 +156,8 @@
         self.silent.entry(router).or_insert(watch);
     }
 
-    /// A list has come to a router on this connection: what a silent watch misses from now on is no matter.
+    /// Records that a list arrives at a router on this connection. If it is not the silent watch,
+    /// the router no longer depends on that.
     pub(super) fn watch_answered(&mut self, router: usize, connection: u32) {
         let is_silent = |watch: &SilentWatch| watch.connection == connection;
         if !self.silent.get(&router).is_some_and(is_silent) {
@@ -162,7 +165,7 @@
         }
     }
 
-    /// Makes known what counts as known by now.
+    /// Applies the announcements that count as known by now.
     pub(super) fn apply_pending(&mut self, now: Time) {
         while let Some(first) = self.pending.first_entry()
             && first.key().0 <= now
@@ -177,10 +180,10 @@
         let announcement = pending.announcement;
         let is_latest = self.latest.get(&pending.server) == Some(&announcement);
         let routers: BTreeSet<usize> = self.knowledge.keys().map(|pair| pair.0).collect();
-        let is_concerned = |router: &usize| pending.router.is_none_or(|only| only == *router);
-        for router in routers.into_iter().filter(is_concerned) {
+        let is_addressed = |router: &usize| pending.router.is_none_or(|only| only == *router);
+        for router in routers.into_iter().filter(is_addressed) {
             let known = self.known(router, pending.server, announcement.born_ms);
-            // Knowledge from a later announcement stands.
+            // Knowledge of a later announcement stays.
             let is_news = known.born_ms <= announcement.born_ms && is_latest;
             if is_news && !announcement.is_up {
                 known.unavailable_since.get_or_insert(deemed_known_at);
@@ -188,7 +191,8 @@
         }
     }
 
-    /// A list, or changes to one, that a router knows from now on. What cannot be read tells nothing.
+    /// Applies a list, or changes to one, that a router knows from now on. A line that cannot be
+    /// parsed is ignored.
     pub(super) fn apply_list(&mut self, now: Time, router: usize, line: &str, is_snapshot: bool) {
         let Ok(list) = serde_json::from_str::<Value>(line) else {
             return;
@@ -227,21 +231,21 @@
     }
 
     fn known(&mut self, router: usize, server: usize, born_ms: u64) -> &mut ServerKnowledge {
-        let first = ServerKnowledge {
+        let initial = ServerKnowledge {
             unavailable_since: None,
             born_ms,
         };
-        self.knowledge.entry((router, server)).or_insert(first)
+        self.knowledge.entry((router, server)).or_insert(initial)
     }
 
-    /// Whether a router knows of this start of a server.
+    /// Tells whether a router knows of this start of a server.
     pub(super) fn knows_start(&self, router: usize, server: usize, born_ms: u64) -> bool {
         self.knowledge
             .get(&(router, server))
             .is_some_and(|known| known.born_ms == born_ms)
     }
 
-    /// What is wrong with a command whose first byte a router writes to a server now.
+    /// Returns the violation if a router may not write the first byte of a command to a server now.
     pub(super) fn check_send(&self, now: Time, pair: Pair, drain_grace: Time) -> Option<String> {
         let known = self.knowledge.get(&pair);
         let listed = known.and_then(|known| known.unavailable_since);
@@ -249,7 +253,7 @@
         let since = listed.into_iter().chain(disabled).min()?;
         (now > since + drain_grace).then(|| {
             format!(
-                "router {} sends to server {} {} us after it was told that it drains or is gone",
+                "router {} sends to server {} {} us after it learned of the drain or removal",
                 pair.0,
                 pair.1,
                 now - since
--- a/crates/router-simulation/src/invariant_checker/request.rs
+++ b/crates/router-simulation/src/invariant_checker/request.rs
@@ -1,10 +1,10 @@
-//! What the checker knows of each request and its attempts.
+//! The state of each request and its attempts.
 
 use super::rule::Idempotency;
 use crate::executor::Time;
 use std::collections::{BTreeSet, HashMap};
 
-/// What became of an attempt, as far as the router can know.
+/// The outcome of an attempt, as far as the router can know.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AttemptState {
     InFlight,
@@ -12,7 +12,7 @@
     MayHaveRun,
 }
 
-/// A command that a router has written whole to a server.
+/// A complete command that a router has written to a server.
 #[derive(Debug)]
 pub(super) struct Attempt {
     pub(super) connection: u32,
@@ -20,7 +20,7 @@
     /// When its last byte was written.
     pub(super) sent_at: Time,
     pub(super) state: AttemptState,
-    /// Its connection is still open at the router.
+    /// The connection is still open at the router.
     pub(super) is_connection_open: bool,
 }
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// A request of a client; times are virtual, in microseconds.
+/// A request of a client. Times are virtual, in microseconds.
 #[derive(Debug)]
 pub(super) struct RequestState {
     pub(super) router: usize,
@@ -39,30 +39,30 @@
     pub(super) key: Vec<u8>,
     pub(super) is_write: bool,
     pub(super) idempotency: Idempotency,
-    /// How long the client waits, from when the last byte is at the router's machine.
+    /// How long the client waits from when the last byte is at the router's machine.
     pub(super) timeout: Time,
-    /// The end of that time; [`DEADLINE_UNKNOWN`] before the request has arrived.
+    /// The end of `timeout`, or [`DEADLINE_UNKNOWN`] before the request has arrived.
     pub(super) deadline: Time,
-    /// When its last byte was at the router's machine.
+    /// When the last byte arrived at the router's machine.
     pub(super) arrived_at: Option<Time>,
-    /// When its first attempt was whole on the wire.
+    /// When the first attempt was completely written.
     pub(super) first_sent_at: Option<Time>,
-    /// When the reply that serves it was at the router's machine.
+    /// When the serving reply arrived at the router's machine.
     pub(super) served_at: Option<Time>,
-    /// When its final answer was whole on the wire.
+    /// When the final answer was completely written.
     pub(super) answered_at: Option<Time>,
-    /// When the client's disconnect was at the router's machine.
+    /// When the client's disconnect arrived at the router's machine.
     pub(super) disconnected_at: Option<Time>,
-    /// The client or the router is gone: no answer is due.
+    /// No answer is due because the client or the router is gone.
     pub(super) is_abandoned: bool,
     pub(super) attempts: Vec<Attempt>,
 }
 
-/// The deadline of a request that has not arrived: past every run's end.
+/// The deadline of a request that has not arrived, later than the end of any run.
 pub(super) const DEADLINE_UNKNOWN: Time = Time::MAX / 2;
 
 impl RequestState {
-    /// Its first attempt that may have had its effect.
+    /// Returns the first attempt that may have taken effect.
     pub(super) fn first_possible_effect(&self) -> Option<&Attempt> {
         self.attempts
             .iter()
@@ -73,13 +73,13 @@
         self.attempts.iter().any(Attempt::is_in_flight)
     }
 
-    /// It has arrived and waits for its answer.
+    /// Tells whether it has arrived and has no answer yet.
     pub(super) fn is_waiting(&self) -> bool {
         self.arrived_at.is_some() && self.answered_at.is_none()
     }
 }
 
-/// All requests by id, and when their answers are due.
+/// All requests by id, and the times at which their answers are due.
 pub(super) struct RequestTable {
     by_id: HashMap<u64, RequestState>,
     due: BTreeSet<(Time, u64)>,
@@ -111,7 +111,7 @@
         self.by_id.insert(id, request);
     }
 
-    /// The attempt of a request on this connection.
+    /// Returns the attempt of a request on this connection.
     pub(super) fn attempt_mut(&mut self, id: u64, connection: u32) -> Option<&mut Attempt> {
         let request = self.by_id.get_mut(&id)?;
         request
@@ -121,7 +121,8 @@
             .find(|attempt| attempt.connection == connection)
     }
 
-    /// The last byte is at the router's machine: the deadline counts from here. False if no answer is due any more.
+    /// Records that the last byte arrives at the router's machine, from which the deadline counts.
+    /// Returns false if no answer is due any more.
     pub(super) fn arrived(&mut self, id: u64, now: Time) -> bool {
         let Some(request) = self
             .by_id
@@ -136,7 +137,7 @@
         true
     }
 
-    /// Its final answer is whole on the wire.
+    /// Records that the final answer is completely written.
     pub(super) fn answered(&mut self, id: u64, now: Time) -> Option<&RequestState> {
         let request = self.by_id.get_mut(&id)?;
         request.answered_at = Some(now);
@@ -144,7 +145,7 @@
         Some(request)
     }
 
-    /// No answer is due any more.
+    /// Records that no answer is due any more.
     pub(super) fn abandon(&mut self, id: u64) {
         if let Some(request) = self.by_id.get_mut(&id) {
             request.is_abandoned = true;
@@ -152,7 +153,7 @@
         }
     }
 
-    /// Requests of a router without an answer.
+    /// Returns the requests of a router without an answer.
     pub(super) fn unanswered_of(&self, router: usize) -> Vec<u64> {
         let unanswered = self
             .by_id
@@ -161,19 +162,19 @@
         unanswered.map(|(&id, _)| id).collect()
     }
 
-    /// Whether a request's time, grace included, has passed.
+    /// Tells whether a request's deadline and the grace have passed.
     pub(super) fn is_past_grace(&self, id: u64, now: Time) -> bool {
         self.by_id
             .get(&id)
             .is_some_and(|request| request.deadline + self.answer_grace < now)
     }
 
-    /// Gives a request the grace once more, from now on.
+    /// Extends the time for an answer to the grace from now on.
     pub(super) fn extend_grace(&mut self, id: u64, now: Time) {
         self.due.insert((now + self.answer_grace, id));
     }
 
-    /// Takes out the next request whose answer was due before this time and is still missing.
+    /// Removes and returns the next request whose answer was due before this time and is missing.
     pub(super) fn take_overdue(&mut self, now: Time) -> Option<u64> {
         while let Some(&(due, id)) = self.due.first().filter(|&&(due, _)| due < now) {
             self.due.remove(&(due, id));
--- a/crates/router-simulation/src/invariant_checker/rule.rs
+++ b/crates/router-simulation/src/invariant_checker/rule.rs
@@ -4,27 +4,29 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// The rules of the protocol (PROTOCOL, "The rules on sockets"), and what else every run has to keep.
+/// The rules of the protocol (PROTOCOL, "The rules on sockets") and the other conditions that every
+/// run has to keep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// Rule 1: whatever a running router accepts gets exactly one final answer in time, and nothing goes out after it.
+    /// Rule 1: every request that a running router accepts gets exactly one final answer in time,
+    /// and nothing is sent after it.
     Answered,
-    /// An attempt tells its server at most the time that is left to the client.
+    /// An attempt passes its server at most the time that is left to the client.
     UpstreamDeadline,
     /// Nothing is sent for a client that has disconnected.
     ClientDisconnect,
-    /// Rule 2: no effect happens twice.
+    /// Rule 2: no request takes effect twice.
     Effects,
-    /// Rule 3: nothing new is sent to a server that drains or is gone.
+    /// Rule 3: nothing new is sent to a server that drains or is removed.
     Drains,
     /// Rule 4: no server in slow start is overloaded by routers that know of its start.
     SlowStart,
-    /// Service comes back once faults have ended.
+    /// Service recovers once the faults have ended.
     Liveness,
-    /// Descriptors and memory are bounded.
+    /// The use of file descriptors and memory is bounded.
     ResourceLimits,
-    /// A coalesced answer goes to reads of the same key alone, from a flight that is not older than the last write
-    /// before the read, and a flight is one upstream request.
+    /// A coalesced answer goes only to reads of the same key, from a flight that is not older than
+    /// the last write before the read, and a flight is one upstream request.
     Coalescing,
 }
 
@@ -44,70 +46,73 @@
     }
 }
 
-/// A rule that was not kept.
+/// A violation of a rule.
 #[derive(Clone, Debug)]
 pub struct Violation {
-    /// The rule.
+    /// The violated rule.
     pub rule: Rule,
     /// Virtual time in microseconds.
     pub time: Time,
-    /// Number of the step on the wire, from 1.
+    /// The number of the step on the wire, from 1.
     pub step: u64,
-    /// The request, if it concerns one.
+    /// The id of the request, if the violation concerns one.
     pub request: Option<u64>,
     /// What was observed.
     pub text: String,
-    /// The last steps that touched the request; empty unless the trace is recorded.
+    /// The last steps of the request. Empty unless the trace is recorded.
     pub steps: Vec<String>,
 }
 
-/// Whether a request may run twice.
+/// Tells whether a request may run twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Any number of times.
+    /// It may run any number of times.
     Idempotent,
     /// The servers of the scope drop repeats for this time, in microseconds.
     Keyed(DeduplicationScope, Time),
-    /// Never.
+    /// It may run once.
     NotIdempotent,
 }
 
-/// Which servers drop each other's repeats.
+/// The servers that share a record of idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// All.
+    /// All servers.
     All,
-    /// Those of one zone.
+    /// The servers of one zone.
     Zone,
 }
 
-/// The parameters of the rules; times are microseconds.
+/// The parameters of the rules. Times are in microseconds.
 #[derive(Clone, Debug)]
 pub struct RuleParameters {
-    /// Each class of requests by its name.
+    /// The classes of requests, by name.
     pub classes: BTreeMap<String, Idempotency>,
     /// How long after the client's deadline a final answer may come.
     pub answer_grace: Time,
-    /// How long after a router learns of a drain it may still send to the server.
+    /// How long a router may still send to a server after it learns of a drain.
     pub drain_grace: Time,
-    /// An agent pushes lists to each router: what is announced counts as told at once, with or without a watch.
+    /// An agent pushes lists to each router: what is announced counts as known at once, with or
+    /// without a watch.
     pub lists_are_pushed: bool,
-    /// Attempts of one request.
+    /// The maximum number of attempts of one request.
     pub max_attempts: usize,
     /// Two attempts of one request may be in flight together.
     pub hedging: bool,
-    /// A server in slow start fails when it gets more than this multiple of its present capacity ...
+    /// A server in slow start fails when the work of `overload_duration` exceeds this multiple of
+    /// its capacity in that time.
     pub overload_multiple: f64,
-    /// ... within this time.
+    /// The time over which the work of a server in slow start is summed.
     pub overload_duration: Time,
-    /// Bytes that a connection takes without their being read.
+    /// The receive window of a connection, in bytes.
     pub receive_window: usize,
-    /// Work beyond the overload limit that random arrivals may bring, in microseconds.
+    /// Work beyond the overload limit that random arrivals may bring.
     pub overload_slack: OverloadSlack,
-    /// Which reads may share an answer; `None`: none may.
+    /// The reads that may share an answer; `None` if none may.
     pub coalescing: Option<CoalescingParameters>,
-    /// Requests from this id on belong to crowds: a few upstream requests decide over all of a crowd, so these do not
-    /// count toward the ratio that is served in the calm.
+    /// Requests from this id on belong to crowds. They do not count in
+    /// [`ServiceAfterFaults`](super::ServiceAfterFaults), since a few upstream requests decide over
+    /// a whole crowd.
     pub first_crowd_request_id: u64,
 }
 
@@ -116,34 +121,34 @@
 pub struct CoalescingParameters {
     /// The class whose reads may share an answer.
     pub class: String,
-    /// Flights for one key that new reads may join.
+    /// The number of flights for one key that new reads may join.
     pub max_flights_per_key: usize,
 }
 
-/// A cache server as its endpoint list names it.
+/// A cache server, as the endpoint list identifies it.
 #[derive(Clone, Debug)]
 pub struct ServerIdentity {
-    /// Name on the list.
+    /// The name on the list.
     pub name: String,
-    /// Number of its zone.
+    /// The number of its zone.
     pub zone: usize,
 }
 
-/// Work beyond the overload limit that a server withstands: requests arrive at random.
+/// Work beyond the overload limit that a server withstands, since requests arrive at random.
 #[derive(Clone, Copy, Debug)]
 pub enum OverloadSlack {
-    /// So many microseconds of work.
+    /// This many microseconds of work.
     Work(f64),
-    /// As STANDING has it, by the number N of requests of mean work that the limit allows: twice the root of N and two,
-    /// or three times the root and three where N is under 30.
+    /// The allowance of STANDING, by the number N of mean requests that the limit allows: `2 *
+    /// sqrt(N) + 2` requests, or `3 * sqrt(N) + 3` where N is under 30.
     Requests {
-        /// Microseconds of the server's full capacity.
+        /// The mean work of a request, in microseconds at the server's full capacity.
         mean_work: f64,
     },
 }
 
 impl OverloadSlack {
-    /// The slack beyond a limit, in microseconds of work.
+    /// Returns the slack beyond a limit, in microseconds of work.
     pub(super) fn beyond(self, limit: f64) -> f64 {
         match self {
             OverloadSlack::Work(work) => work,
--- a/crates/router-simulation/src/invariant_checker/slow_start.rs
+++ b/crates/router-simulation/src/invariant_checker/slow_start.rs
@@ -1,7 +1,8 @@
 //! Rule 4: no server in slow start is overloaded by routers that know of its start.
 //!
-//! A server's capacity rises evenly from its start to the end of the slow start. It fails when the work of the last
-//! `overload_duration` exceeds `overload_multiple` times its mean capacity in that time.
+//! A server's capacity rises linearly from its start to the end of the slow start. The server fails
+//! when the work of the last `overload_duration` exceeds `overload_multiple` times its mean
+//! capacity in that time.
 
 use super::rule::RuleParameters;
 use crate::executor::Time;
@@ -12,14 +13,14 @@
 pub struct ProcessStart {
     /// Unix time in milliseconds; 0 for a process that has always run.
     pub born_ms: u64,
-    /// The ratio of its full capacity that it starts with, from 0 to 1.
+    /// The ratio of its full capacity with which it starts, from 0 to 1.
     pub starting_capacity_ratio: f64,
-    /// How long until it has its full capacity, in microseconds.
+    /// How long it takes to reach its full capacity, in microseconds.
     pub slow_start_duration: Time,
 }
 
 impl ProcessStart {
-    /// The ratio of its full capacity that a server has at an age in microseconds: it rises evenly.
+    /// Returns the ratio of its full capacity that a server has at an age in microseconds.
     pub fn capacity_ratio(&self, age: Time) -> f64 {
         if age >= self.slow_start_duration {
             return 1.0;
@@ -29,11 +30,11 @@
     }
 }
 
-/// Work that a router sent.
+/// Work that a router sends to a server.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct WorkArrival {
     pub(super) at: Time,
-    /// Microseconds of the server's full capacity.
+    /// In microseconds at the server's full capacity.
     pub(super) work: f64,
     pub(super) router: usize,
 }
@@ -43,15 +44,15 @@
 pub(super) struct ServerProcess {
     start: ProcessStart,
     started_at: Time,
-    /// What arrived within the last `overload_duration` of the slow start.
+    /// Work that arrived in slow start within the last `overload_duration`.
     arrivals: VecDeque<WorkArrival>,
     has_failed: bool,
 }
 
-/// A server that fails under its work; all work in microseconds.
+/// The failure of a server under its work. Work is in microseconds.
 pub(super) struct Overload {
     age: Time,
-    within: Time,
+    duration: Time,
     work: f64,
     limit: f64,
     informed_work: f64,
@@ -76,7 +77,7 @@
             .capacity_ratio(at.saturating_sub(self.started_at))
     }
 
-    /// The work of the last `overload_duration` that the process withstands.
+    /// Returns the work of the last `overload_duration` that the process withstands.
     fn work_limit(&self, now: Time, parameters: &RuleParameters) -> f64 {
         let window = parameters.overload_duration;
         let since = self.started_at.max(now.saturating_sub(window));
@@ -85,8 +86,8 @@
         limit + parameters.overload_slack.beyond(limit)
     }
 
-    /// Work arrives from a router; the overload if the process fails under it. `knows_start` tells whether a router
-    /// knows of this start of the process.
+    /// Takes in work from a router. Returns the overload if the process fails under it.
+    /// `knows_start` tells whether a router knows of this start of the process.
     pub(super) fn add_work(
         &mut self,
         parameters: &RuleParameters,
@@ -112,7 +113,7 @@
         let is_informed = |arrival: &WorkArrival| knows_start(arrival.router, self.start.born_ms);
         Some(Overload {
             age: now.saturating_sub(self.started_at),
-            within: parameters.overload_duration,
+            duration: parameters.overload_duration,
             work,
             limit,
             informed_work: sum_work(&arrivals, is_informed),
@@ -126,15 +127,16 @@
 }
 
 impl Overload {
-    /// What is wrong, if at least two thirds of the work came from routers that knew of the start.
+    /// Returns the violation if at least two thirds of the work came from routers that knew of the
+    /// start.
     pub(super) fn check(&self, server: usize) -> Option<String> {
         let two_thirds = self.work * 2.0 / 3.0;
         (self.informed_work >= two_thirds).then(|| {
             format!(
-                "server {server}, {} ms after its start: {:.0} ms of work within {} ms where {:.0} ms push it over, {:.0} ms of it from routers that knew",
+                "server {server}, {} ms after its start: {:.0} ms of work within {} ms where it withstands {:.0} ms, {:.0} ms of it from routers that knew of the start",
                 self.age / 1_000,
                 self.work / 1e3,
-                self.within / 1_000,
+                self.duration / 1_000,
                 self.limit / 1e3,
                 self.informed_work / 1e3
             )
--- a/crates/router-simulation/src/invariant_checker/trace.rs
+++ b/crates/router-simulation/src/invariant_checker/trace.rs
@@ -1,14 +1,14 @@
-//! The steps on the wire: their count, their digest, and their text where it is recorded.
+//! The steps on the wire: their number, their digest and, if recorded, their text.
 
 use crate::executor::Time;
 use std::collections::BTreeSet;
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
 
-/// How many steps of a request are shown with a violation.
+/// The number of steps of a request that a violation includes.
 const SHOWN_STEP_COUNT: usize = 50;
 
-/// What happened in a step. The number enters the digest.
+/// The kind of a step. Its number enters the digest.
 #[derive(Clone, Copy)]
 pub(super) enum StepKind {
     RouterStarted = 1,
@@ -73,14 +73,14 @@
         self.digest.finish()
     }
 
-    /// Counts a step and takes it into the digest.
+    /// Counts a step and adds it to the digest.
     pub(super) fn advance(&mut self, time: Time, connection: u32, kind: StepKind, bytes: &[u8]) {
         self.step_count += 1;
         (time, connection, kind as u8).hash(&mut self.digest);
         self.digest.write(bytes);
     }
 
-    /// Records a text, which is made only if the trace is recorded.
+    /// Records a text, which is only made if the trace is recorded.
     pub(super) fn note(
         &mut self,
         time: Time,
@@ -98,12 +98,13 @@
         }
     }
 
-    /// All recorded lines.
+    /// Returns all recorded lines.
     pub(super) fn lines(&self) -> impl Iterator<Item = String> + '_ {
         self.numbered().map(|(number, step)| step.line(number))
     }
 
-    /// The last lines of a request on these connections; of all requests if there is none.
+    /// Returns the last lines of a request on these connections, or of all requests if `request` is
+    /// `None`.
     pub(super) fn last_lines(
         &self,
         request: Option<u64>,
