--- a/crates/router-simulation/src/run.rs
+++ b/crates/router-simulation/src/run.rs
@@ -1,4 +1,5 @@
-//! A run: carries a plan out with the real runtime as every router and models of all else, and reports what it came to.
+//! Simulates a run: executes a plan with the real runtime as every router and with models of all
+//! other processes, and reports the result.
 
 mod end_check;
 mod faults;
@@ -25,22 +26,22 @@
 
 pub use overloaded_discovery::{OverloadedDiscovery, Recovery};
 
-/// What a run came to.
+/// The result of a run.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// The seed of its plan.
+    /// The seed of the plan.
     pub seed: u64,
-    /// Equal for equal runs.
+    /// A digest of all steps, equal for equal runs.
     pub digest: u64,
-    /// Steps on the wire.
+    /// The number of steps on the wire.
     pub steps: u64,
-    /// What passed.
+    /// Totals of the run.
     pub counts: Counts,
-    /// Service once all faults are over.
+    /// Requests answered after all faults are over.
     pub after_faults: ServiceAfterFaults,
-    /// Attempts for each crowd of the plan, its clients' own retries aside.
+    /// The number of attempts for each crowd of the plan. Retries by the clients do not count.
     pub crowd_attempts: Vec<u64>,
-    /// The first violations.
+    /// The first violations of the rules.
     pub violations: Vec<Violation>,
     /// The lines of the trace, if it is recorded.
     pub trace: Vec<String>,
@@ -49,22 +50,23 @@
 /// What is recorded of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Recording {
-    /// Violations alone.
+    /// Only violations.
     Violations,
-    /// Every step.
+    /// Every step on the wire.
     Trace,
 }
 
 /// Work beyond the overload limit that random arrivals may bring, in mean requests.
 const OVERLOAD_SLACK_REQUEST_COUNT: f64 = 6.0;
 
-/// Carries a plan out to its end, or to the instant at which tasks wake one another without end.
+/// Executes a plan to its end, or until tasks wake one another without the clock advancing.
 pub fn simulate(plan: &RunPlan, recording: Recording) -> Report {
     let plan = Rc::new(plan.clone());
     execute(&plan, rule_parameters(&plan), recording)
 }
 
-/// The same, where a server in slow start withstands as much as STANDING says: for large fleets, whose servers are alike.
+/// Executes a plan of a large fleet like [`simulate`]. The overload slack is the one of STANDING,
+/// which depends on the mean work of a request and so needs servers of equal speed.
 pub fn simulate_large_fleet(plan: &RunPlan, recording: Recording) -> Report {
     let plan = Rc::new(plan.clone());
     let speed = plan.servers.first().map_or(1.0, |server| server.speed);
@@ -87,7 +89,10 @@
     if run.simulation.executor.run_until(plan.end_time()) {
         run.check_end();
     } else {
-        run.record_violation(Rule::Liveness, "tasks wake one another without end".into());
+        run.record_violation(
+            Rule::Liveness,
+            "tasks wake one another without the clock advancing".into(),
+        );
     }
     let report = build_report(plan, &mut run.simulation.checker.borrow_mut());
     run.simulation.executor.end();
@@ -158,7 +163,7 @@
     identities.collect()
 }
 
-/// All that takes part in a run.
+/// A run with all its simulated processes.
 struct Run {
     plan: Rc<RunPlan>,
     simulation: Simulation,
@@ -170,7 +175,7 @@
 }
 
 impl Run {
-    /// A run at time 0: all processes have started.
+    /// Creates a run at time 0 with all processes started.
     fn new(plan: &Rc<RunPlan>, recording: Recording) -> Rc<Run> {
         Run::with_parameters(plan, rule_parameters(plan), recording)
     }
@@ -220,13 +225,13 @@
         self.simulation.executor.now()
     }
 
-    /// Does something at a time.
+    /// Schedules an action at this time.
     fn at(self: &Rc<Self>, time: Time, action: impl FnOnce(&Rc<Run>) + 'static) {
         let run = self.clone();
         self.simulation.executor.call_at(time, move || action(&run));
     }
 
-    /// Does something after so many microseconds.
+    /// Schedules an action after this delay, in microseconds.
     fn after(self: &Rc<Self>, delay: Time, action: impl FnOnce(&Rc<Run>) + 'static) {
         self.at(self.now() + delay, action);
     }
@@ -237,19 +242,21 @@
         checker.record_violation(rule, now, None, text);
     }
 
-    /// Discovery's list says this of a server after its notice delay and this time.
+    /// Changes a server's entry in discovery's list after the announcement delay of the plan and a
+    /// further delay.
     fn announce(self: &Rc<Self>, server: usize, health: Health, born_ms: u64, delay: Time) {
         self.after(self.plan.announcement_delay + delay, move |run| {
             run.discovery.set(server, health, born_ms);
         });
     }
 
-    /// Starts a server's process, which the list shows after its notice delay and this time.
-    fn start_server(self: &Rc<Self>, server: usize, announced_after: Time) {
+    /// Starts a server's process. The list shows it after the announcement delay of the plan and
+    /// `extra_delay`.
+    fn start_server(self: &Rc<Self>, server: usize, extra_delay: Time) {
         let born_ms = (UNIX_START + self.now()) / 1_000;
         self.simulation.network.restore(self.servers[server].node);
         self.servers[server].start(born_ms);
-        self.announce(server, Health::Up, born_ms, announced_after);
+        self.announce(server, Health::Up, born_ms, extra_delay);
     }
 }
 
--- a/crates/router-simulation/src/run/end_check.rs
+++ b/crates/router-simulation/src/run/end_check.rs
@@ -1,20 +1,21 @@
-//! What has to hold at the end of a run: every router runs and holds nothing of any request, and service has come back.
+//! Checks the end of a run: every router runs and holds no state of any request, and service has
+//! recovered.
 
 use super::Run;
 use super::routers::RouterProcess;
 use crate::invariant_checker::{Rule, ServiceAfterFaults};
 
-/// From this many requests on, the ratio of served ones in the calm is judged.
+/// The served ratio after the faults is checked from this number of requests on.
 const MIN_JUDGED_REQUEST_COUNT: u64 = 20;
-/// The least ratio of them that has to be served for service to have come back.
+/// The lowest ratio of served requests at which service counts as recovered.
 const MIN_SERVED_RATIO: f64 = 0.1;
-/// The decision library's poll of the endpoint list may always be set.
+/// The timer of the load balancer's poll of the endpoint list may always be set.
 const IDLE_TIMER_COUNT: usize = 1;
-/// A router's watch at discovery.
+/// A router's watch at discovery is an open connection that the runtime does not count.
 const WATCH_CONNECTION_COUNT: usize = 1;
 
 impl Run {
-    /// Checks the end of the run, once every deadline has passed.
+    /// Checks the end of the run, when every deadline has passed.
     pub(super) fn check_end(&self) {
         for router in &self.routers {
             self.check_router_is_idle(router);
@@ -25,7 +26,10 @@
     fn check_router_is_idle(&self, router: &RouterProcess) {
         let number = router.number;
         let Some(runtime) = router.runtime.borrow().clone() else {
-            self.record_violation(Rule::Liveness, format!("router {number} is not back"));
+            self.record_violation(
+                Rule::Liveness,
+                format!("router {number} does not run at the end"),
+            );
             return;
         };
         let usage = runtime.resource_usage();
@@ -35,13 +39,13 @@
             + usage.coalesced_waiters
             + usage.coalesced_flights;
         if requests > 0 || usage.timers > IDLE_TIMER_COUNT {
-            let text = format!("router {number} still holds {usage:?} when all is over");
+            let text = format!("router {number} still holds {usage:?} at the end");
             self.record_violation(Rule::ResourceLimits, text);
         }
         let open = self.simulation.network.open_connections(router.node);
-        let known = usage.client_connections + usage.idle_upstream_connections;
-        if open > known + WATCH_CONNECTION_COUNT {
-            let text = format!("router {number} holds {open} connections and knows of {usage:?}");
+        let reported = usage.client_connections + usage.idle_upstream_connections;
+        if open > reported + WATCH_CONNECTION_COUNT {
+            let text = format!("router {number} has {open} open connections and reports {usage:?}");
             self.record_violation(Rule::ResourceLimits, text);
         }
     }
@@ -58,8 +62,7 @@
         } = after_faults;
         let required = MIN_SERVED_RATIO * accepted as f64;
         if accepted >= MIN_JUDGED_REQUEST_COUNT && (served as f64) < required {
-            let text =
-                format!("only {served} of {accepted} requests were served once all was calm");
+            let text = format!("only {served} of {accepted} requests were served after the faults");
             self.record_violation(Rule::Liveness, text);
         }
     }
--- a/crates/router-simulation/src/run/faults.rs
+++ b/crates/router-simulation/src/run/faults.rs
@@ -1,4 +1,4 @@
-//! Brings the faults of a plan about at their times, and ends them.
+//! Starts the faults of a plan at their times, and ends them.
 
 use super::Run;
 use crate::discovery::Health;
@@ -7,22 +7,24 @@
 use crate::fleet::{Server, ServerFaults};
 use std::rc::Rc;
 
-/// How much later than the server the list shows its restart.
+/// The delay after a server's restart at which discovery changes its entry, beside the announcement
+/// delay.
 const RESTART_ANNOUNCEMENT_DELAY: Time = 20 * MILLI;
-/// A server is listed as draining this much before it stops to accept work.
+/// How long a server is listed as draining before it stops accepting work.
 const DRAIN_LEAD_TIME: Time = 300 * MILLI;
-/// A server that was drained is away for this time ...
+/// How long a server is down after a drain.
 const DRAINED_DOWNTIME: Time = 400 * MILLI;
-/// ... and listed this much after its restart.
+/// The delay after the restart of a drained server at which discovery lists it, beside the
+/// announcement delay.
 const DRAINED_RESTART_ANNOUNCEMENT_DELAY: Time = 300 * MILLI;
-/// A server that began to drain in a silence restarts this long after the silence began: past the time from which the drain
-/// counts as known.
+/// How long after the watches fall silent a server that drains meanwhile restarts. It is later than
+/// the time from which the drain counts as known.
 const RESTART_AFTER_SILENCE: Time = 6_900 * MILLI;
-/// How often watches end while discovery flaps.
+/// How many times watches end while discovery flaps.
 const FLAP_COUNT: Time = 6;
-/// How often idle connections are reset.
+/// How many times idle connections are reset.
 const IDLE_RESET_COUNT: Time = 8;
-/// The range of a stepped wall clock, in microseconds: an hour either way.
+/// The range of a clock step, in microseconds: up to one hour in either direction.
 const CLOCK_STEP_RANGE: f64 = 7.2e9;
 
 impl Run {
@@ -46,7 +48,7 @@
                 self.discovery.end_watches();
             }
             FaultKind::DiscoveryFlaps => self.flap_discovery(fault),
-            // Late news: discovery's zone is cut off for part of the time.
+            // The list arrives late because discovery's zone is isolated for part of the time.
             FaultKind::DiscoveryLate => self.isolate_zone(0, fault.duration / 2),
             FaultKind::ZonePartition => {
                 for &zone in &fault.targets {
@@ -76,7 +78,7 @@
             FaultKind::ServerSlow => {
                 self.impair(fault, |faults, severity| faults.slowdown = 6.0 * severity);
             }
-            // These are in what clients do.
+            // `ClientBehavior` covers these.
             FaultKind::ClientsDisconnect
             | FaultKind::ClientsPipeline
             | FaultKind::ClientsReadSlowly => {}
@@ -91,16 +93,18 @@
 
     fn restart_routers_in_turn(self: &Rc<Self>, fault: &Fault) {
         let gap = 50 * MILLI + (fault.severity * 300.0) as Time * MILLI;
-        for (turn, &router) in fault.targets.iter().enumerate() {
+        for (index, &router) in fault.targets.iter().enumerate() {
             let router = self.routers[router].clone();
-            self.after(gap * turn as Time, move |run| run.terminate_router(&router));
+            self.after(gap * index as Time, move |run| {
+                run.terminate_router(&router)
+            });
         }
     }
 
     fn crash_servers(self: &Rc<Self>, fault: &Fault, vanishes: bool) {
         for &server in &fault.targets {
             self.servers[server].kill(vanishes);
-            // A short absence shows on the list by the new start alone.
+            // After a short downtime only the new start time shows on the list.
             if fault.duration > SECOND {
                 let born_ms = self.servers[server].born_ms.get();
                 self.announce(server, Health::Removed, born_ms, 0);
@@ -134,8 +138,8 @@
     }
 
     fn flap_discovery(self: &Rc<Self>, fault: &Fault) {
-        for turn in 0..FLAP_COUNT {
-            self.after(fault.duration / FLAP_COUNT * turn, |run| {
+        for index in 0..FLAP_COUNT {
+            self.after(fault.duration / FLAP_COUNT * index, |run| {
                 run.discovery.end_watches();
             });
         }
@@ -154,7 +158,7 @@
         }
     }
 
-    /// Most connections come up before the router's dial timeout, some do not.
+    /// Delays connects so that most succeed within the dial timeout of the router and some do not.
     fn delay_connects(&self, fault: &Fault) {
         let until = self.now() + fault.duration;
         let delay = (self.plan.dial_timeout as f64 * (0.4 + 0.7 * fault.severity)) as Time;
@@ -164,7 +168,7 @@
         }
     }
 
-    /// In half of the runs a server begins to drain in the silence.
+    /// Stops all output on open watches. In half of the runs a server begins to drain meanwhile.
     fn silence_watches(self: &Rc<Self>, fault: &Fault) {
         self.discovery.silence_watches();
         if fault.severity < 0.5 {
@@ -193,9 +197,9 @@
     }
 
     fn reset_idle_connections(self: &Rc<Self>, fault: &Fault) {
-        for turn in 0..IDLE_RESET_COUNT {
+        for index in 0..IDLE_RESET_COUNT {
             let targets = fault.targets.clone();
-            self.after(fault.duration / IDLE_RESET_COUNT * turn, move |run| {
+            self.after(fault.duration / IDLE_RESET_COUNT * index, move |run| {
                 for server in targets {
                     run.servers[server].reset_idle();
                 }
@@ -203,7 +207,7 @@
         }
     }
 
-    /// Sets a fault of servers to a severity from 0.2 to 1, and to 0 once it ends.
+    /// Sets a fault of servers to a severity from 0.2 to 1, and back to 0 at the end.
     fn impair(self: &Rc<Self>, fault: &Fault, set: fn(&mut ServerFaults, f64)) {
         let change = move |server: &Server, severity: f64| {
             let mut faults = server.faults.get();
--- a/crates/router-simulation/src/run/operators.rs
+++ b/crates/router-simulation/src/run/operators.rs
@@ -1,4 +1,4 @@
-//! What operators do in a run: disable and enable servers, drain and resume routers.
+//! Operators' actions in a run: disabling and enabling servers, draining and resuming routers.
 
 use super::Run;
 use super::routers::RouterProcess;
@@ -23,7 +23,8 @@
         }
     }
 
-    /// Disables a server at every router, restarts it, and enables it again after this time.
+    /// Disables a server at every router, restarts it, and enables it again at the end of
+    /// `duration`.
     fn disable_server(self: &Rc<Self>, server: usize, duration: Time) {
         self.set_override(server, true);
         self.after(duration / 3, move |run| run.servers[server].kill(false));
@@ -33,7 +34,8 @@
         self.after(duration, move |run| run.set_override(server, false));
     }
 
-    /// Tells every router; one that does not run learns of it from its file when it starts.
+    /// Sets an override at every router. A router that does not run applies the stored override
+    /// when it starts.
     fn set_override(self: &Rc<Self>, server: usize, is_disabled: bool) {
         let id = ServerId::from(self.servers[server].name.as_str());
         let admin_override = if is_disabled {
@@ -53,7 +55,7 @@
         }
     }
 
-    /// Drains a router, and resumes it after this time.
+    /// Drains a router, and resumes it at the end of `duration`.
     fn drain_router(self: &Rc<Self>, router: usize, duration: Time) {
         let runtime = self.routers[router].runtime.borrow().clone();
         if let Some(runtime) = runtime {
@@ -71,7 +73,8 @@
 fn apply_override(router: &RouterProcess, server: &ServerId, is_disabled: bool) {
     let runtime = router.runtime.borrow();
     let Some(runtime) = &*runtime else { return };
-    // A router that does not know the server yet refuses this, and takes it from its overrides.
+    // A router that does not know the server yet rejects the command, and applies the override
+    // later.
     let _ = if is_disabled {
         runtime.disable_server(&server.0)
     } else {
--- a/crates/router-simulation/src/run/overloaded_discovery.rs
+++ b/crates/router-simulation/src/run/overloaded_discovery.rs
@@ -1,4 +1,5 @@
-//! A fleet whose watches all fall silent at once, and a discovery that is busy and then works their calls in turn.
+//! Simulates a fleet whose watches all fall silent at once, at a discovery service that is busy for
+//! a time and then answers calls one after another.
 
 use super::{Recording, Run};
 use crate::discovery::CallQueue;
@@ -10,42 +11,49 @@
 /// When the watches fall silent.
 const SILENT_AT: Time = SECOND;
 
-/// The fleet and its discovery; times in microseconds.
+/// The fleet and its discovery service. Times are in microseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct OverloadedDiscovery {
-    /// How many routers there are.
+    /// The number of routers.
     pub router_count: usize,
-    /// How long discovery takes for one call of each router.
+    /// How long discovery takes to answer one call of each router.
     pub fleet_call_time: Time,
-    /// How long after the silence began it is busy with other work.
+    /// How long discovery is busy with other work after the watches fall silent.
     pub busy_time: Time,
-    /// How long after the silence began the run ends.
+    /// How long the run lasts after the watches fall silent.
     pub duration: Time,
 }
 
-/// How discovery came through.
+/// The result of a run with an overloaded discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Recovery {
-    /// How long after the silence began the last router's call was answered; `None` if one never was.
+    /// When the last router got its answer, counted from when the watches fell silent; `None` if a
+    /// router got none.
     pub last_answer_after: Option<Time>,
-    /// Calls after the silence began.
+    /// The number of calls after the watches fell silent.
     pub call_count: usize,
-    /// Those of them that were answered 503.
+    /// The number of these calls that were answered 503.
     pub rejected_count: usize,
 }
 
 impl OverloadedDiscovery {
-    /// Plays it, without requests and other faults.
+    /// Simulates it without requests and other faults.
     pub fn simulate(self, seed: u64) -> Recovery {
         let plan = Rc::new(self.plan(seed));
         let run = Run::new(&plan, Recording::Violations);
         let executor = &run.simulation.executor;
-        assert!(executor.run_until(SILENT_AT), "the routers watch");
+        assert!(
+            executor.run_until(SILENT_AT),
+            "the clock advances until the routers watch"
+        );
         let call_time = self.fleet_call_time / self.router_count as Time;
         let queue = Rc::new(CallQueue::new(call_time, SILENT_AT + self.busy_time));
         run.discovery.begin_queue(queue.clone());
         run.discovery.silence_watches();
-        assert!(executor.run_until(SILENT_AT + self.duration), "no livelock");
+        assert!(
+            executor.run_until(SILENT_AT + self.duration),
+            "the clock advances to the end"
+        );
         let recovery = Recovery {
             last_answer_after: self.last_answer(&run.discovery.answered_at()),
             call_count: queue.call_count.get(),
--- a/crates/router-simulation/src/run/routers.rs
+++ b/crates/router-simulation/src/run/routers.rs
@@ -1,4 +1,4 @@
-//! Router processes of a run: start, SIGTERM, crash, restart.
+//! Router processes of a run: start, SIGTERM, crash and restart.
 
 use super::{Run, deployment_parameters};
 use crate::deployment::coalescing_rules;
@@ -17,39 +17,39 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// What the protocol leaves a router after SIGTERM, beside its longest deadline.
+/// How long after SIGTERM a router is killed, beside its longest deadline, as the protocol allows.
 const KILL_MARGIN: Time = 700 * MILLI;
-/// How long a router that ended after SIGTERM is away at least.
+/// The downtime of the first router after it ends on SIGTERM.
 const RESTART_DOWNTIME: Time = 30 * MILLI;
-/// How much longer each further router is away.
+/// By how much the downtime grows with each further router.
 const RESTART_DOWNTIME_STEP: Time = 7 * MILLI;
-/// How long a router that had to be killed after SIGTERM is away.
+/// The downtime of a router that was killed because it did not end on SIGTERM.
 const KILLED_DOWNTIME: Time = 50 * MILLI;
-/// The memory that a router may use.
+/// The memory limit of a router.
 const MEMORY_BYTES: usize = 64 << 20;
-/// Random numbers of the first router's failing system calls.
+/// The random number stream for the first router's failing system calls.
 const FAILING_CALLS_STREAM: u64 = 9_000;
 
 /// A router's runtime on the simulated environment.
 pub(super) type Runtime = RouterRuntime<SimulatedEnvironment>;
 
-/// A router of a run, whether its process runs or not.
+/// A router of a run, whether or not its process runs.
 pub(super) struct RouterProcess {
     pub(super) number: usize,
     pub(super) node: Node,
     pub(super) address: SocketAddr,
     /// The runtime, while the process runs.
     pub(super) runtime: RefCell<Option<Rc<Runtime>>>,
-    /// Stops the present process.
+    /// Stops the current process.
     stop: RefCell<Rc<Notify>>,
-    /// Counts the starts.
+    /// The number of starts.
     incarnation: Cell<u64>,
-    /// What operators have disabled and enabled, as the process's file keeps it.
+    /// The operators' overrides, as the process's state file keeps them.
     pub(super) admin_overrides: RefCell<BTreeMap<ServerId, AdminOverride>>,
 }
 
 impl RouterProcess {
-    /// A router that does not run yet.
+    /// Creates a router whose process does not run yet.
     pub(super) fn new(
         simulation: &Simulation,
         number: usize,
@@ -77,7 +77,7 @@
 }
 
 impl Run {
-    /// Lets system calls of the routers fail, where the plan wants it.
+    /// Makes system calls of the routers fail at the plan's ratio.
     pub(super) fn fail_system_calls(&self) {
         let ratio = self.plan.failing_calls_ratio;
         if ratio == 0.0 {
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Starts a router's process with the list that its machine last had.
+    /// Starts a router's process with the last list that its machine received.
     pub(super) fn start_router(self: &Rc<Self>, router: &Rc<RouterProcess>) {
         let list = self.discovery.known_to(router.node);
         self.simulation
@@ -105,8 +105,8 @@
         let environment = self.simulation.network.environment(router.node);
         let runtime = match RouterRuntime::new(environment, config) {
             Ok(runtime) => Rc::new(runtime),
-            Err(problem) => {
-                let text = format!("a router does not start: {problem}");
+            Err(error) => {
+                let text = format!("a router does not start: {error}");
                 self.record_violation(Rule::Liveness, text);
                 return;
             }
@@ -116,8 +116,8 @@
         self.spawn_router(router, runtime);
     }
 
-    /// Spawns the process's main task. It belongs to the router's machine: it ends by itself after SIGTERM, or when the
-    /// machine's process is killed.
+    /// Spawns the process's main task on the router's machine. The task ends after SIGTERM, or when
+    /// the machine's process is killed.
     fn spawn_router(self: &Rc<Self>, router: &Rc<RouterProcess>, runtime: Rc<Runtime>) {
         let stop = Rc::new(Notify::new());
         *router.stop.borrow_mut() = stop.clone();
@@ -130,7 +130,7 @@
             runtime
                 .run(listener, async move { stop.notified().await })
                 .await;
-            // A process cannot end its own machine's tasks from within one.
+            // A task must not kill the tasks of its own machine.
             run.at(run.now(), move |run| run.router_ended(&router, incarnation));
         });
     }
@@ -163,7 +163,8 @@
         deployment
     }
 
-    /// The process has ended by itself: its machine closes what it held, and it is started again.
+    /// Records that the process has ended on SIGTERM: its machine closes its connections, and it is
+    /// started again.
     fn router_ended(self: &Rc<Self>, router: &Rc<RouterProcess>, incarnation: u64) {
         if !router.is_running_as(incarnation) {
             return;
@@ -175,26 +176,27 @@
             .borrow_mut()
             .router_died(self.now(), router.number);
         let router = router.clone();
-        let pause = RESTART_DOWNTIME + RESTART_DOWNTIME_STEP * router.number as Time;
-        self.after(pause, move |run| run.start_router(&router));
+        let downtime = RESTART_DOWNTIME + RESTART_DOWNTIME_STEP * router.number as Time;
+        self.after(downtime, move |run| run.start_router(&router));
     }
 
-    /// Kills a router's process, which is started again after this time.
-    pub(super) fn kill_router(self: &Rc<Self>, router: &Rc<RouterProcess>, back_after: Time) {
+    /// Kills a router's process, and starts it again after a downtime.
+    pub(super) fn kill_router(self: &Rc<Self>, router: &Rc<RouterProcess>, downtime: Time) {
         if router.runtime.borrow_mut().take().is_none() {
             return;
         }
-        // The checker is told first: the connections that the kill closes are not the router's fault.
+        // The checker has to know before the kill closes connections: their clients' requests then
+        // need no answer.
         self.simulation
             .checker
             .borrow_mut()
             .router_died(self.now(), router.number);
         self.simulation.network.kill(router.node, false);
         let router = router.clone();
-        self.after(back_after, move |run| run.start_router(&router));
+        self.after(downtime, move |run| run.start_router(&router));
     }
 
-    /// Sends SIGTERM to a router, and SIGKILL where it is still there once its time is up.
+    /// Sends SIGTERM to a router, and SIGKILL if its process still runs at the end of its time.
     pub(super) fn terminate_router(self: &Rc<Self>, router: &Rc<RouterProcess>) {
         if !router.is_running() {
             return;
@@ -204,7 +206,7 @@
         let router = router.clone();
         self.after(self.plan.longest_deadline() + KILL_MARGIN, move |run| {
             if router.is_running_as(incarnation) {
-                let text = "a router is still there when it is killed";
+                let text = "a router still runs when it is killed after SIGTERM";
                 run.record_violation(Rule::Liveness, text.into());
                 run.kill_router(&router, KILLED_DOWNTIME);
             }
--- a/crates/router-simulation/src/run/traffic.rs
+++ b/crates/router-simulation/src/run/traffic.rs
@@ -1,4 +1,4 @@
-//! Schedules what clients send in a run, and how they behave while faults of clients hold.
+//! Schedules the clients' requests, and how clients behave during their faults.
 
 use super::Run;
 use crate::clients::ClientBehavior;
@@ -8,12 +8,13 @@
 };
 use std::rc::Rc;
 
-/// How far behind a request those stand that may be pipelined with it.
+/// How many of the next requests are considered for a pipeline with a request.
 const PIPELINE_SEARCH_COUNT: usize = 40;
-/// How much later than a request those are due that may be pipelined with it.
+/// How much later a request may be due to join a pipeline.
 const PIPELINE_WINDOW: Time = 400 * MILLI;
 
-/// Requests that are pipelined have no time left where their selector is below this: their clients waited elsewhere.
+/// Pipelined requests whose selector is at most this have no time left, because their clients spent
+/// it waiting elsewhere.
 const NO_TIME_SELECTOR: f64 = 0.1;
 
 impl Run {
@@ -33,7 +34,8 @@
         }
     }
 
-    /// A request and those that come with it on one connection: the next ones of its router while clients pipeline.
+    /// Takes a request and those that are sent with it on one connection: the next ones at its
+    /// router while clients pipeline.
     fn take_pipeline(&self, first: usize, is_taken: &mut [bool]) -> Vec<PlannedRequest> {
         is_taken[first] = true;
         let request = &self.plan.requests[first];
@@ -59,7 +61,8 @@
         pipeline
     }
 
-    /// Schedules crowds: their reads on as many connections as they have, their writes on one each.
+    /// Schedules the crowds. Reads are spread over the connections of the crowd; each write has its
+    /// own connection.
     pub(super) fn schedule_crowds(self: &Rc<Self>) {
         for crowd in &self.plan.crowds {
             let reads = crowd
