--- a/crates/router-simulation/src/deployment.rs
+++ b/crates/router-simulation/src/deployment.rs
@@ -15,32 +15,32 @@
 
 /// How long after its deadline a request may be answered.
 const ANSWER_GRACE: Time = 20 * MILLI;
-/// How long after a router learns of a drain it may still send to the server.
+/// How long a router may still send to a server after it learns of a drain.
 const DRAIN_GRACE: Time = 250 * MILLI;
-/// Attempts of one request.
+/// The maximum number of attempts of one request.
 const MAX_ATTEMPT_COUNT: u32 = 5;
-/// Flights for one key that new reads may join.
+/// The number of flights for one key that new reads may join.
 const FLIGHTS_PER_KEY: usize = 2;
 
-/// How a class of requests is configured.
+/// The settings of a request class.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ClassParameters {
-    /// Microseconds.
+    /// In microseconds.
     pub(crate) deadline: Time,
     pub(crate) priority_weight: f64,
 }
 
-/// What differs between deployments of a simulation; times in microseconds.
+/// The settings that differ between simulated deployments. Times are in microseconds.
 #[derive(Clone, Debug)]
 pub(crate) struct DeploymentParameters {
-    /// An agent pushes lists to each router.
+    /// Whether an agent pushes endpoint lists to each router.
     pub lists_are_pushed: bool,
     pub(crate) zone_count: usize,
-    /// Each class of [`CLASSES`].
+    /// The settings of each class of [`CLASSES`].
     pub(crate) classes: [ClassParameters; 4],
     pub(crate) latency_objective: Time,
     pub(crate) deduplication_window: Time,
-    /// The ratio of its full capacity that a server starts with at least.
+    /// The lowest ratio of its full capacity with which a server starts.
     pub(crate) initial_capacity_ratio: f64,
     pub(crate) slow_start_duration: Time,
     pub(crate) overload_multiple: f64,
@@ -51,7 +51,7 @@
 }
 
 impl DeploymentParameters {
-    /// The deployment of a router.
+    /// Returns the deployment of a router.
     pub(crate) fn deployment(&self) -> Deployment {
         let text = |names: &[&str]| names.iter().map(|name| (*name).to_string()).collect();
         let zones = (0..self.zone_count).map(|zone| format!("z{zone}"));
@@ -135,8 +135,8 @@
         }
     }
 
-    /// The parameters of the rules for routers of this deployment, on connections that take `window` bytes unread. No
-    /// reads are coalesced, and no requests are of crowds.
+    /// Returns the parameters of the rules for routers of this deployment. `receive_window` is the
+    /// size in bytes for each connection. No reads are coalesced, and there are no crowds.
     pub(crate) fn rule_parameters(&self, receive_window: usize) -> RuleParameters {
         let keyed = |scope| CheckedIdempotency::Keyed(scope, self.deduplication_window);
         let idempotency = [
@@ -163,7 +163,7 @@
     }
 }
 
-/// The parameters of the coalescing rule where reads of the first class are coalesced.
+/// Returns the parameters of the coalescing rule where reads of the first class are coalesced.
 pub(crate) fn coalescing_parameters() -> CoalescingParameters {
     CoalescingParameters {
         class: CLASSES[0].to_string(),
@@ -171,7 +171,7 @@
     }
 }
 
-/// A router's rules of coalescing for reads of the first class.
+/// Returns the coalescing rules of a router for reads of the first class.
 pub(crate) fn coalescing_rules(deployment: &Deployment) -> Option<CoalescingRules> {
     let file = CoalescingFile {
         classes: vec![CLASSES[0].to_string()],
@@ -179,6 +179,6 @@
     };
     match file.rules(deployment) {
         Ok(rules) => rules,
-        Err(problem) => panic!("the simulation's settings are usable: {problem}"),
+        Err(error) => panic!("the settings of the simulation are invalid: {error}"),
     }
 }
--- a/crates/router-simulation/src/fault_plan/crowds.rs
+++ b/crates/router-simulation/src/fault_plan/crowds.rs
@@ -1,21 +1,21 @@
-//! Draws crowds, for runs whose routers coalesce identical reads.
+//! Draws crowds for runs whose routers coalesce identical reads.
 
 use super::fault::FaultKind;
 use super::{Crowd, MILLI, PlannedRequest, REQUESTS_BEGIN, RunPlan};
 use crate::executor::Time;
 use crate::rng::SeededRng;
 
-/// Reads of a crowd.
+/// The number of reads of a crowd.
 pub const CROWD_READ_COUNT: usize = 500;
-/// Connections of a crowd, with as many reads on each.
+/// The number of connections of a crowd. Each carries an equal part of the reads.
 pub const CROWD_CONNECTION_COUNT: usize = 50;
-/// Writes of the key of the crowd that comes while the faults hold.
+/// The number of writes of its key during the crowd that arrives while the faults hold.
 const WRITE_COUNT: usize = 3;
 
-/// What the requests of a crowd have in common.
+/// The properties that the requests of a crowd share.
 struct CrowdOutline {
     at: Time,
-    /// How much later than `at` they come at most, in microseconds.
+    /// By how much the requests are later than `at` at most, in microseconds.
     spread: Time,
     write_count: usize,
     router: usize,
@@ -24,8 +24,8 @@
 }
 
 impl RunPlan {
-    /// The plan of a seed with coalescing and crowds: one while all is well, one while the faults hold, with writes of
-    /// its key, and one in the calm.
+    /// Draws the plan of a seed with coalescing and three crowds: one before the faults, one during
+    /// the faults with writes of its key, and one after the faults.
     pub fn draw_coalescing(seed: u64, allowed_faults: &[FaultKind]) -> RunPlan {
         let mut plan = RunPlan::draw(seed, allowed_faults);
         let rng = &mut SeededRng::new(seed, 7);
--- a/crates/router-simulation/src/fault_plan/draw.rs
+++ b/crates/router-simulation/src/fault_plan/draw.rs
@@ -1,4 +1,5 @@
-//! Draws a plan from a seed. Each part has its own stream of random numbers, so that a change of one leaves the others.
+//! Draws a plan from a seed. Each part of the plan has its own stream of random numbers, so that a
+//! change of one part does not change the others.
 
 use super::fault::{Fault, FaultKind, OperatorAction, PlannedAction};
 use super::{
@@ -10,30 +11,31 @@
 use crate::rng::SeededRng;
 use std::ops::Range;
 
-/// Zones of a run.
+/// The number of zones of a run.
 pub(super) const ZONE_COUNT: usize = 3;
-/// By then every fault has ended, restarts that come of it included.
+/// The time by which every fault and every restart that follows from one has ended.
 const FAULTS_END: Time = 6_500 * MILLI;
-/// How long after the last fault watches are back and servers have left slow start.
+/// How long after the last fault watches are open again and servers have left slow start.
 const SETTLING_TIME: Time = 2_500 * MILLI;
-/// The window of a connection whose receiver has room for all.
+/// The receive window of a connection that is never full.
 const LARGE_WINDOW: usize = 256 * 1024;
-/// Requests of clients that pipeline have long values where their selector is above this ...
+/// Values of pipelined requests are long where the selector of the request is above this.
 const LONG_VALUE_SELECTOR: f64 = 0.85;
-/// ... of so many bytes.
+/// The size of a long value, in bytes.
 const LONG_VALUE_SIZE: usize = 100_000;
-/// How often rare faults are drawn, as ratios of the runs.
+/// The rare faults, with the ratio of the runs in which each is drawn.
 const RARE_FAULT_RATIOS: [(f64, FaultKind); 2] = [
     (0.4, FaultKind::ConnectsDelayed),
     (0.2, FaultKind::SilentWatches),
 ];
 
-/// How often the calls after a silence hang, as a ratio of the runs with one.
+/// The ratio of the runs with silent watches in which the calls that follow hang.
 const HANGING_CALLS_RATIO: f64 = 0.3;
 
 impl RunPlan {
-    /// The plan of this seed. Each pair of faults comes once in so many seeds as there are pairs; a third fault, and at
-    /// times a fourth, is drawn. Where `allowed_faults` names some, all are drawn from those.
+    /// Draws the plan of a seed. Each pair of faults occurs once in [`FAULT_PAIR_COUNT`]
+    /// consecutive seeds. A third fault, and sometimes a fourth, is drawn at random. If
+    /// `allowed_faults` is not empty, all faults are drawn from it.
     pub fn draw(seed: u64, allowed_faults: &[FaultKind]) -> RunPlan {
         let rng = &mut SeededRng::new(seed, 1);
         let router_count = rng.range(3, 5) as usize;
@@ -46,7 +48,7 @@
         let mean_work = rng.between(0.25, 0.55) * capacity / rate * SECOND as f64;
         let latency_objective = (mean_work * rng.between(6.0, 9.0)) as Time;
         let initial_capacity_ratio = rng.between(0.12, 0.4);
-        // The fields are drawn in the order in which they stand.
+        // The order of the fields is the order of the random draws.
         let mut plan = RunPlan {
             seed,
             routers,
@@ -87,7 +89,7 @@
         plan
     }
 
-    /// Draws requests at this rate, in requests a second.
+    /// Draws requests at this rate, in requests per second.
     pub(super) fn draw_requests(&mut self, rng: &mut SeededRng, rate: f64) {
         let keys = KeyPopularity::draw(rng);
         let mut at = REQUESTS_BEGIN as f64;
@@ -103,7 +105,7 @@
         let class = draw_class(rng);
         let deadline = self.deadline(class) as f64;
         let class_work = if class == 0 { 1.0 } else { 1.6 };
-        // The fields are drawn in the order in which they stand.
+        // The order of the fields is the order of the random draws.
         PlannedRequest {
             number: self.requests.len() as u32,
             at,
@@ -139,7 +141,7 @@
         self.faults.sort_by_key(|fault| fault.at);
     }
 
-    /// Some values are long, and streamed, while clients pipeline.
+    /// Makes some values long, and so streamed, while clients pipeline.
     fn lengthen_pipelined_values(&mut self) {
         let pipelining = self
             .faults
@@ -165,7 +167,7 @@
         }
     }
 
-    /// Draws rare faults, which hold while all others do.
+    /// Draws rare faults, which overlap with all others.
     fn draw_rare_faults(&mut self, rng: &mut SeededRng) {
         let overlap_at = self.latest_fault_start();
         for (ratio, kind) in RARE_FAULT_RATIOS {
@@ -187,7 +189,7 @@
         self.faults.sort_by_key(|fault| fault.at);
     }
 
-    /// On part of the runs the calls that follow a silence hang.
+    /// Draws hanging calls for part of the runs with silent watches.
     fn draw_hanging_calls(&mut self, rng: &mut SeededRng) {
         let is_silence = |fault: &&Fault| fault.kind == FaultKind::SilentWatches;
         let Some(silence) = self.faults.iter().find(is_silence).cloned() else {
@@ -202,12 +204,14 @@
         }
     }
 
-    /// Draws operators' actions: in half of the runs they disable a server, in a third of all they drain a router.
+    /// Draws operators' actions: in half of the runs they disable a server, in a third of the runs
+    /// they drain a router.
     fn draw_operator_actions(&mut self, rng: &mut SeededRng) {
         let server = OperatorAction::DisableServer(rng.index(self.servers.len()));
         let router = OperatorAction::DrainRouter(rng.index(self.routers.len()));
         for (ratio, action) in [(0.5, server), (0.33, router)] {
-            // A drain closes busy connections if it lasts, and their clients send once more what was not read: it is short.
+            // The drain is short: a drain that lasts closes busy connections, and clients send
+            // again what the router had not read.
             let planned = PlannedAction {
                 action,
                 at: rng.range(SECOND, 4 * SECOND),
@@ -222,7 +226,7 @@
 
 fn draw_servers(rng: &mut SeededRng) -> Vec<ServerPlan> {
     let count = rng.range(8, 12) as usize;
-    // The fields are drawn in the order in which they stand.
+    // The order of the fields is the order of the random draws.
     let server = |number| ServerPlan {
         zone: number % ZONE_COUNT,
         speed: rng.between(0.8, 1.6),
@@ -233,7 +237,7 @@
 }
 
 fn draw_conditions(rng: &mut SeededRng) -> NetworkConditions {
-    // The fields are drawn in the order in which they stand.
+    // The order of the fields is the order of the random draws.
     NetworkConditions {
         latency_within_zone: rng.range(80, 340),
         latency_between_zones: rng.range(2 * MILLI, 12 * MILLI),
@@ -262,7 +266,7 @@
     }
 }
 
-/// How often each key is requested: a Zipf distribution over its rank.
+/// The popularity of keys: a Zipf distribution over their rank.
 struct KeyPopularity {
     weights: Vec<f64>,
     total: f64,
@@ -294,7 +298,7 @@
     }
 }
 
-/// Three kinds of faults, or four: the pair of the seed, and drawn ones.
+/// Draws three or four kinds of faults: the pair of the seed, and random ones.
 fn draw_kinds(rng: &mut SeededRng, seed: u64, allowed: &[FaultKind]) -> Vec<FaultKind> {
     let (pool, mut kinds) = if allowed.is_empty() {
         (&FaultKind::PAIRED[..], pair(seed).to_vec())
@@ -307,7 +311,7 @@
     kinds
 }
 
-/// The pair of this number.
+/// Returns the pair of this number.
 fn pair(number: u64) -> [FaultKind; 2] {
     let mut left = number % FAULT_PAIR_COUNT;
     for (index, &first) in FaultKind::PAIRED.iter().enumerate() {
@@ -320,7 +324,7 @@
     [FaultKind::PAIRED[0], FaultKind::PAIRED[1]]
 }
 
-/// Some of so many numbers: at least one, up to a ratio of them.
+/// Draws some of the numbers below `count`: at least one, at most `ratio` of them.
 fn draw_some(rng: &mut SeededRng, count: usize, ratio: f64) -> Vec<usize> {
     let limit = ((count as f64 * ratio) as u64).max(1);
     let wanted = rng.range(1, limit) as usize;
--- a/crates/router-simulation/src/fault_plan/fault.rs
+++ b/crates/router-simulation/src/fault_plan/fault.rs
@@ -8,21 +8,21 @@
 /// The kinds of faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum FaultKind {
-    /// Some servers fail part of their requests at once.
+    /// Some servers immediately fail part of their requests.
     FastErrors,
-    /// Some routers crash and come back with the last list that they had.
+    /// Some routers crash and restart with the last list that they received.
     RouterCrash,
-    /// Every router is restarted in turn, by SIGTERM.
+    /// All routers are restarted one after another, by SIGTERM.
     RollingRestart,
     /// The origin is several times slower.
     OriginSlow,
-    /// Some servers crash and start again in slow start.
+    /// Some servers crash and restart in slow start.
     ServerCrash,
-    /// Some servers drain, go, and come back in slow start.
+    /// Some servers drain, stop, and restart in slow start.
     ServerDrain,
-    /// Some servers vanish without a packet and come back in slow start.
+    /// Some servers stop without sending a packet and restart in slow start.
     ServerVanish,
-    /// Some servers reset the connections that are idle.
+    /// Some servers reset their idle connections.
     IdleReset,
     /// Some servers send malformed replies to part of their requests.
     MalformedReplies,
@@ -36,15 +36,15 @@
     DiscoveryLate,
     /// Discovery is down.
     DiscoveryDown,
-    /// Watches at discovery end again and again.
+    /// Watches at discovery end repeatedly.
     DiscoveryFlaps,
-    /// A zone is cut off from the others.
+    /// A zone is partitioned from the others.
     ZonePartition,
     /// Connects to some servers are not answered.
     ConnectsIgnored,
     /// The wall clocks of some routers step.
     ClockSteps,
-    /// Clients disconnect before their answer.
+    /// Clients disconnect before they have their answer.
     ClientsDisconnect,
     /// Clients pipeline commands.
     ClientsPipeline,
@@ -52,20 +52,21 @@
     ClientsReadSlowly,
     /// Connects to some servers are answered late.
     ConnectsDelayed,
-    /// Open watches send nothing any more, and do not end.
+    /// Open watches carry no more data and do not end.
     SilentWatches,
-    /// Discovery does not answer the next call of each router, or the next two.
+    /// Discovery does not answer the next one or two calls of each router.
     HangingCalls,
 }
 
 impl FaultKind {
-    /// Kinds that are drawn apart from the pairs.
+    /// Kinds that are drawn separately from the pairs.
     pub const RARE: [FaultKind; 3] = [
         FaultKind::ConnectsDelayed,
         FaultKind::SilentWatches,
         FaultKind::HangingCalls,
     ];
-    /// All other kinds: each pair of them meets.
+    /// All other kinds. Each pair of them occurs in one plan of
+    /// [`FAULT_PAIR_COUNT`](super::FAULT_PAIR_COUNT) consecutive seeds.
     pub const PAIRED: [FaultKind; 21] = [
         FaultKind::FastErrors,
         FaultKind::RouterCrash,
@@ -90,7 +91,7 @@
         FaultKind::ClientsReadSlowly,
     ];
 
-    /// The name on the command line.
+    /// Returns the name on the command line.
     pub fn name(self) -> &'static str {
         match self {
             FaultKind::FastErrors => "fast-errors",
@@ -120,7 +121,7 @@
         }
     }
 
-    /// The kind of this name.
+    /// Returns the kind of this name.
     pub fn named(name: &str) -> Option<FaultKind> {
         FaultKind::PAIRED
             .into_iter()
@@ -129,45 +130,45 @@
     }
 }
 
-/// One fault of a plan; times in microseconds.
+/// One fault of a plan. Times are in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fault {
-    /// Its kind.
+    /// The kind of the fault.
     pub kind: FaultKind,
-    /// When it begins.
+    /// When it starts.
     pub at: Time,
     /// How long it lasts.
     pub duration: Time,
-    /// The numbers of the routers, servers or the zone that it concerns.
+    /// The numbers of the affected routers, servers or zones.
     pub targets: Vec<usize>,
-    /// How bad it is, from 0 to 1.
+    /// The severity, from 0 to 1.
     pub severity: f64,
 }
 
 impl Fault {
-    /// When it holds.
+    /// Returns the period in which it holds.
     pub fn period(&self) -> Range<Time> {
         self.at..self.at + self.duration
     }
 }
 
-/// What operators do beside the faults.
+/// An action of operators, which is not a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OperatorAction {
-    /// They disable a server at every router, restart it, and enable it again.
+    /// Disables a server at every router, restarts it, and enables it again.
     DisableServer(usize),
-    /// They drain a router and resume it.
+    /// Drains a router and resumes it.
     DrainRouter(usize),
 }
 
-/// An action at its time, in microseconds.
+/// An action and its times, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlannedAction {
-    /// The action.
+    /// The action of the operators.
     pub action: OperatorAction,
-    /// When it begins.
+    /// When it starts.
     pub at: Time,
-    /// How long until they take it back.
+    /// How long until it is reverted.
     pub duration: Time,
 }
 
@@ -178,7 +179,7 @@
         let duration = self.duration / MILLI;
         write!(
             f,
-            "{name} at {at} ms for {duration} ms, size {:.2}, targets {:?}",
+            "{name} at {at} ms for {duration} ms, severity {:.2}, targets {:?}",
             self.severity, self.targets
         )
     }
--- a/crates/router-simulation/src/fault_plan/large_fleet.rs
+++ b/crates/router-simulation/src/fault_plan/large_fleet.rs
@@ -1,23 +1,26 @@
-//! Plans of a large fleet: many routers that each see little, and few cache servers, all of which start again at once, so
-//! that none can take another's keys.
+//! Plans of a large fleet: many routers that each receive few requests, and few cache servers that
+//! all restart at once, so that none can take over another's keys.
 
 use super::draw::ZONE_COUNT;
 use super::{Fault, FaultKind, MILLI, RunPlan, SECOND};
 use crate::rng::SeededRng;
 
-/// Requests a second of all routers together.
+/// The rate of all routers together, in requests per second.
 const REQUEST_RATE: f64 = 600.0;
-/// The ratio of all capacity that they need.
+/// The load, as a ratio of the capacity of all servers.
 const LOAD_RATIO: f64 = 0.6;
-/// Cache servers, each of this speed.
+/// The number of cache servers.
 const SERVER_COUNT: usize = 4;
+/// The speed of each server.
 const SERVER_SPEED: f64 = 4.0;
-/// When they crash, and for how long they are away.
+/// When the servers crash, in microseconds.
 const CRASH_AT: u64 = 3 * SECOND;
+/// How long the servers are down, in microseconds.
 const CRASH_DURATION: u64 = 600 * MILLI;
 
 impl RunPlan {
-    /// The plan of a seed for so many routers. The origin is quick: the servers that start again are not.
+    /// Draws the plan of a seed with this number of routers. The origin is fast, so that only the
+    /// restarted servers limit the load.
     pub fn draw_large_fleet(seed: u64, router_count: usize) -> RunPlan {
         let mut plan = RunPlan::draw(seed, &[FaultKind::ServerCrash]);
         let rng = &mut SeededRng::new(seed, 20);
