--- a/crates/router-simulation/src/campaign.rs
+++ b/crates/router-simulation/src/campaign.rs
@@ -1,4 +1,4 @@
-//! Many runs, over several threads, with a summary that does not depend on how many threads there are.
+//! Simulates many runs on several threads. The summary does not depend on the number of threads.
 
 mod mutations;
 mod shrink;
@@ -15,13 +15,14 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Mutex, PoisonError};
 
-/// Draws a plan from a seed and the faults that may be in it.
+/// A function that draws a plan from a seed and the faults that it may contain.
 pub type DrawPlan = fn(u64, &[FaultKind]) -> RunPlan;
 
-/// Runs that are done but not yet counted, until those before them are.
+/// Finished runs that wait for earlier seeds, since the summary adds runs in the order of their
+/// seeds.
 #[derive(Default)]
 struct PendingReports {
-    /// The seed that is counted next.
+    /// The next seed to add to the summary.
     next_seed: u64,
     reports: BTreeMap<u64, (RunPlan, Report)>,
     summary: Summary,
@@ -37,7 +38,7 @@
     }
 }
 
-/// Simulates the runs of these seeds on so many threads. `on_run` is called after each.
+/// Simulates the runs of these seeds on `thread_count` threads. `on_run` is called after each run.
 pub fn run(
     draw: DrawPlan,
     seeds: Range<u64>,
@@ -61,7 +62,7 @@
     pending.unwrap_or_else(PoisonError::into_inner).summary
 }
 
-/// Does a job for each number of a range, on so many threads.
+/// Executes a job for each number of a range on `thread_count` threads.
 fn for_each_parallel(range: Range<u64>, thread_count: usize, job: impl Fn(u64) + Sync) {
     let next = AtomicU64::new(range.start);
     std::thread::scope(|scope| {
--- a/crates/router-simulation/src/campaign/mutations.rs
+++ b/crates/router-simulation/src/campaign/mutations.rs
@@ -3,28 +3,28 @@
 use crate::invariant_checker::Rule;
 use std::ops::Range;
 
-/// What became of one mutation.
+/// The result for one mutation.
 #[derive(Clone, Debug)]
 pub struct MutationResult {
-    /// Its name.
+    /// The name of the mutation.
     pub mutation: String,
-    /// The first violation that shows it, if a run did.
+    /// The first violation that the mutation caused, if any run had one.
     pub detected: Option<DetectedViolation>,
 }
 
-/// A violation that a mutation brought about.
+/// A violation that a mutation caused.
 #[derive(Clone, Debug)]
 pub struct DetectedViolation {
-    /// The first seed that shows it.
+    /// The seed of the first run with a violation.
     pub seed: u64,
-    /// The rule that breaks.
+    /// The violated rule.
     pub rule: Rule,
     /// What was observed.
     pub text: String,
 }
 
-/// Activates each mutation and simulates the runs of these seeds until one breaks a rule, on so many threads; `None`
-/// where this build leaves the mutations out.
+/// Activates each mutation and simulates the runs of these seeds until one has a violation, on
+/// `thread_count` threads. Returns `None` if this build does not include the mutations.
 #[cfg(feature = "mutations")]
 pub fn run_mutations(seeds: Range<u64>, thread_count: usize) -> Option<Vec<MutationResult>> {
     use super::for_each_parallel;
@@ -51,7 +51,8 @@
     Some(results.into_values().collect())
 }
 
-/// The first violation of the runs of these seeds with a mutation, which is active on this thread alone.
+/// Returns the first violation in the runs of these seeds with a mutation, which is active only on
+/// this thread.
 #[cfg(feature = "mutations")]
 fn detect(
     mutation: router_runtime::mutation::Mutation,
@@ -80,7 +81,7 @@
     detected
 }
 
-/// `None`: this build leaves the mutations out.
+/// Returns `None`, because this build does not include the mutations.
 #[cfg(not(feature = "mutations"))]
 pub fn run_mutations(_seeds: Range<u64>, _thread_count: usize) -> Option<Vec<MutationResult>> {
     None
--- a/crates/router-simulation/src/campaign/shrink.rs
+++ b/crates/router-simulation/src/campaign/shrink.rs
@@ -1,13 +1,13 @@
-//! Reduces a plan that breaks a rule to one that is easier to read.
+//! Reduces a plan that violates a rule to a smaller one that is easier to analyze.
 
 use crate::fault_plan::RunPlan;
 use crate::invariant_checker::Rule;
 use crate::run::{Recording, simulate};
 
-/// Reduces a plan to the fewest faults, crowds and requests that still break this rule, by taking ever smaller parts
-/// out. None if the plan does not break it.
+/// Reduces a plan to fewer faults, crowds and requests that still violate the rule, by removing
+/// ever smaller parts. Returns `None` if the plan does not violate the rule.
 pub fn shrink(plan: &RunPlan, rule: Rule) -> Option<RunPlan> {
-    if !breaks(plan, rule) {
+    if !violates(plan, rule) {
         return None;
     }
     let mut best = plan.clone();
@@ -17,19 +17,19 @@
     Some(best)
 }
 
-fn breaks(plan: &RunPlan, rule: Rule) -> bool {
+fn violates(plan: &RunPlan, rule: Rule) -> bool {
     let report = simulate(plan, Recording::Violations);
     let mut violations = report.violations.iter();
     violations.any(|violation| violation.rule == rule)
 }
 
-/// Removes each element of a list without which the rule still breaks.
+/// Removes each element of a list without which the rule is still violated.
 fn remove_singly<T>(best: &mut RunPlan, rule: Rule, list: fn(&mut RunPlan) -> &mut Vec<T>) {
     let mut index = 0;
     while index < list(best).len() {
         let mut reduced = best.clone();
         list(&mut reduced).remove(index);
-        if breaks(&reduced, rule) {
+        if violates(&reduced, rule) {
             *best = reduced;
         } else {
             index += 1;
@@ -37,7 +37,7 @@
     }
 }
 
-/// Removes halves of the requests, then quarters, down to single ones.
+/// Removes halves of the requests, then quarters, down to single requests.
 fn remove_requests(best: &mut RunPlan, rule: Rule) {
     let mut size = best.requests.len().div_ceil(2);
     while size > 0 {
@@ -46,7 +46,7 @@
             let end = (start + size).min(best.requests.len());
             let mut reduced = best.clone();
             reduced.requests.drain(start..end);
-            if breaks(&reduced, rule) {
+            if violates(&reduced, rule) {
                 *best = reduced;
             } else {
                 start += size;
--- a/crates/router-simulation/src/campaign/summary.rs
+++ b/crates/router-simulation/src/campaign/summary.rs
@@ -6,44 +6,45 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// A run of which less than this ratio is served in the calm is listed as jammed.
+/// A run that serves less than this ratio of its requests after the faults is listed as not
+/// recovered.
 const RECOVERED_SERVED_RATIO: f64 = 0.5;
-/// Jammed runs that are listed.
+/// The number of runs without recovery that are listed.
 const SHOWN_UNRECOVERED_COUNT: usize = 12;
-/// When each crowd of a run comes.
-const CROWD_PHASES: [&str; 3] = ["while all is well", "in the faults", "in the calm"];
+/// When each crowd of a run arrives.
+const CROWD_PHASES: [&str; 3] = ["before the faults", "during the faults", "after the faults"];
 
-/// What many runs came to.
+/// The summary of many runs.
 #[derive(Clone, Debug, Default)]
 pub struct Summary {
-    /// How many.
+    /// The number of runs.
     pub runs: u64,
-    /// Steps on the wire.
+    /// The number of steps on the wire.
     pub steps: u64,
-    /// What passed, in all runs together.
+    /// Totals of all runs.
     pub counts: Counts,
-    /// The fewest requests of a run.
+    /// The lowest number of requests of a run.
     pub fewest_requests: u64,
     /// How often each kind of fault was drawn.
     pub faults: BTreeMap<FaultKind, u64>,
-    /// Pairs of faults that met in a run.
+    /// Pairs of faults that occurred in one run.
     pub pairs: BTreeSet<(FaultKind, FaultKind)>,
-    /// For each crowd of a run: in how many runs it had so many attempts.
+    /// For each crowd of a run, the number of runs by the number of its attempts.
     pub crowd_attempts: Vec<BTreeMap<u64, u64>>,
-    /// All runs in one number: equal for equal runs.
+    /// A digest of all runs, equal for equal runs in equal order.
     pub digest: u64,
     /// The runs with a violation, in the order of their seeds.
     pub runs_with_violations: Vec<Report>,
-    /// Runs of which under half of the requests were served in the calm.
+    /// The runs that served under half of their requests after the faults.
     pub unrecovered: Vec<UnrecoveredRun>,
 }
 
-/// A run in which service had not come back in the calm.
+/// A run in which service did not recover after the faults.
 #[derive(Clone, Copy, Debug)]
 pub struct UnrecoveredRun {
-    /// Its seed.
+    /// The seed of the run.
     pub seed: u64,
-    /// The ratio of requests that were served in the calm.
+    /// The ratio of requests that were served after the faults.
     pub served_ratio: f64,
 }
 
@@ -117,11 +118,13 @@
         } = self.counts;
         writeln!(
             f,
-            "requests  {accepted}: {served} served ({coalesced} with another's answer), {rejected} refused, {failed} failed; {attempts} attempts on {connections} connections"
+            "requests  {accepted}: {served} served ({coalesced} with a shared answer), \
+             {rejected} rejected, {failed} failed; {attempts} attempts on {connections} connections"
         )?;
         writeln!(
             f,
-            "left      {disconnected_unsent} requests before anything of them was sent, {sent_after_disconnect} of them sent over 0.3 s later"
+            "left      {disconnected_unsent} requests before their first attempt, \
+             {sent_after_disconnect} of them sent over 0.3 s later"
         )
     }
 
@@ -133,18 +136,19 @@
         writeln!(f, "faults    {}", faults.join(", "))?;
         writeln!(
             f,
-            "pairs     {} of {FAULT_PAIR_COUNT} met on a day",
+            "pairs     {} of {FAULT_PAIR_COUNT} met in a run",
             self.pairs.len()
         )
     }
 
     fn write_crowds(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (runs, moment) in self.crowd_attempts.iter().zip(CROWD_PHASES) {
+        for (runs, phase) in self.crowd_attempts.iter().zip(CROWD_PHASES) {
             let runs_with = |attempts| runs.get(&attempts).copied().unwrap_or(0);
             let most = runs.keys().next_back().copied().unwrap_or(0);
             writeln!(
                 f,
-                "crowds    of {CROWD_READ_COUNT} reads {moment}: {} had one attempt, {} two, {} none; at most {most}",
+                "crowds    of {CROWD_READ_COUNT} reads {phase}: {} had one attempt, {} two, \
+                 {} none; at most {most}",
                 runs_with(1),
                 runs_with(2),
                 runs_with(0)
@@ -163,7 +167,7 @@
             .collect();
         writeln!(
             f,
-            "jammed    {} days served under half of their requests in the calm: {}",
+            "jammed    {} runs served under half of their requests after the faults: {}",
             self.unrecovered.len(),
             shown.join(", ")
         )
@@ -185,6 +189,6 @@
         let reports = self.runs_with_violations.iter();
         let violations: usize = reports.map(|report| report.violations.len()).sum();
         let runs = self.runs_with_violations.len();
-        write!(f, "breaches  {violations} on {runs} days")
+        write!(f, "breaches  {violations} in {runs} runs")
     }
 }
--- a/crates/router-simulation/src/invariant_checker/slow_start.rs
+++ b/crates/router-simulation/src/invariant_checker/slow_start.rs
@@ -133,7 +133,8 @@
         let two_thirds = self.work * 2.0 / 3.0;
         (self.informed_work >= two_thirds).then(|| {
             format!(
-                "server {server}, {} ms after its start: {:.0} ms of work within {} ms where it withstands {:.0} ms, {:.0} ms of it from routers that knew of the start",
+                "server {server}, {} ms after its start: {:.0} ms of work within {} ms \
+                 where it withstands {:.0} ms, {:.0} ms of it from routers that knew of the start",
                 self.age / 1_000,
                 self.work / 1e3,
                 self.duration / 1_000,
