--- a/crates/router-simulation/src/clients.rs
+++ b/crates/router-simulation/src/clients.rs
@@ -13,17 +13,17 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 /// Tries of one request.
-const MAX_TRY_COUNT: u64 = 3;
+const MAX_ATTEMPTS: u64 = 3;
 /// A client that was not told when to retry waits this long, in microseconds.
 const DEFAULT_RETRY_DELAY: Time = 30 * MILLI;
 /// A client closes a connection this long after its timeout, in microseconds: late enough to read a late answer.
-const LATE_ANSWER_GRACE: Time = 120 * MILLI;
+const LATE_RESPONSE_GRACE: Time = 120 * MILLI;
 /// A client does not retry with less time than this left, in microseconds.
 const MIN_RETRY_TIMEOUT: Time = 50 * MILLI;
 
 /// What became of one try.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum TryOutcome {
+enum ClientAttemptOutcome {
     Served,
     /// With the time after which to retry, in milliseconds.
     Rejected(Option<u64>),
@@ -31,27 +31,29 @@
     /// Nothing was sent: no connection came up.
     Unreachable,
     /// The client disconnected by itself.
-    Departed,
+    Disconnected,
 }
 
-impl TryOutcome {
+impl ClientAttemptOutcome {
     /// How long a client waits before it retries; `None` if it does not. `is_repeatable` tells whether a failed one may run again.
     fn retry_delay(self, is_repeatable: bool) -> Option<Time> {
         match self {
-            TryOutcome::Served | TryOutcome::Departed => None,
-            TryOutcome::Rejected(Some(millis)) => Some(millis * MILLI),
-            TryOutcome::Rejected(None) | TryOutcome::Unreachable => Some(DEFAULT_RETRY_DELAY),
-            TryOutcome::Failed => is_repeatable.then_some(DEFAULT_RETRY_DELAY),
+            ClientAttemptOutcome::Served | ClientAttemptOutcome::Disconnected => None,
+            ClientAttemptOutcome::Rejected(Some(millis)) => Some(millis * MILLI),
+            ClientAttemptOutcome::Rejected(None) | ClientAttemptOutcome::Unreachable => {
+                Some(DEFAULT_RETRY_DELAY)
+            }
+            ClientAttemptOutcome::Failed => is_repeatable.then_some(DEFAULT_RETRY_DELAY),
         }
     }
 }
 
-impl From<&Response> for TryOutcome {
-    fn from(response: &Response) -> TryOutcome {
+impl From<&Response> for ClientAttemptOutcome {
+    fn from(response: &Response) -> ClientAttemptOutcome {
         match response {
-            Response::Served(_) => TryOutcome::Served,
-            Response::Rejected(retry_after_ms) => TryOutcome::Rejected(*retry_after_ms),
-            Response::Failed => TryOutcome::Failed,
+            Response::Served(_) => ClientAttemptOutcome::Served,
+            Response::Rejected(retry_after_ms) => ClientAttemptOutcome::Rejected(*retry_after_ms),
+            Response::Failed => ClientAttemptOutcome::Failed,
         }
     }
 }
@@ -60,20 +62,20 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ClientBehavior {
     /// It disconnects this long after it has sent them.
-    pub leaves_after: Option<Time>,
+    pub disconnect_after: Option<Time>,
     /// It reads its answers this much later.
     pub read_delay: Time,
 }
 
 /// A try of requests on one connection.
-struct Try<'a> {
+struct ClientAttempt<'a> {
     requests: &'a [PlannedRequest],
     /// 0 for the first.
     number: u64,
     behavior: ClientBehavior,
 }
 
-impl Try<'_> {
+impl ClientAttempt<'_> {
     fn bytes(&self) -> Vec<u8> {
         let requests = self.requests.iter();
         requests
@@ -93,7 +95,7 @@
     node: Node,
     router: SocketAddr,
     plan: Rc<RunPlan>,
-    idle: RefCell<Vec<SimulatedStream>>,
+    idle_connections: RefCell<Vec<SimulatedStream>>,
 }
 
 impl Clients {
@@ -109,7 +111,7 @@
             node,
             router,
             plan,
-            idle: RefCell::default(),
+            idle_connections: RefCell::default(),
         })
     }
 
@@ -121,7 +123,7 @@
     pub fn send(self: &Rc<Self>, requests: Vec<PlannedRequest>, behavior: ClientBehavior) {
         let clients = self.clone();
         self.simulation.executor.spawn(self.node, async move {
-            let first = Try {
+            let first = ClientAttempt {
                 requests: &requests,
                 number: 0,
                 behavior,
@@ -146,23 +148,23 @@
     ) {
         let clients = self.clone();
         self.simulation.executor.spawn(self.node, async move {
-            for number in 0..MAX_TRY_COUNT {
-                let current = Try {
+            for number in 0..MAX_ATTEMPTS {
+                let current = ClientAttempt {
                     requests: &requests,
                     number,
                     behavior,
                 };
                 let outcomes = clients.attempt(&current).await;
                 let mut delay = 0;
-                let mut declined = Vec::new();
+                let mut retryable = Vec::new();
                 for (request, outcome) in requests.into_iter().zip(outcomes) {
                     if let Some(after) = outcome.retry_delay(request.class == 0) {
                         delay = delay.max(after);
-                        declined.push(request);
+                        retryable.push(request);
                     }
                 }
                 clients.simulation.executor.sleep(delay).await;
-                requests = clients.with_time_left(declined);
+                requests = clients.with_time_left(retryable);
                 if requests.is_empty() {
                     return;
                 }
@@ -185,8 +187,8 @@
     }
 
     /// Retries a request after its first try.
-    async fn retry(self: Rc<Self>, request: PlannedRequest, mut outcome: TryOutcome) {
-        for number in 1..MAX_TRY_COUNT {
+    async fn retry(self: Rc<Self>, request: PlannedRequest, mut outcome: ClientAttemptOutcome) {
+        for number in 1..MAX_ATTEMPTS {
             let Some(delay) = outcome.retry_delay(self.is_repeatable(&request)) else {
                 return;
             };
@@ -199,13 +201,16 @@
                 timeout: request.timeout.min(time_left),
                 ..request.clone()
             };
-            let next = Try {
+            let next = ClientAttempt {
                 requests: &[retry],
                 number,
                 behavior: ClientBehavior::default(),
             };
             let outcomes = self.attempt(&next).await;
-            outcome = outcomes.first().copied().unwrap_or(TryOutcome::Failed);
+            outcome = outcomes
+                .first()
+                .copied()
+                .unwrap_or(ClientAttemptOutcome::Failed);
         }
     }
 
@@ -220,19 +225,19 @@
     }
 
     /// One try, on one connection: what became of each request.
-    async fn attempt(&self, current: &Try<'_>) -> Vec<TryOutcome> {
+    async fn attempt(&self, current: &ClientAttempt<'_>) -> Vec<ClientAttemptOutcome> {
         let count = current.requests.len();
-        let Some(stream) = self.connection(current.longest_timeout()).await else {
-            return vec![TryOutcome::Unreachable; count];
+        let Some(stream) = self.take_connection(current.longest_timeout()).await else {
+            return vec![ClientAttemptOutcome::Unreachable; count];
         };
-        let mut outcomes = vec![TryOutcome::Failed; count];
-        self.exchange(stream, current, &mut outcomes).await;
+        let mut outcomes = vec![ClientAttemptOutcome::Failed; count];
+        self.send_and_receive(stream, current, &mut outcomes).await;
         outcomes
     }
 
     /// An idle connection or a new one; none if it does not come up in time.
-    async fn connection(&self, timeout: Time) -> Option<SimulatedStream> {
-        let idle = self.idle.borrow_mut().pop();
+    async fn take_connection(&self, timeout: Time) -> Option<SimulatedStream> {
+        let idle = self.idle_connections.borrow_mut().pop();
         if idle.is_some() {
             return idle;
         }
@@ -245,39 +250,39 @@
     }
 
     /// Sends requests and reads their answers, as far as they come in time.
-    async fn exchange(
+    async fn send_and_receive(
         &self,
         mut stream: SimulatedStream,
-        current: &Try<'_>,
-        outcomes: &mut [TryOutcome],
+        current: &ClientAttempt<'_>,
+        outcomes: &mut [ClientAttemptOutcome],
     ) {
         let executor = &self.simulation.executor;
         let started_at = self.now();
         if stream.write_all(&current.bytes()).await.is_err() {
             return;
         }
-        if let Some(delay) = current.behavior.leaves_after {
+        if let Some(delay) = current.behavior.disconnect_after {
             executor.sleep(delay).await;
-            outcomes.fill(TryOutcome::Departed);
+            outcomes.fill(ClientAttemptOutcome::Disconnected);
             return;
         }
         let read_delay = current.behavior.read_delay;
         executor.sleep(read_delay).await;
-        let until = started_at + current.longest_timeout() + read_delay + LATE_ANSWER_GRACE;
+        let until = started_at + current.longest_timeout() + read_delay + LATE_RESPONSE_GRACE;
         let mut frames = FrameDecoder::default();
         for outcome in outcomes.iter_mut() {
-            let Some(response) = self.read_answer(&mut stream, &mut frames, until).await else {
+            let Some(response) = self.read_response(&mut stream, &mut frames, until).await else {
                 return;
             };
-            *outcome = TryOutcome::from(&response);
+            *outcome = ClientAttemptOutcome::from(&response);
         }
         if frames.buffered_bytes() == 0 {
-            self.idle.borrow_mut().push(stream);
+            self.idle_connections.borrow_mut().push(stream);
         }
     }
 
     /// The next answer; none if the connection ends before, or does not bring it by this time.
-    async fn read_answer(
+    async fn read_response(
         &self,
         stream: &mut SimulatedStream,
         frames: &mut FrameDecoder,
@@ -304,13 +309,13 @@
 }
 
 /// The command of a try. Its class decides whether it is a read, and whether a write has an idempotency key.
-fn request_bytes(request: &PlannedRequest, try_number: u64) -> Vec<u8> {
-    let id = request_id(request.number, try_number);
+fn request_bytes(request: &PlannedRequest, attempt_number: u64) -> Vec<u8> {
+    let id = request_id(request.number, attempt_number);
     let class = CLASSES[request.class];
     let tenant = request.number % 2;
     let timeout_ms = request.timeout / MILLI;
     let work_estimate = request.work as u64;
-    let retry = if try_number > 0 { ",r=1" } else { "" };
+    let retry = if attempt_number > 0 { ",r=1" } else { "" };
     let fields = format!("c={class},t=t{tenant},d={timeout_ms},h={work_estimate}{retry}");
     match request.class {
         0 => read_command(request.key, id, &fields),
--- a/crates/router-simulation/src/discovery.rs
+++ b/crates/router-simulation/src/discovery.rs
@@ -13,7 +13,7 @@
 use crate::invariant_checker::Role;
 use crate::network::SimulatedStream;
 use crate::simulation::Simulation;
-use call_queue::Turn;
+use call_queue::Admission;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -54,7 +54,7 @@
     health: Health,
     born_ms: u64,
     /// The version of the list that changed it last.
-    changed_in: u64,
+    last_changed_version: u64,
 }
 
 /// Discovery's process. It never ends by itself.
@@ -67,7 +67,7 @@
     entries: RefCell<Vec<Entry>>,
     version: Cell<u64>,
     changed: Notify,
-    ended: Notify,
+    watch_reset: Notify,
     silenced: Notify,
     /// So many of the next calls are not answered.
     pub calls_to_hang: Cell<usize>,
@@ -91,7 +91,7 @@
         let entry = |_| Entry {
             health: Health::Up,
             born_ms: 0,
-            changed_in: 1,
+            last_changed_version: 1,
         };
         let discovery = Rc::new(Discovery {
             node: simulation.add_machine(Role::Discovery, 0, usize::MAX),
@@ -101,7 +101,7 @@
             entries: RefCell::new(servers.iter().map(entry).collect()),
             version: Cell::new(1),
             changed: Notify::new(),
-            ended: Notify::new(),
+            watch_reset: Notify::new(),
             silenced: Notify::new(),
             calls_to_hang: Cell::new(0),
             down_until: Cell::new(0),
@@ -132,7 +132,7 @@
         *entry = Entry {
             health,
             born_ms,
-            changed_in: version,
+            last_changed_version: version,
         };
         self.version.set(version);
         drop(entries);
@@ -144,8 +144,8 @@
     }
 
     /// Ends all open watches.
-    pub fn end_watches(&self) {
-        self.ended.notify_waiters();
+    pub fn reset_watches(&self) {
+        self.watch_reset.notify_waiters();
     }
 
     /// All open watches send nothing any more, and do not end.
@@ -154,7 +154,7 @@
     }
 
     /// The list as a router's machine last had it, else as it is now.
-    pub fn known_to(&self, router: Node) -> String {
+    pub fn last_list_sent_to(&self, router: Node) -> String {
         let last = self.last_lists.borrow().get(&router).cloned();
         last.unwrap_or_else(|| self.snapshot())
     }
@@ -166,7 +166,7 @@
 
     /// What changed after a version.
     fn changes_after(&self, version: u64) -> String {
-        self.list(false, |entry| entry.changed_in > version)
+        self.list(false, |entry| entry.last_changed_version > version)
     }
 
     fn list(&self, is_snapshot: bool, contains: impl Fn(&Entry) -> bool) -> String {
@@ -200,7 +200,7 @@
         }
         let executor = &self.simulation.executor;
         executor.sleep(RESPONSE_TIME).await;
-        if executor.now() < self.down_until.get() || self.is_rejected(&stream).await {
+        if executor.now() < self.down_until.get() || self.wait_in_queue(&stream).await {
             let busy = b"HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n\r\n";
             // The router has gone if this fails.
             let _ = stream.write_all(busy).await;
@@ -211,7 +211,7 @@
     }
 
     /// From now on calls wait their turn.
-    pub fn begin_queue(&self, queue: Rc<CallQueue>) {
+    pub fn set_call_queue(&self, queue: Rc<CallQueue>) {
         *self.queue.borrow_mut() = Some(queue);
     }
 
@@ -221,19 +221,19 @@
     }
 
     /// Waits for the turn of a call in the queue, if there is one.
-    async fn is_rejected(&self, stream: &SimulatedStream) -> bool {
+    async fn wait_in_queue(&self, stream: &SimulatedStream) -> bool {
         let Some(queue) = self.queue.borrow().clone() else {
             return false;
         };
         let executor = &self.simulation.executor;
-        match queue.take_in(executor.now()) {
-            Turn::Answered(at) => {
+        match queue.admit(executor.now()) {
+            Admission::Answered(at) => {
                 executor.sleep_until(at).await;
                 let mut answered_at = self.answered_at.borrow_mut();
                 answered_at.insert(stream.peer(), executor.now());
                 false
             }
-            Turn::Rejected(at) => {
+            Admission::Rejected(at) => {
                 executor.sleep_until(at).await;
                 true
             }
@@ -249,9 +249,9 @@
     /// Sends the list, or the changes after a version other than 0, and then each change and heartbeats.
     async fn watch(&self, mut stream: SimulatedStream, known: u64) {
         let router = stream.peer();
-        let ended = self.ended.notified();
+        let watch_reset = self.watch_reset.notified();
         let silenced = self.silenced.notified();
-        tokio::pin!(ended, silenced);
+        tokio::pin!(watch_reset, silenced);
         if stream.write_all(RESPONSE_HEAD.as_bytes()).await.is_err() {
             return;
         }
@@ -283,7 +283,7 @@
                 biased;
                 () = &mut changed => {}
                 () = heartbeat => {}
-                () = &mut ended => return stream.reset(),
+                () = &mut watch_reset => return stream.reset(),
                 () = &mut silenced => {
                     self.record_silence(&stream);
                     return read_to_end(&mut stream).await;
--- a/crates/router-simulation/src/discovery/call_queue.rs
+++ b/crates/router-simulation/src/discovery/call_queue.rs
@@ -10,11 +10,11 @@
 /// A call that has waited for this long is answered 503, in microseconds.
 const CALL_TIMEOUT: Time = 2 * SECOND;
 /// A call is turned away at once where it would wait for longer than so many times that.
-const OVERBOOKED_TIMEOUTS: Time = 3;
+const MAX_WAIT_IN_TIMEOUTS: Time = 3;
 
 /// What becomes of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Turn {
+pub(super) enum Admission {
     /// It is answered at this time.
     Answered(Time),
     /// It is answered 503 at this time.
@@ -44,21 +44,21 @@
     }
 
     /// Takes a call in, or turns it away.
-    pub(super) fn take_in(&self, now: Time) -> Turn {
+    pub(super) fn admit(&self, now: Time) -> Admission {
         self.call_count.set(self.call_count.get() + 1);
         let done_at = self.busy_until.get().max(now) + self.call_time;
         let wait = done_at - now;
-        if wait <= OVERBOOKED_TIMEOUTS * CALL_TIMEOUT {
+        if wait <= MAX_WAIT_IN_TIMEOUTS * CALL_TIMEOUT {
             self.busy_until.set(done_at);
         }
         if wait <= CALL_TIMEOUT {
-            return Turn::Answered(done_at);
+            return Admission::Answered(done_at);
         }
         self.rejected_count.set(self.rejected_count.get() + 1);
-        if wait <= OVERBOOKED_TIMEOUTS * CALL_TIMEOUT {
-            Turn::Rejected(now + CALL_TIMEOUT)
+        if wait <= MAX_WAIT_IN_TIMEOUTS * CALL_TIMEOUT {
+            Admission::Rejected(now + CALL_TIMEOUT)
         } else {
-            Turn::Rejected(now)
+            Admission::Rejected(now)
         }
     }
 }
--- a/crates/router-simulation/src/executor.rs
+++ b/crates/router-simulation/src/executor.rs
@@ -66,13 +66,13 @@
 
 /// A task that sleeps, until its sleep is dropped.
 #[derive(Default)]
-struct Sleeper {
+struct SleepState {
     waker: RefCell<Option<Waker>>,
     is_due: Cell<bool>,
 }
 
 enum TimerAction {
-    Wake(Rc<Sleeper>),
+    Wake(Rc<SleepState>),
     Call(Box<dyn FnOnce()>),
 }
 
@@ -80,9 +80,9 @@
     fn run(self) {
         match self {
             TimerAction::Call(call) => call(),
-            TimerAction::Wake(sleeper) => {
-                sleeper.is_due.set(true);
-                let waker = sleeper.waker.borrow_mut().take();
+            TimerAction::Wake(state) => {
+                state.is_due.set(true);
+                let waker = state.waker.borrow_mut().take();
                 if let Some(waker) = waker {
                     waker.wake();
                 }
@@ -120,7 +120,7 @@
 struct ExecutorState {
     now: Cell<Time>,
     tasks: RefCell<Vec<Option<Task>>>,
-    free: RefCell<Vec<usize>>,
+    free_slots: RefCell<Vec<usize>>,
     generation: Cell<u64>,
     ready: ReadyQueue,
     timers: RefCell<BinaryHeap<Reverse<Timer>>>,
@@ -140,7 +140,7 @@
         Executor(Rc::new(ExecutorState {
             now: Cell::new(0),
             tasks: RefCell::default(),
-            free: RefCell::default(),
+            free_slots: RefCell::default(),
             generation: Cell::new(0),
             ready: ReadyQueue::default(),
             timers: RefCell::default(),
@@ -169,7 +169,7 @@
         let generation = self.0.generation.get() + 1;
         self.0.generation.set(generation);
         let mut tasks = self.0.tasks.borrow_mut();
-        let slot = self.0.free.borrow_mut().pop().unwrap_or_else(|| {
+        let slot = self.0.free_slots.borrow_mut().pop().unwrap_or_else(|| {
             tasks.push(None);
             tasks.len() - 1
         });
@@ -189,10 +189,10 @@
     /// Ends all tasks of a process. Not to be called from one of them.
     pub fn kill(&self, node: Node) {
         let mut ended = Vec::new();
-        for (slot, place) in self.0.tasks.borrow_mut().iter_mut().enumerate() {
-            if place.as_ref().is_some_and(|task| task.node == node) {
-                ended.push(place.take());
-                self.0.free.borrow_mut().push(slot);
+        for (slot, entry) in self.0.tasks.borrow_mut().iter_mut().enumerate() {
+            if entry.as_ref().is_some_and(|task| task.node == node) {
+                ended.push(entry.take());
+                self.0.free_slots.borrow_mut().push(slot);
             }
         }
         // Dropping a task may wake or start others: no list is borrowed here.
@@ -204,7 +204,7 @@
     pub fn end(&self) {
         self.0.has_ended.set(true);
         let tasks = std::mem::take(&mut *self.0.tasks.borrow_mut());
-        self.0.free.borrow_mut().clear();
+        self.0.free_slots.borrow_mut().clear();
         drop(tasks);
         let timers = std::mem::take(&mut *self.0.timers.borrow_mut());
         drop(timers);
@@ -233,7 +233,7 @@
         Sleep {
             executor: self.clone(),
             at,
-            sleeper: None,
+            state: None,
         }
     }
 
@@ -246,7 +246,7 @@
     pub fn run_until(&self, end: Time) -> bool {
         loop {
             let before = self.polls();
-            while let Some(task) = self.pick() {
+            while let Some(task) = self.take_ready_task() {
                 self.poll(task);
                 if self.polls() - before > MAX_POLLS_PER_INSTANT {
                     return false;
@@ -285,7 +285,7 @@
     }
 
     /// Takes a drawn task out of the ready queue.
-    fn pick(&self) -> Option<TaskId> {
+    fn take_ready_task(&self) -> Option<TaskId> {
         let mut ready = self.0.ready.lock().unwrap_or_else(PoisonError::into_inner);
         match ready.len() {
             0 => None,
@@ -302,7 +302,7 @@
         self.0.polls.set(self.0.polls.get() + 1);
         let waker = Waker::from(task_waker);
         let poll = future.as_mut().poll(&mut Context::from_waker(&waker));
-        let ended = self.put_back(id, future, poll.is_ready());
+        let ended = self.finish_poll(id, future, poll.is_ready());
         // Dropping a task may wake or start others: no list is borrowed here.
         drop(ended);
     }
@@ -319,7 +319,7 @@
     }
 
     /// Puts a task's future back; returns it if the task has ended, by itself or by what it did.
-    fn put_back(&self, id: TaskId, future: BoxedTask, is_ready: bool) -> Option<BoxedTask> {
+    fn finish_poll(&self, id: TaskId, future: BoxedTask, is_ready: bool) -> Option<BoxedTask> {
         let mut tasks = self.0.tasks.borrow_mut();
         let Some(slot) = tasks.get_mut(id.slot) else {
             return Some(future);
@@ -331,7 +331,7 @@
                     return None;
                 }
                 *slot = None;
-                self.0.free.borrow_mut().push(id.slot);
+                self.0.free_slots.borrow_mut().push(id.slot);
                 Some(future)
             }
             _ => Some(future),
@@ -343,37 +343,37 @@
 pub struct Sleep {
     executor: Executor,
     at: Time,
-    sleeper: Option<Rc<Sleeper>>,
+    state: Option<Rc<SleepState>>,
 }
 
 impl Future for Sleep {
     type Output = ();
 
     fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<()> {
-        if self.executor.now() >= self.at && self.sleeper.is_none() {
+        if self.executor.now() >= self.at && self.state.is_none() {
             return Poll::Ready(());
         }
-        if self.sleeper.is_none() {
-            let sleeper = Rc::new(Sleeper::default());
+        if self.state.is_none() {
+            let state = Rc::new(SleepState::default());
             self.executor
-                .set_timer(self.at, TimerAction::Wake(sleeper.clone()));
-            self.sleeper = Some(sleeper);
+                .set_timer(self.at, TimerAction::Wake(state.clone()));
+            self.state = Some(state);
         }
-        let Some(sleeper) = &self.sleeper else {
+        let Some(state) = &self.state else {
             return Poll::Ready(());
         };
-        if sleeper.is_due.get() {
+        if state.is_due.get() {
             return Poll::Ready(());
         }
-        *sleeper.waker.borrow_mut() = Some(context.waker().clone());
+        *state.waker.borrow_mut() = Some(context.waker().clone());
         Poll::Pending
     }
 }
 
 impl Drop for Sleep {
     fn drop(&mut self) {
-        if let Some(sleeper) = &self.sleeper {
-            sleeper.waker.borrow_mut().take();
+        if let Some(state) = &self.state {
+            state.waker.borrow_mut().take();
         }
     }
 }
--- a/crates/router-simulation/src/fleet.rs
+++ b/crates/router-simulation/src/fleet.rs
@@ -32,7 +32,7 @@
     /// Where servers fetch what they do not have.
     pub(crate) origin: Origin,
     /// When each idempotency key was executed, by scope: a zone, or [`ALL_ZONES`].
-    executed: RefCell<BTreeMap<(usize, String), Time>>,
+    executed_keys: RefCell<BTreeMap<(usize, String), Time>>,
     costs: BTreeMap<u32, RequestCost>,
     routers: RefCell<BTreeMap<Node, usize>>,
 }
@@ -56,7 +56,7 @@
                 .collect(),
             rng: RefCell::new(SeededRng::new(plan.seed, 4)),
             origin: Origin::new(simulation.executor.clone(), plan.origin_slots),
-            executed: RefCell::default(),
+            executed_keys: RefCell::default(),
             routers: RefCell::default(),
             simulation,
             plan,
@@ -77,14 +77,14 @@
     }
 
     /// Whether a key was executed within the deduplication window; if not, it is now.
-    fn is_repeat(&self, scope: usize, key: &str, now: Time) -> bool {
-        let mut executed = self.executed.borrow_mut();
+    fn is_duplicate(&self, scope: usize, key: &str, now: Time) -> bool {
+        let mut executed_keys = self.executed_keys.borrow_mut();
         let key = (scope, key.to_string());
         let window = self.plan.deduplication_window;
-        if executed.get(&key).is_some_and(|&at| at + window > now) {
+        if executed_keys.get(&key).is_some_and(|&at| at + window > now) {
             return true;
         }
-        executed.insert(key, now);
+        executed_keys.insert(key, now);
         false
     }
 
--- a/crates/router-simulation/src/fleet/server.rs
+++ b/crates/router-simulation/src/fleet/server.rs
@@ -20,7 +20,7 @@
 /// How long a key is cached, in microseconds.
 const CACHE_LIFETIME: Time = 8 * SECOND;
 /// How long a request that fails at once takes, in microseconds.
-const FAST_ERROR_TIME: Time = 2 * MILLI;
+const IMMEDIATE_ERROR_TIME: Time = 2 * MILLI;
 /// How long a request that the origin rejects takes, in microseconds.
 const ORIGIN_REJECTION_TIME: Time = MILLI;
 /// Kinds of malformed replies.
@@ -42,7 +42,7 @@
 }
 
 /// What a request comes to.
-enum RequestResult {
+enum ExecutionResult {
     Served { is_miss: bool },
     Failed,
     Busy,
@@ -78,7 +78,7 @@
     queued: Cell<usize>,
     /// Until when each key is cached.
     cached_until: RefCell<BTreeMap<Vec<u8>, Time>>,
-    idle: RefCell<Vec<IdleConnection>>,
+    idle_connections: RefCell<Vec<IdleConnection>>,
 }
 
 impl Server {
@@ -98,7 +98,7 @@
             is_draining: Cell::new(false),
             queued: Cell::new(0),
             cached_until: RefCell::default(),
-            idle: RefCell::default(),
+            idle_connections: RefCell::default(),
         })
     }
 
@@ -117,7 +117,7 @@
         *self.slots.borrow_mut() = vec![0; self.plan.slots];
         self.queued.set(0);
         self.cached_until.borrow_mut().clear();
-        self.idle.borrow_mut().clear();
+        self.idle_connections.borrow_mut().clear();
         if born_ms > 0 {
             let mut checker = simulation.checker.borrow_mut();
             checker.server_started(now, self.number, self.process_start());
@@ -147,7 +147,7 @@
 
     /// Resets the connections that carry no request now.
     pub fn reset_idle(&self) {
-        for connection in self.idle.borrow_mut().drain(..) {
+        for connection in self.idle_connections.borrow_mut().drain(..) {
             connection.reset.notify_one();
         }
     }
@@ -159,11 +159,11 @@
         let mut frames = FrameDecoder::default();
         let mut is_new = true;
         loop {
-            let reset = self.add_idle(stream.id());
+            let reset = self.register_idle(stream.id());
             let Some(frame) = self.read_frame(&mut stream, &mut frames, &reset).await else {
                 return;
             };
-            self.remove_idle(stream.id());
+            self.unregister_idle(stream.id());
             if std::mem::take(&mut is_new) {
                 executor.sleep(self.fleet.plan.handshake_time).await;
             }
@@ -183,17 +183,17 @@
         }
     }
 
-    fn add_idle(&self, id: u32) -> Rc<Notify> {
+    fn register_idle(&self, id: u32) -> Rc<Notify> {
         let reset = Rc::new(Notify::new());
-        self.idle.borrow_mut().push(IdleConnection {
+        self.idle_connections.borrow_mut().push(IdleConnection {
             id,
             reset: reset.clone(),
         });
         reset
     }
 
-    fn remove_idle(&self, id: u32) {
-        self.idle
+    fn unregister_idle(&self, id: u32) {
+        self.idle_connections
             .borrow_mut()
             .retain(|connection| connection.id != id);
     }
@@ -230,7 +230,7 @@
     }
 
     /// The reply to a request, or a malformed one.
-    fn reply(&self, request: &CacheRequest, result: &RequestResult) -> Vec<u8> {
+    fn reply(&self, request: &CacheRequest, result: &ExecutionResult) -> Vec<u8> {
         let malformed_ratio = self.faults.get().malformed_ratio;
         if malformed_ratio > 0.0 && self.fleet.rng.borrow_mut().chance(malformed_ratio) {
             self.malformed_reply(request)
@@ -239,22 +239,22 @@
         }
     }
 
-    fn valid_reply(&self, request: &CacheRequest, result: &RequestResult) -> Vec<u8> {
+    fn valid_reply(&self, request: &CacheRequest, result: &ExecutionResult) -> Vec<u8> {
         match result {
-            RequestResult::Served { is_miss } => {
+            ExecutionResult::Served { is_miss } => {
                 let cost = self.fleet.cost(request.id);
                 let size = cost.map_or(0, |cost| cost.value_size);
                 let source = if *is_miss { "miss" } else { "hit" };
                 served_reply(&value_for(request.id, &self.name, size), source)
             }
-            RequestResult::Failed => b"-ERR failed\r\n".to_vec(),
-            RequestResult::Busy => b"-BUSY\r\n".to_vec(),
+            ExecutionResult::Failed => b"-ERR failed\r\n".to_vec(),
+            ExecutionResult::Busy => b"-BUSY\r\n".to_vec(),
         }
     }
 
     /// A reply that is in no row of the protocol's table, or brings more than belongs to it.
     fn malformed_reply(&self, request: &CacheRequest) -> Vec<u8> {
-        let valid = self.valid_reply(request, &RequestResult::Served { is_miss: false });
+        let valid = self.valid_reply(request, &ExecutionResult::Served { is_miss: false });
         match self.fleet.rng.borrow_mut().index(MALFORMED_KIND_COUNT) {
             0 => b"*3\r\n$99999\r\nnoise".to_vec(),
             1 => b"%what\r\n".to_vec(),
@@ -266,50 +266,50 @@
     }
 
     /// Executes a request, from its last byte to its end.
-    async fn execute(&self, request: &CacheRequest, router: usize) -> RequestResult {
+    async fn execute(&self, request: &CacheRequest, router: usize) -> ExecutionResult {
         let executor = &self.fleet.simulation.executor;
         let faults = self.faults.get();
         let now = executor.now();
         let cost = self.fleet.cost(request.id);
         let work = cost.map_or(self.fleet.plan.mean_work, |cost| cost.work);
-        if self.fails_under(now, router, work) {
+        if self.is_crashed_by_load(now, router, work) {
             return self.crash().await;
         }
         let fails = self.fleet.rng.borrow_mut().chance(faults.error_ratio);
         let is_busy = self.fleet.rng.borrow_mut().chance(faults.busy_ratio);
         if self.is_draining.get() || is_busy {
-            return RequestResult::Busy;
+            return ExecutionResult::Busy;
         }
         if fails {
-            executor.sleep(FAST_ERROR_TIME).await;
-            return RequestResult::Failed;
+            executor.sleep(IMMEDIATE_ERROR_TIME).await;
+            return ExecutionResult::Failed;
         }
-        if self.is_repeat(request, now) {
+        if self.is_duplicate(request, now) {
             // The receipt is the same as that of the first.
-            return RequestResult::Served { is_miss: false };
+            return ExecutionResult::Served { is_miss: false };
         }
         let is_miss = request.is_write || !self.is_cached(&request.key, now);
         if is_miss && !self.fetch(request).await {
             executor.sleep(ORIGIN_REJECTION_TIME).await;
-            return RequestResult::Failed;
+            return ExecutionResult::Failed;
         }
-        let Some(end) = self.take_slot(work, faults.slowdown) else {
-            return RequestResult::Busy;
+        let Some(end) = self.reserve_slot(work, faults.slowdown) else {
+            return ExecutionResult::Busy;
         };
         self.queued.set(self.queued.get() + 1);
         executor.sleep_until(end).await;
         self.queued.set(self.queued.get().saturating_sub(1));
-        RequestResult::Served { is_miss }
+        ExecutionResult::Served { is_miss }
     }
 
     /// Whether the server fails under work that arrives now.
-    fn fails_under(&self, now: Time, router: usize, work: f64) -> bool {
+    fn is_crashed_by_load(&self, now: Time, router: usize, work: f64) -> bool {
         let mut checker = self.fleet.simulation.checker.borrow_mut();
         checker.work_arrived(now, self.number, router, work / self.plan.speed)
     }
 
     /// Ends the process; never returns. A process cannot end its own machine's tasks from within one.
-    async fn crash(&self) -> RequestResult {
+    async fn crash(&self) -> ExecutionResult {
         let executor = &self.fleet.simulation.executor;
         let network = self.fleet.simulation.network.clone();
         let node = self.node;
@@ -318,11 +318,15 @@
     }
 
     /// Whether a request with an idempotency key was executed before, by this server or another of its scope.
-    fn is_repeat(&self, request: &CacheRequest, now: Time) -> bool {
-        let is_zonal = request.class == CLASSES[2];
-        let scope = if is_zonal { self.plan.zone } else { ALL_ZONES };
+    fn is_duplicate(&self, request: &CacheRequest, now: Time) -> bool {
+        let is_zone_scoped = request.class == CLASSES[2];
+        let scope = if is_zone_scoped {
+            self.plan.zone
+        } else {
+            ALL_ZONES
+        };
         let key = request.idempotency_key.as_ref();
-        key.is_some_and(|key| self.fleet.is_repeat(scope, key, now))
+        key.is_some_and(|key| self.fleet.is_duplicate(scope, key, now))
     }
 
     fn is_cached(&self, key: &[u8], now: Time) -> bool {
@@ -347,7 +351,7 @@
     }
 
     /// When work that comes now is done; none if the queue is full.
-    fn take_slot(&self, work: f64, slowdown: f64) -> Option<Time> {
+    fn reserve_slot(&self, work: f64, slowdown: f64) -> Option<Time> {
         if self.queued.get() >= self.plan.slots + self.plan.queue {
             return None;
         }
--- a/crates/router-simulation/src/invariant_checker.rs
+++ b/crates/router-simulation/src/invariant_checker.rs
@@ -272,43 +272,43 @@
 
     fn written(&mut self, now: Time, id: u32, side: Side, bytes: &[u8]) {
         let kind = match side {
-            Side::Dialer => StepKind::WrittenByDialer,
-            Side::Listener => StepKind::WrittenByListener,
+            Side::Initiator => StepKind::WrittenByDialer,
+            Side::Acceptor => StepKind::WrittenByListener,
         };
         self.advance(now, id, kind, bytes);
         self.with_connection(id, |checker, connection| match (connection, side) {
-            (Connection::Client(client), Side::Dialer) => {
+            (Connection::Client(client), Side::Initiator) => {
                 checker.client_wrote(now, id, client, bytes);
             }
-            (Connection::Client(client), Side::Listener) => {
+            (Connection::Client(client), Side::Acceptor) => {
                 checker.router_answered(now, id, client, bytes);
             }
-            (Connection::Server(server), Side::Dialer) => {
+            (Connection::Server(server), Side::Initiator) => {
                 checker.router_wrote(now, id, server, bytes);
             }
-            (Connection::Server(server), Side::Listener) => server.in_transit.extend(bytes),
-            (Connection::Discovery(watch), Side::Listener) => watch.in_transit.extend(bytes),
-            (Connection::Discovery(_), Side::Dialer) | (Connection::Other, _) => {}
+            (Connection::Server(server), Side::Acceptor) => server.in_transit.extend(bytes),
+            (Connection::Discovery(watch), Side::Acceptor) => watch.in_transit.extend(bytes),
+            (Connection::Discovery(_), Side::Initiator) | (Connection::Other, _) => {}
         });
     }
 
     fn delivered(&mut self, now: Time, id: u32, side: Side, count: usize) {
         let kind = match side {
-            Side::Dialer => StepKind::DeliveredFromDialer,
-            Side::Listener => StepKind::DeliveredFromListener,
+            Side::Initiator => StepKind::DeliveredFromDialer,
+            Side::Acceptor => StepKind::DeliveredFromListener,
         };
         self.advance(now, id, kind, &count.to_le_bytes());
         self.with_connection(id, |checker, connection| match (connection, side) {
-            (Connection::Client(client), Side::Dialer) => {
+            (Connection::Client(client), Side::Initiator) => {
                 checker.commands_arrived(now, id, client, count);
             }
-            (Connection::Client(client), Side::Listener) => {
+            (Connection::Client(client), Side::Acceptor) => {
                 client.answers_arrived(now, count, checker.parameters.window);
             }
-            (Connection::Server(server), Side::Listener) => {
+            (Connection::Server(server), Side::Acceptor) => {
                 checker.reply_arrived(now, id, server, count);
             }
-            (Connection::Discovery(watch), Side::Listener) => {
+            (Connection::Discovery(watch), Side::Acceptor) => {
                 for line in watch.lines_arrived(count) {
                     checker.drains.watch_answered(watch.router, id);
                     checker.drains.apply_list(now, watch.router, &line, false);
@@ -320,18 +320,18 @@
 
     fn closed(&mut self, now: Time, id: u32, side: Side, how: CloseKind) {
         let kind = match side {
-            Side::Dialer => StepKind::ClosedByDialer,
-            Side::Listener => StepKind::ClosedByListener,
+            Side::Initiator => StepKind::ClosedByDialer,
+            Side::Acceptor => StepKind::ClosedByListener,
         };
         self.advance(now, id, kind, &[how as u8]);
         self.trace
             .note(now, id, None, || format!("{side:?} leaves: {how:?}"));
         self.with_connection(id, |checker, connection| match (connection, side) {
             (Connection::Client(client), side) => {
-                let is_by_router = side == Side::Listener;
+                let is_by_router = side == Side::Acceptor;
                 checker.client_connection_closed(now, id, client, is_by_router);
             }
-            (Connection::Server(server), Side::Dialer) => {
+            (Connection::Server(server), Side::Initiator) => {
                 checker.server_connection_closed(id, server);
             }
             _ => {}
@@ -340,15 +340,15 @@
 
     fn close_delivered(&mut self, now: Time, id: u32, side: Side) {
         let kind = match side {
-            Side::Dialer => StepKind::CloseOfDialerDelivered,
-            Side::Listener => StepKind::CloseOfListenerDelivered,
+            Side::Initiator => StepKind::CloseOfDialerDelivered,
+            Side::Acceptor => StepKind::CloseOfListenerDelivered,
         };
         self.advance(now, id, kind, &[]);
         self.with_connection(id, |checker, connection| match (connection, side) {
-            (Connection::Server(server), Side::Listener) => {
+            (Connection::Server(server), Side::Acceptor) => {
                 checker.server_connection_closed(id, server);
             }
-            (Connection::Client(client), Side::Dialer) => checker.client_departed(now, client),
+            (Connection::Client(client), Side::Initiator) => checker.client_departed(now, client),
             _ => {}
         });
     }
--- a/crates/router-simulation/src/main.rs
+++ b/crates/router-simulation/src/main.rs
@@ -37,16 +37,16 @@
         #[arg(long)]
         jobs: Option<usize>,
         #[command(flatten)]
-        drawing: Drawing,
+        plan_options: PlanOptions,
     },
     /// Simulate one run again and show what broke, with the last steps that touched the request.
-    Replay(Replay),
+    Replay(ReplayOptions),
     /// Reduce a failing run to the fewest faults and requests that still fail.
     Shrink {
         /// The seed.
         seed: u64,
         #[command(flatten)]
-        drawing: Drawing,
+        plan_options: PlanOptions,
     },
     /// Activate each mutation in turn and see it caught; wants a build with `--features mutations`.
     Mutants {
@@ -61,7 +61,7 @@
 
 /// How plans are drawn.
 #[derive(Args)]
-struct Drawing {
+struct PlanOptions {
     /// Join identical reads, and let crowds ask for one key.
     #[arg(long = "joining")]
     coalescing: bool,
@@ -70,7 +70,7 @@
     faults: Vec<FaultKind>,
 }
 
-impl Drawing {
+impl PlanOptions {
     fn draw_plan(&self) -> DrawPlan {
         if self.coalescing {
             RunPlan::draw_coalescing
@@ -86,7 +86,7 @@
 
 /// The arguments of `replay`.
 #[derive(Args)]
-struct Replay {
+struct ReplayOptions {
     /// The seed.
     seed: u64,
     /// Show the steps up to this one.
@@ -96,7 +96,7 @@
     #[arg(long)]
     trace: bool,
     #[command(flatten)]
-    drawing: Drawing,
+    plan_options: PlanOptions,
     /// Keep only these faults of the run, by their indices from 0, as `shrink` names them.
     #[arg(long, value_parser = parse_indices)]
     keep_faults: Option<Indices>,
@@ -108,10 +108,10 @@
     keep_crowds: Option<Indices>,
 }
 
-impl Replay {
+impl ReplayOptions {
     /// The drawn plan, reduced to what is to be kept.
     fn plan(&self) -> RunPlan {
-        let mut plan = self.drawing.plan(self.seed);
+        let mut plan = self.plan_options.plan(self.seed);
         if let Some(selected) = &self.keep_faults {
             selected.retain(&mut plan.faults);
         }
@@ -144,10 +144,10 @@
         Command::Run {
             seeds,
             jobs,
-            drawing,
-        } => run(&drawing, seeds, jobs),
+            plan_options,
+        } => run(&plan_options, seeds, jobs),
         Command::Replay(arguments) => replay(&arguments),
-        Command::Shrink { seed, drawing } => shrink(&drawing.plan(seed)),
+        Command::Shrink { seed, plan_options } => shrink(&plan_options.plan(seed)),
         Command::Mutants { seeds, jobs } => mutants(seeds, jobs),
     }
 }
@@ -165,7 +165,7 @@
     ExitCode::from(2)
 }
 
-fn threads(jobs: Option<usize>) -> usize {
+fn thread_count(jobs: Option<usize>) -> usize {
     jobs.unwrap_or_else(|| std::thread::available_parallelism().map_or(1, usize::from))
 }
 
@@ -196,12 +196,12 @@
     }
 }
 
-fn run(drawing: &Drawing, seeds: Range<u64>, jobs: Option<usize>) -> ExitCode {
+fn run(plan_options: &PlanOptions, seeds: Range<u64>, jobs: Option<usize>) -> ExitCode {
     let start = Instant::now();
     let bar = progress_bar(seeds.end - seeds.start);
-    let threads = threads(jobs);
-    let draw = drawing.draw_plan();
-    let summary = campaign::run(draw, seeds, &drawing.faults, threads, || bar.inc(1));
+    let threads = thread_count(jobs);
+    let draw = plan_options.draw_plan();
+    let summary = campaign::run(draw, seeds, &plan_options.faults, threads, || bar.inc(1));
     bar.finish_and_clear();
     println!("{summary}");
     let seconds = start.elapsed().as_secs_f64();
@@ -214,7 +214,7 @@
     exit_code(summary.runs_with_violations.is_empty())
 }
 
-fn replay(arguments: &Replay) -> ExitCode {
+fn replay(arguments: &ReplayOptions) -> ExitCode {
     let plan = arguments.plan();
     let report = simulate(&plan, Recording::Trace);
     println!(
@@ -250,7 +250,7 @@
         println!("seed {}: no breach", plan.seed);
         return ExitCode::SUCCESS;
     };
-    let Some(least) = campaign::shrink(plan, first.rule) else {
+    let Some(reduced) = campaign::shrink(plan, first.rule) else {
         return ExitCode::SUCCESS;
     };
     println!("seed {}: {}", plan.seed, first.rule);
@@ -258,22 +258,22 @@
         "from {} faults and {} requests to {} and {}:",
         plan.faults.len(),
         plan.requests.len(),
-        least.faults.len(),
-        least.requests.len()
+        reduced.faults.len(),
+        reduced.requests.len()
     );
-    print_plan(plan, &least);
-    println!("{}", replay_command(plan, &least));
+    print_plan(plan, &reduced);
+    println!("{}", replay_command(plan, &reduced));
     ExitCode::FAILURE
 }
 
 /// Prints the faults and the first requests of a shrunk plan.
-fn print_plan(plan: &RunPlan, least: &RunPlan) {
+fn print_plan(plan: &RunPlan, reduced: &RunPlan) {
     for (index, fault) in plan.faults.iter().enumerate() {
-        if least.faults.contains(fault) {
+        if reduced.faults.contains(fault) {
             println!("  fault {index}: {fault}");
         }
     }
-    for request in least.requests.iter().take(SHOWN_REQUEST_COUNT) {
+    for request in reduced.requests.iter().take(SHOWN_REQUEST_COUNT) {
         println!(
             "  request {}: class {} at {} ms, router {}",
             request.number,
@@ -285,15 +285,15 @@
 }
 
 /// The command that replays a shrunk plan.
-fn replay_command(plan: &RunPlan, least: &RunPlan) -> String {
+fn replay_command(plan: &RunPlan, reduced: &RunPlan) -> String {
     let coalescing = if plan.coalescing {
-        let crowds = remaining_indices(&plan.crowds, &least.crowds);
+        let crowds = remaining_indices(&plan.crowds, &reduced.crowds);
         format!(" --joining --keep-crowds={crowds}")
     } else {
         String::new()
     };
-    let faults = remaining_indices(&plan.faults, &least.faults);
-    let requests = least.requests.iter();
+    let faults = remaining_indices(&plan.faults, &reduced.faults);
+    let requests = reduced.requests.iter();
     let requests: Vec<String> = requests.map(|request| request.number.to_string()).collect();
     format!(
         "router-simulation replay {}{coalescing} --keep-faults={faults} --keep-asks={}",
@@ -311,7 +311,7 @@
 
 fn mutants(seeds: Range<u64>, jobs: Option<usize>) -> ExitCode {
     let start = Instant::now();
-    let Some(results) = campaign::run_mutations(seeds, threads(jobs)) else {
+    let Some(results) = campaign::run_mutations(seeds, thread_count(jobs)) else {
         eprintln!(
             "router-simulation: this build leaves the mutations out; build it with --features mutations"
         );
--- a/crates/router-simulation/src/network.rs
+++ b/crates/router-simulation/src/network.rs
@@ -16,14 +16,14 @@
 pub use datagram::SimulatedDatagramSocket;
 pub use environment::SimulatedEnvironment;
 pub use listener::SimulatedListener;
-pub use stream::{Half, SimulatedStream};
+pub use stream::{SimulatedStream, SimulatedStreamHalf};
 pub use system_calls::SystemCall;
 
 use crate::executor::{Executor, Node, Time};
 use crate::rng::SeededRng;
-use datagram::Mailbox;
+use datagram::ReceiveBuffer;
 use listener::Backlog;
-use machine::{Machine, Power};
+use machine::{Machine, MachineStatus};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -34,17 +34,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Side {
     /// The end that connected.
-    Dialer,
+    Initiator,
     /// The end that accepted.
-    Listener,
+    Acceptor,
 }
 
 impl Side {
     /// The opposite end.
     pub fn other(self) -> Side {
         match self {
-            Side::Dialer => Side::Listener,
-            Side::Listener => Side::Dialer,
+            Side::Initiator => Side::Acceptor,
+            Side::Acceptor => Side::Initiator,
         }
     }
 }
@@ -63,7 +63,7 @@
 /// Sees what passes on the wire, in order; `now` in microseconds.
 pub trait Observer {
     /// A machine took a connection.
-    fn opened(&mut self, now: Time, connection: u32, dialer: Node, listener: Node);
+    fn opened(&mut self, now: Time, connection: u32, initiator: Node, acceptor: Node);
     /// One end gave these bytes to its machine, which sends them.
     fn written(&mut self, now: Time, connection: u32, side: Side, bytes: &[u8]);
     /// Bytes of this end are at the other's machine.
@@ -77,12 +77,12 @@
 }
 
 /// What the network's parts share.
-struct State {
+struct NetworkState {
     machines: Vec<Machine>,
     listeners: BTreeMap<SocketAddr, Rc<Backlog>>,
     /// The machine of each address that was ever listened at.
     nodes_by_address: BTreeMap<SocketAddr, Node>,
-    mailboxes: BTreeMap<SocketAddr, Rc<Mailbox>>,
+    receive_buffers: BTreeMap<SocketAddr, Rc<ReceiveBuffer>>,
     /// Until when zones are cut off from all others.
     isolated_until: BTreeMap<usize, Time>,
     conditions: NetworkConditions,
@@ -90,7 +90,7 @@
     rng: SeededRng,
 }
 
-impl State {
+impl NetworkState {
     fn zone(&self, node: Node) -> usize {
         self.machines[node.0 as usize].zone
     }
@@ -104,7 +104,7 @@
 #[derive(Clone)]
 pub struct Network {
     executor: Executor,
-    state: Rc<RefCell<State>>,
+    state: Rc<RefCell<NetworkState>>,
     observer: Rc<RefCell<dyn Observer>>,
     /// The instant at virtual time 0.
     epoch: Instant,
@@ -118,11 +118,11 @@
         conditions: NetworkConditions,
         rng: SeededRng,
     ) -> Network {
-        let state = State {
+        let state = NetworkState {
             machines: Vec::new(),
             listeners: BTreeMap::new(),
             nodes_by_address: BTreeMap::new(),
-            mailboxes: BTreeMap::new(),
+            receive_buffers: BTreeMap::new(),
             isolated_until: BTreeMap::new(),
             conditions,
             last_connection_id: 0,
@@ -158,20 +158,24 @@
 
     /// Ends the process of a machine. Its connections are reset, or end without a packet if the machine vanishes.
     pub fn kill(&self, node: Node, vanishes: bool) {
-        let power = if vanishes { Power::Off } else { Power::Ending };
-        self.with_machine(node, |machine| machine.power = power);
+        let status = if vanishes {
+            MachineStatus::Vanished
+        } else {
+            MachineStatus::ProcessEnding
+        };
+        self.with_machine(node, |machine| machine.status = status);
         self.executor.kill(node);
         self.with_machine(node, |machine| {
             machine.incarnation += 1;
             if !vanishes {
-                machine.power = Power::On;
+                machine.status = MachineStatus::Running;
             }
         });
     }
 
     /// Brings a machine that vanished back, with no process on it.
     pub fn restore(&self, node: Node) {
-        self.with_machine(node, |machine| machine.power = Power::On);
+        self.with_machine(node, |machine| machine.status = MachineStatus::Running);
     }
 
     /// Connects to this machine are not answered before this time.
@@ -182,7 +186,7 @@
     /// Until a time, connects to this machine take `delay` microseconds longer.
     pub fn delay_connects(&self, node: Node, until: Time, delay: Time) {
         self.with_machine(node, |machine| {
-            machine.late_connects_until = until;
+            machine.connects_delayed_until = until;
             machine.connect_delay = delay;
         });
     }
@@ -240,7 +244,7 @@
     }
 
     /// Whether two machines are in different zones of which one is cut off.
-    fn are_cut_off(&self, from: Node, to: Node) -> bool {
+    fn are_partitioned(&self, from: Node, to: Node) -> bool {
         let state = self.state.borrow();
         let from_zone = state.zone(from);
         let to_zone = state.zone(to);
@@ -252,11 +256,12 @@
 
     /// When a packet that is sent now arrives; none if it never does. A lost one is sent again after
     /// `retransmission_timeout`, and so is one that meets a cut, once that has ended.
-    fn arrival(&self, from: Node, to: Node, retransmission_timeout: Time) -> Option<Time> {
+    fn arrival_time(&self, from: Node, to: Node, retransmission_timeout: Time) -> Option<Time> {
         let now = self.executor.now();
         let state = &mut *self.state.borrow_mut();
-        let is_off = |node: Node| state.machines[node.0 as usize].power == Power::Off;
-        if is_off(from) || is_off(to) {
+        let has_vanished =
+            |node: Node| state.machines[node.0 as usize].status == MachineStatus::Vanished;
+        if has_vanished(from) || has_vanished(to) {
             return None;
         }
         let from_zone = state.zone(from);
--- a/crates/router-simulation/src/network/connection.rs
+++ b/crates/router-simulation/src/network/connection.rs
@@ -1,7 +1,7 @@
 //! TCP connections: segments in transit in each direction, and how a connection is opened.
 
 use super::listener::Backlog;
-use super::machine::{Descriptor, Power};
+use super::machine::{Descriptor, MachineStatus};
 use super::stream::SimulatedStream;
 use super::{Network, Side};
 use crate::executor::{Node, Time};
@@ -37,24 +37,24 @@
     /// Bytes in transit or unread.
     pub(super) unread: usize,
     /// The end has arrived.
-    pub(super) has_ended: bool,
+    pub(super) fin_received: bool,
     /// A reset has arrived.
-    pub(super) is_reset: bool,
+    pub(super) reset_received: bool,
     /// Its writer has sent its last packet.
     pub(super) writer_closed: bool,
     /// Nobody reads any more.
     pub(super) reader_closed: bool,
-    pub(super) reader: Option<Waker>,
-    pub(super) writer: Option<Waker>,
+    pub(super) read_waker: Option<Waker>,
+    pub(super) write_waker: Option<Waker>,
 }
 
 impl Pipe {
     /// Nothing more can arrive.
     pub(super) fn is_closed(&self) -> bool {
-        self.has_ended || self.is_reset
+        self.fin_received || self.reset_received
     }
 
-    fn next_arrived(&mut self, now: Time) -> Option<Packet> {
+    fn pop_arrived(&mut self, now: Time) -> Option<Packet> {
         let is_arrived = |front: &(Time, Packet)| front.0 <= now;
         if !self.in_transit.front().is_some_and(is_arrived) {
             return None;
@@ -93,7 +93,7 @@
     pub(super) fn send(&self, connection: &Rc<Connection>, from: Side, packet: Packet) {
         let sender = connection.node(from);
         let receiver = connection.node(from.other());
-        let Some(arrival) = self.arrival(sender, receiver, RETRANSMISSION_TIMEOUT) else {
+        let Some(arrival) = self.arrival_time(sender, receiver, RETRANSMISSION_TIMEOUT) else {
             return;
         };
         let mut pipe = connection.pipe(from).borrow_mut();
@@ -110,15 +110,21 @@
     /// Hands over the packets of one end that have arrived.
     fn deliver(&self, connection: &Rc<Connection>, from: Side) {
         let mut wakers = Vec::new();
-        let answers_reset = self.receive_packets(connection, from);
-        wakers.extend(connection.pipe(from).borrow_mut().reader.take());
-        if connection.pipe(from).borrow().is_reset {
-            wakers.extend(connection.pipe(from.other()).borrow_mut().writer.take());
+        let must_send_reset = self.receive_packets(connection, from);
+        wakers.extend(connection.pipe(from).borrow_mut().read_waker.take());
+        if connection.pipe(from).borrow().reset_received {
+            wakers.extend(
+                connection
+                    .pipe(from.other())
+                    .borrow_mut()
+                    .write_waker
+                    .take(),
+            );
         }
         for waker in wakers {
             waker.wake();
         }
-        if answers_reset {
+        if must_send_reset {
             connection.pipe(from.other()).borrow_mut().writer_closed = true;
             self.send(connection, from.other(), Packet::Reset);
         }
@@ -128,45 +134,51 @@
     fn receive_packets(&self, connection: &Connection, from: Side) -> bool {
         let now = self.executor.now();
         let receiver = connection.node(from.other());
-        let is_vanished = self.with_machine(receiver, |machine| machine.power == Power::Off);
-        let mut answers_reset = false;
+        let is_vanished = self.with_machine(receiver, |machine| {
+            machine.status == MachineStatus::Vanished
+        });
+        let mut must_send_reset = false;
         let mut pipe = connection.pipe(from).borrow_mut();
-        while let Some(packet) = pipe.next_arrived(now) {
+        while let Some(packet) = pipe.pop_arrived(now) {
             if is_vanished {
                 continue;
             }
             let mut observer = self.observer.borrow_mut();
             match packet {
-                Packet::Data(_) if pipe.reader_closed => answers_reset = true,
+                Packet::Data(_) if pipe.reader_closed => must_send_reset = true,
                 Packet::Data(bytes) => {
                     observer.delivered(now, connection.id, from, bytes.len());
                     pipe.buffer.extend_from_slice(&bytes);
                 }
                 Packet::Fin => {
-                    pipe.has_ended = true;
+                    pipe.fin_received = true;
                     observer.close_delivered(now, connection.id, from);
                 }
                 Packet::Reset => {
-                    pipe.is_reset = true;
+                    pipe.reset_received = true;
                     observer.close_delivered(now, connection.id, from);
                 }
             }
         }
-        answers_reset
+        must_send_reset
     }
 
     /// Opens a connection from a machine. Does not return while the other machine does not answer.
     ///
     /// # Errors
     /// Nothing listens at the address, or the process is out of descriptors.
-    pub(super) async fn dial(&self, from: Node, to: SocketAddr) -> io::Result<SimulatedStream> {
-        let descriptor = Descriptor::take(self, from)?;
+    pub(super) async fn open_stream(
+        &self,
+        from: Node,
+        to: SocketAddr,
+    ) -> io::Result<SimulatedStream> {
+        let descriptor = Descriptor::acquire(self, from)?;
         loop {
             let node = self.state.borrow().nodes_by_address.get(&to).copied();
             let Some(node) = node else {
                 return Err(io::ErrorKind::ConnectionRefused.into());
             };
-            let Some(arrival) = self.arrival(from, node, SYN_RETRANSMISSION_TIMEOUT) else {
+            let Some(arrival) = self.arrival_time(from, node, SYN_RETRANSMISSION_TIMEOUT) else {
                 self.executor.sleep(SYN_RETRANSMISSION_TIMEOUT).await;
                 continue;
             };
@@ -180,12 +192,12 @@
             }
             let backlog = self.state.borrow().listeners.get(&to).cloned();
             let opened = backlog.map(|backlog| self.open_connection(from, &backlog));
-            let answer = self.arrival(node, from, RETRANSMISSION_TIMEOUT);
+            let answer = self.arrival_time(node, from, RETRANSMISSION_TIMEOUT);
             self.executor.sleep_until(answer.unwrap_or(Time::MAX)).await;
             let Some(stream) = opened else {
                 return Err(io::ErrorKind::ConnectionRefused.into());
             };
-            stream.hold(descriptor);
+            stream.attach_descriptor(descriptor);
             return Ok(stream);
         }
     }
@@ -193,14 +205,14 @@
     fn answers_connects(&self, node: Node) -> bool {
         let now = self.executor.now();
         self.with_machine(node, |machine| {
-            machine.power != Power::Off && machine.ignores_connects_until <= now
+            machine.status != MachineStatus::Vanished && machine.ignores_connects_until <= now
         })
     }
 
     fn connect_delay(&self, node: Node) -> Option<Time> {
         let now = self.executor.now();
         self.with_machine(node, |machine| {
-            (machine.late_connects_until > now).then_some(machine.connect_delay)
+            (machine.connects_delayed_until > now).then_some(machine.connect_delay)
         })
     }
 
@@ -217,7 +229,7 @@
         self.observer
             .borrow_mut()
             .opened(now, connection.id, from, backlog.node);
-        backlog.push(SimulatedStream::new(self, &connection, Side::Listener));
-        SimulatedStream::new(self, &connection, Side::Dialer)
+        backlog.push(SimulatedStream::new(self, &connection, Side::Acceptor));
+        SimulatedStream::new(self, &connection, Side::Initiator)
     }
 }
--- a/crates/router-simulation/src/network/datagram.rs
+++ b/crates/router-simulation/src/network/datagram.rs
@@ -1,7 +1,7 @@
 //! UDP: datagrams are lost, doubled and delayed as the network's conditions have it, and never sent again.
 
 use super::Network;
-use super::machine::Power;
+use super::machine::MachineStatus;
 use crate::executor::Node;
 use bytes::Bytes;
 use router_runtime::environment;
@@ -14,7 +14,7 @@
 use std::task::{Poll, Waker};
 
 /// Datagrams that wait on a socket; further ones are lost, as in a full socket buffer.
-const MAX_QUEUED_DATAGRAM_COUNT: usize = 256;
+const MAX_QUEUED_DATAGRAMS: usize = 256;
 /// The longest payload that UDP over IPv4 carries, in bytes (RFC 768, RFC 791).
 const MAX_DATAGRAM_BYTES: usize = 65_507;
 
@@ -26,16 +26,16 @@
 }
 
 /// A UDP socket's buffer.
-pub(super) struct Mailbox {
+pub(super) struct ReceiveBuffer {
     node: Node,
     queue: RefCell<VecDeque<Datagram>>,
     waker: RefCell<Option<Waker>>,
 }
 
-impl Mailbox {
+impl ReceiveBuffer {
     fn push(&self, datagram: Datagram) {
         let mut queue = self.queue.borrow_mut();
-        if queue.len() < MAX_QUEUED_DATAGRAM_COUNT {
+        if queue.len() < MAX_QUEUED_DATAGRAMS {
             queue.push_back(datagram);
         }
         drop(queue);
@@ -50,7 +50,7 @@
 pub struct SimulatedDatagramSocket {
     network: Network,
     address: SocketAddr,
-    mailbox: Rc<Mailbox>,
+    receive_buffer: Rc<ReceiveBuffer>,
 }
 
 impl SimulatedDatagramSocket {
@@ -64,31 +64,35 @@
         address: SocketAddr,
     ) -> io::Result<SimulatedDatagramSocket> {
         let mut state = network.state.borrow_mut();
-        if state.mailboxes.contains_key(&address) {
+        if state.receive_buffers.contains_key(&address) {
             return Err(io::ErrorKind::AddrInUse.into());
         }
-        let mailbox = Rc::new(Mailbox {
+        let receive_buffer = Rc::new(ReceiveBuffer {
             node,
             queue: RefCell::default(),
             waker: RefCell::default(),
         });
-        state.mailboxes.insert(address, mailbox.clone());
+        state
+            .receive_buffers
+            .insert(address, receive_buffer.clone());
         Ok(SimulatedDatagramSocket {
             network: network.clone(),
             address,
-            mailbox,
+            receive_buffer,
         })
     }
 
     async fn next_datagram(&self) -> Datagram {
-        let mailbox = &self.mailbox;
-        poll_fn(|context| match mailbox.queue.borrow_mut().pop_front() {
-            Some(datagram) => Poll::Ready(datagram),
-            None => {
-                *mailbox.waker.borrow_mut() = Some(context.waker().clone());
-                Poll::Pending
-            }
-        })
+        let receive_buffer = &self.receive_buffer;
+        poll_fn(
+            |context| match receive_buffer.queue.borrow_mut().pop_front() {
+                Some(datagram) => Poll::Ready(datagram),
+                None => {
+                    *receive_buffer.waker.borrow_mut() = Some(context.waker().clone());
+                    Poll::Pending
+                }
+            },
+        )
         .await
     }
 }
@@ -102,7 +106,8 @@
             bytes: Bytes::copy_from_slice(bytes),
             from: self.address,
         };
-        self.network.send_datagram(self.mailbox.node, &datagram, to);
+        self.network
+            .send_datagram(self.receive_buffer.node, &datagram, to);
         Ok(bytes.len())
     }
 
@@ -117,21 +122,21 @@
 impl Drop for SimulatedDatagramSocket {
     fn drop(&mut self) {
         let mut state = self.network.state.borrow_mut();
-        state.mailboxes.remove(&self.address);
+        state.receive_buffers.remove(&self.address);
     }
 }
 
 impl Network {
     fn send_datagram(&self, from: Node, datagram: &Datagram, to: SocketAddr) {
-        let Some(mailbox) = self.state.borrow().mailboxes.get(&to).cloned() else {
+        let Some(receive_buffer) = self.state.borrow().receive_buffers.get(&to).cloned() else {
             return;
         };
         let copy_count = self.draw_copy_count();
-        if self.are_cut_off(from, mailbox.node) {
+        if self.are_partitioned(from, receive_buffer.node) {
             return;
         }
         for _ in 0..copy_count {
-            self.send_copy(from, datagram, &mailbox);
+            self.send_copy(from, datagram, &receive_buffer);
         }
     }
 
@@ -148,8 +153,8 @@
         }
     }
 
-    fn send_copy(&self, from: Node, datagram: &Datagram, to: &Rc<Mailbox>) {
-        let Some(mut arrival) = self.arrival(from, to.node, 0) else {
+    fn send_copy(&self, from: Node, datagram: &Datagram, to: &Rc<ReceiveBuffer>) {
+        let Some(mut arrival) = self.arrival_time(from, to.node, 0) else {
             return;
         };
         let state = &mut *self.state.borrow_mut();
@@ -158,12 +163,14 @@
             arrival += state.rng.range(1, conditions.max_delay);
         }
         let network = self.clone();
-        let mailbox = to.clone();
+        let receive_buffer = to.clone();
         let datagram = datagram.clone();
         self.executor.call_at(arrival, move || {
-            let is_on = network.with_machine(mailbox.node, |machine| machine.power == Power::On);
-            if is_on {
-                mailbox.push(datagram);
+            let is_running = network.with_machine(receive_buffer.node, |machine| {
+                machine.status == MachineStatus::Running
+            });
+            if is_running {
+                receive_buffer.push(datagram);
             }
         });
     }
--- a/crates/router-simulation/src/network/environment.rs
+++ b/crates/router-simulation/src/network/environment.rs
@@ -51,8 +51,9 @@
     }
 
     async fn connect(&self, to: SocketAddr) -> io::Result<SimulatedStream> {
-        self.network.system_call(self.node, SystemCall::Connect)?;
-        self.network.dial(self.node, to).await
+        self.network
+            .check_system_call(self.node, SystemCall::Connect)?;
+        self.network.open_stream(self.node, to).await
     }
 
     fn accept(
--- a/crates/router-simulation/src/network/listener.rs
+++ b/crates/router-simulation/src/network/listener.rs
@@ -77,10 +77,10 @@
         let stream = self.backlog.pop().await;
         let call = self
             .network
-            .system_call(self.backlog.node, SystemCall::Accept);
-        match call.and_then(|()| Descriptor::take(&self.network, self.backlog.node)) {
+            .check_system_call(self.backlog.node, SystemCall::Accept);
+        match call.and_then(|()| Descriptor::acquire(&self.network, self.backlog.node)) {
             Ok(descriptor) => {
-                stream.hold(descriptor);
+                stream.attach_descriptor(descriptor);
                 Ok(stream)
             }
             Err(error) => {
--- a/crates/router-simulation/src/network/machine.rs
+++ b/crates/router-simulation/src/network/machine.rs
@@ -1,32 +1,32 @@
 //! Simulated machines: whether they run, what connects to them, and the descriptors of their processes.
 
 use super::Network;
-use super::system_calls::FailingCalls;
+use super::system_calls::SystemCallFailures;
 use crate::executor::{Node, Time};
 use std::io;
 
 /// Whether a machine and its process run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Power {
-    On,
+pub(super) enum MachineStatus {
+    Running,
     /// Its process is ending: its connections are reset.
-    Ending,
+    ProcessEnding,
     /// The machine has vanished.
-    Off,
+    Vanished,
 }
 
 /// One machine with one process.
 pub(super) struct Machine {
     pub(super) zone: usize,
-    pub(super) power: Power,
+    pub(super) status: MachineStatus,
     /// Counts its processes: a connection of an earlier one ends without a packet.
     pub(super) incarnation: u32,
     pub(super) descriptor_count: usize,
     descriptor_limit: usize,
     /// Connects to it are not answered until then.
     pub(super) ignores_connects_until: Time,
-    /// Connects to it are delayed until `late_connects_until` ...
-    pub(super) late_connects_until: Time,
+    /// Connects to it are delayed until `connects_delayed_until` ...
+    pub(super) connects_delayed_until: Time,
     /// ... by this time, in microseconds.
     pub(super) connect_delay: Time,
     /// Its wall clock less the true time, in microseconds.
@@ -34,23 +34,23 @@
     /// Bytes that it takes without their being read; `None`: as the network's conditions have it.
     pub(super) receive_window: Option<usize>,
     /// System calls of its process that are to fail.
-    pub(super) failing_calls: FailingCalls,
+    pub(super) system_call_failures: SystemCallFailures,
 }
 
 impl Machine {
     pub(super) fn new(zone: usize, descriptor_limit: usize) -> Machine {
         Machine {
             zone,
-            power: Power::On,
+            status: MachineStatus::Running,
             incarnation: 0,
             descriptor_count: 0,
             descriptor_limit,
             ignores_connects_until: 0,
-            late_connects_until: 0,
+            connects_delayed_until: 0,
             connect_delay: 0,
             clock_offset: 0,
             receive_window: None,
-            failing_calls: FailingCalls::default(),
+            system_call_failures: SystemCallFailures::default(),
         }
     }
 }
@@ -66,7 +66,7 @@
     ///
     /// # Errors
     /// The process has as many as it may.
-    pub(super) fn take(network: &Network, node: Node) -> io::Result<Descriptor> {
+    pub(super) fn acquire(network: &Network, node: Node) -> io::Result<Descriptor> {
         let has_room = network.with_machine(node, |machine| {
             let has_room = machine.descriptor_count < machine.descriptor_limit;
             machine.descriptor_count += usize::from(has_room);
--- a/crates/router-simulation/src/network/stream.rs
+++ b/crates/router-simulation/src/network/stream.rs
@@ -1,7 +1,7 @@
 //! The ends of a connection, as sockets.
 
 use super::connection::{Connection, Packet};
-use super::machine::{Descriptor, Power};
+use super::machine::{Descriptor, MachineStatus};
 use super::{CloseKind, Network, Side};
 use crate::executor::Node;
 use bytes::{Buf, Bytes, BytesMut};
@@ -37,7 +37,7 @@
     }
 
     /// The process has the stream: it holds this descriptor.
-    pub(super) fn hold(&self, descriptor: Descriptor) {
+    pub(super) fn attach_descriptor(&self, descriptor: Descriptor) {
         *self.descriptor.borrow_mut() = Some(descriptor);
     }
 
@@ -71,9 +71,9 @@
             .observer
             .borrow_mut()
             .closed(now, self.id(), self.side, how);
-        let had_ended = self.close_writer();
+        let writer_was_closed = self.close_writer();
         match how {
-            CloseKind::Fin if !had_ended => self.send(Packet::Fin),
+            CloseKind::Fin if !writer_was_closed => self.send(Packet::Fin),
             CloseKind::Reset => self.send(Packet::Reset),
             CloseKind::Fin | CloseKind::Silent => {}
         }
@@ -100,26 +100,26 @@
             to.put_slice(&inbound.buffer[..count]);
             inbound.buffer.advance(count);
             inbound.unread -= count;
-            let writer = inbound.writer.take();
+            let writer = inbound.write_waker.take();
             drop(inbound);
             if let Some(writer) = writer {
                 writer.wake();
             }
             return Poll::Ready(Ok(()));
         }
-        if inbound.is_reset {
+        if inbound.reset_received {
             return Poll::Ready(Err(io::ErrorKind::ConnectionReset.into()));
         }
-        if inbound.has_ended {
+        if inbound.fin_received {
             return Poll::Ready(Ok(()));
         }
-        inbound.reader = Some(context.waker().clone());
+        inbound.read_waker = Some(context.waker().clone());
         Poll::Pending
     }
 
     fn poll_write_from(&self, context: &mut Context<'_>, from: &[u8]) -> Poll<io::Result<usize>> {
         let inbound = self.connection.pipe(self.side.other());
-        if inbound.borrow().is_reset {
+        if inbound.borrow().reset_received {
             return Poll::Ready(Err(io::ErrorKind::BrokenPipe.into()));
         }
         let window = self.network.receive_window(self.peer());
@@ -129,7 +129,7 @@
         }
         let room = window.saturating_sub(outbound.unread);
         if room == 0 {
-            outbound.writer = Some(context.waker().clone());
+            outbound.write_waker = Some(context.waker().clone());
             return Poll::Pending;
         }
         let count = room.min(from.len());
@@ -154,7 +154,7 @@
         self.send(Packet::Data(bytes.slice(split_at..)));
     }
 
-    fn poll_end(&self) -> Poll<io::Result<()>> {
+    fn poll_close_writer(&self) -> Poll<io::Result<()>> {
         if !self.close_writer() {
             self.send(Packet::Fin);
         }
@@ -165,17 +165,17 @@
     fn close_on_drop(&self) -> CloseKind {
         let node = self.connection.node(self.side);
         let opened_by = self.connection.incarnation(self.side);
-        let power = self.network.with_machine(node, |machine| {
-            (machine.incarnation == opened_by).then_some(machine.power)
+        let status = self.network.with_machine(node, |machine| {
+            (machine.incarnation == opened_by).then_some(machine.status)
         });
         let inbound = self.connection.pipe(self.side.other()).borrow();
         let is_unread = !inbound.buffer.is_empty();
         let was_accepted = self.descriptor.borrow().is_some();
-        match power {
-            None | Some(Power::Off) => CloseKind::Silent,
-            Some(Power::Ending) => CloseKind::Reset,
-            Some(Power::On) if is_unread || !was_accepted => CloseKind::Reset,
-            Some(Power::On) => CloseKind::Fin,
+        match status {
+            None | Some(MachineStatus::Vanished) => CloseKind::Silent,
+            Some(MachineStatus::ProcessEnding) => CloseKind::Reset,
+            Some(MachineStatus::Running) if is_unread || !was_accepted => CloseKind::Reset,
+            Some(MachineStatus::Running) => CloseKind::Fin,
         }
     }
 }
@@ -187,7 +187,7 @@
 }
 
 /// Implements the socket traits for a type that holds a stream.
-macro_rules! as_socket {
+macro_rules! impl_async_io {
     ($name:ty, $stream:ident => $inner:expr) => {
         impl AsyncRead for $name {
             fn poll_read(
@@ -216,19 +216,19 @@
 
             fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
                 let $stream = &*self;
-                $inner.poll_end()
+                $inner.poll_close_writer()
             }
         }
     };
 }
 
 /// The reading or writing half of a stream.
-pub struct Half<'a>(&'a SimulatedStream);
+pub struct SimulatedStreamHalf<'a>(&'a SimulatedStream);
 
-as_socket!(SimulatedStream, stream => stream);
-as_socket!(Half<'_>, half => half.0);
+impl_async_io!(SimulatedStream, stream => stream);
+impl_async_io!(SimulatedStreamHalf<'_>, half => half.0);
 
-impl environment::ReadStream for Half<'_> {
+impl environment::ReadStream for SimulatedStreamHalf<'_> {
     fn has_peer_closed(&self) -> bool {
         let stream = self.0;
         let inbound = stream.connection.pipe(stream.side.other());
@@ -237,11 +237,11 @@
 }
 
 impl environment::Stream for SimulatedStream {
-    type Reader<'a> = Half<'a>;
-    type Writer<'a> = Half<'a>;
+    type Reader<'a> = SimulatedStreamHalf<'a>;
+    type Writer<'a> = SimulatedStreamHalf<'a>;
 
-    fn split(&mut self) -> (Half<'_>, Half<'_>) {
-        (Half(self), Half(self))
+    fn split(&mut self) -> (SimulatedStreamHalf<'_>, SimulatedStreamHalf<'_>) {
+        (SimulatedStreamHalf(self), SimulatedStreamHalf(self))
     }
 
     fn set_nodelay(&self) -> io::Result<()> {
--- a/crates/router-simulation/src/network/system_calls.rs
+++ b/crates/router-simulation/src/network/system_calls.rs
@@ -16,7 +16,7 @@
 }
 
 /// So many calls on end fail at most.
-const MAX_BURST: u64 = 4;
+const MAX_FAILURE_BURST: u64 = 4;
 /// What accept(2) fails with for a moment.
 const ACCEPT_ERRORS: [i32; 8] = [
     libc::ECONNABORTED,
@@ -41,21 +41,21 @@
 
 /// The failures of a machine's calls.
 #[derive(Default)]
-pub(super) struct FailingCalls {
+pub(super) struct SystemCallFailures {
     /// The error numbers of the next calls, each used once.
     accept: VecDeque<i32>,
     connect: VecDeque<i32>,
     /// Later calls fail by chance.
-    by_chance: Option<FailureChance>,
+    random_failures: Option<RandomFailures>,
 }
 
 /// Calls that fail by chance, in bursts as a shortage has them.
-struct FailureChance {
+struct RandomFailures {
     rng: SeededRng,
     ratio: f64,
 }
 
-impl FailureChance {
+impl RandomFailures {
     /// The error numbers of this call and those behind it; none if it succeeds.
     fn draw(&mut self, call: SystemCall) -> Vec<i32> {
         if !self.rng.chance(self.ratio) {
@@ -66,23 +66,23 @@
             SystemCall::Connect => &CONNECT_ERRORS,
         };
         let error = errors[self.rng.index(errors.len())];
-        vec![error; self.rng.range(1, MAX_BURST) as usize]
+        vec![error; self.rng.range(1, MAX_FAILURE_BURST) as usize]
     }
 }
 
-impl FailingCalls {
+impl SystemCallFailures {
     /// The error number of this call, if it is to fail.
     fn next(&mut self, call: SystemCall) -> Option<i32> {
-        if self.of(call).is_empty()
-            && let Some(by_chance) = &mut self.by_chance
+        if self.queue(call).is_empty()
+            && let Some(random_failures) = &mut self.random_failures
         {
-            let errors = by_chance.draw(call);
-            self.of(call).extend(errors);
+            let errors = random_failures.draw(call);
+            self.queue(call).extend(errors);
         }
-        self.of(call).pop_front()
+        self.queue(call).pop_front()
     }
 
-    fn of(&mut self, call: SystemCall) -> &mut VecDeque<i32> {
+    fn queue(&mut self, call: SystemCall) -> &mut VecDeque<i32> {
         match call {
             SystemCall::Accept => &mut self.accept,
             SystemCall::Connect => &mut self.connect,
@@ -94,21 +94,21 @@
     /// The next calls of this machine's process fail with these error numbers, one after the other.
     pub fn fail_system_calls(&self, node: Node, call: SystemCall, errors: &[i32]) {
         self.with_machine(node, |machine| {
-            machine.failing_calls.of(call).extend(errors)
+            machine.system_call_failures.queue(call).extend(errors)
         });
     }
 
     /// From now on this ratio of the calls of this machine's processes begin to fail, drawn from a seed.
-    pub fn fail_system_calls_by_chance(&self, node: Node, ratio: f64, rng: SeededRng) {
-        let by_chance = FailureChance { rng, ratio };
+    pub fn fail_system_calls_randomly(&self, node: Node, ratio: f64, rng: SeededRng) {
+        let random_failures = RandomFailures { rng, ratio };
         self.with_machine(node, |machine| {
-            machine.failing_calls.by_chance = Some(by_chance);
+            machine.system_call_failures.random_failures = Some(random_failures);
         });
     }
 
     /// The failure of this call, if it is to fail.
-    pub(super) fn system_call(&self, node: Node, call: SystemCall) -> io::Result<()> {
-        let error = self.with_machine(node, |machine| machine.failing_calls.next(call));
+    pub(super) fn check_system_call(&self, node: Node, call: SystemCall) -> io::Result<()> {
+        let error = self.with_machine(node, |machine| machine.system_call_failures.next(call));
         error.map_or(Ok(()), |error| Err(io::Error::from_raw_os_error(error)))
     }
 }
--- a/crates/router-simulation/src/run/faults.rs
+++ b/crates/router-simulation/src/run/faults.rs
@@ -43,7 +43,7 @@
             FaultKind::DiscoveryDown => {
                 let until = self.now() + fault.duration;
                 self.discovery.down_until.set(until);
-                self.discovery.end_watches();
+                self.discovery.reset_watches();
             }
             FaultKind::DiscoveryFlaps => self.flap_discovery(fault),
             // Late news: discovery's zone is cut off for part of the time.
@@ -135,7 +135,7 @@
     fn flap_discovery(self: &Rc<Self>, fault: &Fault) {
         for turn in 0..FLAP_COUNT {
             self.after(fault.duration / FLAP_COUNT * turn, |run| {
-                run.discovery.end_watches();
+                run.discovery.reset_watches();
             });
         }
     }
--- a/crates/router-simulation/src/run/overloaded_discovery.rs
+++ b/crates/router-simulation/src/run/overloaded_discovery.rs
@@ -43,7 +43,7 @@
         assert!(executor.run_until(SILENT_AT), "the routers watch");
         let call_time = self.fleet_call_time / self.router_count as Time;
         let queue = Rc::new(CallQueue::new(call_time, SILENT_AT + self.busy_time));
-        run.discovery.begin_queue(queue.clone());
+        run.discovery.set_call_queue(queue.clone());
         run.discovery.silence_watches();
         assert!(executor.run_until(SILENT_AT + self.duration), "no livelock");
         let recovery = Recovery {
--- a/crates/router-simulation/src/run/routers.rs
+++ b/crates/router-simulation/src/run/routers.rs
@@ -88,13 +88,13 @@
             let rng = SeededRng::new(self.plan.seed, stream);
             self.simulation
                 .network
-                .fail_system_calls_by_chance(router.node, ratio, rng);
+                .fail_system_calls_randomly(router.node, ratio, rng);
         }
     }
 
     /// Starts a router's process with the list that its machine last had.
     pub(super) fn start_router(self: &Rc<Self>, router: &Rc<RouterProcess>) {
-        let list = self.discovery.known_to(router.node);
+        let list = self.discovery.last_list_sent_to(router.node);
         self.simulation
             .checker
             .borrow_mut()
--- a/crates/router-simulation/src/run/traffic.rs
+++ b/crates/router-simulation/src/run/traffic.rs
@@ -88,7 +88,7 @@
         let stay = (request.timeout as f64 * selector * selector) as Time;
         let read_delay = (selector * 600.0) as Time * MILLI;
         ClientBehavior {
-            leaves_after: leaves.then_some(stay),
+            disconnect_after: leaves.then_some(stay),
             read_delay: if reads_slowly { read_delay } else { 0 },
         }
     }
--- a/crates/router-simulation/src/scenario.rs
+++ b/crates/router-simulation/src/scenario.rs
@@ -39,7 +39,7 @@
 pub const DEADLINE: Time = 2 * SECOND;
 
 /// Bytes that a connection of a scenario takes without their being read.
-const RECEIVE_WINDOW: usize = 65_536;
+const RECEIVE_WINDOW_BYTES: usize = 65_536;
 /// Descriptors of a scenario's peers.
 const PEER_DESCRIPTOR_LIMIT: usize = 1_000;
 /// Descriptors that the router's settings allow it.
@@ -55,11 +55,11 @@
 
 /// How the router of a scenario is configured.
 #[derive(Clone, Copy, Default)]
-struct Options {
+struct ScenarioOptions {
     /// It coalesces identical reads.
     coalesces: bool,
     /// Discovery pushes its list.
-    is_pushed: bool,
+    lists_are_pushed: bool,
 }
 
 /// One router among scripted peers.
@@ -84,28 +84,28 @@
 impl Scenario {
     /// A router and so many servers, all up since long ago. The seed draws the order of what falls due at one instant.
     pub fn new(server_count: usize, seed: u64) -> Scenario {
-        Scenario::with_options(server_count, seed, Options::default())
+        Scenario::with_options(server_count, seed, ScenarioOptions::default())
     }
 
     /// The same where discovery pushes its list.
     pub fn with_push_discovery(server_count: usize, seed: u64) -> Scenario {
-        let options = Options {
-            is_pushed: true,
-            ..Options::default()
+        let options = ScenarioOptions {
+            lists_are_pushed: true,
+            ..ScenarioOptions::default()
         };
         Scenario::with_options(server_count, seed, options)
     }
 
     /// The same with a router that coalesces identical reads.
     pub fn coalescing(server_count: usize, seed: u64) -> Scenario {
-        let options = Options {
+        let options = ScenarioOptions {
             coalesces: true,
-            ..Options::default()
+            ..ScenarioOptions::default()
         };
         Scenario::with_options(server_count, seed, options)
     }
 
-    fn with_options(server_count: usize, seed: u64, options: Options) -> Scenario {
+    fn with_options(server_count: usize, seed: u64, options: ScenarioOptions) -> Scenario {
         let simulation = new_simulation(server_count, seed, options);
         let add_machine = |role| simulation.add_machine(role, 0, PEER_DESCRIPTOR_LIMIT);
         let servers: Vec<Rc<ScriptedServer>> = (0..server_count)
@@ -250,7 +250,7 @@
     }
 
     /// Unix time in milliseconds, for a process that starts now.
-    pub fn born_now(&self) -> u64 {
+    pub fn unix_now_ms(&self) -> u64 {
         (UNIX_START + self.executor.now()) / 1_000
     }
 
@@ -276,15 +276,15 @@
     }
 }
 
-fn new_simulation(server_count: usize, seed: u64, options: Options) -> Simulation {
+fn new_simulation(server_count: usize, seed: u64, options: ScenarioOptions) -> Simulation {
     let parameters = RuleParameters {
         coalescing: options.coalesces.then(coalescing_parameters),
-        lists_are_pushed: options.is_pushed,
+        lists_are_pushed: options.lists_are_pushed,
         ..rule_parameters()
     };
     Simulation::new(
         InvariantChecker::new(parameters, &server_identities(server_count), true),
-        calm(),
+        constant_latency_conditions(),
         SeededRng::new(seed, 1),
         SeededRng::new(seed, 2),
     )
@@ -311,9 +311,9 @@
     entry.json()
 }
 
-fn router_config(seed: u64, options: Options, list: &str) -> RouterConfig {
+fn router_config(seed: u64, options: ScenarioOptions, list: &str) -> RouterConfig {
     let parameters = DeploymentParameters {
-        lists_are_pushed: options.is_pushed,
+        lists_are_pushed: options.lists_are_pushed,
         ..deployment_parameters()
     };
     let deployment = parameters.deployment();
@@ -344,21 +344,21 @@
 }
 
 /// A network on which each way takes [`LATENCY`].
-pub fn calm() -> NetworkConditions {
+pub fn constant_latency_conditions() -> NetworkConditions {
     NetworkConditions {
         latency_within_zone: LATENCY - 1,
         latency_between_zones: LATENCY - 1,
         jitter_ratio: 0.0,
         loss_ratio: 0.0,
         split_ratio: 0.0,
-        receive_window: RECEIVE_WINDOW,
+        receive_window: RECEIVE_WINDOW_BYTES,
         datagrams: DatagramConditions::default(),
     }
 }
 
 /// The parameters of the rules in a scenario whose router does not coalesce.
 pub fn rule_parameters() -> RuleParameters {
-    deployment_parameters().rule_parameters(RECEIVE_WINDOW)
+    deployment_parameters().rule_parameters(RECEIVE_WINDOW_BYTES)
 }
 
 fn deployment_parameters() -> DeploymentParameters {
--- a/crates/router-simulation/src/scenario/client.rs
+++ b/crates/router-simulation/src/scenario/client.rs
@@ -57,7 +57,11 @@
     }
 
     /// A client that connects, writes each of these at its time, and reads until the connection ends or it leaves.
-    pub fn client(&self, writes: Vec<(Time, Vec<u8>)>, leaves_at: Option<Time>) -> ReceivedChunks {
+    pub fn start_client(
+        &self,
+        writes: Vec<(Time, Vec<u8>)>,
+        disconnect_at: Option<Time>,
+    ) -> ReceivedChunks {
         let received = ReceivedChunks::default();
         let sink = received.clone();
         let environment = self.network.environment(self.client);
@@ -74,7 +78,7 @@
                 }
             }
             let mut buffer = vec![0; 65_536];
-            let leaves = executor.sleep_until(leaves_at.unwrap_or(Time::MAX));
+            let leaves = executor.sleep_until(disconnect_at.unwrap_or(Time::MAX));
             tokio::pin!(leaves);
             loop {
                 let count = tokio::select! {
@@ -96,7 +100,7 @@
     }
 
     /// A client that writes at a time, and reads nothing until another.
-    pub fn non_reading_client(&self, at: Time, bytes: Vec<u8>, until: Time) {
+    pub fn start_non_reading_client(&self, at: Time, bytes: Vec<u8>, until: Time) {
         let environment = self.network.environment(self.client);
         let executor = self.executor.clone();
         let address = self.router_address;
@@ -114,7 +118,7 @@
     /// A client that sends one request, so that its last byte is at the router's machine at this time.
     pub fn request_at(&self, at: Time, class: usize, key: u64, timeout: Time) -> ReceivedChunks {
         let bytes = self.encode_request(class, key, timeout).bytes;
-        self.client(vec![(at - LATENCY, bytes)], None)
+        self.start_client(vec![(at - LATENCY, bytes)], None)
     }
 
     /// The same for a read of one of two tenants.
@@ -126,6 +130,6 @@
         timeout: Time,
     ) -> ReceivedChunks {
         let request = self.encode_request_of(Some(tenant), 0, key, timeout);
-        self.client(vec![(at - LATENCY, request.bytes)], None)
+        self.start_client(vec![(at - LATENCY, request.bytes)], None)
     }
 }
--- a/crates/router-simulation/src/scenario/discovery.rs
+++ b/crates/router-simulation/src/scenario/discovery.rs
@@ -12,7 +12,7 @@
 /// While nothing is announced, a heartbeat is sent this often, in microseconds.
 const HEARTBEAT_INTERVAL: Time = SECOND;
 /// How often a watch looks for announcements, beside their exact times; in microseconds.
-const LOOK_INTERVAL: Time = 500;
+const POLL_INTERVAL: Time = 500;
 
 /// A line of the list that is yet to be sent.
 struct Announcement {
@@ -80,7 +80,7 @@
             if (opened..executor.now()).contains(&self.reset_at.get()) {
                 return stream.reset();
             }
-            let due = self.take_due(executor.now());
+            let due = self.take_due_entries(executor.now());
             if !due.is_empty() {
                 version += 1;
                 let line = list_json(version, false, &due);
@@ -89,20 +89,20 @@
                 heartbeat_at = executor.now() + HEARTBEAT_INTERVAL;
                 written = stream.write_all(chunk("").as_bytes()).await;
             }
-            executor.sleep_until(self.next_look(executor.now())).await;
+            executor.sleep_until(self.next_poll(executor.now())).await;
         }
     }
 
-    fn take_due(&self, now: Time) -> Vec<String> {
+    fn take_due_entries(&self, now: Time) -> Vec<String> {
         let mut announcements = self.announcements.borrow_mut();
         let due = announcements.extract_if(.., |announcement| announcement.at <= now);
         due.map(|announcement| announcement.entry).collect()
     }
 
-    fn next_look(&self, now: Time) -> Time {
+    fn next_poll(&self, now: Time) -> Time {
         let announcements = self.announcements.borrow();
         let next = announcements.iter().map(|announcement| announcement.at);
         let next = next.min().unwrap_or(Time::MAX);
-        next.min(now + LOOK_INTERVAL).max(now + 1)
+        next.min(now + POLL_INTERVAL).max(now + 1)
     }
 }
--- a/crates/router-simulation/src/wire.rs
+++ b/crates/router-simulation/src/wire.rs
@@ -14,7 +14,7 @@
 /// How deep arrays may nest.
 const MAX_DEPTH: u32 = 2;
 /// The bits of a request id that hold the number of the client's try.
-const TRY_BITS: u32 = 8;
+const ATTEMPT_BITS: u32 = 8;
 
 /// One whole frame.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -79,7 +79,7 @@
         let is_array = lines.next().is_some_and(|line| line.starts_with(b"*"));
         let length = lines
             .next()
-            .and_then(|line| number(line.strip_suffix(b"\r")?).ok());
+            .and_then(|line| parse_number(line.strip_suffix(b"\r")?).ok());
         is_array && length.is_some_and(|length| length > LONG_VALUE_BYTES)
     }
 
@@ -113,14 +113,14 @@
             let frame = Frame::Line(line.to_vec());
             Ok(Some(Parsed { frame, end }))
         }
-        Some(b'$') => parse_bulk(bytes, end, number(line)?),
-        Some(b'*') if depth < MAX_DEPTH => parse_array(bytes, end, number(line)?, depth),
+        Some(b'$') => parse_bulk(bytes, end, parse_number(line)?),
+        Some(b'*') if depth < MAX_DEPTH => parse_array(bytes, end, parse_number(line)?, depth),
         _ => Err(InvalidFrame),
     }
 }
 
 /// The number after the first byte of a line.
-fn number(line: &[u8]) -> Result<i64, InvalidFrame> {
+fn parse_number(line: &[u8]) -> Result<i64, InvalidFrame> {
     let digits = line.get(1..).ok_or(InvalidFrame)?;
     let digits = std::str::from_utf8(digits).map_err(|_| InvalidFrame)?;
     digits.parse().map_err(|_| InvalidFrame)
@@ -283,12 +283,12 @@
 
 /// The id of a client's try of a request: 0 for the first.
 pub fn request_id(number: u32, attempt: u64) -> u64 {
-    u64::from(number) << TRY_BITS | attempt
+    u64::from(number) << ATTEMPT_BITS | attempt
 }
 
 /// The number of the request that an id belongs to.
 pub fn request_number(id: u64) -> u32 {
-    (id >> TRY_BITS) as u32
+    (id >> ATTEMPT_BITS) as u32
 }
 
 /// A key as it stands on the wire.
--- a/crates/router-simulation/tests/coalescing_scenarios.rs
+++ b/crates/router-simulation/tests/coalescing_scenarios.rs
@@ -26,7 +26,7 @@
         let bytes: Vec<u8> = (0..10)
             .flat_map(|_| scenario.encode_request(0, key, timeout).bytes)
             .collect();
-        scenario.client(vec![(at - LATENCY, bytes)], None)
+        scenario.start_client(vec![(at - LATENCY, bytes)], None)
     };
     (0..50).map(request).collect()
 }
@@ -187,14 +187,14 @@
     let scenario = Scenario::coalescing(1, 1);
     scenario.set_all_behaviors(&ServerBehavior::Serve(500 * MILLI));
     let bytes = scenario.encode_request(0, 7, SECOND).bytes;
-    scenario.client(vec![(SECOND, bytes)], Some(SECOND + 100 * MILLI));
+    scenario.start_client(vec![(SECOND, bytes)], Some(SECOND + 100 * MILLI));
     let other = scenario.request_at(SECOND + 50 * MILLI, 0, 7, SECOND);
     scenario.run_until(3 * SECOND);
     assert_eq!((served(&other), scenario.total_received_requests()), (1, 1));
     let bytes = scenario.encode_request(0, 8, SECOND).bytes;
     let more = scenario.encode_request(0, 8, SECOND).bytes;
-    scenario.client(vec![(4 * SECOND, bytes)], Some(4 * SECOND + 100 * MILLI));
-    scenario.client(vec![(4 * SECOND, more)], Some(4 * SECOND + 200 * MILLI));
+    scenario.start_client(vec![(4 * SECOND, bytes)], Some(4 * SECOND + 100 * MILLI));
+    scenario.start_client(vec![(4 * SECOND, more)], Some(4 * SECOND + 200 * MILLI));
     scenario.run_until(4 * SECOND + 199 * MILLI);
     assert_eq!(scenario.runtime.resource_usage().coalesced_flights, 1);
     scenario.run_until(4 * SECOND + 210 * MILLI);
@@ -322,7 +322,7 @@
         let bytes: Vec<u8> = (0..10)
             .flat_map(|_| scenario.encode_request(0, 7, SECOND).bytes)
             .collect();
-        scenario.non_reading_client(SECOND - LATENCY, bytes, 4 * SECOND);
+        scenario.start_non_reading_client(SECOND - LATENCY, bytes, 4 * SECOND);
     }
     let received = crowd(&scenario, SECOND, 7, SECOND);
     scenario.run_until(SECOND + 100 * MILLI);
@@ -431,7 +431,8 @@
     scenario.set_all_behaviors(&ServerBehavior::Serve(100 * MILLI));
     let first = scenario.encode_request(0, 7, SECOND).bytes;
     let second = scenario.encode_request(0, 7, SECOND).bytes;
-    let received = scenario.client(vec![(SECOND, first), (SECOND + 10 * MILLI, second)], None);
+    let received =
+        scenario.start_client(vec![(SECOND, first), (SECOND + 10 * MILLI, second)], None);
     let other = scenario.request_at(SECOND + 20 * MILLI, 0, 7, SECOND);
     scenario.run_until(3 * SECOND);
     assert_eq!(
@@ -450,8 +451,8 @@
     let scenario = Scenario::coalescing(1, 1);
     scenario.set_all_behaviors(&ServerBehavior::Serve(100 * MILLI));
     let bytes = scenario.encode_request(0, 7, SECOND).bytes;
-    let received = scenario.client(vec![(SECOND, bytes.clone())], None);
-    let again = scenario.client(vec![(SECOND + 10 * MILLI, bytes)], None);
+    let received = scenario.start_client(vec![(SECOND, bytes.clone())], None);
+    let again = scenario.start_client(vec![(SECOND + 10 * MILLI, bytes)], None);
     scenario.run_until(3 * SECOND);
     assert_eq!(served(&received), 1);
     assert!(
--- a/crates/router-simulation/tests/invariant_checker.rs
+++ b/crates/router-simulation/tests/invariant_checker.rs
@@ -71,27 +71,32 @@
     }
 
     fn client_requests(&mut self, at: Time, conn: u32, id: u64, class: usize, timeout: Time) {
-        self.say(at, conn, Side::Dialer, &request_bytes(id, class, timeout));
+        self.say(
+            at,
+            conn,
+            Side::Initiator,
+            &request_bytes(id, class, timeout),
+        );
     }
 
     fn router_sends(&mut self, at: Time, conn: u32, id: u64, class: usize) {
         self.say(
             at,
             conn,
-            Side::Dialer,
+            Side::Initiator,
             &request_bytes(id, class, 100 * MILLI),
         );
     }
 
     fn replies(&mut self, at: Time, conn: u32, bytes: &[u8]) {
-        self.say(at, conn, Side::Listener, bytes);
+        self.say(at, conn, Side::Acceptor, bytes);
     }
 
     fn announce(&mut self, at: Time, conn: u32, health: &str, born: u64) {
         let line = format!(
             "{{\"seq\":2,\"whole\":false,\"hosts\":[{{\"host\":\"s-00\",\"health\":\"{health}\",\"born_ms\":{born}}}]}}\n"
         );
-        self.say(at, conn, Side::Listener, line.as_bytes());
+        self.say(at, conn, Side::Acceptor, line.as_bytes());
     }
 
     fn rules(&mut self, end: Time) -> Vec<Rule> {
@@ -154,7 +159,7 @@
             "router dies" => wire.checker.router_died(SECOND + 1, 0),
             "client leaves" => {
                 wire.checker
-                    .closed(SECOND + 1, client, Side::Dialer, CloseKind::Fin)
+                    .closed(SECOND + 1, client, Side::Initiator, CloseKind::Fin)
             }
             _ => {}
         }
@@ -172,12 +177,14 @@
         let mut wire = Wire::new();
         let client = wire.client(0);
         let bytes = request_bytes(1, 0, 100 * MILLI);
-        wire.checker.written(SECOND, client, Side::Dialer, &bytes);
+        wire.checker
+            .written(SECOND, client, Side::Initiator, &bytes);
         // All of it, or all but its last byte.
         let count = bytes.len() - usize::from(!arrives);
-        wire.checker.delivered(SECOND, client, Side::Dialer, count);
         wire.checker
-            .closed(SECOND + 1, client, Side::Listener, CloseKind::Fin);
+            .delivered(SECOND, client, Side::Initiator, count);
+        wire.checker
+            .closed(SECOND + 1, client, Side::Acceptor, CloseKind::Fin);
         assert_eq!(
             wire.rules(9 * SECOND) == [Rule::Answered],
             lost,
@@ -242,21 +249,21 @@
     let bytes = request_bytes(1, class, 100 * MILLI);
     match end {
         "all but the last byte" => {
-            wire.say(SECOND, first, Side::Dialer, &bytes[..bytes.len() - 1]);
+            wire.say(SECOND, first, Side::Initiator, &bytes[..bytes.len() - 1]);
             wire.checker
-                .close_delivered(SECOND + 1, first, Side::Listener);
+                .close_delivered(SECOND + 1, first, Side::Acceptor);
         }
         "reset" => {
-            wire.say(SECOND, first, Side::Dialer, &bytes);
+            wire.say(SECOND, first, Side::Initiator, &bytes);
             wire.checker
-                .close_delivered(SECOND + 1, first, Side::Listener);
+                .close_delivered(SECOND + 1, first, Side::Acceptor);
         }
         "busy" => {
-            wire.say(SECOND, first, Side::Dialer, &bytes);
+            wire.say(SECOND, first, Side::Initiator, &bytes);
             wire.replies(SECOND + 1, first, b"-BUSY\r\n");
         }
         _ => {
-            wire.say(SECOND, first, Side::Dialer, &bytes);
+            wire.say(SECOND, first, Side::Initiator, &bytes);
             wire.replies(SECOND + 1, first, b"-ERR failed\r\n");
         }
     }
@@ -308,7 +315,7 @@
         wire.client_requests(SECOND, client, 1, 3, 100 * MILLI);
         wire.router_sends(SECOND, server, 1, 3);
         wire.checker
-            .close_delivered(SECOND + 1, server, Side::Listener);
+            .close_delivered(SECOND + 1, server, Side::Acceptor);
         wire.replies(SECOND + 2, client, answer);
         assert_eq!(wire.rules(9 * SECOND) == [Rule::Effects], is_violated);
     }
@@ -372,9 +379,9 @@
     // A line of which the last byte is still on its way tells nothing.
     let line = b"{\"seq\":3,\"whole\":false,\"hosts\":[{\"host\":\"s-00\",\"health\":\"draining\",\"born_ms\":5}]}\n";
     wire.checker
-        .written(3 * SECOND, watch, Side::Listener, line);
+        .written(3 * SECOND, watch, Side::Acceptor, line);
     wire.checker
-        .delivered(3 * SECOND, watch, Side::Listener, line.len() - 1);
+        .delivered(3 * SECOND, watch, Side::Acceptor, line.len() - 1);
     wire.client_requests(4 * SECOND, client, 2, 0, 100 * MILLI);
     wire.router_sends(4 * SECOND, server, 2, 0);
     wire.replies(4 * SECOND, client, &served(2));
--- a/crates/router-simulation/tests/network.rs
+++ b/crates/router-simulation/tests/network.rs
@@ -6,7 +6,7 @@
     CloseKind, DatagramConditions, Network, NetworkConditions, Observer, Side,
 };
 use router_simulation::rng::SeededRng;
-use router_simulation::scenario::{LATENCY, calm};
+use router_simulation::scenario::{LATENCY, constant_latency_conditions};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -44,7 +44,7 @@
     let (executor, network, a, b) = network(
         NetworkConditions {
             datagrams,
-            ..calm()
+            ..constant_latency_conditions()
         },
         seed,
     );
@@ -132,7 +132,7 @@
 
 #[test]
 fn an_address_is_bound_once_and_free_again_after_its_socket() {
-    let (executor, network, a, _) = network(calm(), 1);
+    let (executor, network, a, _) = network(constant_latency_conditions(), 1);
     let (environment, checked) = (network.environment(a), Rc::new(RefCell::new(false)));
     let done = checked.clone();
     executor.spawn(a, async move {
@@ -154,7 +154,7 @@
 fn read_after(
     treat: impl Fn(&Network, Node) + 'static,
 ) -> Vec<(Time, Result<usize, std::io::ErrorKind>)> {
-    let (executor, network, a, b) = network(calm(), 1);
+    let (executor, network, a, b) = network(constant_latency_conditions(), 1);
     let listener = network.listen(b, address(1));
     executor.spawn(b, async move {
         let mut stream = listener.accept().await.expect("a connection");
@@ -198,7 +198,7 @@
 #[test]
 fn connects_are_refused_without_a_process_and_never_come_up_without_a_machine() {
     for vanishes in [false, true] {
-        let (executor, network, a, b) = network(calm(), 1);
+        let (executor, network, a, b) = network(constant_latency_conditions(), 1);
         let listener = network.listen(b, address(1));
         executor.spawn(b, async move {
             let _ = listener.accept().await;
--- a/crates/router-simulation/tests/rare_fault_scenarios.rs
+++ b/crates/router-simulation/tests/rare_fault_scenarios.rs
@@ -10,7 +10,7 @@
     let scenario = Scenario::new(1, 1);
     scenario.delay_connects(0, 230 * MILLI);
     let bytes = scenario.encode_request(0, 1, 2 * SECOND).bytes;
-    scenario.client(vec![(SECOND, bytes)], Some(SECOND + 30 * MILLI));
+    scenario.start_client(vec![(SECOND, bytes)], Some(SECOND + 30 * MILLI));
     scenario.run_until(3 * SECOND);
     scenario
 }
@@ -22,7 +22,7 @@
     let bytes: Vec<u8> = (0..80)
         .flat_map(|key| scenario.encode_request(0, key, 2 * SECOND).bytes)
         .collect();
-    scenario.client(vec![(SECOND, bytes)], Some(SECOND + 30 * MILLI));
+    scenario.start_client(vec![(SECOND, bytes)], Some(SECOND + 30 * MILLI));
     scenario.run_until(3 * SECOND);
     scenario
 }
@@ -71,7 +71,7 @@
     scenario.set_behavior(0, ServerBehavior::Ignore);
     let first = scenario.encode_request(3, 1, 2 * SECOND).bytes;
     let second = scenario.encode_request(3, 2, 2 * SECOND).bytes;
-    scenario.client(
+    scenario.start_client(
         vec![(SECOND + 400 * MILLI, first), (3 * SECOND, second)],
         None,
     );
@@ -92,7 +92,7 @@
     let scenario = Scenario::new(1, 1);
     scenario.set_behavior(0, ServerBehavior::Serve(200 * MILLI));
     scenario.request_at(SECOND, 0, 1, 2 * SECOND);
-    scenario.announce_at(SECOND + 100 * MILLI, 0, "up", scenario.born_now());
+    scenario.announce_at(SECOND + 100 * MILLI, 0, "up", scenario.unix_now_ms());
     scenario.run_until(SECOND + 400 * MILLI);
     scenario.request_at(SECOND + 500 * MILLI, 0, 1, 2 * SECOND);
     scenario.run_until(3 * SECOND);
--- a/crates/router-simulation/tests/scenarios.rs
+++ b/crates/router-simulation/tests/scenarios.rs
@@ -285,7 +285,7 @@
     let scenario = Scenario::new(2, 1);
     let bytes = scenario.encode_request(0, 1, SECOND).bytes;
     let (head, tail) = bytes.split_at(bytes.len() / 2);
-    let received = scenario.client(
+    let received = scenario.start_client(
         vec![
             (SECOND, head.to_vec()),
             (SECOND + 50 * MILLI, tail.to_vec()),
@@ -317,7 +317,7 @@
         bytes.extend(request.bytes);
         ids.push(format!("{:016x}@", request.id));
     }
-    let received = scenario.client(vec![(SECOND, bytes)], None);
+    let received = scenario.start_client(vec![(SECOND, bytes)], None);
     scenario.run_until(SECOND + 10 * MILLI);
     scenario.terminate();
     scenario.run_until(5 * SECOND);
--- a/crates/router-soak/src/client.rs
+++ b/crates/router-soak/src/client.rs
@@ -181,7 +181,8 @@
     }
 
     async fn write(&self, connection: &mut Connection, bytes: &[u8]) -> Result<(), Over> {
-        self.recorder.passed(connection.number, Side::Dialer, bytes);
+        self.recorder
+            .passed(connection.number, Side::Initiator, bytes);
         if connection.stream.write_all(bytes).await.is_err() {
             self.router_ended(connection, RouterEnd::Reset);
             return Err(Over);
@@ -211,7 +212,7 @@
         };
         let bytes = &buffer[..count];
         self.recorder
-            .passed(connection.number, Side::Listener, bytes);
+            .passed(connection.number, Side::Acceptor, bytes);
         connection.frames.feed(0, bytes);
         while let Ok(Some(DecodedFrame { frame, .. })) = connection.frames.next(0) {
             connection.pending.pop_front();
@@ -225,7 +226,7 @@
 
     fn leave(&self, connection: &mut Connection) {
         self.recorder
-            .ended(connection.number, Side::Dialer, CloseKind::Fin);
+            .ended(connection.number, Side::Initiator, CloseKind::Fin);
     }
 
     fn router_ended(&self, connection: &mut Connection, end: RouterEnd) {
--- a/crates/router-soak/src/discovery.rs
+++ b/crates/router-soak/src/discovery.rs
@@ -152,7 +152,7 @@
             self.answer(&mut stream, connection, &head).await;
         }
         self.recorder
-            .ended(connection, Side::Listener, CloseKind::Fin);
+            .ended(connection, Side::Acceptor, CloseKind::Fin);
     }
 
     async fn answer(&self, stream: &mut TcpStream, connection: u32, head: &str) {
@@ -198,7 +198,7 @@
             if !line.is_empty() {
                 let text = format!("{line}\n");
                 self.recorder
-                    .passed(connection, Side::Listener, text.as_bytes());
+                    .passed(connection, Side::Acceptor, text.as_bytes());
             }
             if stream.write_all(chunk(&line).as_bytes()).await.is_err() {
                 return;
--- a/crates/router-soak/src/recorder.rs
+++ b/crates/router-soak/src/recorder.rs
@@ -146,7 +146,7 @@
         }
         // The checker judges no end that a client makes, and lets its requests go.
         let mut checker = self.checker.borrow_mut();
-        checker.closed(now, connection, Side::Dialer, CloseKind::Fin);
+        checker.closed(now, connection, Side::Initiator, CloseKind::Fin);
     }
 
     /// A process of the router was killed: the connections that it held end with it.
--- a/crates/router-soak/src/server.rs
+++ b/crates/router-soak/src/server.rs
@@ -146,7 +146,8 @@
             match read {
                 Ok(count @ 1..) => {
                     let bytes = &buffer[..count];
-                    self.recorder.passed(guard.connection, Side::Dialer, bytes);
+                    self.recorder
+                        .passed(guard.connection, Side::Initiator, bytes);
                     frames.feed(0, bytes);
                 }
                 _ => return,
@@ -178,7 +179,7 @@
         let reply = self.reply(request, faults);
         let is_whole = reply.is_whole;
         self.recorder
-            .passed(guard.connection, Side::Listener, &reply.bytes);
+            .passed(guard.connection, Side::Acceptor, &reply.bytes);
         let is_long = reply.bytes.len() > LONG_REPLY_BYTES;
         let written = if faults.has_pauses && is_long {
             self.write_with_pause(stream, &reply.bytes).await
@@ -259,6 +260,6 @@
 impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.recorder
-            .ended(self.connection, Side::Listener, CloseKind::Fin);
+            .ended(self.connection, Side::Acceptor, CloseKind::Fin);
     }
 }
