--- a/crates/router-simulation/src/network.rs
+++ b/crates/router-simulation/src/network.rs
@@ -1,7 +1,11 @@
-//! TCP and UDP between simulated machines: latency, loss as delay, segments cut at any byte, resets, half-open peers,
-//! connects that are refused or not answered.
+//! TCP and UDP between simulated machines.
 //!
-//! What passes is shown to one [`Observer`]. All runs on one thread; no state is borrowed across an await.
+//! The network simulates latency, packet loss, segments split at any byte, resets, peers that
+//! vanish without closing, and connects that are refused or never answered. For TCP, a lost segment
+//! appears as the delay of its retransmission.
+//!
+//! One [`Observer`] sees all traffic. Everything runs on one thread, and no state is borrowed
+//! across an await.
 
 mod conditions;
 mod connection;
@@ -33,9 +37,9 @@
 /// One of the two ends of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Side {
-    /// The end that connected.
+    /// The end that opened the connection.
     Initiator,
-    /// The end that accepted.
+    /// The end that accepted the connection.
     Acceptor,
 }
 
@@ -52,38 +56,38 @@
 /// How one end closes a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseKind {
-    /// An orderly end.
+    /// An orderly close.
     Fin,
-    /// A reset, by the process or because it ended.
+    /// A reset, sent by the process or because the process has ended.
     Reset,
-    /// Without a packet: its machine vanished.
+    /// No packet is sent, because the machine has vanished.
     Silent,
 }
 
-/// Sees what passes on the wire, in order; `now` in microseconds.
+/// Observes the traffic of the network in order. `now` is virtual time in microseconds.
 pub trait Observer {
-    /// A machine took a connection.
+    /// A connection was opened: it is in the acceptor's backlog.
     fn opened(&mut self, now: Time, connection: u32, initiator: Node, acceptor: Node);
-    /// One end gave these bytes to its machine, which sends them.
+    /// The process at this end wrote these bytes, and its machine sends them.
     fn written(&mut self, now: Time, connection: u32, side: Side, bytes: &[u8]);
-    /// Bytes of this end are at the other's machine.
+    /// Bytes that this end wrote have arrived at the other end's machine.
     fn delivered(&mut self, now: Time, connection: u32, side: Side, count: usize);
-    /// This end closes the connection.
+    /// This end closed the connection.
     fn closed(&mut self, now: Time, connection: u32, side: Side, how: CloseKind);
-    /// The end or the reset of this end is at the other's machine.
+    /// The FIN or reset from this end has arrived at the other end's machine.
     fn close_delivered(&mut self, now: Time, connection: u32, side: Side);
-    /// A process asked for a descriptor beyond its limit.
+    /// A process reached its descriptor limit and was refused another one.
     fn out_of_descriptors(&mut self, now: Time, node: Node);
 }
 
-/// What the network's parts share.
+/// The mutable state of a network.
 struct NetworkState {
     machines: Vec<Machine>,
     listeners: BTreeMap<SocketAddr, Rc<Backlog>>,
-    /// The machine of each address that was ever listened at.
+    /// The machine of each address that a process has ever listened on.
     nodes_by_address: BTreeMap<SocketAddr, Node>,
     receive_buffers: BTreeMap<SocketAddr, Rc<ReceiveBuffer>>,
-    /// Until when zones are cut off from all others.
+    /// For each zone that was isolated, when its isolation ends.
     isolated_until: BTreeMap<usize, Time>,
     conditions: NetworkConditions,
     last_connection_id: u32,
@@ -100,7 +104,7 @@
     }
 }
 
-/// The network of a run.
+/// The simulated network of a run.
 #[derive(Clone)]
 pub struct Network {
     executor: Executor,
@@ -136,14 +140,14 @@
         }
     }
 
-    /// Adds a machine in a zone whose process may hold this many connections.
+    /// Adds a machine to a zone. Its process can hold `descriptor_limit` connections.
     pub fn add_machine(&self, zone: usize, descriptor_limit: usize) -> Node {
         let mut state = self.state.borrow_mut();
         state.machines.push(Machine::new(zone, descriptor_limit));
         Node(state.machines.len() as u32 - 1)
     }
 
-    /// The environment of the machine's process.
+    /// The environment in which a process on this machine runs.
     pub fn environment(&self, node: Node) -> SimulatedEnvironment {
         SimulatedEnvironment {
             network: self.clone(),
@@ -151,12 +155,13 @@
         }
     }
 
-    /// Connections that the process of a machine holds.
+    /// The number of connections that the machine's process holds.
     pub fn open_connections(&self, node: Node) -> usize {
         self.with_machine(node, |machine| machine.descriptor_count)
     }
 
-    /// Ends the process of a machine. Its connections are reset, or end without a packet if the machine vanishes.
+    /// Ends the process of a machine. Its connections are reset, or end without a packet if the
+    /// machine vanishes as well.
     pub fn kill(&self, node: Node, vanishes: bool) {
         let status = if vanishes {
             MachineStatus::Vanished
@@ -173,17 +178,17 @@
         });
     }
 
-    /// Brings a machine that vanished back, with no process on it.
+    /// Restores a machine that vanished, with no process on it.
     pub fn restore(&self, node: Node) {
         self.with_machine(node, |machine| machine.status = MachineStatus::Running);
     }
 
-    /// Connects to this machine are not answered before this time.
+    /// Leaves connection attempts to this machine unanswered until this time.
     pub fn ignore_connects(&self, node: Node, until: Time) {
         self.with_machine(node, |machine| machine.ignores_connects_until = until);
     }
 
-    /// Until a time, connects to this machine take `delay` microseconds longer.
+    /// Delays connection attempts to this machine by `delay` microseconds until a time.
     pub fn delay_connects(&self, node: Node, until: Time, delay: Time) {
         self.with_machine(node, |machine| {
             machine.connects_delayed_until = until;
@@ -191,22 +196,22 @@
         });
     }
 
-    /// Connections to this machine take so many bytes without their being read.
+    /// Sets how many bytes this machine receives on a connection before its process reads them.
     pub fn set_receive_window(&self, node: Node, bytes: usize) {
         self.with_machine(node, |machine| machine.receive_window = Some(bytes));
     }
 
-    /// Sets the wall clock of a machine to the true time and this offset, in microseconds.
+    /// Sets the offset of a machine's wall clock from the true time, in microseconds.
     pub fn set_clock(&self, node: Node, offset: i64) {
         self.with_machine(node, |machine| machine.clock_offset = offset);
     }
 
-    /// Cuts a zone off from all others until this time.
+    /// Partitions a zone from all others until this time.
     pub fn isolate_zone(&self, zone: usize, until: Time) {
         self.state.borrow_mut().isolated_until.insert(zone, until);
     }
 
-    /// Listens at an address of a machine.
+    /// Listens on an address of a machine.
     pub fn listen(&self, node: Node, address: SocketAddr) -> SimulatedListener {
         let backlog = Rc::new(Backlog::new(node));
         let mut state = self.state.borrow_mut();
@@ -226,14 +231,14 @@
         state.last_connection_id
     }
 
-    /// Bytes that a machine takes on a connection without their being read.
+    /// How many bytes a machine receives on a connection before its process reads them.
     fn receive_window(&self, node: Node) -> usize {
         let state = self.state.borrow();
         let own = state.machines[node.0 as usize].receive_window;
         own.unwrap_or(state.conditions.receive_window)
     }
 
-    /// Draws where a write is cut in two; 0 if it is not.
+    /// Draws the byte at which a write is split into two segments; 0 means that it is not split.
     fn draw_split(&self, count: usize) -> usize {
         let state = &mut *self.state.borrow_mut();
         if count > 1 && state.rng.chance(state.conditions.split_ratio) {
@@ -243,7 +248,7 @@
         }
     }
 
-    /// Whether two machines are in different zones of which one is cut off.
+    /// Whether two machines are in different zones, at least one of which is isolated.
     fn are_partitioned(&self, from: Node, to: Node) -> bool {
         let state = self.state.borrow();
         let from_zone = state.zone(from);
@@ -254,8 +259,9 @@
         from_zone != to_zone && isolated_until > self.executor.now()
     }
 
-    /// When a packet that is sent now arrives; none if it never does. A lost one is sent again after
-    /// `retransmission_timeout`, and so is one that meets a cut, once that has ended.
+    /// When a packet that is sent now arrives; `None` if either machine has vanished. A lost packet
+    /// is sent again after `retransmission_timeout`. A packet between partitioned zones is sent
+    /// again that long after the partition ends.
     fn arrival_time(&self, from: Node, to: Node, retransmission_timeout: Time) -> Option<Time> {
         let now = self.executor.now();
         let state = &mut *self.state.borrow_mut();
--- a/crates/router-simulation/src/network/conditions.rs
+++ b/crates/router-simulation/src/network/conditions.rs
@@ -2,34 +2,34 @@
 
 use crate::executor::Time;
 
-/// The conditions of a network; latencies in microseconds, ratios from 0 to 1.
+/// The properties of a network. Latencies are in microseconds, ratios between 0 and 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NetworkConditions {
     /// One-way latency within a zone.
     pub latency_within_zone: Time,
     /// One-way latency between two zones.
     pub latency_between_zones: Time,
-    /// A latency is longer by up to this ratio.
+    /// The largest ratio of its base value by which a latency is increased.
     pub jitter_ratio: f64,
-    /// The ratio of segments that are lost once.
+    /// The ratio of TCP segments that are lost and sent again once.
     pub loss_ratio: f64,
-    /// The ratio of writes that are cut in two segments, at a drawn byte.
+    /// The ratio of writes that are split into two segments at a random byte.
     pub split_ratio: f64,
-    /// Bytes that may be in transit or unread in one direction of a connection.
+    /// How many bytes can be in transit or unread in one direction of a connection.
     pub receive_window: usize,
-    /// What happens to datagrams.
+    /// Loss, duplication and delay of datagrams.
     pub datagrams: DatagramConditions,
 }
 
-/// What happens to datagrams; ratios from 0 to 1.
+/// Loss, duplication and delay of datagrams. Ratios are between 0 and 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct DatagramConditions {
-    /// The ratio that never arrives.
+    /// The ratio of datagrams that are lost.
     pub loss_ratio: f64,
-    /// The ratio that arrives twice.
+    /// The ratio of datagrams that arrive twice.
     pub duplicate_ratio: f64,
-    /// The ratio that is delayed, so that later ones overtake it.
+    /// The ratio of datagrams that are delayed, so that later ones can overtake them.
     pub delayed_ratio: f64,
-    /// The longest such delay, in microseconds.
+    /// The longest delay of a delayed datagram, in microseconds.
     pub max_delay: Time,
 }
--- a/crates/router-simulation/src/network/connection.rs
+++ b/crates/router-simulation/src/network/connection.rs
@@ -1,4 +1,4 @@
-//! TCP connections: segments in transit in each direction, and how a connection is opened.
+//! TCP connections: how they are opened, and the packets in transit in each direction.
 
 use super::listener::Backlog;
 use super::machine::{Descriptor, MachineStatus};
@@ -13,12 +13,13 @@
 use std::rc::Rc;
 use std::task::Waker;
 
-/// A lost segment is delayed by this time, in microseconds: the least retransmission time-out of common stacks.
+/// The delay of a lost segment, in microseconds: the minimum retransmission timeout of common TCP
+/// stacks.
 const RETRANSMISSION_TIMEOUT: Time = 200_000;
-/// A lost SYN is sent again after this time, in microseconds (RFC 6298, section 2).
+/// The time after which a lost SYN is sent again, in microseconds (RFC 6298, section 2).
 const SYN_RETRANSMISSION_TIMEOUT: Time = 1_000_000;
 
-/// What a segment carries.
+/// The content of a TCP segment.
 #[derive(Debug)]
 pub(super) enum Packet {
     Data(Bytes),
@@ -29,27 +30,25 @@
 /// One direction of a connection.
 #[derive(Default)]
 pub(super) struct Pipe {
-    /// Packets by when they arrive, in that order.
+    /// Packets and their arrival times, in order of arrival.
     in_transit: VecDeque<(Time, Packet)>,
     last_arrival: Time,
-    /// What has arrived and is not read.
+    /// Bytes that have arrived and have not been read.
     pub(super) buffer: BytesMut,
-    /// Bytes in transit or unread.
+    /// The number of bytes that are in transit or have not been read.
     pub(super) unread: usize,
-    /// The end has arrived.
     pub(super) fin_received: bool,
-    /// A reset has arrived.
     pub(super) reset_received: bool,
-    /// Its writer has sent its last packet.
+    /// The writer has sent its last packet.
     pub(super) writer_closed: bool,
-    /// Nobody reads any more.
+    /// The reader has closed the connection.
     pub(super) reader_closed: bool,
     pub(super) read_waker: Option<Waker>,
     pub(super) write_waker: Option<Waker>,
 }
 
 impl Pipe {
-    /// Nothing more can arrive.
+    /// Whether no more data can arrive.
     pub(super) fn is_closed(&self) -> bool {
         self.fin_received || self.reset_received
     }
@@ -63,7 +62,7 @@
     }
 }
 
-/// A connection of two machines.
+/// A connection between two machines.
 pub(super) struct Connection {
     pub(super) id: u32,
     nodes: [Node; 2],
@@ -77,19 +76,19 @@
         self.nodes[side as usize]
     }
 
-    /// The incarnation of the process that opened or accepted it at an end.
+    /// The incarnation of the process that opened or accepted the connection at an end.
     pub(super) fn incarnation(&self, side: Side) -> u32 {
         self.incarnations[side as usize]
     }
 
-    /// The direction in which this end writes.
+    /// The direction of the connection into which this end writes.
     pub(super) fn pipe(&self, writer: Side) -> &RefCell<Pipe> {
         &self.pipes[writer as usize]
     }
 }
 
 impl Network {
-    /// Sends a packet from one end. Those of one direction arrive in order.
+    /// Sends a packet from one end. Packets in the same direction arrive in order.
     pub(super) fn send(&self, connection: &Rc<Connection>, from: Side, packet: Packet) {
         let sender = connection.node(from);
         let receiver = connection.node(from.other());
@@ -107,7 +106,7 @@
             .call_at(arrival, move || network.deliver(&connection, from));
     }
 
-    /// Hands over the packets of one end that have arrived.
+    /// Delivers the packets from one end that have arrived, and wakes the tasks that wait for them.
     fn deliver(&self, connection: &Rc<Connection>, from: Side) {
         let mut wakers = Vec::new();
         let must_send_reset = self.receive_packets(connection, from);
@@ -130,7 +129,8 @@
         }
     }
 
-    /// Takes the packets that have arrived; whether data came that nobody reads, which is answered by a reset.
+    /// Processes the packets that have arrived. Returns whether data arrived after the receiver had
+    /// closed the connection, which it answers with a reset.
     fn receive_packets(&self, connection: &Connection, from: Side) -> bool {
         let now = self.executor.now();
         let receiver = connection.node(from.other());
@@ -163,10 +163,10 @@
         must_send_reset
     }
 
-    /// Opens a connection from a machine. Does not return while the other machine does not answer.
+    /// Opens a connection from a machine. Waits as long as the other machine does not answer.
     ///
     /// # Errors
-    /// Nothing listens at the address, or the process is out of descriptors.
+    /// No process listens on the address, or the connecting process has no descriptor left.
     pub(super) async fn open_stream(
         &self,
         from: Node,
--- a/crates/router-simulation/src/network/datagram.rs
+++ b/crates/router-simulation/src/network/datagram.rs
@@ -1,4 +1,5 @@
-//! UDP: datagrams are lost, doubled and delayed as the network's conditions have it, and never sent again.
+//! UDP sockets. Datagrams are lost, duplicated and delayed according to the network's conditions,
+//! and never retransmitted.
 
 use super::Network;
 use super::machine::MachineStatus;
@@ -13,9 +14,9 @@
 use std::rc::Rc;
 use std::task::{Poll, Waker};
 
-/// Datagrams that wait on a socket; further ones are lost, as in a full socket buffer.
+/// How many datagrams a socket buffers. Further ones are dropped.
 const MAX_QUEUED_DATAGRAMS: usize = 256;
-/// The longest payload that UDP over IPv4 carries, in bytes (RFC 768, RFC 791).
+/// The longest payload of a UDP datagram over IPv4, in bytes (RFC 768, RFC 791).
 const MAX_DATAGRAM_BYTES: usize = 65_507;
 
 /// A datagram and its sender.
@@ -25,7 +26,7 @@
     from: SocketAddr,
 }
 
-/// A UDP socket's buffer.
+/// The receive buffer of a UDP socket.
 pub(super) struct ReceiveBuffer {
     node: Node,
     queue: RefCell<VecDeque<Datagram>>,
@@ -46,7 +47,7 @@
     }
 }
 
-/// A UDP socket.
+/// A simulated UDP socket.
 pub struct SimulatedDatagramSocket {
     network: Network,
     address: SocketAddr,
@@ -54,10 +55,10 @@
 }
 
 impl SimulatedDatagramSocket {
-    /// Binds a socket of a machine.
+    /// Binds a socket on a machine.
     ///
     /// # Errors
-    /// The address is in use.
+    /// The address is already in use.
     pub(super) fn bind(
         network: &Network,
         node: Node,
@@ -100,7 +101,7 @@
 impl environment::DatagramSocket for SimulatedDatagramSocket {
     async fn send_to(&self, bytes: &[u8], to: SocketAddr) -> io::Result<usize> {
         if bytes.len() > MAX_DATAGRAM_BYTES {
-            return Err(io::Error::other("message too long"));
+            return Err(io::Error::other("datagram exceeds the maximum UDP payload"));
         }
         let datagram = Datagram {
             bytes: Bytes::copy_from_slice(bytes),
@@ -140,7 +141,7 @@
         }
     }
 
-    /// How many copies of a datagram arrive.
+    /// Draws how many copies of a datagram arrive.
     fn draw_copy_count(&self) -> usize {
         let state = &mut *self.state.borrow_mut();
         let conditions = state.conditions.datagrams;
--- a/crates/router-simulation/src/network/environment.rs
+++ b/crates/router-simulation/src/network/environment.rs
@@ -1,4 +1,4 @@
-//! The router's environment on a simulated machine: its sockets, clock and tasks.
+//! The environment of a process on a simulated machine: its sockets, clock and tasks.
 
 use super::Network;
 use super::datagram::SimulatedDatagramSocket;
@@ -14,7 +14,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// What a process on one machine sees of the simulation.
+/// The sockets, clock and tasks of the process on one machine.
 #[derive(Clone)]
 pub struct SimulatedEnvironment {
     pub(super) network: Network,
@@ -40,12 +40,12 @@
 
     fn sleep_until(&self, at: Instant) -> impl Future<Output = ()> {
         let time = at.saturating_duration_since(self.network.epoch);
-        // The clock counts whole microseconds; a timer is never early.
+        // The clock counts whole microseconds. Rounding up keeps the timer from firing early.
         let microseconds = time.as_nanos().div_ceil(1_000) as Time;
         self.network.executor.sleep_until(microseconds)
     }
 
-    /// The task belongs to the machine's process and ends with it.
+    /// Spawns a task that belongs to the machine's process and ends with it.
     fn spawn(&self, task: impl Future<Output = ()> + 'static) {
         self.network.executor.spawn(self.node, task);
     }
--- a/crates/router-simulation/src/network/listener.rs
+++ b/crates/router-simulation/src/network/listener.rs
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 use std::task::{Poll, Waker};
 
-/// Connections that a machine has taken and its process has not accepted.
+/// The connections to a listening socket that its process has not accepted yet.
 pub(super) struct Backlog {
     pub(super) node: Node,
     queue: RefCell<VecDeque<SimulatedStream>>,
@@ -49,7 +49,7 @@
     }
 }
 
-/// A listening socket; when dropped, the connections in its backlog are reset.
+/// A listening socket. Dropping it resets the connections in its backlog.
 pub struct SimulatedListener {
     network: Network,
     address: SocketAddr,
@@ -72,7 +72,8 @@
     /// Accepts the next connection.
     ///
     /// # Errors
-    /// The process is out of descriptors, or the call is to fail; the connection stays in the backlog.
+    /// The process has no descriptor left, or a failure of the call is simulated. The connection
+    /// stays in the backlog.
     pub async fn accept(&self) -> io::Result<SimulatedStream> {
         let stream = self.backlog.pop().await;
         let call = self
@@ -94,13 +95,13 @@
 impl Drop for SimulatedListener {
     fn drop(&mut self) {
         let mut state = self.network.state.borrow_mut();
-        // A later process may listen there already.
+        // A later process may already listen on this address.
         let current = state.listeners.get(&self.address);
         if current.is_some_and(|backlog| Rc::ptr_eq(backlog, &self.backlog)) {
             state.listeners.remove(&self.address);
         }
         drop(state);
-        // Dropping a stream sends: no state may be borrowed.
+        // Dropping a stream sends a packet, so the state must not be borrowed here.
         let unaccepted = std::mem::take(&mut *self.backlog.queue.borrow_mut());
         drop(unaccepted);
     }
--- a/crates/router-simulation/src/network/machine.rs
+++ b/crates/router-simulation/src/network/machine.rs
@@ -1,39 +1,41 @@
-//! Simulated machines: whether they run, what connects to them, and the descriptors of their processes.
+//! Simulated machines: their status, simulated faults, and the descriptors of their processes.
 
 use super::Network;
 use super::system_calls::SystemCallFailures;
 use crate::executor::{Node, Time};
 use std::io;
 
-/// Whether a machine and its process run.
+/// The status of a machine and its process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum MachineStatus {
     Running,
-    /// Its process is ending: its connections are reset.
+    /// The process is ending, and its connections are reset.
     ProcessEnding,
-    /// The machine has vanished.
+    /// The machine is gone and sends no packet.
     Vanished,
 }
 
-/// One machine with one process.
+/// A machine that runs one process.
 pub(super) struct Machine {
     pub(super) zone: usize,
     pub(super) status: MachineStatus,
-    /// Counts its processes: a connection of an earlier one ends without a packet.
+    /// The number of processes that have ended on this machine. A connection of an earlier process
+    /// closes without a packet.
     pub(super) incarnation: u32,
     pub(super) descriptor_count: usize,
     descriptor_limit: usize,
-    /// Connects to it are not answered until then.
+    /// Connection attempts to this machine are not answered before this time.
     pub(super) ignores_connects_until: Time,
-    /// Connects to it are delayed until `connects_delayed_until` ...
+    /// Connection attempts to this machine are delayed by `connect_delay` until this time.
     pub(super) connects_delayed_until: Time,
-    /// ... by this time, in microseconds.
+    /// The delay of connection attempts, in microseconds.
     pub(super) connect_delay: Time,
-    /// Its wall clock less the true time, in microseconds.
+    /// The offset of the wall clock from the true time, in microseconds.
     pub(super) clock_offset: i64,
-    /// Bytes that it takes without their being read; `None`: as the network's conditions have it.
+    /// How many bytes are received on a connection before they are read; `None` for the default in
+    /// the network's conditions.
     pub(super) receive_window: Option<usize>,
-    /// System calls of its process that are to fail.
+    /// The simulated failures of the process's system calls.
     pub(super) system_call_failures: SystemCallFailures,
 }
 
@@ -55,17 +57,17 @@
     }
 }
 
-/// One descriptor of a process, given back when dropped.
+/// A file descriptor of a process, released on drop.
 pub(super) struct Descriptor {
     network: Network,
     node: Node,
 }
 
 impl Descriptor {
-    /// Takes a descriptor of a machine's process.
+    /// Acquires a descriptor for the process on a machine.
     ///
     /// # Errors
-    /// The process has as many as it may.
+    /// The process has reached its descriptor limit.
     pub(super) fn acquire(network: &Network, node: Node) -> io::Result<Descriptor> {
         let has_room = network.with_machine(node, |machine| {
             let has_room = machine.descriptor_count < machine.descriptor_limit;
--- a/crates/router-simulation/src/network/stream.rs
+++ b/crates/router-simulation/src/network/stream.rs
@@ -1,4 +1,4 @@
-//! The ends of a connection, as sockets.
+//! The sockets at the two ends of a TCP connection.
 
 use super::connection::{Connection, Packet};
 use super::machine::{Descriptor, MachineStatus};
@@ -13,12 +13,12 @@
 use std::task::{Context, Poll};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// One end of a connection.
+/// A simulated TCP socket: one end of a connection.
 pub struct SimulatedStream {
     network: Network,
     connection: Rc<Connection>,
     side: Side,
-    /// Its process's descriptor; none while it is in the backlog.
+    /// The descriptor of the process that holds the stream; `None` while it is in the backlog.
     descriptor: RefCell<Option<Descriptor>>,
 }
 
@@ -36,12 +36,12 @@
         }
     }
 
-    /// The process has the stream: it holds this descriptor.
+    /// Attaches the descriptor by which a process holds the stream.
     pub(super) fn attach_descriptor(&self, descriptor: Descriptor) {
         *self.descriptor.borrow_mut() = Some(descriptor);
     }
 
-    /// The connection's number.
+    /// The number of the connection.
     pub fn id(&self) -> u32 {
         self.connection.id
     }
@@ -51,7 +51,7 @@
         self.connection.node(self.side.other())
     }
 
-    /// Ends the connection with a reset.
+    /// Closes the connection with a reset.
     pub fn reset(&self) {
         self.close(CloseKind::Reset);
     }
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Nothing more is written; whether that was so before.
+    /// Closes the writing direction. Returns whether it was already closed.
     fn close_writer(&self) -> bool {
         let mut outbound = self.connection.pipe(self.side).borrow_mut();
         std::mem::replace(&mut outbound.writer_closed, true)
@@ -139,7 +139,7 @@
         Poll::Ready(Ok(count))
     }
 
-    /// Sends bytes in one segment or two.
+    /// Sends bytes in one segment, or in two if the write is split.
     fn send_bytes(&self, bytes: &[u8]) {
         let now = self.network.executor.now();
         self.network
@@ -161,7 +161,7 @@
         Poll::Ready(Ok(()))
     }
 
-    /// How the connection closes when its process drops it.
+    /// How the connection closes when the process drops the stream.
     fn close_on_drop(&self) -> CloseKind {
         let node = self.connection.node(self.side);
         let opened_by = self.connection.incarnation(self.side);
@@ -186,7 +186,7 @@
     }
 }
 
-/// Implements the socket traits for a type that holds a stream.
+/// Implements `AsyncRead` and `AsyncWrite` for a type that gives access to a stream.
 macro_rules! impl_async_io {
     ($name:ty, $stream:ident => $inner:expr) => {
         impl AsyncRead for $name {
@@ -222,7 +222,7 @@
     };
 }
 
-/// The reading or writing half of a stream.
+/// The read or write half of a stream.
 pub struct SimulatedStreamHalf<'a>(&'a SimulatedStream);
 
 impl_async_io!(SimulatedStream, stream => stream);
--- a/crates/router-simulation/src/network/system_calls.rs
+++ b/crates/router-simulation/src/network/system_calls.rs
@@ -1,4 +1,4 @@
-//! System calls of a simulated process that fail, as Linux documents for them.
+//! Simulated system call failures, with the error numbers that Linux documents for each call.
 
 use super::Network;
 use crate::executor::Node;
@@ -6,18 +6,18 @@
 use std::collections::VecDeque;
 use std::io;
 
-/// A system call that can be made to fail.
+/// A system call whose failure can be simulated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SystemCall {
-    /// `accept`: once a connection waits, which stays in the backlog.
+    /// `accept`, which fails when a connection is pending. The connection stays in the backlog.
     Accept,
-    /// `connect`: at once.
+    /// `connect`, which fails immediately.
     Connect,
 }
 
-/// So many calls on end fail at most.
+/// The largest number of consecutive calls that one random failure covers.
 const MAX_FAILURE_BURST: u64 = 4;
-/// What accept(2) fails with for a moment.
+/// Transient errors of accept(2).
 const ACCEPT_ERRORS: [i32; 8] = [
     libc::ECONNABORTED,
     libc::EINTR,
@@ -28,7 +28,7 @@
     libc::EHOSTUNREACH,
     libc::ETIMEDOUT,
 ];
-/// What connect(2) fails with for a moment, on this machine or in the network.
+/// Transient errors of connect(2), local or of the network.
 const CONNECT_ERRORS: [i32; 7] = [
     libc::EADDRNOTAVAIL,
     libc::ENETUNREACH,
@@ -39,24 +39,25 @@
     libc::EHOSTUNREACH,
 ];
 
-/// The failures of a machine's calls.
+/// The simulated failures of a machine's system calls.
 #[derive(Default)]
 pub(super) struct SystemCallFailures {
-    /// The error numbers of the next calls, each used once.
+    /// The error numbers of the next `accept` calls, each used once.
     accept: VecDeque<i32>,
+    /// The error numbers of the next `connect` calls, each used once.
     connect: VecDeque<i32>,
-    /// Later calls fail by chance.
+    /// Random failures of the calls after those.
     random_failures: Option<RandomFailures>,
 }
 
-/// Calls that fail by chance, in bursts as a shortage has them.
+/// Random failures, in bursts such as a resource shortage causes.
 struct RandomFailures {
     rng: SeededRng,
     ratio: f64,
 }
 
 impl RandomFailures {
-    /// The error numbers of this call and those behind it; none if it succeeds.
+    /// Draws the error numbers of this call and the ones that follow it; empty if it succeeds.
     fn draw(&mut self, call: SystemCall) -> Vec<i32> {
         if !self.rng.chance(self.ratio) {
             return Vec::new();
@@ -71,7 +72,7 @@
 }
 
 impl SystemCallFailures {
-    /// The error number of this call, if it is to fail.
+    /// The error number of the current call; `None` if it succeeds.
     fn next(&mut self, call: SystemCall) -> Option<i32> {
         if self.queue(call).is_empty()
             && let Some(random_failures) = &mut self.random_failures
@@ -91,14 +92,15 @@
 }
 
 impl Network {
-    /// The next calls of this machine's process fail with these error numbers, one after the other.
+    /// Makes the next calls of this machine's process fail with these error numbers in turn.
     pub fn fail_system_calls(&self, node: Node, call: SystemCall, errors: &[i32]) {
         self.with_machine(node, |machine| {
             machine.system_call_failures.queue(call).extend(errors)
         });
     }
 
-    /// From now on this ratio of the calls of this machine's processes begin to fail, drawn from a seed.
+    /// Makes calls of this machine's processes fail at random from now on. `ratio` is the chance
+    /// that a call starts a burst of failures.
     pub fn fail_system_calls_randomly(&self, node: Node, ratio: f64, rng: SeededRng) {
         let random_failures = RandomFailures { rng, ratio };
         self.with_machine(node, |machine| {
@@ -106,7 +108,10 @@
         });
     }
 
-    /// The failure of this call, if it is to fail.
+    /// Returns the simulated failure of a call.
+    ///
+    /// # Errors
+    /// This call is simulated to fail.
     pub(super) fn check_system_call(&self, node: Node, call: SystemCall) -> io::Result<()> {
         let error = self.with_machine(node, |machine| machine.system_call_failures.next(call));
         error.map_or(Ok(()), |error| Err(io::Error::from_raw_os_error(error)))
