--- a/crates/router-simulation/src/clients.rs
+++ b/crates/router-simulation/src/clients.rs
@@ -1,5 +1,5 @@
-//! A model of the clients of one router: they keep connections, wait as long as they said, and retry as the protocol lets
-//! them.
+//! A model of the clients of one router. They reuse connections, give up after the timeout that
+//! their requests state, and retry as the protocol allows.
 
 use crate::executor::{Node, Time};
 use crate::fault_plan::{CLASSES, MILLI, PlannedRequest, RunPlan};
@@ -12,30 +12,32 @@
 use std::rc::Rc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// Tries of one request.
+/// The most attempts of a client at one request.
 const MAX_ATTEMPTS: u64 = 3;
-/// A client that was not told when to retry waits this long, in microseconds.
+/// The delay before a retry if the response gives no Retry-After, in microseconds.
 const DEFAULT_RETRY_DELAY: Time = 30 * MILLI;
-/// A client closes a connection this long after its timeout, in microseconds: late enough to read a late answer.
+/// How long after its timeout a client closes the connection, in microseconds. The delay leaves time
+/// to read a late answer.
 const LATE_RESPONSE_GRACE: Time = 120 * MILLI;
-/// A client does not retry with less time than this left, in microseconds.
+/// The least remaining time with which a client retries, in microseconds.
 const MIN_RETRY_TIMEOUT: Time = 50 * MILLI;
 
-/// What became of one try.
+/// The outcome of a client's attempt at one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ClientAttemptOutcome {
     Served,
-    /// With the time after which to retry, in milliseconds.
+    /// Rejected, with the Retry-After in milliseconds if the response has one.
     Rejected(Option<u64>),
     Failed,
-    /// Nothing was sent: no connection came up.
+    /// Nothing was sent, because no connection could be opened.
     Unreachable,
-    /// The client disconnected by itself.
+    /// The client disconnected before it read the response.
     Disconnected,
 }
 
 impl ClientAttemptOutcome {
-    /// How long a client waits before it retries; `None` if it does not. `is_repeatable` tells whether a failed one may run again.
+    /// How long a client waits before it retries, in microseconds; `None` if it does not retry.
+    /// `is_repeatable` tells whether a failed request may be executed again.
     fn retry_delay(self, is_repeatable: bool) -> Option<Time> {
         match self {
             ClientAttemptOutcome::Served | ClientAttemptOutcome::Disconnected => None,
@@ -58,19 +60,19 @@
     }
 }
 
-/// How a client behaves with its requests; times in microseconds.
+/// How a client behaves on a connection. Times are in microseconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ClientBehavior {
-    /// It disconnects this long after it has sent them.
+    /// The client disconnects this long after it has sent its requests.
     pub disconnect_after: Option<Time>,
-    /// It reads its answers this much later.
+    /// The client starts to read this long after it has sent its requests.
     pub read_delay: Time,
 }
 
-/// A try of requests on one connection.
+/// An attempt at requests that are pipelined on one connection.
 struct ClientAttempt<'a> {
     requests: &'a [PlannedRequest],
-    /// 0 for the first.
+    /// The number of the attempt, 0 for the first.
     number: u64,
     behavior: ClientBehavior,
 }
@@ -89,7 +91,7 @@
     }
 }
 
-/// The clients of one router, on one machine. Their tasks end by themselves.
+/// The clients of one router, all on one machine. Their tasks end by themselves.
 pub struct Clients {
     simulation: Simulation,
     node: Node,
@@ -99,7 +101,7 @@
 }
 
 impl Clients {
-    /// Clients on this machine, for the router at this address.
+    /// Creates clients on a machine for the router at an address.
     pub fn new(
         simulation: Simulation,
         node: Node,
@@ -119,7 +121,7 @@
         self.simulation.executor.now()
     }
 
-    /// Sends requests at once on one connection, and each that may be retried again.
+    /// Pipelines requests on one connection, and then retries each one separately.
     pub fn send(self: &Rc<Self>, requests: Vec<PlannedRequest>, behavior: ClientBehavior) {
         let clients = self.clone();
         self.simulation.executor.spawn(self.node, async move {
@@ -139,8 +141,8 @@
         });
     }
 
-    /// Sends requests at once on one connection, and those that were declined again, still on one: a crowd keeps the
-    /// connections that it has.
+    /// Pipelines requests on one connection, and retries the retryable ones together on one
+    /// connection, so that a crowd keeps the number of its connections.
     pub fn send_as_crowd(
         self: &Rc<Self>,
         mut requests: Vec<PlannedRequest>,
@@ -172,7 +174,8 @@
         });
     }
 
-    /// The requests that may still be sent, with the time that is left to each.
+    /// Drops the requests that have too little time left, and limits the timeout of the others to
+    /// the time that they have left.
     fn with_time_left(&self, mut requests: Vec<PlannedRequest>) -> Vec<PlannedRequest> {
         requests.retain_mut(|request| {
             request.timeout = request.timeout.min(self.time_left(request));
@@ -186,7 +189,7 @@
         deadline.saturating_sub(self.now())
     }
 
-    /// Retries a request after its first try.
+    /// Retries a request after its first attempt.
     async fn retry(self: Rc<Self>, request: PlannedRequest, mut outcome: ClientAttemptOutcome) {
         for number in 1..MAX_ATTEMPTS {
             let Some(delay) = outcome.retry_delay(self.is_repeatable(&request)) else {
@@ -214,7 +217,8 @@
         }
     }
 
-    /// Whether a request that failed may run again: a read, or a keyed write within its deduplication window.
+    /// Whether a failed request may be executed again: a read, or a keyed write within its
+    /// deduplication window.
     fn is_repeatable(&self, request: &PlannedRequest) -> bool {
         let window_end = request.at + self.plan.deduplication_window;
         match request.class {
@@ -224,7 +228,7 @@
         }
     }
 
-    /// One try, on one connection: what became of each request.
+    /// Makes an attempt on one connection and returns the outcome of each request.
     async fn attempt(&self, current: &ClientAttempt<'_>) -> Vec<ClientAttemptOutcome> {
         let count = current.requests.len();
         let Some(stream) = self.take_connection(current.longest_timeout()).await else {
@@ -235,7 +239,7 @@
         outcomes
     }
 
-    /// An idle connection or a new one; none if it does not come up in time.
+    /// Takes an idle connection or opens one; `None` if it is not established in time.
     async fn take_connection(&self, timeout: Time) -> Option<SimulatedStream> {
         let idle = self.idle_connections.borrow_mut().pop();
         if idle.is_some() {
@@ -249,7 +253,7 @@
         }
     }
 
-    /// Sends requests and reads their answers, as far as they come in time.
+    /// Sends requests and sets the outcomes of those whose responses arrive in time.
     async fn send_and_receive(
         &self,
         mut stream: SimulatedStream,
@@ -281,7 +285,8 @@
         }
     }
 
-    /// The next answer; none if the connection ends before, or does not bring it by this time.
+    /// Reads the next response; `None` if the connection ends or the time passes before it is
+    /// complete.
     async fn read_response(
         &self,
         stream: &mut SimulatedStream,
@@ -308,7 +313,8 @@
     }
 }
 
-/// The command of a try. Its class decides whether it is a read, and whether a write has an idempotency key.
+/// Encodes the command of an attempt. The request's class determines whether it is a read, and
+/// whether a write carries an idempotency key.
 fn request_bytes(request: &PlannedRequest, attempt_number: u64) -> Vec<u8> {
     let id = request_id(request.number, attempt_number);
     let class = CLASSES[request.class];
--- a/crates/router-simulation/src/executor.rs
+++ b/crates/router-simulation/src/executor.rs
@@ -1,7 +1,9 @@
-//! Virtual time: one thread that runs the tasks of all simulated processes, in an order drawn from the seed.
+//! A single-threaded executor on virtual time. It runs the tasks of all simulated processes in an
+//! order drawn from the seed.
 //!
-//! Time stands still while a task runs and jumps to the next timer when none can. What falls due at one instant is
-//! taken in a drawn order, so that an answer and a time-out in one microsecond meet in both orders.
+//! Time stands still while tasks run, and advances to the next timer when no task is ready. Timers
+//! that are due at the same time fire in a random order, so that a response and a timeout in the
+//! same microsecond occur in both orders.
 
 use crate::rng::SeededRng;
 use std::cell::{Cell, RefCell};
@@ -14,13 +16,14 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::task::{Context, Poll, Wake, Waker};
 
-/// More polls than this at one instant are a loop that never ends: runs have some hundred.
+/// The most polls without an advance of the clock. Normal runs need a few hundred; more than this
+/// limit means that tasks wake each other endlessly.
 const MAX_POLLS_PER_INSTANT: u64 = 200_000;
 
-/// Microseconds since the start of the run.
+/// Virtual time in microseconds since the start of the run.
 pub type Time = u64;
 
-/// A simulated process or machine.
+/// The number of a simulated machine, which identifies the process on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Node(pub u32);
 
@@ -28,27 +31,28 @@
 
 struct Task {
     node: Node,
-    /// Taken while it runs.
+    /// `None` while the task is polled.
     future: Option<BoxedTask>,
     task_waker: Arc<TaskWaker>,
 }
 
-/// Puts its task into the ready queue.
+/// The waker of a task, which adds it to the ready queue.
 struct TaskWaker {
     task: TaskId,
-    /// The task is in the queue.
+    /// Whether the task is in the ready queue.
     is_queued: AtomicBool,
     ready: ReadyQueue,
 }
 
-/// A task's slot, and the number of the task that has it.
+/// The slot of a task, and a generation that distinguishes it from other tasks in the same slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct TaskId {
     slot: usize,
     generation: u64,
 }
 
-/// The tasks that can run. Wakers may be called from anywhere, so it is locked; all runs on one thread.
+/// The tasks that are ready to run. `Waker` has to be `Send` and `Sync`, hence the lock, although
+/// everything runs on one thread.
 type ReadyQueue = Arc<Mutex<Vec<TaskId>>>;
 
 impl Wake for TaskWaker {
@@ -64,7 +68,7 @@
     }
 }
 
-/// A task that sleeps, until its sleep is dropped.
+/// The state that a [`Sleep`] shares with its timer.
 #[derive(Default)]
 struct SleepState {
     waker: RefCell<Option<Waker>>,
@@ -156,12 +160,13 @@
         self.0.now.get()
     }
 
-    /// How often tasks were polled so far.
+    /// The number of times that tasks have been polled so far.
     pub fn polls(&self) -> u64 {
         self.0.polls.get()
     }
 
-    /// Starts a task of a process. It ends by itself, with [`Executor::kill`] of its node, or with [`Executor::end`].
+    /// Spawns a task of a process. The task runs until it completes, its node is killed with
+    /// [`Executor::kill`], or the executor is stopped with [`Executor::end`].
     pub fn spawn(&self, node: Node, future: impl Future<Output = ()> + 'static) {
         if self.0.has_ended.get() {
             return;
@@ -186,7 +191,7 @@
         });
     }
 
-    /// Ends all tasks of a process. Not to be called from one of them.
+    /// Drops all tasks of a process. Must not be called from one of them.
     pub fn kill(&self, node: Node) {
         let mut ended = Vec::new();
         for (slot, entry) in self.0.tasks.borrow_mut().iter_mut().enumerate() {
@@ -195,12 +200,12 @@
                 self.0.free_slots.borrow_mut().push(slot);
             }
         }
-        // Dropping a task may wake or start others: no list is borrowed here.
+        // Dropping a task may wake or spawn others, so no list may be borrowed here.
         drop(ended);
     }
 
-    /// Ends every task; from here on none is started and no timer is set: timers that dropped tasks set would hold the
-    /// executor, which holds them, and leak both.
+    /// Drops all tasks and timers, and ignores new ones from now on. A timer that is set while the
+    /// tasks are dropped would form a reference cycle with the executor and leak both.
     pub fn end(&self) {
         self.0.has_ended.set(true);
         let tasks = std::mem::take(&mut *self.0.tasks.borrow_mut());
@@ -210,7 +215,7 @@
         drop(timers);
     }
 
-    /// Calls this at a time, or now if that is past.
+    /// Schedules a call at a time, or at the current time if that has passed.
     pub fn call_at(&self, at: Time, call: impl FnOnce() + 'static) {
         self.set_timer(at, TimerAction::Call(Box::new(call)));
     }
@@ -228,7 +233,7 @@
         }));
     }
 
-    /// Returns at this time.
+    /// Sleeps until a time.
     pub fn sleep_until(&self, at: Time) -> Sleep {
         Sleep {
             executor: self.clone(),
@@ -237,12 +242,13 @@
         }
     }
 
-    /// Returns after so many microseconds.
+    /// Sleeps for a number of microseconds.
     pub fn sleep(&self, time: Time) -> Sleep {
         self.sleep_until(self.now().saturating_add(time))
     }
 
-    /// Runs all that falls due up to this time; false if tasks run without end at one instant, which then is the time.
+    /// Runs tasks and timers up to a time, and advances the clock to it. Returns false if tasks
+    /// keep waking each other without an advance of the clock, which then stays where it is.
     pub fn run_until(&self, end: Time) -> bool {
         loop {
             let before = self.polls();
@@ -270,7 +276,7 @@
         }
     }
 
-    /// What falls due at this time, in a drawn order.
+    /// Removes the timers that are due at this time and returns their actions in a random order.
     fn due_actions(&self, at: Time) -> Vec<TimerAction> {
         let mut timers = self.0.timers.borrow_mut();
         let mut due = Vec::new();
@@ -284,7 +290,7 @@
         due
     }
 
-    /// Takes a drawn task out of the ready queue.
+    /// Removes a random task from the ready queue.
     fn take_ready_task(&self) -> Option<TaskId> {
         let mut ready = self.0.ready.lock().unwrap_or_else(PoisonError::into_inner);
         match ready.len() {
@@ -303,11 +309,11 @@
         let waker = Waker::from(task_waker);
         let poll = future.as_mut().poll(&mut Context::from_waker(&waker));
         let ended = self.finish_poll(id, future, poll.is_ready());
-        // Dropping a task may wake or start others: no list is borrowed here.
+        // Dropping a task may wake or spawn others, so no list may be borrowed here.
         drop(ended);
     }
 
-    /// Takes a task's future to poll it; none if the task has ended.
+    /// Takes the future out of a task in order to poll it; `None` if the task has ended.
     fn take_future(&self, id: TaskId) -> Option<(BoxedTask, Arc<TaskWaker>)> {
         let mut tasks = self.0.tasks.borrow_mut();
         let task = tasks.get_mut(id.slot)?.as_mut()?;
@@ -318,7 +324,8 @@
         Some((future, task.task_waker.clone()))
     }
 
-    /// Puts a task's future back; returns it if the task has ended, by itself or by what it did.
+    /// Returns the future to its task after a poll. If the task has completed or was killed during
+    /// the poll, frees its slot and hands the future back for the caller to drop.
     fn finish_poll(&self, id: TaskId, future: BoxedTask, is_ready: bool) -> Option<BoxedTask> {
         let mut tasks = self.0.tasks.borrow_mut();
         let Some(slot) = tasks.get_mut(id.slot) else {
@@ -339,7 +346,7 @@
     }
 }
 
-/// A future that is ready at a time.
+/// A future that completes at a time.
 pub struct Sleep {
     executor: Executor,
     at: Time,
--- a/crates/router-simulation/src/fleet.rs
+++ b/crates/router-simulation/src/fleet.rs
@@ -1,4 +1,5 @@
-//! A model of the cache servers and their origin, as PROTOCOL has them, with the faults that a plan wants of them.
+//! A model of the cache servers and their origin, as PROTOCOL specifies them, with the faults that
+//! a run's plan injects.
 
 mod origin;
 mod server;
@@ -15,33 +16,34 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// What a request costs a server.
+/// The cost of a request at a server.
 #[derive(Clone, Copy, Debug)]
 struct RequestCost {
-    /// Microseconds of a core of speed 1.
+    /// Microseconds on a core of speed 1.
     work: f64,
-    /// Bytes of the value.
+    /// The size of the value in bytes.
     value_size: usize,
 }
 
-/// What all servers of a run share.
+/// The state that all servers of a run share.
 pub struct FleetState {
     simulation: Simulation,
     plan: Rc<RunPlan>,
     rng: RefCell<SeededRng>,
-    /// Where servers fetch what they do not have.
+    /// The origin from which servers fetch values that they have not cached.
     pub(crate) origin: Origin,
-    /// When each idempotency key was executed, by scope: a zone, or [`ALL_ZONES`].
+    /// When each idempotency key was executed, by deduplication scope: a zone, or [`ALL_ZONES`].
     executed_keys: RefCell<BTreeMap<(usize, String), Time>>,
     costs: BTreeMap<u32, RequestCost>,
+    /// The number of the router on each router's machine.
     routers: RefCell<BTreeMap<Node, usize>>,
 }
 
-/// The scope of idempotency keys that all servers know.
+/// The deduplication scope that spans all servers.
 const ALL_ZONES: usize = usize::MAX;
 
 impl FleetState {
-    /// The shared state of a plan's servers.
+    /// Creates the shared state of a plan's servers.
     pub fn new(simulation: Simulation, plan: Rc<RunPlan>) -> Rc<FleetState> {
         let crowds = plan.crowds.iter();
         let of_crowds = crowds.flat_map(|crowd| crowd.requests.iter().chain(&crowd.writes));
@@ -63,7 +65,7 @@
         })
     }
 
-    /// This machine is that of a router.
+    /// Registers a machine as that of a router.
     pub fn add_router(&self, node: Node, router: usize) {
         self.routers.borrow_mut().insert(node, router);
     }
@@ -76,7 +78,8 @@
         self.costs.get(&wire::request_number(request_id)).copied()
     }
 
-    /// Whether a key was executed within the deduplication window; if not, it is now.
+    /// Whether an idempotency key was executed within the deduplication window. If not, records it
+    /// as executed now.
     fn is_duplicate(&self, scope: usize, key: &str, now: Time) -> bool {
         let mut executed_keys = self.executed_keys.borrow_mut();
         let key = (scope, key.to_string());
@@ -88,7 +91,8 @@
         false
     }
 
-    /// Starts a fetch from the origin: when it is done, on the origin's clock; none if the origin rejects it.
+    /// Starts a fetch from the origin. Returns when it completes on the origin's clock, or `None`
+    /// if the origin rejects it.
     fn start_fetch(&self) -> Option<Time> {
         let factor = self.rng.borrow_mut().between(0.6, 1.5);
         let duration = (self.plan.origin_time as f64 * factor) as Time;
--- a/crates/router-simulation/src/fleet/origin.rs
+++ b/crates/router-simulation/src/fleet/origin.rs
@@ -1,29 +1,31 @@
-//! The origin: a bounded number of fetches at a time, and a clock of its own that runs slower while the origin is slow.
+//! A model of the origin. It runs a bounded number of fetches at a time. Its own clock runs slower
+//! while the origin is slow.
 
 use crate::executor::{Executor, Time};
 use std::cell::{Cell, RefCell};
 use tokio::sync::Notify;
 
-/// The longest wait for a slot, in fetches of the same duration; more are rejected.
+/// The longest wait for a slot, as a multiple of the fetch's duration. Fetches that would wait
+/// longer are rejected.
 const MAX_QUEUED_FETCHES_PER_SLOT: Time = 6;
 
-/// The origin of all servers.
+/// The origin that all servers share.
 pub(crate) struct Origin {
     executor: Executor,
-    /// When each slot is free, on the origin's clock.
+    /// When each slot becomes free, on the origin's clock.
     slots: RefCell<Vec<Time>>,
     clock: Cell<OriginClock>,
     clock_changed: Notify,
 }
 
-/// Time as the origin counts it, in microseconds.
+/// The origin's clock, in microseconds.
 #[derive(Clone, Copy, Debug, Default)]
 struct OriginClock {
-    /// Since when it runs at this rate.
+    /// The virtual time since which the clock runs at its current rate.
     since: Time,
-    /// What it showed then.
+    /// The reading of the clock at that time.
     reading: Time,
-    /// How much longer than a microsecond its microsecond is, as a ratio.
+    /// The ratio by which a microsecond of this clock is longer than one of virtual time.
     slowdown: f64,
 }
 
@@ -43,7 +45,8 @@
         }
     }
 
-    /// From now on each fetch takes `1 + slowdown` times its duration; also those under way.
+    /// Makes all fetches, including those in progress, take `1 + slowdown` times as long from now
+    /// on.
     pub(crate) fn slow_down(&self, slowdown: f64) {
         let now = self.executor.now();
         self.clock.set(OriginClock {
@@ -54,7 +57,8 @@
         self.clock_changed.notify_waiters();
     }
 
-    /// Starts a fetch of this duration: when it is done, on the origin's clock; none if the queue is full.
+    /// Starts a fetch of this duration. Returns when it completes on the origin's clock, or `None`
+    /// if the queue is full.
     pub(super) fn start_fetch(&self, duration: Time) -> Option<Time> {
         let now = self.clock.get().reading_at(self.executor.now());
         let mut slots = self.slots.borrow_mut();
@@ -67,7 +71,7 @@
         Some(*slot)
     }
 
-    /// Waits until the origin's clock shows this.
+    /// Waits until the origin's clock reaches this reading.
     pub(super) async fn wait_until(&self, reading: Time) {
         loop {
             let changed = self.clock_changed.notified();
--- a/crates/router-simulation/src/fleet/server.rs
+++ b/crates/router-simulation/src/fleet/server.rs
@@ -1,4 +1,4 @@
-//! A cache server: its queue, its cache, its slow start, and its faults.
+//! A model of a cache server: its queue, cache, slow start and faults.
 
 use super::{ALL_ZONES, FleetState};
 use crate::discovery::read_to_end;
@@ -19,70 +19,70 @@
 
 /// How long a key is cached, in microseconds.
 const CACHE_LIFETIME: Time = 8 * SECOND;
-/// How long a request that fails at once takes, in microseconds.
+/// The service time of a request that fails with an injected error, in microseconds.
 const IMMEDIATE_ERROR_TIME: Time = 2 * MILLI;
-/// How long a request that the origin rejects takes, in microseconds.
+/// The service time of a request whose origin fetch is rejected, in microseconds.
 const ORIGIN_REJECTION_TIME: Time = MILLI;
-/// Kinds of malformed replies.
+/// The number of kinds of malformed replies.
 const MALFORMED_KIND_COUNT: usize = 6;
 
-/// What is wrong with a server now; ratios of its requests, from 0 to 1.
+/// The faults of a server. Ratios are of its requests, between 0 and 1.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServerFaults {
-    /// Fail at once.
+    /// The ratio of requests that fail quickly.
     pub error_ratio: f64,
-    /// Get a malformed reply after they have run.
+    /// The ratio of requests that are executed and then get a malformed reply.
     pub malformed_ratio: f64,
-    /// Are rejected.
+    /// The ratio of requests that are rejected with `-BUSY`.
     pub busy_ratio: f64,
-    /// All requests are read and never answered.
+    /// Whether requests are read and never answered.
     pub hangs: bool,
-    /// How much longer than usual requests take, as a ratio.
+    /// The ratio by which requests take longer than usual.
     pub slowdown: f64,
 }
 
-/// What a request comes to.
+/// The result of executing a request.
 enum ExecutionResult {
     Served { is_miss: bool },
     Failed,
     Busy,
 }
 
-/// A connection that carries no request now.
+/// A connection without a request in progress.
 struct IdleConnection {
     id: u32,
     reset: Rc<Notify>,
 }
 
-/// A cache server.
+/// A simulated cache server.
 pub struct Server {
     number: usize,
-    /// Its name on the list.
+    /// The server's name on the endpoint list.
     pub name: String,
-    /// Its machine.
+    /// The machine on which the server runs.
     pub node: Node,
-    /// Where it listens.
+    /// The address on which the server listens.
     pub address: SocketAddr,
     plan: ServerPlan,
     fleet: Rc<FleetState>,
-    /// When its process started, Unix time in milliseconds; 0 for long ago.
+    /// When the process started, in Unix milliseconds; 0 if it started long ago.
     pub born_ms: Cell<u64>,
     started_at: Cell<Time>,
-    /// What is wrong with it.
+    /// The faults that are currently injected.
     pub faults: Cell<ServerFaults>,
-    /// It finishes what it has and rejects the rest.
+    /// Whether the server finishes its requests and rejects new ones.
     pub is_draining: Cell<bool>,
-    /// When each slot is free.
+    /// When each execution slot becomes free.
     slots: RefCell<Vec<Time>>,
-    /// Requests in a slot or in the queue.
+    /// The number of requests in a slot or in the queue.
     queued: Cell<usize>,
-    /// Until when each key is cached.
+    /// When the cache entry of each key expires.
     cached_until: RefCell<BTreeMap<Vec<u8>, Time>>,
     idle_connections: RefCell<Vec<IdleConnection>>,
 }
 
 impl Server {
-    /// A server that does not run yet.
+    /// Creates a server whose process has not been started.
     pub fn new(number: usize, node: Node, plan: ServerPlan, fleet: Rc<FleetState>) -> Rc<Server> {
         Rc::new(Server {
             number,
@@ -102,12 +102,13 @@
         })
     }
 
-    /// Its zone.
+    /// The number of the server's zone.
     pub fn zone(&self) -> usize {
         self.plan.zone
     }
 
-    /// Starts its process, in slow start unless `born_ms` is 0. Its tasks end when the process is killed.
+    /// Starts the server's process, which goes through slow start unless `born_ms` is 0. Its tasks
+    /// end when the process is killed.
     pub fn start(self: &Rc<Self>, born_ms: u64) {
         let simulation = &self.fleet.simulation;
         let now = simulation.executor.now();
@@ -140,19 +141,19 @@
         }
     }
 
-    /// Ends its process, or its machine with it.
+    /// Ends the server's process, and its machine as well if it vanishes.
     pub fn kill(&self, vanishes: bool) {
         self.fleet.simulation.network.kill(self.node, vanishes);
     }
 
-    /// Resets the connections that carry no request now.
+    /// Resets all idle connections.
     pub fn reset_idle(&self) {
         for connection in self.idle_connections.borrow_mut().drain(..) {
             connection.reset.notify_one();
         }
     }
 
-    /// Serves the requests of one connection.
+    /// Serves the requests on one connection.
     async fn serve(self: Rc<Self>, mut stream: SimulatedStream) {
         let executor = &self.fleet.simulation.executor;
         let router = self.fleet.router_at(stream.peer());
@@ -168,7 +169,7 @@
                 executor.sleep(self.fleet.plan.handshake_time).await;
             }
             let Command::CacheRequest(request) = Command::of(&frame) else {
-                // The router has gone if this fails.
+                // An error means that the router has closed the connection.
                 let _ = stream.write_all(b"-SYNTAX\r\n").await;
                 return;
             };
@@ -198,7 +199,8 @@
             .retain(|connection| connection.id != id);
     }
 
-    /// Reads a command; none once the connection is over. One that is reset while idle is left to the caller to drop.
+    /// Reads a command. Returns `None` once the connection has been closed, reset or idle for too
+    /// long; the caller then drops the stream.
     async fn read_frame(
         &self,
         stream: &mut SimulatedStream,
@@ -229,7 +231,7 @@
         }
     }
 
-    /// The reply to a request, or a malformed one.
+    /// The reply to a request, or a malformed reply if the fault is drawn.
     fn reply(&self, request: &CacheRequest, result: &ExecutionResult) -> Vec<u8> {
         let malformed_ratio = self.faults.get().malformed_ratio;
         if malformed_ratio > 0.0 && self.fleet.rng.borrow_mut().chance(malformed_ratio) {
@@ -252,7 +254,8 @@
         }
     }
 
-    /// A reply that is in no row of the protocol's table, or brings more than belongs to it.
+    /// A reply that the protocol does not define, that is truncated, or that is followed by extra
+    /// bytes.
     fn malformed_reply(&self, request: &CacheRequest) -> Vec<u8> {
         let valid = self.valid_reply(request, &ExecutionResult::Served { is_miss: false });
         match self.fleet.rng.borrow_mut().index(MALFORMED_KIND_COUNT) {
@@ -265,7 +268,7 @@
         }
     }
 
-    /// Executes a request, from its last byte to its end.
+    /// Executes a request after its last byte has been read.
     async fn execute(&self, request: &CacheRequest, router: usize) -> ExecutionResult {
         let executor = &self.fleet.simulation.executor;
         let faults = self.faults.get();
@@ -285,7 +288,7 @@
             return ExecutionResult::Failed;
         }
         if self.is_duplicate(request, now) {
-            // The receipt is the same as that of the first.
+            // A duplicate gets the same reply as the first request.
             return ExecutionResult::Served { is_miss: false };
         }
         let is_miss = request.is_write || !self.is_cached(&request.key, now);
@@ -302,13 +305,15 @@
         ExecutionResult::Served { is_miss }
     }
 
-    /// Whether the server fails under work that arrives now.
+    /// Reports work that arrives now to the checker. Returns whether the overload crashes the
+    /// server.
     fn is_crashed_by_load(&self, now: Time, router: usize, work: f64) -> bool {
         let mut checker = self.fleet.simulation.checker.borrow_mut();
         checker.work_arrived(now, self.number, router, work / self.plan.speed)
     }
 
-    /// Ends the process; never returns. A process cannot end its own machine's tasks from within one.
+    /// Kills the server's process; never returns. The kill runs from a timer because a task must
+    /// not drop itself.
     async fn crash(&self) -> ExecutionResult {
         let executor = &self.fleet.simulation.executor;
         let network = self.fleet.simulation.network.clone();
@@ -317,7 +322,8 @@
         std::future::pending().await
     }
 
-    /// Whether a request with an idempotency key was executed before, by this server or another of its scope.
+    /// Whether a request with the same idempotency key has been executed within the deduplication
+    /// scope.
     fn is_duplicate(&self, request: &CacheRequest, now: Time) -> bool {
         let is_zone_scoped = request.class == CLASSES[2];
         let scope = if is_zone_scoped {
@@ -334,7 +340,8 @@
         cached_until.get(key).is_some_and(|&until| until >= now)
     }
 
-    /// Fetches a key from the origin, or writes it there; false if the origin rejects it.
+    /// Fetches a key from the origin, or writes it there. Returns false if the origin rejects the
+    /// request.
     async fn fetch(&self, request: &CacheRequest) -> bool {
         let Some(done_at) = self.fleet.start_fetch() else {
             return false;
@@ -350,7 +357,8 @@
         true
     }
 
-    /// When work that comes now is done; none if the queue is full.
+    /// Reserves an execution slot for work that arrives now. Returns when the work completes, or
+    /// `None` if the queue is full.
     fn reserve_slot(&self, work: f64, slowdown: f64) -> Option<Time> {
         if self.queued.get() >= self.plan.slots + self.plan.queue {
             return None;
