--- a/crates/router-simulation/src/discovery.rs
+++ b/crates/router-simulation/src/discovery.rs
@@ -1,5 +1,5 @@
-//! A model of discovery: the endpoint list over HTTP/1.1, whole or as a watch on its changes, with the faults that a plan
-//! wants of it.
+//! A model of discovery. It serves the endpoint list over HTTP/1.1 as a watch, which starts with a
+//! snapshot or a delta and goes on with each change, and has the faults that a run's plan injects.
 
 mod call_queue;
 mod list;
@@ -21,21 +21,21 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWriteExt};
 use tokio::sync::Notify;
 
-/// While nothing changes, a heartbeat is sent this often, in microseconds.
+/// The interval of heartbeats on a watch without changes, in microseconds.
 const HEARTBEAT_INTERVAL: Time = 2 * SECOND;
-/// How long discovery takes to answer, in microseconds.
+/// The time that discovery takes to answer a call, in microseconds.
 const RESPONSE_TIME: Time = 3 * MILLI;
-/// The longest head of a request that discovery reads.
+/// The longest request head that discovery reads, in bytes.
 const MAX_HEAD_BYTES: usize = 8_192;
 
-/// What the list says of a server.
+/// The health of a server on the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
-    /// Accepts work.
+    /// The server accepts requests.
     Up,
-    /// Finishes its work.
+    /// The server finishes its requests and accepts no new ones.
     Draining,
-    /// Is gone.
+    /// The server has been removed from the list.
     Removed,
 }
 
@@ -49,19 +49,19 @@
     }
 }
 
-/// What the list says of one server.
+/// The entry of a server on the endpoint list.
 struct Entry {
     health: Health,
     born_ms: u64,
-    /// The version of the list that changed it last.
+    /// The version of the list in which the entry last changed.
     last_changed_version: u64,
 }
 
-/// Discovery's process. It never ends by itself.
+/// The simulated discovery process. It runs until the end of the run.
 pub struct Discovery {
     simulation: Simulation,
     node: Node,
-    /// Where it listens.
+    /// The address on which discovery listens.
     pub address: SocketAddr,
     servers: Vec<Rc<Server>>,
     entries: RefCell<Vec<Entry>>,
@@ -69,20 +69,20 @@
     changed: Notify,
     watch_reset: Notify,
     silenced: Notify,
-    /// So many of the next calls are not answered.
+    /// How many of the next calls are left unanswered.
     pub calls_to_hang: Cell<usize>,
-    /// Calls fail until then.
+    /// The time until which all calls are answered with 503.
     pub down_until: Cell<Time>,
-    /// Calls wait their turn here, once it is set.
+    /// The queue in which calls wait, once it is set.
     queue: RefCell<Option<Rc<CallQueue>>>,
-    /// When each router's machine had its last answer from the queue.
+    /// When the queue last answered each router's machine.
     answered_at: RefCell<BTreeMap<Node, Time>>,
-    /// The whole list as each router's machine last had it.
+    /// The whole list as it was last sent to each router's machine.
     last_lists: RefCell<BTreeMap<Node, String>>,
 }
 
 impl Discovery {
-    /// Starts with all servers up since long ago. Its tasks belong to its machine and end with the run.
+    /// Starts discovery with all servers up since long ago. Its tasks run until the end of the run.
     pub fn start(
         simulation: Simulation,
         address: SocketAddr,
@@ -121,7 +121,8 @@
         discovery
     }
 
-    /// The list says this of a server from now on; `born_ms` is Unix time in milliseconds.
+    /// Changes the entry of a server on the list. `born_ms` is the start of its process in Unix
+    /// milliseconds.
     pub fn set(&self, server: usize, health: Health, born_ms: u64) {
         let version = self.version.get() + 1;
         let mut entries = self.entries.borrow_mut();
@@ -143,28 +144,29 @@
         self.changed.notify_waiters();
     }
 
-    /// Ends all open watches.
+    /// Resets the connections of all open watches.
     pub fn reset_watches(&self) {
         self.watch_reset.notify_waiters();
     }
 
-    /// All open watches send nothing any more, and do not end.
+    /// Makes all open watches stop sending, without closing their connections.
     pub fn silence_watches(&self) {
         self.silenced.notify_waiters();
     }
 
-    /// The list as a router's machine last had it, else as it is now.
+    /// The whole list as it was last sent to a router's machine, or the current list if none was
+    /// sent.
     pub fn last_list_sent_to(&self, router: Node) -> String {
         let last = self.last_lists.borrow().get(&router).cloned();
         last.unwrap_or_else(|| self.snapshot())
     }
 
-    /// The whole list.
+    /// The whole list as JSON.
     fn snapshot(&self) -> String {
         self.list(true, |entry| entry.health != Health::Removed)
     }
 
-    /// What changed after a version.
+    /// The changes to the list after a version, as JSON.
     fn changes_after(&self, version: u64) -> String {
         self.list(false, |entry| entry.last_changed_version > version)
     }
@@ -202,7 +204,7 @@
         executor.sleep(RESPONSE_TIME).await;
         if executor.now() < self.down_until.get() || self.wait_in_queue(&stream).await {
             let busy = b"HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n\r\n";
-            // The router has gone if this fails.
+            // An error means that the router has closed the connection.
             let _ = stream.write_all(busy).await;
             return;
         }
@@ -210,17 +212,18 @@
         self.watch(stream, known.unwrap_or(0)).await;
     }
 
-    /// From now on calls wait their turn.
+    /// Makes calls wait in a queue from now on.
     pub fn set_call_queue(&self, queue: Rc<CallQueue>) {
         *self.queue.borrow_mut() = Some(queue);
     }
 
-    /// When each router's machine had its last answer from the queue.
+    /// When the queue last answered each router's machine.
     pub fn answered_at(&self) -> BTreeMap<Node, Time> {
         self.answered_at.borrow().clone()
     }
 
-    /// Waits for the turn of a call in the queue, if there is one.
+    /// Waits until a call has passed the queue, if there is one. Returns whether the call is
+    /// rejected.
     async fn wait_in_queue(&self, stream: &SimulatedStream) -> bool {
         let Some(queue) = self.queue.borrow().clone() else {
             return false;
@@ -246,7 +249,8 @@
         checker.watch_silenced(now, stream.id());
     }
 
-    /// Sends the list, or the changes after a version other than 0, and then each change and heartbeats.
+    /// Serves a watch: sends a snapshot if `known` is 0 and otherwise the changes after that
+    /// version, and then each further change and heartbeats.
     async fn watch(&self, mut stream: SimulatedStream, known: u64) {
         let router = stream.peer();
         let watch_reset = self.watch_reset.notified();
@@ -288,14 +292,14 @@
                     self.record_silence(&stream);
                     return read_to_end(&mut stream).await;
                 }
-                // The router has closed the watch, or sends what it should not.
+                // The router has closed the watch or sent unexpected bytes.
                 _ = stream.read(&mut buffer) => return,
             }
         }
     }
 }
 
-/// Reads the head of a call; none if it does not come whole.
+/// Reads the head of an HTTP request; `None` if the connection ends first or the head is too long.
 pub async fn read_head(stream: &mut (impl AsyncRead + Unpin)) -> Option<String> {
     let mut head = Vec::new();
     let mut buffer = [0; 1024];
@@ -310,14 +314,14 @@
     Some(String::from_utf8_lossy(&head).into_owned())
 }
 
-/// The version of the list that a call says it knows; 0 for none.
+/// The version of the list that a call gives as known; 0 if it gives none.
 pub fn known_version(head: &str) -> u64 {
     let after = head.split("after=").nth(1);
     let digits = after.and_then(|rest| rest.split([' ', '&']).next());
     digits.and_then(|digits| digits.parse().ok()).unwrap_or(0)
 }
 
-/// Reads until the other end closes, and sends nothing.
+/// Reads and discards bytes until the connection ends.
 pub(crate) async fn read_to_end(stream: &mut SimulatedStream) {
     let mut buffer = [0; 1024];
     while !matches!(stream.read(&mut buffer).await, Ok(0) | Err(_)) {}
--- a/crates/router-simulation/src/discovery/call_queue.rs
+++ b/crates/router-simulation/src/discovery/call_queue.rs
@@ -1,39 +1,41 @@
-//! Discovery's queue of calls: one service for all routers, which works them in turn.
+//! The queue of a discovery service that processes the calls of all routers one at a time.
 //!
-//! A call that waits for longer than [`CALL_TIMEOUT`] is answered 503, and its work is done all the same. One that would
-//! wait for several of these times is turned away at once, and costs nothing.
+//! A call that waits for longer than [`CALL_TIMEOUT`] is answered with 503, but still consumes its
+//! processing time. A call that would wait for longer than [`MAX_WAIT_IN_TIMEOUTS`] such timeouts
+//! is rejected immediately and consumes none.
 
 use crate::executor::Time;
 use crate::fault_plan::SECOND;
 use std::cell::Cell;
 
-/// A call that has waited for this long is answered 503, in microseconds.
+/// The wait after which a call is answered with 503, in microseconds.
 const CALL_TIMEOUT: Time = 2 * SECOND;
-/// A call is turned away at once where it would wait for longer than so many times that.
+/// The expected wait above which a call is rejected immediately, as a multiple of [`CALL_TIMEOUT`].
 const MAX_WAIT_IN_TIMEOUTS: Time = 3;
 
-/// What becomes of a call.
+/// The outcome of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Admission {
-    /// It is answered at this time.
+    /// The call is answered at this time.
     Answered(Time),
-    /// It is answered 503 at this time.
+    /// The call is answered with 503 at this time.
     Rejected(Time),
 }
 
-/// The queue.
+/// The queue of calls to discovery.
 pub struct CallQueue {
-    /// The work of a call, in microseconds.
+    /// The processing time of a call, in microseconds.
     call_time: Time,
+    /// When the calls that have been admitted so far are done.
     busy_until: Cell<Time>,
-    /// Calls since the queue began.
+    /// The number of calls since the queue was created.
     pub call_count: Cell<usize>,
-    /// Those of them that were rejected.
+    /// The number of those calls that were rejected.
     pub rejected_count: Cell<usize>,
 }
 
 impl CallQueue {
-    /// A queue that is busy until a time.
+    /// Creates a queue that is busy until a time.
     pub fn new(call_time: Time, busy_until: Time) -> CallQueue {
         CallQueue {
             call_time,
@@ -43,7 +45,7 @@
         }
     }
 
-    /// Takes a call in, or turns it away.
+    /// Admits or rejects a call.
     pub(super) fn admit(&self, now: Time) -> Admission {
         self.call_count.set(self.call_count.get() + 1);
         let done_at = self.busy_until.get().max(now) + self.call_time;
--- a/crates/router-simulation/src/discovery/list.rs
+++ b/crates/router-simulation/src/discovery/list.rs
@@ -1,21 +1,21 @@
-//! The endpoint list as discovery writes it: JSON lines in chunks of HTTP/1.1 (PROTOCOL, "Discovery").
+//! Encoding of the endpoint list as JSON lines in HTTP/1.1 chunks (PROTOCOL, "Discovery").
 
 use std::net::SocketAddr;
 
-/// The head of an answer to a watch.
+/// The head of the HTTP response to a watch.
 pub const RESPONSE_HEAD: &str = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
 
-/// A server as the list has it.
+/// An entry of the endpoint list.
 pub struct ListEntry<'a> {
-    /// Its name.
+    /// The server's name.
     pub name: &'a str,
-    /// Where it listens.
+    /// The address on which the server listens.
     pub address: SocketAddr,
-    /// The number of its zone.
+    /// The number of the server's zone.
     pub zone: usize,
     /// `up`, `draining` or `removed`.
     pub health: &'a str,
-    /// The start of its process, Unix time in milliseconds; 0 for long ago.
+    /// When the server's process started, in Unix milliseconds; 0 if it started long ago.
     pub born_ms: u64,
 }
 
@@ -36,13 +36,13 @@
     }
 }
 
-/// A whole list, or the changes to one, without the line's end.
+/// A snapshot or delta of the list as JSON, without a trailing newline.
 pub fn list_json(version: u64, is_snapshot: bool, entries: &[String]) -> String {
     let hosts = entries.join(",");
     format!(r#"{{"seq":{version},"whole":{is_snapshot},"hosts":[{hosts}]}}"#)
 }
 
-/// A line as a chunk of the answer. An empty line is a heartbeat.
+/// Encodes a line as a chunk of the response. An empty line is a heartbeat.
 pub fn chunk(line: &str) -> String {
     format!("{:x}\r\n{line}\n\r\n", line.len() + 1)
 }
--- a/crates/router-simulation/src/scenario.rs
+++ b/crates/router-simulation/src/scenario.rs
@@ -1,7 +1,9 @@
-//! One router on the virtual clock among scripted peers: for tests that need an event at an exact microsecond.
+//! One router on the virtual clock with scripted clients, cache servers and discovery, for tests
+//! that need an event at an exact microsecond.
 //!
-//! Each way takes [`LATENCY`], without jitter or loss. What the peers do is set before or between runs of the clock; the
-//! checker observes as in a drawn run.
+//! Packets take [`LATENCY`] in each direction, without jitter or loss. A test sets the behavior of
+//! the peers before it advances the clock. The invariant checker observes the network as in a
+//! random run.
 
 mod cache_server;
 mod client;
@@ -31,38 +33,38 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// One way between any two machines of a scenario, in microseconds.
+/// The one-way latency between any two machines of a scenario, in microseconds.
 pub const LATENCY: Time = 100;
-/// How long a scenario's servers remember idempotency keys, in microseconds.
+/// The deduplication window of a scenario's servers, in microseconds.
 pub const DEDUPLICATION_WINDOW: Time = 400 * MILLI;
 /// The deadline of a scenario's classes, in microseconds.
 pub const DEADLINE: Time = 2 * SECOND;
 
-/// Bytes that a connection of a scenario takes without their being read.
+/// How many bytes can be in transit or unread in one direction of a scenario's connections.
 const RECEIVE_WINDOW_BYTES: usize = 65_536;
-/// Descriptors of a scenario's peers.
+/// The descriptor limit of each machine of a scenario.
 const PEER_DESCRIPTOR_LIMIT: usize = 1_000;
-/// Descriptors that the router's settings allow it.
+/// The descriptor limit in the router's configuration.
 const ROUTER_DESCRIPTOR_LIMIT: usize = 500;
-/// The memory that the router may use.
+/// The memory limit in the router's configuration.
 const ROUTER_MEMORY_BYTES: usize = 64 << 20;
-/// The port of every listener.
+/// The port on which every process listens.
 const PORT: u16 = 6379;
-/// How long a server takes unless a test says otherwise, in microseconds.
+/// The default service time of a server, in microseconds.
 const DEFAULT_SERVICE_TIME: Time = 5 * MILLI;
-/// When the router's watch is up.
+/// The time at which the router's watch is established, in microseconds.
 const READY_AT: Time = 100 * MILLI;
 
-/// How the router of a scenario is configured.
+/// The configuration of a scenario's router.
 #[derive(Clone, Copy, Default)]
 struct ScenarioOptions {
-    /// It coalesces identical reads.
+    /// Whether the router coalesces identical reads.
     coalesces: bool,
-    /// Discovery pushes its list.
+    /// Whether discovery pushes its list to the router.
     lists_are_pushed: bool,
 }
 
-/// One router among scripted peers.
+/// A simulation of one router with scripted peers.
 pub struct Scenario {
     /// The clock.
     pub executor: Executor,
@@ -82,12 +84,13 @@
 }
 
 impl Scenario {
-    /// A router and so many servers, all up since long ago. The seed draws the order of what falls due at one instant.
+    /// Creates a scenario with a router and a number of servers, all up since long ago. The seed
+    /// determines the order of tasks and timers that are due at the same time.
     pub fn new(server_count: usize, seed: u64) -> Scenario {
         Scenario::with_options(server_count, seed, ScenarioOptions::default())
     }
 
-    /// The same where discovery pushes its list.
+    /// Creates a scenario like [`Scenario::new`] in which discovery pushes its list to the router.
     pub fn with_push_discovery(server_count: usize, seed: u64) -> Scenario {
         let options = ScenarioOptions {
             lists_are_pushed: true,
@@ -96,7 +99,7 @@
         Scenario::with_options(server_count, seed, options)
     }
 
-    /// The same with a router that coalesces identical reads.
+    /// Creates a scenario like [`Scenario::new`] in which the router coalesces identical reads.
     pub fn coalescing(server_count: usize, seed: u64) -> Scenario {
         let options = ScenarioOptions {
             coalesces: true,
@@ -125,7 +128,7 @@
         let environment = simulation.network.environment(router);
         let runtime = match RouterRuntime::new(environment, config) {
             Ok(runtime) => Rc::new(runtime),
-            Err(problem) => panic!("the scenario's settings are usable: {problem}"),
+            Err(problem) => panic!("the scenario's router configuration is invalid: {problem}"),
         };
         let scenario = Scenario {
             executor: simulation.executor,
@@ -145,7 +148,7 @@
         scenario
     }
 
-    /// Starts all processes and waits until the router's watch is up.
+    /// Starts all processes and runs until the router's watch is established.
     fn start(&self, discovery: Node) {
         for server in &self.servers {
             server.start(&self.executor, &self.network);
@@ -157,7 +160,8 @@
         self.executor.run_until(READY_AT);
     }
 
-    /// Spawns the router's main task, which ends after [`Scenario::terminate`] or with the scenario.
+    /// Spawns the router's main task, which ends after [`Scenario::terminate`] or with the
+    /// scenario.
     fn spawn_router(&self) {
         let listener = self.network.listen(self.router, self.router_address);
         let runtime = self.runtime.clone();
@@ -176,7 +180,8 @@
         self.stop.notify_one();
     }
 
-    /// Whether the router has ended; its machine has closed what it held then.
+    /// Whether the router's main task has ended. If so, the router's process is killed, which
+    /// closes its connections.
     pub fn has_ended(&self) -> bool {
         if self.has_ended.get() {
             self.executor.kill(self.router);
@@ -184,30 +189,31 @@
         self.has_ended.get()
     }
 
-    /// Sets what a server does from now on.
+    /// Sets the behavior of a server from now on.
     pub fn set_behavior(&self, server: usize, behavior: ServerBehavior) {
         *self.servers[server].behavior.borrow_mut() = behavior;
     }
 
-    /// Sets what all servers do from now on.
+    /// Sets the behavior of all servers from now on.
     pub fn set_all_behaviors(&self, behavior: &ServerBehavior) {
         for server in &self.servers {
             *server.behavior.borrow_mut() = behavior.clone();
         }
     }
 
-    /// Connections to this server take so many bytes without their being read.
+    /// Sets how many bytes a server's machine receives on a connection before the server reads
+    /// them.
     pub fn set_receive_window(&self, server: usize, bytes: usize) {
         let node = self.servers[server].node;
         self.network.set_receive_window(node, bytes);
     }
 
-    /// The requests that a server has received whole.
+    /// The requests that a server has received completely.
     pub fn received_requests(&self, server: usize) -> Vec<ReceivedRequest> {
         self.servers[server].received_requests.borrow().clone()
     }
 
-    /// How many requests all servers have received whole.
+    /// The number of requests that all servers together have received completely.
     pub fn total_received_requests(&self) -> usize {
         let counts = self
             .servers
@@ -216,55 +222,55 @@
         counts.sum()
     }
 
-    /// Connections that a server has accepted so far.
+    /// The number of connections that a server has accepted so far.
     pub fn accepted_connections(&self, server: usize) -> usize {
         self.servers[server].accepted_connections.get()
     }
 
-    /// Discovery announces this of a server, so that it is at the router's machine at this time. `health` is as on the
-    /// list, `born_ms` Unix time in milliseconds.
+    /// Schedules a change of a server's list entry, so that it arrives at the router's machine at
+    /// this time. `health` has the spelling of the list, and `born_ms` is in Unix milliseconds.
     pub fn announce_at(&self, at: Time, server: usize, health: &str, born_ms: u64) {
         let entry = list_entry(&self.servers[server], server, health, born_ms);
         self.discovery.announce(at - LATENCY, entry);
     }
 
-    /// Watches that are open at this time send nothing from then on; a new one is answered.
+    /// Makes the watches that are open at this time stop sending then. Later watches are served.
     pub fn silence_watches_at(&self, at: Time) {
         self.discovery.silent_at.set(at);
     }
 
-    /// Connections to this server come up this much later, in microseconds.
+    /// Delays connection attempts to a server by `delay` microseconds.
     pub fn delay_connects(&self, server: usize, delay: Time) {
         let node = self.servers[server].node;
         self.network.delay_connects(node, Time::MAX, delay);
     }
 
-    /// The router's next calls of this kind fail with these error numbers, one after the other.
+    /// Makes the router's next calls of this kind fail with these error numbers in turn.
     pub fn fail_system_calls(&self, call: SystemCall, errors: &[i32]) {
         self.network.fail_system_calls(self.router, call, errors);
     }
 
-    /// Watches that are open at this time are reset then.
+    /// Resets the watches that are open at this time. Later watches are served.
     pub fn reset_watches_at(&self, at: Time) {
         self.discovery.reset_at.set(at);
     }
 
-    /// Unix time in milliseconds, for a process that starts now.
+    /// The current Unix time in milliseconds, as the start of a process on the list.
     pub fn unix_now_ms(&self) -> u64 {
         (UNIX_START + self.executor.now()) / 1_000
     }
 
-    /// Runs the clock up to this time.
+    /// Runs the simulation up to a time.
     pub fn run_until(&self, at: Time) {
         self.executor.run_until(at);
     }
 
-    /// The violations so far.
+    /// The violations that the checker has found so far.
     pub fn violations(&self) -> Vec<Violation> {
         self.checker.borrow().violations.clone()
     }
 
-    /// The checker, for a test that tells it a fact.
+    /// The checker, for tests that report an event to it directly.
     pub fn checker(&self) -> RefMut<'_, InvariantChecker> {
         self.checker.borrow_mut()
     }
@@ -290,7 +296,7 @@
     )
 }
 
-/// The list that the router starts with.
+/// The endpoint list with which the router starts.
 fn initial_list(servers: &[Rc<ScriptedServer>]) -> String {
     let numbered = servers.iter().enumerate();
     let entries: Vec<String> = numbered
@@ -338,12 +344,12 @@
     }
 }
 
-/// The servers of a scenario, by turns in one of two zones.
+/// The identities of a scenario's servers, which alternate between two zones.
 pub fn server_identities(count: usize) -> Vec<ServerIdentity> {
     (0..count).map(server_identity).collect()
 }
 
-/// A network on which each way takes [`LATENCY`].
+/// Network conditions with a constant one-way latency of [`LATENCY`] and no loss.
 pub fn constant_latency_conditions() -> NetworkConditions {
     NetworkConditions {
         latency_within_zone: LATENCY - 1,
@@ -356,7 +362,7 @@
     }
 }
 
-/// The parameters of the rules in a scenario whose router does not coalesce.
+/// The rule parameters of a scenario whose router does not coalesce reads.
 pub fn rule_parameters() -> RuleParameters {
     deployment_parameters().rule_parameters(RECEIVE_WINDOW_BYTES)
 }
--- a/crates/router-simulation/src/scenario/cache_server.rs
+++ b/crates/router-simulation/src/scenario/cache_server.rs
@@ -1,4 +1,4 @@
-//! A scripted cache server of a scenario.
+//! The scripted cache servers of a scenario.
 
 use crate::executor::{Executor, Node, Time};
 use crate::network::{Network, SimulatedStream};
@@ -8,38 +8,38 @@
 use std::rc::Rc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// The size of a value, unless the behavior says another; in bytes.
+/// The default size of a value, in bytes.
 const VALUE_SIZE: usize = 20;
 
-/// What a scripted cache server does with a command; times in microseconds.
+/// How a scripted cache server handles requests. Times are in microseconds.
 #[derive(Clone, Debug)]
 pub enum ServerBehavior {
-    /// Serves it after this time.
+    /// Serves a request after this time.
     Serve(Time),
-    /// Serves it after this time with a value of so many bytes.
+    /// Serves a request after this time with a value of this many bytes.
     ServeLarge(Time, usize),
     /// Replies with these bytes after this time.
     Reply(Time, &'static [u8]),
-    /// Serves it after the first time, and sends the same once more after the second.
+    /// Serves a request after the first time, and sends the same reply again after the second.
     ServeTwice(Time, Time),
     /// Never replies.
     Ignore,
-    /// Resets the connection after this time.
+    /// Resets the connection this long after a request.
     Reset(Time),
-    /// Does not read, and resets the connection this time after it was opened.
+    /// Reads nothing, and resets the connection this long after it was accepted.
     NeverRead(Time),
 }
 
-/// A request that a scripted server has received whole.
+/// A request that a scripted server has received completely.
 #[derive(Clone, Debug)]
 pub struct ReceivedRequest {
-    /// Virtual time in microseconds.
+    /// When it was received, in microseconds of virtual time.
     pub at: Time,
     /// The request.
     pub request: CacheRequest,
 }
 
-/// A scripted cache server. Its tasks end with the scenario.
+/// A scripted cache server. Its tasks run until the end of the scenario.
 pub(super) struct ScriptedServer {
     pub(super) node: Node,
     pub(super) address: SocketAddr,
@@ -97,7 +97,7 @@
     }
 }
 
-/// The next request; none if the connection is over, or something else comes.
+/// Reads the next request; `None` if the connection ends or anything else arrives.
 async fn read_request(
     executor: &Executor,
     stream: &mut SimulatedStream,
@@ -120,7 +120,7 @@
     }
 }
 
-/// Does what the behavior says; false if the connection is over.
+/// Handles a request according to the behavior. Returns false if the connection has ended.
 async fn respond(
     executor: &Executor,
     stream: &mut SimulatedStream,
--- a/crates/router-simulation/src/scenario/client.rs
+++ b/crates/router-simulation/src/scenario/client.rs
@@ -1,4 +1,5 @@
-//! Clients of a scenario: they send bytes at exact times, and keep what they receive.
+//! The scripted clients of a scenario, which send bytes at exact times and record what they
+//! receive.
 
 use super::{LATENCY, Scenario};
 use crate::executor::Time;
@@ -9,29 +10,29 @@
 use std::rc::Rc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// What a client received in one read.
+/// The bytes that a client received in one read.
 #[derive(Clone, Debug)]
 pub struct ReceivedChunk {
-    /// Virtual time in microseconds.
+    /// When they were received, in microseconds of virtual time.
     pub at: Time,
     /// The bytes.
     pub bytes: Vec<u8>,
 }
 
-/// What a client has received so far.
+/// Everything that a client has received so far.
 pub type ReceivedChunks = Rc<RefCell<Vec<ReceivedChunk>>>;
 
-/// A request as it stands on the wire.
+/// A request in its wire encoding.
 #[derive(Clone, Debug)]
 pub struct EncodedRequest {
-    /// The command.
+    /// The encoded command.
     pub bytes: Vec<u8>,
     /// The request's id.
     pub id: u64,
 }
 
 impl Scenario {
-    /// A request of a class for a key, whose client waits `timeout` microseconds.
+    /// Encodes a request with a new id. The client waits `timeout` microseconds for the response.
     pub fn encode_request(&self, class: usize, key: u64, timeout: Time) -> EncodedRequest {
         self.encode_request_of(None, class, key, timeout)
     }
@@ -56,7 +57,8 @@
         EncodedRequest { bytes, id }
     }
 
-    /// A client that connects, writes each of these at its time, and reads until the connection ends or it leaves.
+    /// Starts a client that connects, performs each write at its time, and then reads until the
+    /// connection ends or the client disconnects.
     pub fn start_client(
         &self,
         writes: Vec<(Time, Vec<u8>)>,
@@ -99,7 +101,7 @@
         received
     }
 
-    /// A client that writes at a time, and reads nothing until another.
+    /// Starts a client that writes at one time and disconnects at another without reading.
     pub fn start_non_reading_client(&self, at: Time, bytes: Vec<u8>, until: Time) {
         let environment = self.network.environment(self.client);
         let executor = self.executor.clone();
@@ -109,19 +111,19 @@
                 return;
             };
             executor.sleep_until(at).await;
-            // The window has room for it.
+            // The write does not block, because it fits into the receive window.
             let _ = stream.write_all(&bytes).await;
             executor.sleep_until(until).await;
         });
     }
 
-    /// A client that sends one request, so that its last byte is at the router's machine at this time.
+    /// Starts a client whose request arrives completely at the router's machine at this time.
     pub fn request_at(&self, at: Time, class: usize, key: u64, timeout: Time) -> ReceivedChunks {
         let bytes = self.encode_request(class, key, timeout).bytes;
         self.start_client(vec![(at - LATENCY, bytes)], None)
     }
 
-    /// The same for a read of one of two tenants.
+    /// Starts a client like [`Scenario::request_at`] that sends a read on behalf of a tenant.
     pub fn request_as_tenant(
         &self,
         tenant: usize,
--- a/crates/router-simulation/src/scenario/discovery.rs
+++ b/crates/router-simulation/src/scenario/discovery.rs
@@ -1,4 +1,4 @@
-//! Scripted discovery of a scenario: each announcement is sent once, at its exact time.
+//! The scripted discovery of a scenario, which sends each announcement once, at its exact time.
 
 use crate::discovery::{RESPONSE_HEAD, chunk, list_json, read_to_end};
 use crate::executor::{Executor, Node, Time};
@@ -9,23 +9,24 @@
 use std::rc::Rc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// While nothing is announced, a heartbeat is sent this often, in microseconds.
+/// The interval of heartbeats on a watch without announcements, in microseconds.
 const HEARTBEAT_INTERVAL: Time = SECOND;
-/// How often a watch looks for announcements, beside their exact times; in microseconds.
+/// The longest interval at which a watch checks for events, in microseconds. It also checks at the
+/// exact times of the announcements.
 const POLL_INTERVAL: Time = 500;
 
-/// A line of the list that is yet to be sent.
+/// A list entry that has not been sent yet.
 struct Announcement {
     at: Time,
     entry: String,
 }
 
-/// Scripted discovery. Its tasks end with the scenario.
+/// A scripted discovery service. Its tasks run until the end of the scenario.
 pub(super) struct ScriptedDiscovery {
     announcements: RefCell<Vec<Announcement>>,
-    /// Watches opened before this time send nothing from then on.
+    /// The time at which the watches that are open then stop sending.
     pub(super) silent_at: Cell<Time>,
-    /// Watches opened before this time are reset then.
+    /// The time at which the watches that are open then are reset.
     pub(super) reset_at: Cell<Time>,
 }
 
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Sends an entry of the list at this time.
+    /// Schedules a list entry to be sent at this time.
     pub(super) fn announce(&self, at: Time, entry: String) {
         self.announcements
             .borrow_mut()
@@ -63,11 +64,11 @@
         });
     }
 
-    /// Sends announcements until the watch ends or falls silent.
+    /// Serves a watch until it ends or stops sending.
     async fn watch(self: Rc<Self>, executor: Executor, mut stream: SimulatedStream) {
         let opened = executor.now();
         let mut buffer = [0; 1_024];
-        // The call's head; what it says does not matter.
+        // The content of the request head is irrelevant.
         let _ = stream.read(&mut buffer).await;
         let first = format!("{RESPONSE_HEAD}{}", chunk(""));
         let mut written = stream.write_all(first.as_bytes()).await;
--- a/crates/router-simulation/src/simulation.rs
+++ b/crates/router-simulation/src/simulation.rs
@@ -1,4 +1,4 @@
-//! The clock, the network and the checker that all parts of a run share.
+//! The executor, the network and the invariant checker of a run.
 
 use crate::executor::{Executor, Node};
 use crate::invariant_checker::{InvariantChecker, Role};
@@ -8,10 +8,10 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
 
-/// A handle to the shared parts of a run.
+/// A handle to the executor, the network and the checker, which all parts of a run share.
 #[derive(Clone)]
 pub struct Simulation {
-    /// The clock and the tasks.
+    /// The executor, which holds the clock and the tasks.
     pub executor: Executor,
     /// The network.
     pub network: Network,
@@ -20,8 +20,8 @@
 }
 
 impl Simulation {
-    /// A simulation at time 0 without machines. One stream of random numbers orders what falls due at one instant, the
-    /// other draws latencies and losses.
+    /// Creates a simulation at time 0 without machines. `order` determines the order of tasks and
+    /// timers that are due at the same time, `network` the latencies and losses.
     pub fn new(
         checker: InvariantChecker,
         conditions: NetworkConditions,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Adds a machine of this role.
+    /// Adds a machine with this role to a zone.
     pub fn add_machine(&self, role: Role, zone: usize, descriptor_limit: usize) -> Node {
         self.checker.borrow_mut().add_machine(role);
         self.network.add_machine(zone, descriptor_limit)
@@ -53,7 +53,7 @@
     Routers = 3,
 }
 
-/// The address of the machine of this number in a subnet.
+/// The address of the machine with this number in a subnet.
 pub(crate) fn address(subnet: Subnet, number: usize, port: u16) -> SocketAddr {
     let [high, low] = (number as u16 + 1).to_be_bytes();
     SocketAddr::from((Ipv4Addr::new(10, subnet as u8, high, low), port))
