--- a/crates/router-simulation/src/arguments.rs
+++ b/crates/router-simulation/src/arguments.rs
@@ -1,28 +1,28 @@
-//! Parsers of the values on the command line.
+//! Parsers for the values of command-line arguments.
 
 use router_simulation::fault_plan::FaultKind;
 use std::num::ParseIntError;
 use std::ops::Range;
 use thiserror::Error;
 
-/// The longest range of seeds: weeks of simulation.
+/// The longest range of seeds, which takes weeks to simulate.
 const MAX_SEED_COUNT: u64 = 100_000_000;
 
-/// A value on the command line that cannot be used.
+/// An invalid value on the command line.
 #[derive(Debug, Error)]
 pub(crate) enum ArgumentError {
-    /// A range of seeds.
-    #[error("seeds are FIRST..END with FIRST below END, at most {MAX_SEED_COUNT} of them")]
+    /// An invalid range of seeds.
+    #[error("expected FIRST..END with FIRST less than END and at most {MAX_SEED_COUNT} seeds")]
     Seeds,
-    /// A list of numbers.
+    /// An invalid list of numbers.
     #[error(transparent)]
     Number(#[from] ParseIntError),
-    /// The name of a kind of faults.
-    #[error("no fault of this name; there are {}", FaultKind::PAIRED.map(FaultKind::name).join(", "))]
+    /// An unknown fault kind.
+    #[error("unknown fault; the known faults include {}", FaultKind::PAIRED.map(FaultKind::name).join(", "))]
     Fault,
 }
 
-/// Parses `FIRST..END`.
+/// Parses a range of seeds, `FIRST..END` without `END`.
 pub(crate) fn parse_seeds(text: &str) -> Result<Range<u64>, ArgumentError> {
     let (first, end) = text.split_once("..").ok_or(ArgumentError::Seeds)?;
     let first = first.parse().map_err(|_| ArgumentError::Seeds)?;
@@ -34,7 +34,7 @@
     }
 }
 
-/// Indices or numbers of what is to be kept; may be none.
+/// The indices or numbers of the items to keep; may be empty.
 #[derive(Clone)]
 pub(crate) struct Indices(Vec<usize>);
 
@@ -43,7 +43,7 @@
         self.0.contains(&index)
     }
 
-    /// Keeps the elements of a list at these indices.
+    /// Removes all elements of a list except those at these indices.
     pub(crate) fn retain<T>(&self, list: &mut Vec<T>) {
         let mut index = 0;
         list.retain(|_| {
@@ -53,14 +53,14 @@
     }
 }
 
-/// Parses numbers set apart by commas.
+/// Parses a comma-separated list of numbers.
 pub(crate) fn parse_indices(text: &str) -> Result<Indices, ArgumentError> {
     let parts = text.split(',').filter(|part| !part.is_empty());
     let numbers: Result<Vec<usize>, ParseIntError> = parts.map(str::parse).collect();
     Ok(Indices(numbers?))
 }
 
-/// Parses the name of a kind of faults.
+/// Parses the name of a fault kind.
 pub(crate) fn parse_fault(name: &str) -> Result<FaultKind, ArgumentError> {
     FaultKind::named(name).ok_or(ArgumentError::Fault)
 }
--- a/crates/router-simulation/src/lib.rs
+++ b/crates/router-simulation/src/lib.rs
@@ -1,9 +1,11 @@
-//! The whole asterport router on simulated time and network, with seeded faults and a checker of the protocol's rules.
+//! Deterministic simulation of the asterport router, with seeded faults and a checker of the
+//! protocol's rules.
 //!
-//! [`fault_plan::RunPlan::draw`] draws the plan of a run from a seed, [`run::simulate`] carries it out: routers that run the
-//! real runtime, and models of clients, cache servers, their origin and discovery, on the virtual clock of [`executor`]
-//! and the network of [`network`]. The [`invariant_checker`] sees what passes on the wire and nothing of the routers.
-//! Equal seeds give equal runs, step by step.
+//! [`fault_plan::RunPlan::draw`] draws the plan of a run from a seed, and [`run::simulate`]
+//! executes it. The routers run the real runtime. Clients, cache servers, their origin and
+//! discovery are models. All of them run on the virtual clock of [`executor`] and communicate over
+//! the network of [`network`]. The [`invariant_checker`] observes the network traffic and has no
+//! access to the routers' state. The same seed always gives the same run, step by step.
 
 pub mod campaign;
 pub mod clients;
@@ -20,5 +22,5 @@
 pub mod simulation;
 pub mod wire;
 
-/// The Unix time at the start of every run, in microseconds.
+/// The Unix time at which every run starts, in microseconds.
 pub const UNIX_START: u64 = 1_700_000_000_000_000;
--- a/crates/router-simulation/src/main.rs
+++ b/crates/router-simulation/src/main.rs
@@ -1,6 +1,7 @@
-//! router-simulation: simulates runs of overlapping faults on the virtual clock and checks them.
+//! router-simulation: simulates runs with overlapping faults on a virtual clock and checks them.
 //!
-//! Exit codes: 0 no violation, 1 a violation (or a mutation that was not caught), 2 an argument that cannot be used.
+//! Exit codes: 0 if there is no violation, 1 for a violation or a mutation that was not caught, 2
+//! for an invalid argument.
 
 mod arguments;
 
@@ -19,7 +20,7 @@
 #[command(
     name = "router-simulation",
     version,
-    about = "Simulates the router on a virtual clock against seeded faults and checks it"
+    about = "Simulates the router on a virtual clock with seeded faults and checks its behavior"
 )]
 struct Cli {
     #[command(subcommand)]
@@ -28,44 +29,45 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Simulate the runs of a range of seeds; a summary, and what broke.
+    /// Simulate the runs of a range of seeds and print a summary and the violations.
     Run {
-        /// The seeds, FIRST..END without END.
+        /// The range of seeds, FIRST..END without END.
         #[arg(long, default_value = "0..1000", value_parser = parse_seeds)]
         seeds: Range<u64>,
-        /// Threads; all cores if left out.
+        /// The number of threads; one for each core by default.
         #[arg(long)]
         jobs: Option<usize>,
         #[command(flatten)]
         plan_options: PlanOptions,
     },
-    /// Simulate one run again and show what broke, with the last steps that touched the request.
+    /// Simulate one run and print its violations, each with the last steps of its request.
     Replay(ReplayOptions),
-    /// Reduce a failing run to the fewest faults and requests that still fail.
+    /// Reduce a failing run to a small set of faults and requests that still fails.
     Shrink {
         /// The seed.
         seed: u64,
         #[command(flatten)]
         plan_options: PlanOptions,
     },
-    /// Activate each mutation in turn and see it caught; wants a build with `--features mutations`.
+    /// Activate each mutation in turn and check that it is caught; needs a build with the feature
+    /// `mutations`.
     Mutants {
-        /// The seeds whose runs are simulated for each.
+        /// The range of seeds to simulate for each mutation, FIRST..END without END.
         #[arg(long, default_value = "0..500", value_parser = parse_seeds)]
         seeds: Range<u64>,
-        /// Threads; all cores if left out.
+        /// The number of threads; one for each core by default.
         #[arg(long)]
         jobs: Option<usize>,
     },
 }
 
-/// How plans are drawn.
+/// How the plans of runs are drawn.
 #[derive(Args)]
 struct PlanOptions {
-    /// Join identical reads, and let crowds ask for one key.
+    /// Coalesce identical reads, and add crowds of clients that request the same key.
     #[arg(long = "joining")]
     coalescing: bool,
-    /// Draw from these faults alone, their names set apart by commas; `list` shows the names.
+    /// Draw only these faults, given by name and separated by commas.
     #[arg(long, value_delimiter = ',', value_parser = parse_fault)]
     faults: Vec<FaultKind>,
 }
@@ -89,27 +91,27 @@
 struct ReplayOptions {
     /// The seed.
     seed: u64,
-    /// Show the steps up to this one.
+    /// Print the first steps of the run, up to this number.
     #[arg(long)]
     until: Option<usize>,
-    /// Show every step on the wire.
+    /// Print every step on the wire.
     #[arg(long)]
     trace: bool,
     #[command(flatten)]
     plan_options: PlanOptions,
-    /// Keep only these faults of the run, by their indices from 0, as `shrink` names them.
+    /// Keep only the faults with these indices, counted from 0, as `shrink` prints them.
     #[arg(long, value_parser = parse_indices)]
     keep_faults: Option<Indices>,
-    /// Keep only these requests of the run, by their numbers; crowds aside.
+    /// Keep only the requests with these numbers; the requests of crowds are not affected.
     #[arg(long = "keep-asks", value_parser = parse_indices)]
     keep_requests: Option<Indices>,
-    /// Keep only these crowds of the run, by their indices from 0.
+    /// Keep only the crowds with these indices, counted from 0.
     #[arg(long, value_parser = parse_indices)]
     keep_crowds: Option<Indices>,
 }
 
 impl ReplayOptions {
-    /// The drawn plan, reduced to what is to be kept.
+    /// The plan of the seed, reduced to the faults, crowds and requests to keep.
     fn plan(&self) -> RunPlan {
         let mut plan = self.plan_options.plan(self.seed);
         if let Some(selected) = &self.keep_faults {
@@ -126,9 +128,9 @@
     }
 }
 
-/// Runs with violations that `run` shows.
+/// The most runs with violations that `run` prints.
 const SHOWN_RUN_COUNT: usize = 20;
-/// Requests that `shrink` shows.
+/// The most requests that `shrink` prints.
 const SHOWN_REQUEST_COUNT: usize = 20;
 
 fn main() -> ExitCode {
@@ -152,7 +154,7 @@
     }
 }
 
-/// Prints what is wrong with the arguments in one line.
+/// Prints a usage error on one line.
 fn report_usage_error(error: &clap::Error) -> ExitCode {
     let text = error.to_string();
     let paragraph: Vec<&str> = text
@@ -187,7 +189,7 @@
     }
 }
 
-/// Success, or the code of violations.
+/// The exit code of a check: success if there is no violation.
 fn exit_code(is_clean: bool) -> ExitCode {
     if is_clean {
         ExitCode::SUCCESS
@@ -218,7 +220,7 @@
     let plan = arguments.plan();
     let report = simulate(&plan, Recording::Trace);
     println!(
-        "seed {}: {} routers, {} servers, {} requests asked, {} steps, digest {:016x}",
+        "seed {}: {} routers, {} servers, {} planned requests, {} steps, digest {:016x}",
         plan.seed,
         plan.routers.len(),
         plan.servers.len(),
@@ -302,7 +304,7 @@
     )
 }
 
-/// The indices of what remains of a list, set apart by commas.
+/// The comma-separated indices of the elements of a list that remain.
 fn remaining_indices<T: PartialEq>(all: &[T], remaining: &[T]) -> String {
     let indices = (0..all.len()).filter(|&index| remaining.contains(&all[index]));
     let indices: Vec<String> = indices.map(|index| index.to_string()).collect();
@@ -313,7 +315,7 @@
     let start = Instant::now();
     let Some(results) = campaign::run_mutations(seeds, thread_count(jobs)) else {
         eprintln!(
-            "router-simulation: this build leaves the mutations out; build it with --features mutations"
+            "router-simulation: mutations are not compiled in; build with --features mutations"
         );
         return ExitCode::from(2);
     };
--- a/crates/router-simulation/src/wire.rs
+++ b/crates/router-simulation/src/wire.rs
@@ -1,56 +1,57 @@
-//! RESP2 as the checker and the models read and write it; it shares nothing with the router's own.
+//! The RESP2 codec of the checker and the models. It shares no code with the router's own
+//! codec.
 
 use crate::executor::Time;
 use thiserror::Error;
 
-/// The longest line that is read, in bytes.
+/// The longest line that is accepted, in bytes.
 const MAX_LINE_BYTES: usize = 4_096;
-/// The longest bulk string that is read, in bytes.
+/// The longest bulk string that is accepted, in bytes.
 const MAX_BULK_BYTES: i64 = 1_048_576;
-/// A longer value may be passed on before it is whole, in bytes.
+/// The length above which a value may be forwarded before it is complete, in bytes.
 const LONG_VALUE_BYTES: i64 = 65_536;
-/// The longest array that is read.
+/// The longest array that is accepted.
 const MAX_ARRAY_LENGTH: i64 = 16;
-/// How deep arrays may nest.
+/// How deep arrays can be nested.
 const MAX_DEPTH: u32 = 2;
-/// The bits of a request id that hold the number of the client's try.
+/// The number of low bits in a request id that hold the number of the client's attempt.
 const ATTEMPT_BITS: u32 = 8;
 
-/// One whole frame.
+/// A complete RESP2 frame.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Frame {
-    /// A simple string, an error or an integer, with its first byte.
+    /// A simple string, an error or an integer, including the type byte.
     Line(Vec<u8>),
-    /// A bulk string, none for a null.
+    /// A bulk string; `None` for a null.
     Bulk(Option<Vec<u8>>),
     /// An array.
     Array(Vec<Frame>),
 }
 
-/// The bytes cannot be read as RESP2.
+/// The bytes are not valid RESP2.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("the bytes are no RESP2")]
+#[error("invalid RESP2 frame")]
 pub struct InvalidFrame;
 
-/// A whole frame, and when its first byte came.
+/// A complete frame and the arrival time of its first byte.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DecodedFrame {
     /// The frame.
     pub frame: Frame,
-    /// Microseconds of virtual time.
+    /// When the first byte arrived, in microseconds of virtual time.
     pub began_at: Time,
 }
 
-/// Bytes in one direction, cut into frames.
+/// Decodes the bytes of one direction of a connection into frames.
 #[derive(Clone, Debug, Default)]
 pub struct FrameDecoder {
     buffer: Vec<u8>,
-    /// When the first byte of the buffer came.
+    /// When the first byte in the buffer arrived.
     first_at: Time,
 }
 
 impl FrameDecoder {
-    /// Takes bytes that came at this time.
+    /// Adds bytes that arrived at this time.
     pub fn feed(&mut self, now: Time, bytes: &[u8]) {
         if self.buffer.is_empty() {
             self.first_at = now;
@@ -58,10 +59,10 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next frame if it is whole.
+    /// Decodes the next frame; `None` if it is incomplete.
     ///
     /// # Errors
-    /// The bytes are no RESP2: nothing more can be read.
+    /// The bytes are not valid RESP2. No further frame can be decoded.
     pub fn next(&mut self, now: Time) -> Result<Option<DecodedFrame>, InvalidFrame> {
         match parse(&self.buffer, 0, 0)? {
             None => Ok(None),
@@ -73,7 +74,8 @@
         }
     }
 
-    /// Whether the frame that is not whole is a reply with a long value: one that is passed on as it comes.
+    /// Whether the incomplete frame is a reply with a long value, which may be forwarded before it
+    /// is complete.
     pub fn has_begun_long_value(&self) -> bool {
         let mut lines = self.buffer.split(|&byte| byte == b'\n');
         let is_array = lines.next().is_some_and(|line| line.starts_with(b"*"));
@@ -83,19 +85,19 @@
         is_array && length.is_some_and(|length| length > LONG_VALUE_BYTES)
     }
 
-    /// Bytes of a frame that is not whole.
+    /// The number of buffered bytes, which belong to frames that have not been decoded.
     pub fn buffered_bytes(&self) -> usize {
         self.buffer.len()
     }
 }
 
-/// A whole frame and where it ends.
+/// A complete frame and the index of its end.
 struct Parsed {
     frame: Frame,
     end: usize,
 }
 
-/// The frame that begins at this index; none if it is not whole.
+/// Parses the frame that starts at this index; `None` if it is incomplete.
 fn parse(bytes: &[u8], start: usize, depth: u32) -> Result<Option<Parsed>, InvalidFrame> {
     let Some(length) = bytes[start..].iter().position(|&byte| byte == b'\n') else {
         let is_too_long = bytes.len() - start > MAX_LINE_BYTES;
@@ -119,14 +121,14 @@
     }
 }
 
-/// The number after the first byte of a line.
+/// Parses the number after the type byte of a line.
 fn parse_number(line: &[u8]) -> Result<i64, InvalidFrame> {
     let digits = line.get(1..).ok_or(InvalidFrame)?;
     let digits = std::str::from_utf8(digits).map_err(|_| InvalidFrame)?;
     digits.parse().map_err(|_| InvalidFrame)
 }
 
-/// A bulk string of this length whose body begins at this index.
+/// Parses a bulk string of this length whose body starts at this index.
 fn parse_bulk(bytes: &[u8], start: usize, length: i64) -> Result<Option<Parsed>, InvalidFrame> {
     if length == -1 {
         let frame = Frame::Bulk(None);
@@ -144,7 +146,7 @@
     Ok(Some(Parsed { frame, end }))
 }
 
-/// An array of this length whose first item begins at this index.
+/// Parses an array of this length whose first item starts at this index.
 fn parse_array(
     bytes: &[u8],
     start: usize,
@@ -170,38 +172,38 @@
     Ok(Some(Parsed { frame, end }))
 }
 
-/// A read or a write as it stands on the wire.
+/// A decoded `C.GET` or `C.SET`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CacheRequest {
-    /// Whether it is a `C.SET`.
+    /// Whether the command is `C.SET`.
     pub is_write: bool,
-    /// The key.
+    /// The cache key.
     pub key: Vec<u8>,
-    /// The request's id, 16 hex digits on the wire.
+    /// The request's id, which is written as 16 hexadecimal digits.
     pub id: u64,
-    /// The class.
+    /// The name of the request's class.
     pub class: String,
-    /// How long its sender waits for the answer, in milliseconds.
+    /// How long the sender waits for the response, in milliseconds.
     pub timeout_ms: u64,
-    /// The idempotency key.
+    /// The idempotency key, if there is one.
     pub idempotency_key: Option<String>,
-    /// The estimate of its work, in microseconds.
+    /// The cost hint in microseconds, if there is one.
     pub work_estimate: Option<u64>,
 }
 
-/// A command, as far as the simulation tells them apart.
+/// A decoded command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
     /// A read or a write.
     CacheRequest(CacheRequest),
     /// `PING`.
     Ping,
-    /// Anything else.
+    /// Any other or malformed command.
     Other,
 }
 
 impl Command {
-    /// Reads a frame as a command.
+    /// Decodes a frame as a command.
     pub fn of(frame: &Frame) -> Command {
         let Frame::Array(items) = frame else {
             return Command::Other;
@@ -250,19 +252,19 @@
     }
 }
 
-/// What an answer says of its request.
+/// A decoded response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Response {
-    /// Served, with the value.
+    /// The request was served, with this value.
     Served(Vec<u8>),
-    /// `-BUSY`, with the time after which to retry, in milliseconds.
+    /// `-BUSY`, with the Retry-After in milliseconds if there is one.
     Rejected(Option<u64>),
-    /// Anything else.
+    /// Any other response.
     Failed,
 }
 
 impl Response {
-    /// Reads a frame as an answer.
+    /// Decodes a frame as a response.
     pub fn of(frame: &Frame) -> Response {
         match frame {
             Frame::Bulk(Some(value)) => Response::Served(value.clone()),
@@ -281,35 +283,35 @@
     }
 }
 
-/// The id of a client's try of a request: 0 for the first.
+/// The request id of a client's attempt. `attempt` is 0 for the first one.
 pub fn request_id(number: u32, attempt: u64) -> u64 {
     u64::from(number) << ATTEMPT_BITS | attempt
 }
 
-/// The number of the request that an id belongs to.
+/// The number of the request to which an id belongs.
 pub fn request_number(id: u64) -> u32 {
     (id >> ATTEMPT_BITS) as u32
 }
 
-/// A key as it stands on the wire.
+/// Encodes a key.
 pub fn key_bytes(key: u64) -> Vec<u8> {
     format!("{key:016x}").into_bytes()
 }
 
-/// The bytes of a read.
+/// Encodes a read.
 pub fn read_command(key: u64, id: u64, fields: &str) -> Vec<u8> {
     let id = format!("{id:016x}");
     command(&[b"C.GET", &key_bytes(key), id.as_bytes(), fields.as_bytes()])
 }
 
-/// The bytes of a write.
+/// Encodes a write.
 pub fn write_command(key: u64, id: u64, fields: &str, value: &[u8]) -> Vec<u8> {
     let id = format!("{id:016x}");
     let key = key_bytes(key);
     command(&[b"C.SET", &key, id.as_bytes(), fields.as_bytes(), value])
 }
 
-/// The reply that serves a value from a source, `hit` or `miss`.
+/// Encodes the reply that serves a value with its source, `hit` or `miss`.
 pub fn served_reply(value: &[u8], source: &str) -> Vec<u8> {
     let mut reply = format!("*3\r\n${}\r\n", value.len()).into_bytes();
     reply.extend_from_slice(value);
@@ -317,7 +319,7 @@
     reply
 }
 
-/// A command as bytes.
+/// Encodes a command.
 pub fn command(arguments: &[&[u8]]) -> Vec<u8> {
     let mut out = format!("*{}\r\n", arguments.len()).into_bytes();
     for argument in arguments {
@@ -328,14 +330,15 @@
     out
 }
 
-/// The value that a cache server makes for a request: the request's id, the server's name, filled up to a size.
+/// The value that a cache server returns for a request: the request's id and the server's name,
+/// padded to a size.
 pub fn value_for(id: u64, server: &str, size: usize) -> Vec<u8> {
     let mut value = format!("{id:016x}@{server};").into_bytes();
     value.resize(size.max(value.len()), b'.');
     value
 }
 
-/// The request that a value was made for.
+/// The id of the request for which a value was returned; `None` if the value is malformed.
 pub fn request_id_of_value(value: &[u8]) -> Option<u64> {
     let text = std::str::from_utf8(value.get(..16)?).ok()?;
     (value.get(16) == Some(&b'@')).then(|| u64::from_str_radix(text, 16).ok())?
