--- a/crates/router-simulation/tests/coalescing_scenarios.rs
+++ b/crates/router-simulation/tests/coalescing_scenarios.rs
@@ -4,7 +4,7 @@
 use router_simulation::fault_plan::{MILLI, SECOND};
 use router_simulation::scenario::{DEADLINE, LATENCY, ReceivedChunks, Scenario, ServerBehavior};
 
-fn text(received: &ReceivedChunks) -> String {
+fn received_text(received: &ReceivedChunks) -> String {
     received
         .borrow()
         .iter()
@@ -12,16 +12,16 @@
         .collect()
 }
 
-fn served(received: &ReceivedChunks) -> usize {
-    text(received).matches("@scene;").count()
+fn served_count(received: &ReceivedChunks) -> usize {
+    received_text(received).matches("@scene;").count()
 }
 
-fn rejected(received: &ReceivedChunks) -> usize {
-    text(received).matches("-BUSY").count()
+fn rejected_count(received: &ReceivedChunks) -> usize {
+    received_text(received).matches("-BUSY").count()
 }
 
 /// 500 reads for one key over 50 connections, all at the router's machine at this time.
-fn crowd(scenario: &Scenario, at: Time, key: u64, timeout: Time) -> Vec<ReceivedChunks> {
+fn start_crowd(scenario: &Scenario, at: Time, key: u64, timeout: Time) -> Vec<ReceivedChunks> {
     let request = |_| {
         let bytes: Vec<u8> = (0..10)
             .flat_map(|_| scenario.encode_request(0, key, timeout).bytes)
@@ -31,12 +31,12 @@
     (0..50).map(request).collect()
 }
 
-fn all(received: &[ReceivedChunks], count: fn(&ReceivedChunks) -> usize) -> usize {
+fn total(received: &[ReceivedChunks], count: fn(&ReceivedChunks) -> usize) -> usize {
     received.iter().map(count).sum()
 }
 
 /// Nothing was broken, and nothing is held.
-fn ends_well(scenario: &Scenario) {
+fn assert_clean_end(scenario: &Scenario) {
     assert_eq!(
         scenario.violations().len(),
         0,
@@ -58,7 +58,7 @@
 }
 
 /// The owner of a key among these servers.
-fn owner(servers: usize, key: u64) -> usize {
+fn owner_of_key(servers: usize, key: u64) -> usize {
     let scenario = Scenario::new(servers, 1);
     scenario.request_at(SECOND, 0, key, SECOND);
     scenario.run_until(2 * SECOND);
@@ -68,23 +68,23 @@
 }
 
 #[test]
-fn five_hundred_identical_reads_at_once_are_one_fetch() {
+fn five_hundred_simultaneous_identical_reads_cause_one_upstream_request() {
     for seed in 0..5 {
         let scenario = Scenario::coalescing(3, seed);
         scenario.set_all_behaviors(&ServerBehavior::Serve(100 * MILLI));
-        let received = crowd(&scenario, SECOND, 7, SECOND);
+        let received = start_crowd(&scenario, SECOND, 7, SECOND);
         scenario.run_until(3 * SECOND);
         assert_eq!(scenario.total_received_requests(), 1);
-        assert_eq!(all(&received, served), 500);
-        ends_well(&scenario);
+        assert_eq!(total(&received, served_count), 500);
+        assert_clean_end(&scenario);
     }
 }
 
 #[test]
-fn without_joining_they_are_as_many_as_the_limits_let_through() {
+fn without_coalescing_identical_reads_cause_many_upstream_requests() {
     let scenario = Scenario::new(3, 1);
     scenario.set_all_behaviors(&ServerBehavior::Serve(100 * MILLI));
-    crowd(&scenario, SECOND, 7, SECOND);
+    start_crowd(&scenario, SECOND, 7, SECOND);
     scenario.run_until(3 * SECOND);
     assert!(
         scenario.total_received_requests() > 10,
@@ -94,16 +94,16 @@
 }
 
 #[test]
-fn a_failed_flight_is_tried_once_more_for_all() {
+fn a_failed_flight_is_retried_once_for_all_waiters() {
     for behavior in [
         ServerBehavior::Reset(50 * MILLI),
         ServerBehavior::Reply(50 * MILLI, b"-BUSY\r\n"),
     ] {
         let scenario = Scenario::coalescing(3, 1);
-        let owner = owner(3, 7);
+        let owner = owner_of_key(3, 7);
         scenario.set_all_behaviors(&ServerBehavior::Serve(50 * MILLI));
         scenario.set_behavior(owner, behavior.clone());
-        let received = crowd(&scenario, SECOND, 7, SECOND);
+        let received = start_crowd(&scenario, SECOND, 7, SECOND);
         scenario.run_until(3 * SECOND);
         assert_eq!(
             (
@@ -113,16 +113,16 @@
             (1, 2),
             "{behavior:?}"
         );
-        assert_eq!(all(&received, served), 500, "{behavior:?}");
-        ends_well(&scenario);
+        assert_eq!(total(&received, served_count), 500, "{behavior:?}");
+        assert_clean_end(&scenario);
     }
 }
 
 #[test]
-fn refused_by_all_the_group_is_told_at_once_and_called_back_at_different_times() {
+fn waiters_rejected_by_all_servers_are_answered_at_once_with_different_retry_after() {
     let scenario = Scenario::coalescing(3, 1);
     scenario.set_all_behaviors(&ServerBehavior::Reply(10 * MILLI, b"-BUSY\r\n"));
-    let received = crowd(&scenario, SECOND, 7, SECOND);
+    let received = start_crowd(&scenario, SECOND, 7, SECOND);
     scenario.run_until(SECOND + 200 * MILLI);
     assert!(
         scenario.total_received_requests() <= 5,
@@ -130,34 +130,34 @@
         scenario.total_received_requests()
     );
     assert_eq!(
-        all(&received, rejected),
+        total(&received, rejected_count),
         500,
         "long before their time is up"
     );
-    let output: String = received.iter().map(text).collect();
+    let output: String = received.iter().map(received_text).collect();
     let times: std::collections::BTreeSet<&str> = output.lines().collect();
     assert!(times.len() > 5, "{times:?}");
-    ends_well(&scenario);
+    assert_clean_end(&scenario);
 }
 
 #[test]
-fn those_without_time_for_a_further_attempt_are_told_when_the_first_fails() {
+fn waiters_without_time_for_a_retry_are_rejected_when_the_first_attempt_fails() {
     let scenario = Scenario::coalescing(2, 1);
-    let owner = owner(2, 7);
+    let owner = owner_of_key(2, 7);
     scenario.set_all_behaviors(&ServerBehavior::Serve(300 * MILLI));
     scenario.set_behavior(owner, ServerBehavior::Reset(100 * MILLI));
     let long = scenario.request_at(SECOND, 0, 7, SECOND);
     // A fifth of the aim, 100 ms, is what a further attempt needs.
     let short = scenario.request_at(SECOND + MILLI, 0, 7, 150 * MILLI);
     scenario.run_until(SECOND + 110 * MILLI);
-    assert_eq!((rejected(&short), served(&long)), (1, 0));
+    assert_eq!((rejected_count(&short), served_count(&long)), (1, 0));
     scenario.run_until(3 * SECOND);
-    assert_eq!(served(&long), 1);
-    ends_well(&scenario);
+    assert_eq!(served_count(&long), 1);
+    assert_clean_end(&scenario);
 }
 
 #[test]
-fn each_is_told_at_its_own_deadline_and_the_longest_lengthens_the_flight() {
+fn waiters_are_rejected_at_their_own_deadlines_and_the_latest_extends_the_flight() {
     let scenario = Scenario::coalescing(1, 1);
     scenario.set_all_behaviors(&ServerBehavior::Serve(700 * MILLI));
     let first = scenario.request_at(SECOND, 0, 7, 300 * MILLI);
@@ -165,7 +165,11 @@
     let short = scenario.request_at(SECOND + 60 * MILLI, 0, 7, 100 * MILLI);
     scenario.run_until(4 * SECOND);
     assert_eq!(
-        (rejected(&first), rejected(&short), served(&long)),
+        (
+            rejected_count(&first),
+            rejected_count(&short),
+            served_count(&long)
+        ),
         (1, 1, 1)
     );
     assert_eq!(
@@ -179,18 +183,21 @@
         1,
         "the attempt that was out is the one that serves"
     );
-    ends_well(&scenario);
+    assert_clean_end(&scenario);
 }
 
 #[test]
-fn the_flight_goes_on_without_its_leader_and_is_cancelled_without_anybody() {
+fn a_flight_continues_without_its_first_client_and_is_cancelled_without_waiters() {
     let scenario = Scenario::coalescing(1, 1);
     scenario.set_all_behaviors(&ServerBehavior::Serve(500 * MILLI));
     let bytes = scenario.encode_request(0, 7, SECOND).bytes;
     scenario.start_client(vec![(SECOND, bytes)], Some(SECOND + 100 * MILLI));
     let other = scenario.request_at(SECOND + 50 * MILLI, 0, 7, SECOND);
     scenario.run_until(3 * SECOND);
-    assert_eq!((served(&other), scenario.total_received_requests()), (1, 1));
+    assert_eq!(
+        (served_count(&other), scenario.total_received_requests()),
+        (1, 1)
+    );
     let bytes = scenario.encode_request(0, 8, SECOND).bytes;
     let more = scenario.encode_request(0, 8, SECOND).bytes;
     scenario.start_client(vec![(4 * SECOND, bytes)], Some(4 * SECOND + 100 * MILLI));
@@ -198,7 +205,7 @@
     scenario.run_until(4 * SECOND + 199 * MILLI);
     assert_eq!(scenario.runtime.resource_usage().coalesced_flights, 1);
     scenario.run_until(4 * SECOND + 210 * MILLI);
-    ends_well(&scenario);
+    assert_clean_end(&scenario);
     assert_eq!(
         scenario.runtime.resource_usage().idle_upstream_connections,
         0,
@@ -207,9 +214,9 @@
 }
 
 #[test]
-fn newcomers_to_a_flight_that_hangs_begin_a_second_and_no_third() {
+fn new_reads_during_a_hanging_flight_start_one_replacement_flight() {
     let scenario = Scenario::coalescing(2, 1);
-    let owner = owner(2, 7);
+    let owner = owner_of_key(2, 7);
     // What is usual is learnt from others: 5 ms.
     for key in 100..180 {
         scenario.request_at(SECOND + key * 10 * MILLI, 0, key, SECOND);
@@ -217,12 +224,12 @@
     scenario.run_until(3 * SECOND);
     let before = scenario.total_received_requests();
     scenario.set_behavior(owner, ServerBehavior::Ignore);
-    let first = crowd(&scenario, 4 * SECOND, 7, DEADLINE);
+    let first = start_crowd(&scenario, 4 * SECOND, 7, DEADLINE);
     scenario.run_until(4 * SECOND + 40 * MILLI);
     assert_eq!(scenario.total_received_requests() - before, 1);
     scenario.set_all_behaviors(&ServerBehavior::Serve(30 * MILLI));
-    let second = crowd(&scenario, 4 * SECOND + 50 * MILLI, 7, DEADLINE);
-    let third = crowd(&scenario, 4 * SECOND + 60 * MILLI, 7, DEADLINE);
+    let second = start_crowd(&scenario, 4 * SECOND + 50 * MILLI, 7, DEADLINE);
+    let third = start_crowd(&scenario, 4 * SECOND + 60 * MILLI, 7, DEADLINE);
     scenario.run_until(5 * SECOND);
     assert_eq!(
         scenario.total_received_requests() - before,
@@ -230,16 +237,16 @@
         "the cause that was lost, and one more"
     );
     assert_eq!(
-        [&first, &second, &third].map(|received| all(received, served)),
+        [&first, &second, &third].map(|received| total(received, served_count)),
         [500; 3],
         "the first crowd too"
     );
     scenario.run_until(9 * SECOND);
-    ends_well(&scenario);
+    assert_clean_end(&scenario);
 }
 
 /// A read under way, a write, and reads that come after the write began, and after its answer.
-fn around_a_write(write: ServerBehavior) -> Scenario {
+fn reads_around_a_write(write: ServerBehavior) -> Scenario {
     let scenario = Scenario::coalescing(1, 1);
     scenario.set_all_behaviors(&ServerBehavior::Serve(400 * MILLI));
     let before = scenario.request_at(SECOND, 0, 7, DEADLINE);
@@ -253,22 +260,26 @@
     let after = scenario.request_at(SECOND + 400 * MILLI, 0, 7, DEADLINE);
     scenario.run_until(4 * SECOND);
     assert_eq!(
-        (served(&before), served(&during), served(&after)),
+        (
+            served_count(&before),
+            served_count(&during),
+            served_count(&after)
+        ),
         (1, 1, 1)
     );
-    ends_well(&scenario);
+    assert_clean_end(&scenario);
     scenario
 }
 
 #[test]
-fn no_read_after_a_write_has_an_answer_from_before_it() {
+fn a_read_after_a_write_does_not_join_an_earlier_flight() {
     // Served 100 ms later; failed, so that it may have run; and without an answer until its time is up.
     for write in [
         ServerBehavior::Serve(100 * MILLI),
         ServerBehavior::Reply(100 * MILLI, b"-ERR failed\r\n"),
         ServerBehavior::Ignore,
     ] {
-        let scenario = around_a_write(write.clone());
+        let scenario = reads_around_a_write(write.clone());
         let reads = scenario
             .received_requests(0)
             .iter()
@@ -279,7 +290,7 @@
 }
 
 #[test]
-fn a_write_for_another_key_ends_nothing() {
+fn a_write_to_another_key_does_not_close_a_flight() {
     let scenario = Scenario::coalescing(1, 1);
     scenario.set_all_behaviors(&ServerBehavior::Serve(400 * MILLI));
     scenario.request_at(SECOND, 0, 7, DEADLINE);
@@ -287,11 +298,11 @@
     scenario.request_at(SECOND + 70 * MILLI, 0, 7, DEADLINE);
     scenario.run_until(4 * SECOND);
     assert_eq!(scenario.total_received_requests(), 2);
-    ends_well(&scenario);
+    assert_clean_end(&scenario);
 }
 
 #[test]
-fn writes_are_never_joined() {
+fn writes_are_never_coalesced() {
     let scenario = Scenario::coalescing(1, 1);
     scenario.set_all_behaviors(&ServerBehavior::Serve(50 * MILLI));
     for class in [1, 2, 3] {
@@ -304,17 +315,17 @@
         assert_eq!(
             (
                 scenario.total_received_requests() - before,
-                all(&received, served)
+                total(&received, served_count)
             ),
             (3, 3),
             "class {class}"
         );
     }
-    ends_well(&scenario);
+    assert_clean_end(&scenario);
 }
 
 #[test]
-fn a_large_answer_reaches_all_and_those_who_do_not_read_hold_nobody_up() {
+fn a_large_value_reaches_all_waiters_and_clients_that_do_not_read_block_nobody() {
     let scenario = Scenario::coalescing(1, 1);
     scenario.set_all_behaviors(&ServerBehavior::ServeLarge(50 * MILLI, 65_536));
     // Each of them leaves ten answers of 64 KiB unread, with room for one on the way.
@@ -324,27 +335,33 @@
             .collect();
         scenario.start_non_reading_client(SECOND - LATENCY, bytes, 4 * SECOND);
     }
-    let received = crowd(&scenario, SECOND, 7, SECOND);
+    let received = start_crowd(&scenario, SECOND, 7, SECOND);
     scenario.run_until(SECOND + 100 * MILLI);
     assert_eq!(
-        (scenario.total_received_requests(), all(&received, served)),
+        (
+            scenario.total_received_requests(),
+            total(&received, served_count)
+        ),
         (1, 500)
     );
     scenario.run_until(6 * SECOND);
-    ends_well(&scenario);
+    assert_clean_end(&scenario);
 }
 
 #[test]
-fn at_sigterm_all_who_wait_for_a_flight_are_answered() {
+fn all_waiters_of_a_flight_are_answered_at_sigterm() {
     let scenario = Scenario::coalescing(2, 1);
     scenario.set_all_behaviors(&ServerBehavior::Serve(500 * MILLI));
-    let received = crowd(&scenario, SECOND, 7, SECOND);
+    let received = start_crowd(&scenario, SECOND, 7, SECOND);
     scenario.run_until(SECOND + 20 * MILLI);
     scenario.terminate();
     scenario.run_until(SECOND + 20 * MILLI + DEADLINE + 700 * MILLI);
     assert!(scenario.has_ended());
     assert_eq!(
-        (all(&received, served), scenario.total_received_requests()),
+        (
+            total(&received, served_count),
+            scenario.total_received_requests()
+        ),
         (500, 1)
     );
     assert_eq!(
@@ -356,13 +373,13 @@
 }
 
 #[test]
-fn a_flight_outlasts_its_servers_drain_and_newcomers_share_it_still() {
+fn a_flight_continues_during_the_drain_of_its_server_and_new_reads_join_it() {
     let scenario = Scenario::coalescing(2, 1);
-    let owner = owner(2, 7);
+    let owner = owner_of_key(2, 7);
     scenario.set_all_behaviors(&ServerBehavior::Serve(500 * MILLI));
-    let received = crowd(&scenario, SECOND, 7, SECOND);
+    let received = start_crowd(&scenario, SECOND, 7, SECOND);
     scenario.announce_at(SECOND + 100 * MILLI, owner, "draining", 0);
-    let late = crowd(&scenario, SECOND + 400 * MILLI, 7, SECOND);
+    let late = start_crowd(&scenario, SECOND + 400 * MILLI, 7, SECOND);
     scenario.run_until(4 * SECOND);
     assert_eq!(
         (
@@ -371,38 +388,41 @@
         ),
         (1, 1)
     );
-    assert_eq!((all(&received, served), all(&late, served)), (500, 500));
-    ends_well(&scenario);
+    assert_eq!(
+        (total(&received, served_count), total(&late, served_count)),
+        (500, 500)
+    );
+    assert_clean_end(&scenario);
 }
 
 #[test]
-fn a_server_that_goes_with_its_flight_costs_the_group_one_further_attempt() {
+fn a_removed_server_that_resets_a_flight_causes_one_retry() {
     let scenario = Scenario::coalescing(2, 1);
-    let owner = owner(2, 7);
+    let owner = owner_of_key(2, 7);
     scenario.set_all_behaviors(&ServerBehavior::Serve(200 * MILLI));
     scenario.set_behavior(owner, ServerBehavior::Reset(300 * MILLI));
-    let received = crowd(&scenario, SECOND, 7, SECOND);
+    let received = start_crowd(&scenario, SECOND, 7, SECOND);
     scenario.announce_at(SECOND + 100 * MILLI, owner, "removed", 0);
     scenario.run_until(4 * SECOND);
     assert_eq!(
         (
             scenario.received_requests(owner).len(),
             scenario.total_received_requests(),
-            all(&received, served)
+            total(&received, served_count)
         ),
         (1, 2, 500)
     );
-    ends_well(&scenario);
+    assert_clean_end(&scenario);
 }
 
 #[test]
-fn a_list_that_moves_the_key_leaves_the_flight_and_takes_the_next() {
+fn a_list_that_moves_a_key_affects_only_later_flights() {
     let scenario = Scenario::coalescing(2, 1);
-    let owner = owner(2, 7);
+    let owner = owner_of_key(2, 7);
     // The owner is not there at first.
     scenario.announce_at(500 * MILLI, owner, "removed", 0);
     scenario.set_all_behaviors(&ServerBehavior::Serve(500 * MILLI));
-    let received = crowd(&scenario, SECOND, 7, SECOND);
+    let received = start_crowd(&scenario, SECOND, 7, SECOND);
     scenario.announce_at(SECOND + 100 * MILLI, owner, "up", 1_000);
     scenario.run_until(SECOND + 400 * MILLI);
     assert_eq!(
@@ -412,7 +432,7 @@
         ),
         (0, 1)
     );
-    let next = crowd(&scenario, 3 * SECOND, 7, SECOND);
+    let next = start_crowd(&scenario, 3 * SECOND, 7, SECOND);
     scenario.run_until(5 * SECOND);
     assert_eq!(
         (
@@ -421,12 +441,15 @@
         ),
         (1, 2)
     );
-    assert_eq!((all(&received, served), all(&next, served)), (500, 500));
-    ends_well(&scenario);
+    assert_eq!(
+        (total(&received, served_count), total(&next, served_count)),
+        (500, 500)
+    );
+    assert_clean_end(&scenario);
 }
 
 #[test]
-fn one_client_may_wait_twice_on_one_connection_and_on_two() {
+fn a_client_can_wait_several_times_for_one_flight_on_one_or_two_connections() {
     let scenario = Scenario::coalescing(1, 1);
     scenario.set_all_behaviors(&ServerBehavior::Serve(100 * MILLI));
     let first = scenario.encode_request(0, 7, SECOND).bytes;
@@ -437,34 +460,34 @@
     scenario.run_until(3 * SECOND);
     assert_eq!(
         (
-            served(&received),
-            served(&other),
+            served_count(&received),
+            served_count(&other),
             scenario.total_received_requests()
         ),
         (2, 1, 1)
     );
-    ends_well(&scenario);
+    assert_clean_end(&scenario);
 }
 
 #[test]
-fn an_id_that_waits_already_is_turned_away_whether_it_is_joined_or_not() {
+fn a_duplicate_request_id_is_rejected_while_the_first_request_waits() {
     let scenario = Scenario::coalescing(1, 1);
     scenario.set_all_behaviors(&ServerBehavior::Serve(100 * MILLI));
     let bytes = scenario.encode_request(0, 7, SECOND).bytes;
     let received = scenario.start_client(vec![(SECOND, bytes.clone())], None);
     let again = scenario.start_client(vec![(SECOND + 10 * MILLI, bytes)], None);
     scenario.run_until(3 * SECOND);
-    assert_eq!(served(&received), 1);
+    assert_eq!(served_count(&received), 1);
     assert!(
-        text(&again).starts_with("-ERR a request of this id is open"),
+        received_text(&again).starts_with("-ERR a request of this id is open"),
         "{}",
-        text(&again)
+        received_text(&again)
     );
     assert_eq!(scenario.runtime.resource_usage().unanswered_requests, 0);
 }
 
 /// How many of 60 reads of the first tenant go out at once, after 150 of this one have shared one flight.
-fn room_after_a_crowd_of(tenant: usize) -> usize {
+fn requests_sent_after_crowd_of(tenant: usize) -> usize {
     let scenario = Scenario::coalescing(1, 1);
     scenario.set_all_behaviors(&ServerBehavior::Serve(100 * MILLI));
     let received: Vec<ReceivedChunks> = (0..150)
@@ -472,7 +495,10 @@
         .collect();
     scenario.run_until(3 * SECOND);
     assert_eq!(
-        (scenario.total_received_requests(), all(&received, served)),
+        (
+            scenario.total_received_requests(),
+            total(&received, served_count)
+        ),
         (1, 150)
     );
     scenario.set_all_behaviors(&ServerBehavior::Ignore);
@@ -482,8 +508,11 @@
 }
 
 #[test]
-fn each_waiter_counts_for_its_own_tenant() {
-    let (own, other) = (room_after_a_crowd_of(0), room_after_a_crowd_of(1));
+fn each_waiter_counts_toward_its_own_tenant() {
+    let (own, other) = (
+        requests_sent_after_crowd_of(0),
+        requests_sent_after_crowd_of(1),
+    );
     assert!(
         0 < own && own < other,
         "{own} after its own crowd, {other} after the other's"
--- a/crates/router-simulation/tests/network.rs
+++ b/crates/router-simulation/tests/network.rs
@@ -12,9 +12,9 @@
 use std::rc::Rc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-struct Nobody;
+struct NoopObserver;
 
-impl Observer for Nobody {
+impl Observer for NoopObserver {
     fn opened(&mut self, _: Time, _: u32, _: Node, _: Node) {}
     fn written(&mut self, _: Time, _: u32, _: Side, _: &[u8]) {}
     fn delivered(&mut self, _: Time, _: u32, _: Side, _: usize) {}
@@ -23,11 +23,11 @@
     fn out_of_descriptors(&mut self, _: Time, _: Node) {}
 }
 
-fn network(conditions: NetworkConditions, seed: u64) -> (Executor, Network, Node, Node) {
+fn new_network(conditions: NetworkConditions, seed: u64) -> (Executor, Network, Node, Node) {
     let executor = Executor::new(SeededRng::new(seed, 1));
     let network = Network::new(
         executor.clone(),
-        Rc::new(RefCell::new(Nobody)),
+        Rc::new(RefCell::new(NoopObserver)),
         conditions,
         SeededRng::new(seed, 2),
     );
@@ -40,15 +40,15 @@
 }
 
 /// Datagrams 0 to 99 go out, one each millisecond: which came, in their order.
-fn datagrams(datagrams: DatagramConditions, seed: u64, cut: bool) -> Vec<u8> {
-    let (executor, network, a, b) = network(
+fn received_datagrams(conditions: DatagramConditions, seed: u64, is_isolated: bool) -> Vec<u8> {
+    let (executor, network, a, b) = new_network(
         NetworkConditions {
-            datagrams,
+            datagrams: conditions,
             ..constant_latency_conditions()
         },
         seed,
     );
-    if cut {
+    if is_isolated {
         network.isolate_zone(1, 50_000);
     }
     let received = Rc::new(RefCell::new(Vec::new()));
@@ -80,16 +80,16 @@
 }
 
 #[test]
-fn datagrams_arrive_in_order_on_a_calm_network() {
+fn datagrams_arrive_in_order_without_jitter_or_loss() {
     assert_eq!(
-        datagrams(DatagramConditions::default(), 1, false),
+        received_datagrams(DatagramConditions::default(), 1, false),
         (0..100).collect::<Vec<u8>>()
     );
 }
 
 #[test]
-fn datagrams_are_lost_doubled_and_reordered_as_configured_and_alike_for_a_seed() {
-    let lost = datagrams(
+fn datagrams_are_lost_duplicated_and_reordered_as_configured_and_deterministically() {
+    let lost = received_datagrams(
         DatagramConditions {
             loss_ratio: 0.3,
             ..DatagramConditions::default()
@@ -101,7 +101,7 @@
         lost.len() < 90 && lost.len() > 40 && lost.is_sorted(),
         "{lost:?}"
     );
-    let duplicate_ratio = datagrams(
+    let duplicated = received_datagrams(
         DatagramConditions {
             duplicate_ratio: 0.3,
             ..DatagramConditions::default()
@@ -109,30 +109,30 @@
         1,
         false,
     );
-    assert!(duplicate_ratio.len() > 110, "{duplicate_ratio:?}");
-    let late = DatagramConditions {
+    assert!(duplicated.len() > 110, "{duplicated:?}");
+    let delayed = DatagramConditions {
         delayed_ratio: 0.3,
         max_delay: 20_000,
         ..DatagramConditions::default()
     };
-    let reordered = datagrams(late, 1, false);
+    let reordered = received_datagrams(delayed, 1, false);
     assert!(
         reordered.len() == 100 && !reordered.is_sorted(),
         "{reordered:?}"
     );
-    assert_eq!(reordered, datagrams(late, 1, false));
-    assert_ne!(reordered, datagrams(late, 2, false));
+    assert_eq!(reordered, received_datagrams(delayed, 1, false));
+    assert_ne!(reordered, received_datagrams(delayed, 2, false));
 }
 
 #[test]
-fn datagrams_into_a_cut_zone_are_lost_and_not_late() {
-    let received = datagrams(DatagramConditions::default(), 1, true);
+fn datagrams_to_an_isolated_zone_are_dropped_and_not_delayed() {
+    let received = received_datagrams(DatagramConditions::default(), 1, true);
     assert_eq!(received, (50..100).collect::<Vec<u8>>());
 }
 
 #[test]
-fn an_address_is_bound_once_and_free_again_after_its_socket() {
-    let (executor, network, a, _) = network(constant_latency_conditions(), 1);
+fn a_bound_address_is_in_use_until_its_socket_is_dropped() {
+    let (executor, network, a, _) = new_network(constant_latency_conditions(), 1);
     let (environment, checked) = (network.environment(a), Rc::new(RefCell::new(false)));
     let done = checked.clone();
     executor.spawn(a, async move {
@@ -151,10 +151,10 @@
 }
 
 /// What a connection's dialer reads, when, after its listener was treated like this.
-fn read_after(
-    treat: impl Fn(&Network, Node) + 'static,
+fn reads_after_fault(
+    inject_fault: impl Fn(&Network, Node) + 'static,
 ) -> Vec<(Time, Result<usize, std::io::ErrorKind>)> {
-    let (executor, network, a, b) = network(constant_latency_conditions(), 1);
+    let (executor, network, a, b) = new_network(constant_latency_conditions(), 1);
     let listener = network.listen(b, address(1));
     executor.spawn(b, async move {
         let mut stream = listener.accept().await.expect("a connection");
@@ -174,31 +174,31 @@
             }
         }
     });
-    let treated = network.clone();
-    executor.call_at(10_000, move || treat(&treated, b));
+    let faulty_network = network.clone();
+    executor.call_at(10_000, move || inject_fault(&faulty_network, b));
     executor.run_until(5_000_000);
     executor.end();
     seen.borrow().clone()
 }
 
 #[test]
-fn a_process_that_dies_resets_its_connections_and_a_machine_that_vanishes_says_nothing() {
-    let dies = read_after(|network, node| network.kill(node, false));
+fn a_killed_process_resets_its_connections_and_a_vanished_machine_sends_nothing() {
+    let killed = reads_after_fault(|network, node| network.kill(node, false));
     assert_eq!(
-        dies,
+        killed,
         [
             (2 * LATENCY, Ok(5)),
             (10_000 + LATENCY, Err(std::io::ErrorKind::ConnectionReset))
         ]
     );
-    let vanishes = read_after(|network, node| network.kill(node, true));
-    assert_eq!(vanishes, [(2 * LATENCY, Ok(5))]);
+    let vanished = reads_after_fault(|network, node| network.kill(node, true));
+    assert_eq!(vanished, [(2 * LATENCY, Ok(5))]);
 }
 
 #[test]
-fn connects_are_refused_without_a_process_and_never_come_up_without_a_machine() {
+fn connects_are_refused_without_a_process_and_unanswered_without_a_machine() {
     for vanishes in [false, true] {
-        let (executor, network, a, b) = network(constant_latency_conditions(), 1);
+        let (executor, network, a, b) = new_network(constant_latency_conditions(), 1);
         let listener = network.listen(b, address(1));
         executor.spawn(b, async move {
             let _ = listener.accept().await;
@@ -227,7 +227,7 @@
 }
 
 #[test]
-fn what_is_due_in_one_instant_comes_in_an_order_that_the_seed_draws() {
+fn timers_due_at_the_same_time_fire_in_an_order_determined_by_the_seed() {
     let order = |seed| {
         let executor = Executor::new(SeededRng::new(seed, 1));
         let seen = Rc::new(RefCell::new(Vec::new()));
@@ -246,7 +246,7 @@
 }
 
 #[test]
-fn a_killed_process_runs_no_further() {
+fn tasks_of_a_killed_process_stop() {
     let executor = Executor::new(SeededRng::new(1, 1));
     let count = Rc::new(RefCell::new(0));
     for node in [Node(0), Node(1)] {
--- a/crates/router-simulation/tests/rare_fault_scenarios.rs
+++ b/crates/router-simulation/tests/rare_fault_scenarios.rs
@@ -6,7 +6,7 @@
 use router_simulation::scenario::{Scenario, ServerBehavior};
 
 /// A client that leaves while the connection for its request hangs, which comes up 200 ms later.
-fn departure() -> Scenario {
+fn client_disconnects_while_connecting() -> Scenario {
     let scenario = Scenario::new(1, 1);
     scenario.delay_connects(0, 230 * MILLI);
     let bytes = scenario.encode_request(0, 1, 2 * SECOND).bytes;
@@ -16,7 +16,7 @@
 }
 
 /// The same with a pipeline that is full, behind which the client's end stands.
-fn departure_behind_commands() -> Scenario {
+fn client_disconnects_behind_full_pipeline() -> Scenario {
     let scenario = Scenario::new(1, 1);
     scenario.delay_connects(0, 230 * MILLI);
     let bytes: Vec<u8> = (0..80)
@@ -28,7 +28,7 @@
 }
 
 /// An agent's watch falls silent; the drain that it misses counts as told 6 s later, and a request comes after that.
-fn silent_push() -> Scenario {
+fn silent_push_watch() -> Scenario {
     let scenario = Scenario::with_push_discovery(2, 1);
     scenario.run_until(SECOND);
     scenario.silence_watches_at(SECOND + 1);
@@ -47,7 +47,7 @@
 }
 
 /// An agent's watch is reset, and a server drains at once: the agent has it, with or without a watch.
-fn lost_push() -> Scenario {
+fn reset_push_watch() -> Scenario {
     let scenario = Scenario::with_push_discovery(2, 1);
     scenario.run_until(SECOND);
     scenario.reset_watches_at(SECOND);
@@ -66,7 +66,7 @@
 }
 
 /// A client that is never at rest asks once more long after SIGTERM, for longer than the process has.
-fn unanswered_at_shutdown() -> Scenario {
+fn request_during_shutdown() -> Scenario {
     let scenario = Scenario::new(1, 1);
     scenario.set_behavior(0, ServerBehavior::Ignore);
     let first = scenario.encode_request(3, 1, 2 * SECOND).bytes;
@@ -103,15 +103,18 @@
 /// Each kind of scenario, and the rule that breaks with its mutation.
 type RareScenario = (fn() -> Scenario, Rule);
 const SCENARIOS: [RareScenario; 5] = [
-    (departure, Rule::ClientDisconnect),
-    (departure_behind_commands, Rule::ClientDisconnect),
-    (silent_push, Rule::Drains),
-    (unanswered_at_shutdown, Rule::Answered),
-    (lost_push, Rule::Drains),
+    (client_disconnects_while_connecting, Rule::ClientDisconnect),
+    (
+        client_disconnects_behind_full_pipeline,
+        Rule::ClientDisconnect,
+    ),
+    (silent_push_watch, Rule::Drains),
+    (request_during_shutdown, Rule::Answered),
+    (reset_push_watch, Rule::Drains),
 ];
 
 #[test]
-fn rare_orders_break_no_rule() {
+fn rare_event_orders_break_no_rule() {
     for (run_scenario, _) in SCENARIOS {
         let scenario = run_scenario();
         assert!(
@@ -123,8 +126,8 @@
 }
 
 #[test]
-fn nothing_of_a_client_that_left_reaches_a_server_and_its_connection_is_kept() {
-    let scenario = departure();
+fn requests_of_a_disconnected_client_are_not_sent_and_the_connection_is_kept() {
+    let scenario = client_disconnects_while_connecting();
     assert_eq!(
         (
             scenario.total_received_requests(),
@@ -139,24 +142,24 @@
 }
 
 #[test]
-fn a_connection_of_the_old_process_is_not_kept() {
+fn a_connection_to_the_previous_server_process_is_not_reused() {
     assert_eq!(connections_after_restart(), 2);
 }
 
 /// Second answers as late as they were seen to come, at every moment at which the next request can be sent.
 #[test]
-fn a_late_second_answer_passes_for_no_other() {
-    for later in [1, 3, 5, 6] {
+fn a_late_duplicate_reply_is_not_taken_for_the_next_one() {
+    for delay_ms in [1, 3, 5, 6] {
         for step in 0..60 {
             let scenario = Scenario::new(1, step);
-            scenario.set_behavior(0, ServerBehavior::ServeTwice(5 * MILLI, later * MILLI));
+            scenario.set_behavior(0, ServerBehavior::ServeTwice(5 * MILLI, delay_ms * MILLI));
             scenario.request_at(SECOND, 0, 1, SECOND);
             let answered: Time = SECOND + 5 * MILLI;
             scenario.request_at(answered + step * 200, 0, 2, SECOND);
             scenario.run_until(3 * SECOND);
             assert!(
                 scenario.violations().is_empty(),
-                "{later} ms late, step {step}: {:?}",
+                "{delay_ms} ms late, step {step}: {:?}",
                 scenario.violations()
             );
         }
--- a/crates/router-simulation/tests/scenarios.rs
+++ b/crates/router-simulation/tests/scenarios.rs
@@ -7,7 +7,7 @@
 };
 
 /// A key that a scenario's router sends to its first server: the ring is the same at every start.
-fn key_of(server: usize) -> u64 {
+fn key_owned_by(server: usize) -> u64 {
     let scenario = Scenario::new(2, 1);
     (1..100)
         .find(|&key| {
@@ -19,7 +19,7 @@
         .expect("each server owns a part of the ring")
 }
 
-fn text(received: &ReceivedChunks) -> String {
+fn received_text(received: &ReceivedChunks) -> String {
     received
         .borrow()
         .iter()
@@ -28,13 +28,13 @@
 }
 
 #[test]
-fn an_answer_that_comes_after_the_deadline_goes_to_nobody() {
+fn a_reply_after_the_deadline_is_discarded() {
     let scenario = Scenario::new(1, 1);
     scenario.set_behavior(0, ServerBehavior::Serve(300 * MILLI));
     let received = scenario.request_at(SECOND, 0, 1, 200 * MILLI);
     scenario.run_until(4 * SECOND);
     assert_eq!(scenario.received_requests(0).len(), 1);
-    let output = text(&received);
+    let output = received_text(&received);
     assert!(
         output.starts_with('-') && output.matches("\r\n").count() == 1,
         "one answer, no value: {output}"
@@ -51,7 +51,7 @@
 /// The answer and the deadline in one microsecond; which is first is drawn. Both have to happen over some seeds, and
 /// either way there is one answer.
 #[test]
-fn an_answer_and_a_deadline_in_one_instant_meet_in_both_orders() {
+fn a_reply_and_the_deadline_at_the_same_time_occur_in_both_orders() {
     let (mut served, mut rejected) = (0, 0);
     for seed in 0..40 {
         let scenario = Scenario::new(1, seed);
@@ -59,11 +59,11 @@
         scenario.set_behavior(0, ServerBehavior::Serve(MILLI));
         scenario.request_at(SECOND, 0, 1, 200 * MILLI);
         scenario.run_until(SECOND + 100 * MILLI);
-        let way = 2 * LATENCY;
-        scenario.set_behavior(0, ServerBehavior::Serve(200 * MILLI - way));
+        let round_trip = 2 * LATENCY;
+        scenario.set_behavior(0, ServerBehavior::Serve(200 * MILLI - round_trip));
         let received = scenario.request_at(2 * SECOND, 0, 1, 200 * MILLI);
         scenario.run_until(4 * SECOND);
-        let output = text(&received);
+        let output = received_text(&received);
         assert_eq!(received.borrow().len(), 1, "one answer: {output}");
         assert_eq!(
             received.borrow()[0].at,
@@ -89,8 +89,8 @@
 }
 
 /// News of a server at one time, a request for one of its keys around the mark 250 ms later.
-fn asked_around_the_mark(health: &str, offset: i64) -> (usize, usize) {
-    let key = key_of(0);
+fn request_250_ms_after_change(health: &str, offset: i64) -> (usize, usize) {
+    let key = key_owned_by(0);
     let scenario = Scenario::new(2, 1);
     let before = scenario.received_requests(0).len();
     scenario.announce_at(
@@ -105,9 +105,9 @@
     let received = scenario.request_at(at, 0, key, SECOND);
     scenario.run_until(4 * SECOND);
     assert!(
-        text(&received).starts_with('*'),
+        received_text(&received).starts_with('*'),
         "served by one or the other: {}",
-        text(&received)
+        received_text(&received)
     );
     assert_eq!(
         scenario.violations().len(),
@@ -122,11 +122,11 @@
 }
 
 #[test]
-fn at_the_250_ms_mark_of_a_drain_or_removal_nothing_new_goes_there() {
+fn no_request_reaches_a_server_250_ms_after_its_drain_or_removal() {
     for health in ["draining", "removed"] {
         for offset in [-1, 0, 1] {
             assert_eq!(
-                asked_around_the_mark(health, offset),
+                request_250_ms_after_change(health, offset),
                 (0, 1),
                 "{health} {offset}"
             );
@@ -135,25 +135,29 @@
 }
 
 #[test]
-fn at_the_250_ms_mark_of_a_restart_the_request_is_served_once() {
+fn a_request_250_ms_after_a_restart_is_served_once() {
     for offset in [-1, 0, 1] {
-        let (there, elsewhere) = asked_around_the_mark("up", offset);
-        assert_eq!(there + elsewhere, 1, "{offset}");
+        let (on_server, elsewhere) = request_250_ms_after_change("up", offset);
+        assert_eq!(on_server + elsewhere, 1, "{offset}");
     }
 }
 
 /// The drain is told in the same microsecond in which the request comes, in a drawn order.
 #[test]
-fn a_drain_and_a_request_in_one_instant_keep_the_rules_in_both_orders() {
-    let key = key_of(0);
-    let mut there = 0;
+fn a_drain_and_a_request_at_the_same_time_break_no_rule_in_either_order() {
+    let key = key_owned_by(0);
+    let mut on_server = 0;
     for seed in 0..30 {
         let scenario = Scenario::new(2, seed);
         scenario.announce_at(SECOND, 0, "draining", 0);
         let received = scenario.request_at(SECOND, 0, key, SECOND);
         scenario.run_until(4 * SECOND);
-        assert!(text(&received).starts_with('*'), "{}", text(&received));
-        there += scenario.received_requests(0).len();
+        assert!(
+            received_text(&received).starts_with('*'),
+            "{}",
+            received_text(&received)
+        );
+        on_server += scenario.received_requests(0).len();
         assert_eq!(
             scenario.violations().len(),
             0,
@@ -161,11 +165,11 @@
             scenario.violations()
         );
     }
-    assert!(there < 30, "{there}");
+    assert!(on_server < 30, "{on_server}");
 }
 
 /// The bytes of a request as a scenario's router writes it to a server.
-fn length_on_the_wire(class: usize, timeout: Time) -> usize {
+fn encoded_length(class: usize, timeout: Time) -> usize {
     let scenario = Scenario::new(1, 1);
     let bytes = scenario.encode_request(class, 1, timeout).bytes;
     bytes.len()
@@ -173,29 +177,32 @@
 
 /// A connection that breaks so many bytes before or after the request's last one; how often servers had it whole, and
 /// what the client was told.
-fn broken_at(class: usize, short_of: usize) -> (usize, String) {
+fn break_connection(class: usize, missing_bytes: usize) -> (usize, String) {
     let timeout = 900 * MILLI;
-    let key = key_of(0);
+    let key = key_owned_by(0);
     let scenario = Scenario::new(2, 1);
     // On the wire to the server the wait is a little shorter, and as many digits long.
-    let duration = length_on_the_wire(class, timeout);
+    let request_length = encoded_length(class, timeout);
     scenario.set_behavior(0, ServerBehavior::NeverRead(50 * MILLI));
-    scenario.set_receive_window(0, duration - short_of);
+    scenario.set_receive_window(0, request_length - missing_bytes);
     let received = scenario.request_at(SECOND, class, key, timeout);
     scenario.run_until(4 * SECOND);
     assert_eq!(
         scenario.violations().len(),
         0,
-        "class {class}, {short_of} short: {:?}",
+        "class {class}, {missing_bytes} short: {:?}",
         scenario.violations()
     );
-    (scenario.received_requests(1).len(), text(&received))
+    (
+        scenario.received_requests(1).len(),
+        received_text(&received),
+    )
 }
 
 #[test]
-fn a_break_one_byte_before_the_last_proves_that_nothing_ran() {
+fn a_request_cut_one_byte_short_is_retried_on_another_server() {
     for class in [0, 1, 2, 3] {
-        let (elsewhere, output) = broken_at(class, 1);
+        let (elsewhere, output) = break_connection(class, 1);
         assert!(
             elsewhere == 1 && output.starts_with('*'),
             "class {class} is served elsewhere: {output}"
@@ -204,23 +211,23 @@
 }
 
 #[test]
-fn after_a_break_behind_the_last_byte_each_effect_has_its_own_way() {
-    let (elsewhere, output) = broken_at(0, 0);
+fn a_request_cut_after_its_last_byte_is_retried_according_to_its_effect() {
+    let (elsewhere, output) = break_connection(0, 0);
     assert!(
         elsewhere == 1 && output.starts_with('*'),
         "a safe one is repeated: {output}"
     );
-    let (elsewhere, output) = broken_at(1, 0);
+    let (elsewhere, output) = break_connection(1, 0);
     assert!(
         elsewhere == 1 && output.starts_with('*'),
         "a keyed one is repeated within its group: {output}"
     );
-    let (elsewhere, output) = broken_at(2, 0);
+    let (elsewhere, output) = break_connection(2, 0);
     assert!(
         elsewhere == 0 && output.starts_with("-ERR"),
         "its group has no other server: {output}"
     );
-    let (elsewhere, output) = broken_at(3, 0);
+    let (elsewhere, output) = break_connection(3, 0);
     assert!(
         elsewhere == 0 && output.starts_with("-ERR"),
         "an unsafe one fails: {output}"
@@ -228,8 +235,8 @@
 }
 
 /// A keyed request fails so long after it was sent; the repeat would go out at once.
-fn repeat_after(age: Time) -> usize {
-    let key = key_of(0);
+fn retries_after(failure_delay: Time) -> usize {
+    let key = key_owned_by(0);
     let scenario = Scenario::new(2, 1);
     // Both connections are there already, so that nothing waits.
     for key in 1..20 {
@@ -237,7 +244,7 @@
     }
     scenario.run_until(900 * MILLI);
     let before = scenario.received_requests(1).len();
-    scenario.set_behavior(0, ServerBehavior::Reset(age - 2 * LATENCY));
+    scenario.set_behavior(0, ServerBehavior::Reset(failure_delay - 2 * LATENCY));
     scenario.request_at(SECOND, 1, key, DEADLINE);
     scenario.run_until(4 * SECOND);
     assert_eq!(
@@ -250,16 +257,16 @@
 }
 
 #[test]
-fn a_keyed_repeat_goes_out_in_the_last_microsecond_of_its_memory_and_not_after() {
-    assert_eq!(repeat_after(DEDUPLICATION_WINDOW - 1), 1);
-    assert_eq!(repeat_after(DEDUPLICATION_WINDOW + 1), 0);
+fn a_keyed_retry_is_sent_until_the_last_microsecond_of_the_deduplication_window() {
+    assert_eq!(retries_after(DEDUPLICATION_WINDOW - 1), 1);
+    assert_eq!(retries_after(DEDUPLICATION_WINDOW + 1), 0);
 }
 
 /// Found on drawn runs (seeds 3003, 3891, 7350, 7608): the repeat was allowed just in time and then waited for its
 /// connection until the memory had ended.
 #[test]
-fn a_keyed_repeat_that_waits_for_its_connection_does_not_outlast_its_memory() {
-    let key = key_of(0);
+fn a_keyed_retry_that_waits_for_a_connection_is_not_sent_after_the_deduplication_window() {
+    let key = key_owned_by(0);
     let scenario = Scenario::new(2, 1);
     scenario.set_behavior(0, ServerBehavior::Reset(DEDUPLICATION_WINDOW - 5 * LATENCY));
     scenario.request_at(SECOND, 1, key, DEADLINE);
@@ -281,7 +288,7 @@
 }
 
 #[test]
-fn a_request_half_read_at_sigterm_is_served_and_the_router_ends_in_time() {
+fn a_partially_read_request_at_sigterm_is_served_and_the_router_ends_in_time() {
     let scenario = Scenario::new(2, 1);
     let bytes = scenario.encode_request(0, 1, SECOND).bytes;
     let (head, tail) = bytes.split_at(bytes.len() / 2);
@@ -297,7 +304,11 @@
     scenario.run_until(SECOND + 20 * MILLI + DEADLINE + 700 * MILLI);
     assert!(scenario.has_ended());
     scenario.run_until(6 * SECOND);
-    assert!(text(&received).starts_with('*'), "{}", text(&received));
+    assert!(
+        received_text(&received).starts_with('*'),
+        "{}",
+        received_text(&received)
+    );
     assert_eq!(
         scenario.violations().len(),
         0,
@@ -322,7 +333,7 @@
     scenario.terminate();
     scenario.run_until(5 * SECOND);
     assert!(scenario.has_ended());
-    let output = text(&received);
+    let output = received_text(&received);
     let indices: Vec<usize> = ids
         .iter()
         .map(|id| output.find(id.as_str()).expect("answered"))
