--- a/crates/router-simulation/tests/coalescing_scenarios.rs
+++ b/crates/router-simulation/tests/coalescing_scenarios.rs
@@ -1,4 +1,5 @@
-//! Coalescing at an exact microsecond, with the real runtime in between and the invariant checker throughout.
+//! Tests of coalescing in the real router runtime with events at exact microseconds. The invariant
+//! checker observes each of them.
 
 use router_simulation::executor::Time;
 use router_simulation::fault_plan::{MILLI, SECOND};
@@ -20,7 +21,8 @@
     received_text(received).matches("-BUSY").count()
 }
 
-/// 500 reads for one key over 50 connections, all at the router's machine at this time.
+/// Sends 500 reads for one key over 50 connections, all of which arrive at the router's machine at
+/// this time.
 fn start_crowd(scenario: &Scenario, at: Time, key: u64, timeout: Time) -> Vec<ReceivedChunks> {
     let request = |_| {
         let bytes: Vec<u8> = (0..10)
@@ -35,7 +37,7 @@
     received.iter().map(count).sum()
 }
 
-/// Nothing was broken, and nothing is held.
+/// Asserts that no rule was violated and that the router holds no request, waiter or flight.
 fn assert_clean_end(scenario: &Scenario) {
     assert_eq!(
         scenario.violations().len(),
@@ -57,14 +59,14 @@
     );
 }
 
-/// The owner of a key among these servers.
+/// The owner of a key in a scenario with this many servers.
 fn owner_of_key(servers: usize, key: u64) -> usize {
     let scenario = Scenario::new(servers, 1);
     scenario.request_at(SECOND, 0, key, SECOND);
     scenario.run_until(2 * SECOND);
     (0..servers)
         .find(|&server| !scenario.received_requests(server).is_empty())
-        .expect("one has it")
+        .expect("no server received the request")
 }
 
 #[test]
@@ -132,7 +134,7 @@
     assert_eq!(
         total(&received, rejected_count),
         500,
-        "long before their time is up"
+        "not all waiters were rejected well before their deadlines"
     );
     let output: String = received.iter().map(received_text).collect();
     let times: std::collections::BTreeSet<&str> = output.lines().collect();
@@ -147,7 +149,7 @@
     scenario.set_all_behaviors(&ServerBehavior::Serve(300 * MILLI));
     scenario.set_behavior(owner, ServerBehavior::Reset(100 * MILLI));
     let long = scenario.request_at(SECOND, 0, 7, SECOND);
-    // A fifth of the aim, 100 ms, is what a further attempt needs.
+    // A retry needs a fifth of the latency objective, which is 100 ms.
     let short = scenario.request_at(SECOND + MILLI, 0, 7, 150 * MILLI);
     scenario.run_until(SECOND + 110 * MILLI);
     assert_eq!((rejected_count(&short), served_count(&long)), (1, 0));
@@ -175,13 +177,13 @@
     assert_eq!(
         first.borrow()[0].at,
         SECOND + 300 * MILLI + LATENCY,
-        "to the microsecond"
+        "the rejection was not sent at the deadline"
     );
     assert_eq!(short.borrow()[0].at, SECOND + 160 * MILLI + LATENCY);
     assert_eq!(
         scenario.total_received_requests(),
         1,
-        "the attempt that was out is the one that serves"
+        "the flight was not served by its first attempt"
     );
     assert_clean_end(&scenario);
 }
@@ -209,7 +211,7 @@
     assert_eq!(
         scenario.runtime.resource_usage().idle_upstream_connections,
         0,
-        "its connection went with it"
+        "the connection of the cancelled flight was kept"
     );
 }
 
@@ -217,7 +219,7 @@
 fn new_reads_during_a_hanging_flight_start_one_replacement_flight() {
     let scenario = Scenario::coalescing(2, 1);
     let owner = owner_of_key(2, 7);
-    // What is usual is learnt from others: 5 ms.
+    // The router learns the usual latency of 5 ms from other keys.
     for key in 100..180 {
         scenario.request_at(SECOND + key * 10 * MILLI, 0, key, SECOND);
     }
@@ -234,18 +236,19 @@
     assert_eq!(
         scenario.total_received_requests() - before,
         2,
-        "the cause that was lost, and one more"
+        "expected the hanging flight and one replacement flight"
     );
     assert_eq!(
         [&first, &second, &third].map(|received| total(received, served_count)),
         [500; 3],
-        "the first crowd too"
+        "not all waiters were served, including those of the hanging flight"
     );
     scenario.run_until(9 * SECOND);
     assert_clean_end(&scenario);
 }
 
-/// A read under way, a write, and reads that come after the write began, and after its answer.
+/// Sends a read, a write while the read is in flight, and two further reads: one during the write,
+/// and one after the write's answer or timeout.
 fn reads_around_a_write(write: ServerBehavior) -> Scenario {
     let scenario = Scenario::coalescing(1, 1);
     scenario.set_all_behaviors(&ServerBehavior::Serve(400 * MILLI));
@@ -273,7 +276,7 @@
 
 #[test]
 fn a_read_after_a_write_does_not_join_an_earlier_flight() {
-    // Served 100 ms later; failed, so that it may have run; and without an answer until its time is up.
+    // A write that is served, one that fails but may have been executed, and one that times out.
     for write in [
         ServerBehavior::Serve(100 * MILLI),
         ServerBehavior::Reply(100 * MILLI, b"-ERR failed\r\n"),
@@ -285,7 +288,7 @@
             .iter()
             .filter(|received| !received.request.is_write)
             .count();
-        assert_eq!(reads, 3, "{write:?}: each has one of its own");
+        assert_eq!(reads, 3, "{write:?}: a read joined an earlier flight");
     }
 }
 
@@ -328,7 +331,7 @@
 fn a_large_value_reaches_all_waiters_and_clients_that_do_not_read_block_nobody() {
     let scenario = Scenario::coalescing(1, 1);
     scenario.set_all_behaviors(&ServerBehavior::ServeLarge(50 * MILLI, 65_536));
-    // Each of them leaves ten answers of 64 KiB unread, with room for one on the way.
+    // Each of these clients leaves ten answers of 64 KiB unread; its receive window holds one.
     for _ in 0..10 {
         let bytes: Vec<u8> = (0..10)
             .flat_map(|_| scenario.encode_request(0, 7, SECOND).bytes)
@@ -419,7 +422,7 @@
 fn a_list_that_moves_a_key_affects_only_later_flights() {
     let scenario = Scenario::coalescing(2, 1);
     let owner = owner_of_key(2, 7);
-    // The owner is not there at first.
+    // The owner is removed from the list before the first reads.
     scenario.announce_at(500 * MILLI, owner, "removed", 0);
     scenario.set_all_behaviors(&ServerBehavior::Serve(500 * MILLI));
     let received = start_crowd(&scenario, SECOND, 7, SECOND);
@@ -486,7 +489,8 @@
     assert_eq!(scenario.runtime.resource_usage().unanswered_requests, 0);
 }
 
-/// How many of 60 reads of the first tenant go out at once, after 150 of this one have shared one flight.
+/// How many of 60 reads of the first tenant are sent at once after 150 reads of this tenant have
+/// shared a flight.
 fn requests_sent_after_crowd_of(tenant: usize) -> usize {
     let scenario = Scenario::coalescing(1, 1);
     scenario.set_all_behaviors(&ServerBehavior::Serve(100 * MILLI));
@@ -515,6 +519,6 @@
     );
     assert!(
         0 < own && own < other,
-        "{own} after its own crowd, {other} after the other's"
+        "{own} after a crowd of the same tenant, {other} after one of the other tenant"
     );
 }
--- a/crates/router-simulation/tests/network.rs
+++ b/crates/router-simulation/tests/network.rs
@@ -1,4 +1,4 @@
-//! The simulated network and clock by themselves.
+//! Tests of the simulated network and the executor without a router.
 
 use router_runtime::environment::{DatagramSocket, Environment};
 use router_simulation::executor::{Executor, Node, Time};
@@ -39,7 +39,8 @@
     SocketAddr::from(([10, 0, 0, 1], port))
 }
 
-/// Datagrams 0 to 99 go out, one each millisecond: which came, in their order.
+/// Sends datagrams 0 to 99 at intervals of one millisecond, and returns the received ones in order
+/// of arrival. If the receiver's zone is isolated, it is so for the first 50 ms.
 fn received_datagrams(conditions: DatagramConditions, seed: u64, is_isolated: bool) -> Vec<u8> {
     let (executor, network, a, b) = new_network(
         NetworkConditions {
@@ -140,7 +141,7 @@
         assert!(environment.bind(address(1)).await.is_err());
         assert!(
             first.send_to(&[0; 65_508], address(2)).await.is_err(),
-            "too long for UDP"
+            "a payload over the UDP limit was sent"
         );
         drop(first);
         assert!(environment.bind(address(1)).await.is_ok());
@@ -150,7 +151,8 @@
     assert!(*checked.borrow());
 }
 
-/// What a connection's dialer reads, when, after its listener was treated like this.
+/// Injects a fault at the acceptor of a connection after 10 ms. Returns the results of the
+/// initiator's reads and their times.
 fn reads_after_fault(
     inject_fault: impl Fn(&Network, Node) + 'static,
 ) -> Vec<(Time, Result<usize, std::io::ErrorKind>)> {
--- a/crates/router-simulation/tests/rare_fault_scenarios.rs
+++ b/crates/router-simulation/tests/rare_fault_scenarios.rs
@@ -1,11 +1,13 @@
-//! Rare orders of events at an exact microsecond, with the real runtime in between; and the mutations that only they show.
+//! Tests of the real router runtime with rare orders of events at exact microseconds, and of the
+//! mutations that only these events reveal.
 
 use router_simulation::executor::Time;
 use router_simulation::fault_plan::{MILLI, SECOND};
 use router_simulation::invariant_checker::Rule;
 use router_simulation::scenario::{Scenario, ServerBehavior};
 
-/// A client that leaves while the connection for its request hangs, which comes up 200 ms later.
+/// A client disconnects while the connection for its request is being opened, which takes 200 ms
+/// more.
 fn client_disconnects_while_connecting() -> Scenario {
     let scenario = Scenario::new(1, 1);
     scenario.delay_connects(0, 230 * MILLI);
@@ -15,7 +17,8 @@
     scenario
 }
 
-/// The same with a pipeline that is full, behind which the client's end stands.
+/// A client disconnects while the connection for its requests is being opened. Its pipeline is
+/// full, so that the router has unread commands before the end of the stream.
 fn client_disconnects_behind_full_pipeline() -> Scenario {
     let scenario = Scenario::new(1, 1);
     scenario.delay_connects(0, 230 * MILLI);
@@ -27,7 +30,8 @@
     scenario
 }
 
-/// An agent's watch falls silent; the drain that it misses counts as told 6 s later, and a request comes after that.
+/// An agent's watch stops sending and misses a drain. The router has to know of the drain 6 s
+/// later, and requests arrive after that.
 fn silent_push_watch() -> Scenario {
     let scenario = Scenario::with_push_discovery(2, 1);
     scenario.run_until(SECOND);
@@ -42,11 +46,16 @@
         scenario.request_at(8 * SECOND + key * 50 * MILLI, 0, key, SECOND);
     }
     scenario.run_until(10 * SECOND);
-    assert_eq!(scenario.total_received_requests(), 20, "each was sent");
+    assert_eq!(
+        scenario.total_received_requests(),
+        20,
+        "not each request was sent once"
+    );
     scenario
 }
 
-/// An agent's watch is reset, and a server drains at once: the agent has it, with or without a watch.
+/// An agent's watch is reset, and a server drains immediately afterwards. The agent knows of the
+/// drain, whether or not the watch is open.
 fn reset_push_watch() -> Scenario {
     let scenario = Scenario::with_push_discovery(2, 1);
     scenario.run_until(SECOND);
@@ -61,11 +70,16 @@
         scenario.request_at(drained_at + key * 10 * MILLI, 0, key, SECOND);
     }
     scenario.run_until(4 * SECOND);
-    assert_eq!(scenario.total_received_requests(), 100, "each was sent");
+    assert_eq!(
+        scenario.total_received_requests(),
+        100,
+        "not each request was sent once"
+    );
     scenario
 }
 
-/// A client that is never at rest asks once more long after SIGTERM, for longer than the process has.
+/// A client with a request in progress sends another one long after SIGTERM, with a timeout beyond
+/// the end of the process.
 fn request_during_shutdown() -> Scenario {
     let scenario = Scenario::new(1, 1);
     scenario.set_behavior(0, ServerBehavior::Ignore);
@@ -77,17 +91,20 @@
     );
     scenario.run_until(SECOND + 500 * MILLI);
     scenario.terminate();
-    // Longest deadline and 0.7 s.
+    // SIGKILL follows the longest deadline, 2 s, and 0.7 s after SIGTERM.
     while scenario.executor.now() < SECOND + 500 * MILLI + 2_700 * MILLI && !scenario.has_ended() {
         scenario.run_until(scenario.executor.now() + MILLI);
     }
-    assert!(scenario.has_ended(), "before SIGKILL");
+    assert!(
+        scenario.has_ended(),
+        "the router did not end before SIGKILL"
+    );
     scenario.run_until(5 * SECOND);
     scenario
 }
 
-/// The list names a new process of the server while an answer of the old one is under way; how many connections there were once the
-/// next request was served.
+/// Announces a new process of a server while a reply of the previous one is in transit. Returns how
+/// many connections the server has accepted once the next request is served.
 fn connections_after_restart() -> usize {
     let scenario = Scenario::new(1, 1);
     scenario.set_behavior(0, ServerBehavior::Serve(200 * MILLI));
@@ -100,7 +117,7 @@
     scenario.accepted_connections(0)
 }
 
-/// Each kind of scenario, and the rule that breaks with its mutation.
+/// A scenario, and the rule that its mutation violates.
 type RareScenario = (fn() -> Scenario, Rule);
 const SCENARIOS: [RareScenario; 5] = [
     (client_disconnects_while_connecting, Rule::ClientDisconnect),
@@ -146,7 +163,8 @@
     assert_eq!(connections_after_restart(), 2);
 }
 
-/// Second answers as late as they were seen to come, at every moment at which the next request can be sent.
+/// A server sends its reply again 1 to 6 ms later, which are delays that have occurred. The next
+/// request is sent up to 12 ms after the first reply, in steps of 200 us.
 #[test]
 fn a_late_duplicate_reply_is_not_taken_for_the_next_one() {
     for delay_ms in [1, 3, 5, 6] {
@@ -166,7 +184,7 @@
     }
 }
 
-/// With the mutations built in each is caught.
+/// Each mutation that only these scenarios reveal is caught.
 #[cfg(feature = "mutations")]
 #[test]
 fn each_rare_mutation_is_caught() {
@@ -191,5 +209,8 @@
     activate(Some(Mutation::KeepsOldConnections));
     let accepted_connections = connections_after_restart();
     activate(None);
-    assert_eq!(accepted_connections, 1, "the old one was used again");
+    assert_eq!(
+        accepted_connections, 1,
+        "the mutation did not reuse the connection to the previous process"
+    );
 }
--- a/crates/router-simulation/tests/scenarios.rs
+++ b/crates/router-simulation/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Single events at an exact microsecond, with the real runtime in between.
+//! Tests of the real router runtime with single events at exact microseconds.
 
 use router_simulation::executor::Time;
 use router_simulation::fault_plan::{MILLI, SECOND};
@@ -6,7 +6,8 @@
     DEADLINE, DEDUPLICATION_WINDOW, LATENCY, ReceivedChunks, Scenario, ServerBehavior,
 };
 
-/// A key that a scenario's router sends to its first server: the ring is the same at every start.
+/// A key whose owner is this server in every scenario with two servers. The ring is the same in
+/// all of them.
 fn key_owned_by(server: usize) -> u64 {
     let scenario = Scenario::new(2, 1);
     (1..100)
@@ -16,7 +17,7 @@
             scenario.run_until(scenario.executor.now() + 100 * MILLI);
             scenario.received_requests(server).len() > before
         })
-        .expect("each server owns a part of the ring")
+        .expect("no key between 1 and 99 is owned by the server")
 }
 
 fn received_text(received: &ReceivedChunks) -> String {
@@ -37,7 +38,7 @@
     let output = received_text(&received);
     assert!(
         output.starts_with('-') && output.matches("\r\n").count() == 1,
-        "one answer, no value: {output}"
+        "expected one error reply without a value: {output}"
     );
     assert_eq!(
         scenario.violations().len(),
@@ -48,8 +49,8 @@
     assert_eq!(scenario.runtime.resource_usage().open_requests, 0);
 }
 
-/// The answer and the deadline in one microsecond; which is first is drawn. Both have to happen over some seeds, and
-/// either way there is one answer.
+/// The reply arrives in the microsecond of the deadline, and the seed determines which is handled
+/// first. Both orders have to occur for some seeds, and in each case the client gets one answer.
 #[test]
 fn a_reply_and_the_deadline_at_the_same_time_occur_in_both_orders() {
     let (mut served, mut rejected) = (0, 0);
@@ -64,11 +65,11 @@
         let received = scenario.request_at(2 * SECOND, 0, 1, 200 * MILLI);
         scenario.run_until(4 * SECOND);
         let output = received_text(&received);
-        assert_eq!(received.borrow().len(), 1, "one answer: {output}");
+        assert_eq!(received.borrow().len(), 1, "expected one answer: {output}");
         assert_eq!(
             received.borrow()[0].at,
             2 * SECOND + 200 * MILLI + LATENCY,
-            "at the very instant"
+            "the answer was not sent at the deadline"
         );
         *(if output.starts_with('*') {
             &mut served
@@ -84,11 +85,12 @@
     }
     assert!(
         served > 0 && rejected > 0,
-        "served {served}, refused {rejected}"
+        "served {served}, rejected {rejected}"
     );
 }
 
-/// News of a server at one time, a request for one of its keys around the mark 250 ms later.
+/// Announces a change of a server and sends a request for one of its keys 250 ms and `offset`
+/// microseconds later. Returns how many requests arrive at this server and at the other one.
 fn request_250_ms_after_change(health: &str, offset: i64) -> (usize, usize) {
     let key = key_owned_by(0);
     let scenario = Scenario::new(2, 1);
@@ -106,7 +108,7 @@
     scenario.run_until(4 * SECOND);
     assert!(
         received_text(&received).starts_with('*'),
-        "served by one or the other: {}",
+        "the request was not served: {}",
         received_text(&received)
     );
     assert_eq!(
@@ -142,7 +144,7 @@
     }
 }
 
-/// The drain is told in the same microsecond in which the request comes, in a drawn order.
+/// The drain and the request arrive in the same microsecond, in an order that the seed determines.
 #[test]
 fn a_drain_and_a_request_at_the_same_time_break_no_rule_in_either_order() {
     let key = key_owned_by(0);
@@ -168,20 +170,21 @@
     assert!(on_server < 30, "{on_server}");
 }
 
-/// The bytes of a request as a scenario's router writes it to a server.
+/// The encoded length of a request in bytes.
 fn encoded_length(class: usize, timeout: Time) -> usize {
     let scenario = Scenario::new(1, 1);
     let bytes = scenario.encode_request(class, 1, timeout).bytes;
     bytes.len()
 }
 
-/// A connection that breaks so many bytes before or after the request's last one; how often servers had it whole, and
-/// what the client was told.
+/// Breaks the connection to the first server after it has received the request except for the last
+/// `missing_bytes` bytes. Returns how many requests arrive at the other server, and the client's
+/// answer.
 fn break_connection(class: usize, missing_bytes: usize) -> (usize, String) {
     let timeout = 900 * MILLI;
     let key = key_owned_by(0);
     let scenario = Scenario::new(2, 1);
-    // On the wire to the server the wait is a little shorter, and as many digits long.
+    // The timeout that the router sends to the server is shorter but has as many digits.
     let request_length = encoded_length(class, timeout);
     scenario.set_behavior(0, ServerBehavior::NeverRead(50 * MILLI));
     scenario.set_receive_window(0, request_length - missing_bytes);
@@ -190,7 +193,7 @@
     assert_eq!(
         scenario.violations().len(),
         0,
-        "class {class}, {missing_bytes} short: {:?}",
+        "class {class}, {missing_bytes} bytes missing: {:?}",
         scenario.violations()
     );
     (
@@ -205,7 +208,7 @@
         let (elsewhere, output) = break_connection(class, 1);
         assert!(
             elsewhere == 1 && output.starts_with('*'),
-            "class {class} is served elsewhere: {output}"
+            "class {class} was not served by the other server: {output}"
         );
     }
 }
@@ -215,30 +218,31 @@
     let (elsewhere, output) = break_connection(0, 0);
     assert!(
         elsewhere == 1 && output.starts_with('*'),
-        "a safe one is repeated: {output}"
+        "an idempotent request was not retried: {output}"
     );
     let (elsewhere, output) = break_connection(1, 0);
     assert!(
         elsewhere == 1 && output.starts_with('*'),
-        "a keyed one is repeated within its group: {output}"
+        "a keyed request was not retried within its deduplication scope: {output}"
     );
     let (elsewhere, output) = break_connection(2, 0);
     assert!(
         elsewhere == 0 && output.starts_with("-ERR"),
-        "its group has no other server: {output}"
+        "a keyed request was retried outside its deduplication scope: {output}"
     );
     let (elsewhere, output) = break_connection(3, 0);
     assert!(
         elsewhere == 0 && output.starts_with("-ERR"),
-        "an unsafe one fails: {output}"
+        "a request that is not idempotent did not fail: {output}"
     );
 }
 
-/// A keyed request fails so long after it was sent; the repeat would go out at once.
+/// Lets a keyed request fail this long after it was sent, when a retry could be sent immediately.
+/// Returns the number of retries.
 fn retries_after(failure_delay: Time) -> usize {
     let key = key_owned_by(0);
     let scenario = Scenario::new(2, 1);
-    // Both connections are there already, so that nothing waits.
+    // Opens the connections to both servers, so that the retry does not wait for one.
     for key in 1..20 {
         scenario.request_at(500 * MILLI + key * 10 * MILLI, 0, key, SECOND);
     }
@@ -262,8 +266,8 @@
     assert_eq!(retries_after(DEDUPLICATION_WINDOW + 1), 0);
 }
 
-/// Found on drawn runs (seeds 3003, 3891, 7350, 7608): the repeat was allowed just in time and then waited for its
-/// connection until the memory had ended.
+/// Guards against a failure of random runs (seeds 3003, 3891, 7350 and 7608): the retry was allowed
+/// just before the end of the deduplication window and then waited for its connection beyond it.
 #[test]
 fn a_keyed_retry_that_waits_for_a_connection_is_not_sent_after_the_deduplication_window() {
     let key = key_owned_by(0);
@@ -271,13 +275,21 @@
     scenario.set_behavior(0, ServerBehavior::Reset(DEDUPLICATION_WINDOW - 5 * LATENCY));
     scenario.request_at(SECOND, 1, key, DEADLINE);
     scenario.run_until(SECOND + DEDUPLICATION_WINDOW - MILLI);
-    assert_eq!(scenario.accepted_connections(1), 0, "it has to be opened");
+    assert_eq!(
+        scenario.accepted_connections(1),
+        0,
+        "the connection for the retry is already open"
+    );
     scenario.run_until(4 * SECOND);
-    assert_eq!(scenario.accepted_connections(1), 1, "it was opened");
+    assert_eq!(
+        scenario.accepted_connections(1),
+        1,
+        "no connection was opened for the retry"
+    );
     assert_eq!(
         scenario.received_requests(1).len(),
         0,
-        "and nothing was sent on it"
+        "the retry was sent after the deduplication window"
     );
     assert_eq!(
         scenario.violations().len(),
@@ -336,7 +348,11 @@
     let output = received_text(&received);
     let indices: Vec<usize> = ids
         .iter()
-        .map(|id| output.find(id.as_str()).expect("answered"))
+        .map(|id| {
+            output
+                .find(id.as_str())
+                .expect("a request was not answered")
+        })
         .collect();
     assert!(indices.is_sorted(), "{output}");
     assert_eq!(
