--- a/crates/router-simulation/src/executor.rs
+++ b/crates/router-simulation/src/executor.rs
@@ -1,7 +1,9 @@
-//! Virtual time: one thread that runs the tasks of all simulated processes, in an order drawn from the seed.
+//! A single-threaded executor on virtual time. It runs the tasks of all simulated processes in an
+//! order drawn from the seed.
 //!
-//! Time stands still while a task runs and jumps to the next timer when none can. What falls due at one instant is
-//! taken in a drawn order, so that an answer and a time-out in one microsecond meet in both orders.
+//! Time stands still while tasks run, and advances to the next timer when no task is ready. Timers
+//! that are due at the same time fire in a random order, so that a response and a timeout in the
+//! same microsecond occur in both orders.
 
 use crate::rng::SeededRng;
 use std::cell::{Cell, RefCell};
@@ -14,13 +16,14 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::task::{Context, Poll, Wake, Waker};
 
-/// More polls than this at one instant are a loop that never ends: runs have some hundred.
+/// The most polls without an advance of the clock. Normal runs need a few hundred; more than this
+/// limit means that tasks wake each other endlessly.
 const MAX_POLLS_PER_INSTANT: u64 = 200_000;
 
-/// Microseconds since the start of the run.
+/// Virtual time in microseconds since the start of the run.
 pub type Time = u64;
 
-/// A simulated process or machine.
+/// The number of a simulated machine, which identifies the process on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Node(pub u32);
 
@@ -28,27 +31,28 @@
 
 struct Task {
     node: Node,
-    /// Taken while it runs.
+    /// `None` while the task is polled.
     future: Option<BoxedTask>,
     task_waker: Arc<TaskWaker>,
 }
 
-/// Puts its task into the ready queue.
+/// The waker of a task, which adds it to the ready queue.
 struct TaskWaker {
     task: TaskId,
-    /// The task is in the queue.
+    /// Whether the task is in the ready queue.
     is_queued: AtomicBool,
     ready: ReadyQueue,
 }
 
-/// A task's slot, and the number of the task that has it.
+/// The slot of a task, and a generation that distinguishes it from other tasks in the same slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct TaskId {
     slot: usize,
     generation: u64,
 }
 
-/// The tasks that can run. Wakers may be called from anywhere, so it is locked; all runs on one thread.
+/// The tasks that are ready to run. `Waker` has to be `Send` and `Sync`, hence the lock, although
+/// everything runs on one thread.
 type ReadyQueue = Arc<Mutex<Vec<TaskId>>>;
 
 impl Wake for TaskWaker {
@@ -64,15 +68,15 @@
     }
 }
 
-/// A task that sleeps, until its sleep is dropped.
+/// The state that a [`Sleep`] shares with its timer.
 #[derive(Default)]
-struct Sleeper {
+struct SleepState {
     waker: RefCell<Option<Waker>>,
     is_due: Cell<bool>,
 }
 
 enum TimerAction {
-    Wake(Rc<Sleeper>),
+    Wake(Rc<SleepState>),
     Call(Box<dyn FnOnce()>),
 }
 
@@ -80,9 +84,9 @@
     fn run(self) {
         match self {
             TimerAction::Call(call) => call(),
-            TimerAction::Wake(sleeper) => {
-                sleeper.is_due.set(true);
-                let waker = sleeper.waker.borrow_mut().take();
+            TimerAction::Wake(state) => {
+                state.is_due.set(true);
+                let waker = state.waker.borrow_mut().take();
                 if let Some(waker) = waker {
                     waker.wake();
                 }
@@ -120,7 +124,7 @@
 struct ExecutorState {
     now: Cell<Time>,
     tasks: RefCell<Vec<Option<Task>>>,
-    free: RefCell<Vec<usize>>,
+    free_slots: RefCell<Vec<usize>>,
     generation: Cell<u64>,
     ready: ReadyQueue,
     timers: RefCell<BinaryHeap<Reverse<Timer>>>,
@@ -140,7 +144,7 @@
         Executor(Rc::new(ExecutorState {
             now: Cell::new(0),
             tasks: RefCell::default(),
-            free: RefCell::default(),
+            free_slots: RefCell::default(),
             generation: Cell::new(0),
             ready: ReadyQueue::default(),
             timers: RefCell::default(),
@@ -156,12 +160,13 @@
         self.0.now.get()
     }
 
-    /// How often tasks were polled so far.
+    /// The number of times that tasks have been polled so far.
     pub fn polls(&self) -> u64 {
         self.0.polls.get()
     }
 
-    /// Starts a task of a process. It ends by itself, with [`Executor::kill`] of its node, or with [`Executor::end`].
+    /// Spawns a task of a process. The task runs until it completes, its node is killed with
+    /// [`Executor::kill`], or the executor is stopped with [`Executor::end`].
     pub fn spawn(&self, node: Node, future: impl Future<Output = ()> + 'static) {
         if self.0.has_ended.get() {
             return;
@@ -169,7 +174,7 @@
         let generation = self.0.generation.get() + 1;
         self.0.generation.set(generation);
         let mut tasks = self.0.tasks.borrow_mut();
-        let slot = self.0.free.borrow_mut().pop().unwrap_or_else(|| {
+        let slot = self.0.free_slots.borrow_mut().pop().unwrap_or_else(|| {
             tasks.push(None);
             tasks.len() - 1
         });
@@ -186,31 +191,31 @@
         });
     }
 
-    /// Ends all tasks of a process. Not to be called from one of them.
+    /// Drops all tasks of a process. Must not be called from one of them.
     pub fn kill(&self, node: Node) {
         let mut ended = Vec::new();
-        for (slot, place) in self.0.tasks.borrow_mut().iter_mut().enumerate() {
-            if place.as_ref().is_some_and(|task| task.node == node) {
-                ended.push(place.take());
-                self.0.free.borrow_mut().push(slot);
+        for (slot, entry) in self.0.tasks.borrow_mut().iter_mut().enumerate() {
+            if entry.as_ref().is_some_and(|task| task.node == node) {
+                ended.push(entry.take());
+                self.0.free_slots.borrow_mut().push(slot);
             }
         }
-        // Dropping a task may wake or start others: no list is borrowed here.
+        // Dropping a task may wake or spawn others, so no list may be borrowed here.
         drop(ended);
     }
 
-    /// Ends every task; from here on none is started and no timer is set: timers that dropped tasks set would hold the
-    /// executor, which holds them, and leak both.
+    /// Drops all tasks and timers, and ignores new ones from now on. A timer that is set while the
+    /// tasks are dropped would form a reference cycle with the executor and leak both.
     pub fn end(&self) {
         self.0.has_ended.set(true);
         let tasks = std::mem::take(&mut *self.0.tasks.borrow_mut());
-        self.0.free.borrow_mut().clear();
+        self.0.free_slots.borrow_mut().clear();
         drop(tasks);
         let timers = std::mem::take(&mut *self.0.timers.borrow_mut());
         drop(timers);
     }
 
-    /// Calls this at a time, or now if that is past.
+    /// Schedules a call at a time, or at the current time if that has passed.
     pub fn call_at(&self, at: Time, call: impl FnOnce() + 'static) {
         self.set_timer(at, TimerAction::Call(Box::new(call)));
     }
@@ -228,25 +233,26 @@
         }));
     }
 
-    /// Returns at this time.
+    /// Sleeps until a time.
     pub fn sleep_until(&self, at: Time) -> Sleep {
         Sleep {
             executor: self.clone(),
             at,
-            sleeper: None,
+            state: None,
         }
     }
 
-    /// Returns after so many microseconds.
+    /// Sleeps for a number of microseconds.
     pub fn sleep(&self, time: Time) -> Sleep {
         self.sleep_until(self.now().saturating_add(time))
     }
 
-    /// Runs all that falls due up to this time; false if tasks run without end at one instant, which then is the time.
+    /// Runs tasks and timers up to a time, and advances the clock to it. Returns false if tasks
+    /// keep waking each other without an advance of the clock, which then stays where it is.
     pub fn run_until(&self, end: Time) -> bool {
         loop {
             let before = self.polls();
-            while let Some(task) = self.pick() {
+            while let Some(task) = self.take_ready_task() {
                 self.poll(task);
                 if self.polls() - before > MAX_POLLS_PER_INSTANT {
                     return false;
@@ -270,7 +276,7 @@
         }
     }
 
-    /// What falls due at this time, in a drawn order.
+    /// Removes the timers that are due at this time and returns their actions in a random order.
     fn due_actions(&self, at: Time) -> Vec<TimerAction> {
         let mut timers = self.0.timers.borrow_mut();
         let mut due = Vec::new();
@@ -284,8 +290,8 @@
         due
     }
 
-    /// Takes a drawn task out of the ready queue.
-    fn pick(&self) -> Option<TaskId> {
+    /// Removes a random task from the ready queue.
+    fn take_ready_task(&self) -> Option<TaskId> {
         let mut ready = self.0.ready.lock().unwrap_or_else(PoisonError::into_inner);
         match ready.len() {
             0 => None,
@@ -302,12 +308,12 @@
         self.0.polls.set(self.0.polls.get() + 1);
         let waker = Waker::from(task_waker);
         let poll = future.as_mut().poll(&mut Context::from_waker(&waker));
-        let ended = self.put_back(id, future, poll.is_ready());
-        // Dropping a task may wake or start others: no list is borrowed here.
+        let ended = self.finish_poll(id, future, poll.is_ready());
+        // Dropping a task may wake or spawn others, so no list may be borrowed here.
         drop(ended);
     }
 
-    /// Takes a task's future to poll it; none if the task has ended.
+    /// Takes the future out of a task in order to poll it; `None` if the task has ended.
     fn take_future(&self, id: TaskId) -> Option<(BoxedTask, Arc<TaskWaker>)> {
         let mut tasks = self.0.tasks.borrow_mut();
         let task = tasks.get_mut(id.slot)?.as_mut()?;
@@ -318,8 +324,9 @@
         Some((future, task.task_waker.clone()))
     }
 
-    /// Puts a task's future back; returns it if the task has ended, by itself or by what it did.
-    fn put_back(&self, id: TaskId, future: BoxedTask, is_ready: bool) -> Option<BoxedTask> {
+    /// Returns the future to its task after a poll. If the task has completed or was killed during
+    /// the poll, frees its slot and hands the future back for the caller to drop.
+    fn finish_poll(&self, id: TaskId, future: BoxedTask, is_ready: bool) -> Option<BoxedTask> {
         let mut tasks = self.0.tasks.borrow_mut();
         let Some(slot) = tasks.get_mut(id.slot) else {
             return Some(future);
@@ -331,7 +338,7 @@
                     return None;
                 }
                 *slot = None;
-                self.0.free.borrow_mut().push(id.slot);
+                self.0.free_slots.borrow_mut().push(id.slot);
                 Some(future)
             }
             _ => Some(future),
@@ -339,41 +346,41 @@
     }
 }
 
-/// A future that is ready at a time.
+/// A future that completes at a time.
 pub struct Sleep {
     executor: Executor,
     at: Time,
-    sleeper: Option<Rc<Sleeper>>,
+    state: Option<Rc<SleepState>>,
 }
 
 impl Future for Sleep {
     type Output = ();
 
     fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<()> {
-        if self.executor.now() >= self.at && self.sleeper.is_none() {
+        if self.executor.now() >= self.at && self.state.is_none() {
             return Poll::Ready(());
         }
-        if self.sleeper.is_none() {
-            let sleeper = Rc::new(Sleeper::default());
+        if self.state.is_none() {
+            let state = Rc::new(SleepState::default());
             self.executor
-                .set_timer(self.at, TimerAction::Wake(sleeper.clone()));
-            self.sleeper = Some(sleeper);
+                .set_timer(self.at, TimerAction::Wake(state.clone()));
+            self.state = Some(state);
         }
-        let Some(sleeper) = &self.sleeper else {
+        let Some(state) = &self.state else {
             return Poll::Ready(());
         };
-        if sleeper.is_due.get() {
+        if state.is_due.get() {
             return Poll::Ready(());
         }
-        *sleeper.waker.borrow_mut() = Some(context.waker().clone());
+        *state.waker.borrow_mut() = Some(context.waker().clone());
         Poll::Pending
     }
 }
 
 impl Drop for Sleep {
     fn drop(&mut self) {
-        if let Some(sleeper) = &self.sleeper {
-            sleeper.waker.borrow_mut().take();
+        if let Some(state) = &self.state {
+            state.waker.borrow_mut().take();
         }
     }
 }
--- a/crates/router-simulation/src/main.rs
+++ b/crates/router-simulation/src/main.rs
@@ -1,6 +1,7 @@
-//! router-simulation: simulates runs of overlapping faults on the virtual clock and checks them.
+//! router-simulation: simulates runs with overlapping faults on a virtual clock and checks them.
 //!
-//! Exit codes: 0 no violation, 1 a violation (or a mutation that was not caught), 2 an argument that cannot be used.
+//! Exit codes: 0 if there is no violation, 1 for a violation or a mutation that was not caught, 2
+//! for an invalid argument.
 
 mod arguments;
 
@@ -19,7 +20,7 @@
 #[command(
     name = "router-simulation",
     version,
-    about = "Simulates the router on a virtual clock against seeded faults and checks it"
+    about = "Simulates the router on a virtual clock with seeded faults and checks its behavior"
 )]
 struct Cli {
     #[command(subcommand)]
@@ -28,49 +29,50 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Simulate the runs of a range of seeds; a summary, and what broke.
+    /// Simulate the runs of a range of seeds and print a summary and the violations.
     Run {
-        /// The seeds, FIRST..END without END.
+        /// The range of seeds, FIRST..END without END.
         #[arg(long, default_value = "0..1000", value_parser = parse_seeds)]
         seeds: Range<u64>,
-        /// Threads; all cores if left out.
+        /// The number of threads; one for each core by default.
         #[arg(long)]
         jobs: Option<usize>,
         #[command(flatten)]
-        drawing: Drawing,
+        plan_options: PlanOptions,
     },
-    /// Simulate one run again and show what broke, with the last steps that touched the request.
-    Replay(Replay),
-    /// Reduce a failing run to the fewest faults and requests that still fail.
+    /// Simulate one run and print its violations, each with the last steps of its request.
+    Replay(ReplayOptions),
+    /// Reduce a failing run to a small set of faults and requests that still fails.
     Shrink {
         /// The seed.
         seed: u64,
         #[command(flatten)]
-        drawing: Drawing,
+        plan_options: PlanOptions,
     },
-    /// Activate each mutation in turn and see it caught; wants a build with `--features mutations`.
+    /// Activate each mutation in turn and check that it is caught; needs a build with the feature
+    /// `mutations`.
     Mutants {
-        /// The seeds whose runs are simulated for each.
+        /// The range of seeds to simulate for each mutation, FIRST..END without END.
         #[arg(long, default_value = "0..500", value_parser = parse_seeds)]
         seeds: Range<u64>,
-        /// Threads; all cores if left out.
+        /// The number of threads; one for each core by default.
         #[arg(long)]
         jobs: Option<usize>,
     },
 }
 
-/// How plans are drawn.
+/// How the plans of runs are drawn.
 #[derive(Args)]
-struct Drawing {
-    /// Join identical reads, and let crowds ask for one key.
+struct PlanOptions {
+    /// Coalesce identical reads, and add crowds of clients that request the same key.
     #[arg(long = "joining")]
     coalescing: bool,
-    /// Draw from these faults alone, their names set apart by commas; `list` shows the names.
+    /// Draw only these faults, given by name and separated by commas.
     #[arg(long, value_delimiter = ',', value_parser = parse_fault)]
     faults: Vec<FaultKind>,
 }
 
-impl Drawing {
+impl PlanOptions {
     fn draw_plan(&self) -> DrawPlan {
         if self.coalescing {
             RunPlan::draw_coalescing
@@ -86,32 +88,32 @@
 
 /// The arguments of `replay`.
 #[derive(Args)]
-struct Replay {
+struct ReplayOptions {
     /// The seed.
     seed: u64,
-    /// Show the steps up to this one.
+    /// Print the first steps of the run, up to this number.
     #[arg(long)]
     until: Option<usize>,
-    /// Show every step on the wire.
+    /// Print every step on the wire.
     #[arg(long)]
     trace: bool,
     #[command(flatten)]
-    drawing: Drawing,
-    /// Keep only these faults of the run, by their indices from 0, as `shrink` names them.
+    plan_options: PlanOptions,
+    /// Keep only the faults with these indices, counted from 0, as `shrink` prints them.
     #[arg(long, value_parser = parse_indices)]
     keep_faults: Option<Indices>,
-    /// Keep only these requests of the run, by their numbers; crowds aside.
+    /// Keep only the requests with these numbers; the requests of crowds are not affected.
     #[arg(long = "keep-asks", value_parser = parse_indices)]
     keep_requests: Option<Indices>,
-    /// Keep only these crowds of the run, by their indices from 0.
+    /// Keep only the crowds with these indices, counted from 0.
     #[arg(long, value_parser = parse_indices)]
     keep_crowds: Option<Indices>,
 }
 
-impl Replay {
-    /// The drawn plan, reduced to what is to be kept.
+impl ReplayOptions {
+    /// The plan of the seed, reduced to the faults, crowds and requests to keep.
     fn plan(&self) -> RunPlan {
-        let mut plan = self.drawing.plan(self.seed);
+        let mut plan = self.plan_options.plan(self.seed);
         if let Some(selected) = &self.keep_faults {
             selected.retain(&mut plan.faults);
         }
@@ -126,9 +128,9 @@
     }
 }
 
-/// Runs with violations that `run` shows.
+/// The most runs with violations that `run` prints.
 const SHOWN_RUN_COUNT: usize = 20;
-/// Requests that `shrink` shows.
+/// The most requests that `shrink` prints.
 const SHOWN_REQUEST_COUNT: usize = 20;
 
 fn main() -> ExitCode {
@@ -144,15 +146,15 @@
         Command::Run {
             seeds,
             jobs,
-            drawing,
-        } => run(&drawing, seeds, jobs),
+            plan_options,
+        } => run(&plan_options, seeds, jobs),
         Command::Replay(arguments) => replay(&arguments),
-        Command::Shrink { seed, drawing } => shrink(&drawing.plan(seed)),
+        Command::Shrink { seed, plan_options } => shrink(&plan_options.plan(seed)),
         Command::Mutants { seeds, jobs } => mutants(seeds, jobs),
     }
 }
 
-/// Prints what is wrong with the arguments in one line.
+/// Prints a usage error on one line.
 fn report_usage_error(error: &clap::Error) -> ExitCode {
     let text = error.to_string();
     let paragraph: Vec<&str> = text
@@ -165,7 +167,7 @@
     ExitCode::from(2)
 }
 
-fn threads(jobs: Option<usize>) -> usize {
+fn thread_count(jobs: Option<usize>) -> usize {
     jobs.unwrap_or_else(|| std::thread::available_parallelism().map_or(1, usize::from))
 }
 
@@ -187,7 +189,7 @@
     }
 }
 
-/// Success, or the code of violations.
+/// The exit code of a check: success if there is no violation.
 fn exit_code(is_clean: bool) -> ExitCode {
     if is_clean {
         ExitCode::SUCCESS
@@ -196,12 +198,12 @@
     }
 }
 
-fn run(drawing: &Drawing, seeds: Range<u64>, jobs: Option<usize>) -> ExitCode {
+fn run(plan_options: &PlanOptions, seeds: Range<u64>, jobs: Option<usize>) -> ExitCode {
     let start = Instant::now();
     let bar = progress_bar(seeds.end - seeds.start);
-    let threads = threads(jobs);
-    let draw = drawing.draw_plan();
-    let summary = campaign::run(draw, seeds, &drawing.faults, threads, || bar.inc(1));
+    let threads = thread_count(jobs);
+    let draw = plan_options.draw_plan();
+    let summary = campaign::run(draw, seeds, &plan_options.faults, threads, || bar.inc(1));
     bar.finish_and_clear();
     println!("{summary}");
     let seconds = start.elapsed().as_secs_f64();
@@ -214,11 +216,11 @@
     exit_code(summary.runs_with_violations.is_empty())
 }
 
-fn replay(arguments: &Replay) -> ExitCode {
+fn replay(arguments: &ReplayOptions) -> ExitCode {
     let plan = arguments.plan();
     let report = simulate(&plan, Recording::Trace);
     println!(
-        "seed {}: {} routers, {} servers, {} requests asked, {} steps, digest {:016x}",
+        "seed {}: {} routers, {} servers, {} planned requests, {} steps, digest {:016x}",
         plan.seed,
         plan.routers.len(),
         plan.servers.len(),
@@ -250,7 +252,7 @@
         println!("seed {}: no breach", plan.seed);
         return ExitCode::SUCCESS;
     };
-    let Some(least) = campaign::shrink(plan, first.rule) else {
+    let Some(reduced) = campaign::shrink(plan, first.rule) else {
         return ExitCode::SUCCESS;
     };
     println!("seed {}: {}", plan.seed, first.rule);
@@ -258,22 +260,22 @@
         "from {} faults and {} requests to {} and {}:",
         plan.faults.len(),
         plan.requests.len(),
-        least.faults.len(),
-        least.requests.len()
+        reduced.faults.len(),
+        reduced.requests.len()
     );
-    print_plan(plan, &least);
-    println!("{}", replay_command(plan, &least));
+    print_plan(plan, &reduced);
+    println!("{}", replay_command(plan, &reduced));
     ExitCode::FAILURE
 }
 
 /// Prints the faults and the first requests of a shrunk plan.
-fn print_plan(plan: &RunPlan, least: &RunPlan) {
+fn print_plan(plan: &RunPlan, reduced: &RunPlan) {
     for (index, fault) in plan.faults.iter().enumerate() {
-        if least.faults.contains(fault) {
+        if reduced.faults.contains(fault) {
             println!("  fault {index}: {fault}");
         }
     }
-    for request in least.requests.iter().take(SHOWN_REQUEST_COUNT) {
+    for request in reduced.requests.iter().take(SHOWN_REQUEST_COUNT) {
         println!(
             "  request {}: class {} at {} ms, router {}",
             request.number,
@@ -285,15 +287,15 @@
 }
 
 /// The command that replays a shrunk plan.
-fn replay_command(plan: &RunPlan, least: &RunPlan) -> String {
+fn replay_command(plan: &RunPlan, reduced: &RunPlan) -> String {
     let coalescing = if plan.coalescing {
-        let crowds = remaining_indices(&plan.crowds, &least.crowds);
+        let crowds = remaining_indices(&plan.crowds, &reduced.crowds);
         format!(" --joining --keep-crowds={crowds}")
     } else {
         String::new()
     };
-    let faults = remaining_indices(&plan.faults, &least.faults);
-    let requests = least.requests.iter();
+    let faults = remaining_indices(&plan.faults, &reduced.faults);
+    let requests = reduced.requests.iter();
     let requests: Vec<String> = requests.map(|request| request.number.to_string()).collect();
     format!(
         "router-simulation replay {}{coalescing} --keep-faults={faults} --keep-asks={}",
@@ -302,7 +304,7 @@
     )
 }
 
-/// The indices of what remains of a list, set apart by commas.
+/// The comma-separated indices of the elements of a list that remain.
 fn remaining_indices<T: PartialEq>(all: &[T], remaining: &[T]) -> String {
     let indices = (0..all.len()).filter(|&index| remaining.contains(&all[index]));
     let indices: Vec<String> = indices.map(|index| index.to_string()).collect();
@@ -311,9 +313,9 @@
 
 fn mutants(seeds: Range<u64>, jobs: Option<usize>) -> ExitCode {
     let start = Instant::now();
-    let Some(results) = campaign::run_mutations(seeds, threads(jobs)) else {
+    let Some(results) = campaign::run_mutations(seeds, thread_count(jobs)) else {
         eprintln!(
-            "router-simulation: this build leaves the mutations out; build it with --features mutations"
+            "router-simulation: mutations are not compiled in; build with --features mutations"
         );
         return ExitCode::from(2);
     };
--- a/crates/router-simulation/src/run/overloaded_discovery.rs
+++ b/crates/router-simulation/src/run/overloaded_discovery.rs
@@ -48,7 +48,7 @@
         );
         let call_time = self.fleet_call_time / self.router_count as Time;
         let queue = Rc::new(CallQueue::new(call_time, SILENT_AT + self.busy_time));
-        run.discovery.begin_queue(queue.clone());
+        run.discovery.set_call_queue(queue.clone());
         run.discovery.silence_watches();
         assert!(
             executor.run_until(SILENT_AT + self.duration),
