--- a/crates/failing-system-calls/src/lib.rs
+++ b/crates/failing-system-calls/src/lib.rs
@@ -9,9 +9,9 @@
 
 const SEED_VARIABLE: &str = "ASTERPORT_FAILING_CALLS_SEED";
 /// One call in so many begins a burst of failures.
-const CALLS_PER_BURST: u64 = 20;
+const MEAN_CALLS_PER_BURST: u64 = 20;
 /// So many calls on end fail at most.
-const MAX_BURST: u64 = 4;
+const MAX_BURST_CALLS: u64 = 4;
 /// What accept(2) fails with for a moment.
 const ACCEPT_ERRORS: [c_int; 6] = [
     libc::ECONNABORTED,
@@ -35,45 +35,49 @@
 type Connect = unsafe extern "C" fn(c_int, *const sockaddr, socklen_t) -> c_int;
 
 /// The failures of one function.
-struct Failures {
+struct FailureInjector {
     errors: &'static [c_int],
     error: AtomicI32,
-    left: AtomicU32,
+    remaining: AtomicU32,
 }
 
-impl Failures {
-    const fn new(errors: &'static [c_int]) -> Failures {
-        Failures {
+impl FailureInjector {
+    const fn new(errors: &'static [c_int]) -> FailureInjector {
+        FailureInjector {
             errors,
             error: AtomicI32::new(0),
-            left: AtomicU32::new(0),
+            remaining: AtomicU32::new(0),
         }
     }
 
     /// The error number of this call, if it is to fail.
-    fn next(&self) -> Option<c_int> {
-        let take_one = |left: u32| left.checked_sub(1);
+    fn next_error(&self) -> Option<c_int> {
+        let decrement = |remaining: u32| remaining.checked_sub(1);
         let ordering = Ordering::Relaxed;
-        if self.left.fetch_update(ordering, ordering, take_one).is_ok() {
+        if self
+            .remaining
+            .fetch_update(ordering, ordering, decrement)
+            .is_ok()
+        {
             return Some(self.error.load(ordering));
         }
-        let drawn = random()?;
-        if !drawn.is_multiple_of(CALLS_PER_BURST) {
+        let sample = next_random()?;
+        if !sample.is_multiple_of(MEAN_CALLS_PER_BURST) {
             return None;
         }
-        let error = self.errors[(drawn >> 16) as usize % self.errors.len()];
+        let error = self.errors[(sample >> 16) as usize % self.errors.len()];
         self.error.store(error, ordering);
-        self.left
-            .store((drawn >> 32) as u32 % MAX_BURST as u32, ordering);
+        self.remaining
+            .store((sample >> 32) as u32 % MAX_BURST_CALLS as u32, ordering);
         Some(error)
     }
 }
 
-static ACCEPT: Failures = Failures::new(&ACCEPT_ERRORS);
-static CONNECT: Failures = Failures::new(&CONNECT_ERRORS);
+static ACCEPT_FAILURES: FailureInjector = FailureInjector::new(&ACCEPT_ERRORS);
+static CONNECT_FAILURES: FailureInjector = FailureInjector::new(&CONNECT_ERRORS);
 
 /// The next number of the seed's sequence (SplitMix64); `None` without a seed.
-fn random() -> Option<u64> {
+fn next_random() -> Option<u64> {
     static STATE: OnceLock<Option<AtomicU64>> = OnceLock::new();
     let seed = || {
         let text = std::env::var(SEED_VARIABLE).ok()?;
@@ -88,12 +92,12 @@
 }
 
 /// The C library's function of this name.
-fn original(name: &'static std::ffi::CStr) -> *mut c_void {
+fn next_definition(name: &'static std::ffi::CStr) -> *mut c_void {
     // SAFETY: the name ends with a NUL and lives for ever.
     unsafe { libc::dlsym(libc::RTLD_NEXT, name.as_ptr().cast::<c_char>()) }
 }
 
-fn fail(error: c_int) -> c_int {
+fn fail_with(error: c_int) -> c_int {
     // SAFETY: the pointer is that of this thread's errno.
     unsafe { *libc::__errno_location() = error };
     -1
@@ -110,12 +114,12 @@
     length: *mut socklen_t,
     flags: c_int,
 ) -> c_int {
-    if let Some(error) = ACCEPT.next() {
-        return fail(error);
+    if let Some(error) = ACCEPT_FAILURES.next_error() {
+        return fail_with(error);
     }
     // SAFETY: the function of this name has this type, and the arguments are the caller's.
     unsafe {
-        let call: Accept4 = std::mem::transmute(original(c"accept4"));
+        let call: Accept4 = std::mem::transmute(next_definition(c"accept4"));
         call(socket, address, length, flags)
     }
 }
@@ -130,12 +134,12 @@
     address: *const sockaddr,
     length: socklen_t,
 ) -> c_int {
-    if let Some(error) = CONNECT.next() {
-        return fail(error);
+    if let Some(error) = CONNECT_FAILURES.next_error() {
+        return fail_with(error);
     }
     // SAFETY: the function of this name has this type, and the arguments are the caller's.
     unsafe {
-        let call: Connect = std::mem::transmute(original(c"connect"));
+        let call: Connect = std::mem::transmute(next_definition(c"connect"));
         call(socket, address, length)
     }
 }
--- a/crates/router-soak/src/client.rs
+++ b/crates/router-soak/src/client.rs
@@ -1,7 +1,7 @@
 //! Clients: each keeps a connection and uses it again and again, until the router ends it or is killed.
 
 use crate::plan::SoakPlan;
-use crate::recorder::{PendingRequest, Recorder, RouterEnd};
+use crate::recorder::{ConnectionEnd, PendingRequest, Recorder};
 use router_simulation::fault_plan::CLASSES;
 use router_simulation::network::{CloseKind, Side};
 use router_simulation::rng::SeededRng;
@@ -22,16 +22,16 @@
 /// Most commands of a pipeline, and how often a client pipelines, sends in two pieces, and leaves while clients leave.
 const MAX_PIPELINE: u64 = 24;
 const PIPELINE_RATIO: f64 = 0.3;
-const PIECES_RATIO: f64 = 0.15;
-const LEAVE_RATIO: f64 = 0.3;
+const SPLIT_WRITE_RATIO: f64 = 0.15;
+const DISCONNECT_RATIO: f64 = 0.3;
 /// How often a request of a pipeline has no time left.
-const NO_TIME_RATIO: f64 = 0.05;
+const ZERO_DEADLINE_RATIO: f64 = 0.05;
 /// A client waits for an answer this much longer than its time.
-const LATE_ANSWER_TIME: Duration = Duration::from_millis(700);
+const LATE_ANSWER_GRACE: Duration = Duration::from_millis(700);
 /// How often a client reads late while clients read slowly, for how many milliseconds at most, and its receive buffer.
-const SLOW_RATIO: f64 = 0.3;
+const SLOW_READ_RATIO: f64 = 0.3;
 const MAX_READ_DELAY_MS: u64 = 300;
-const SMALL_RECEIVE_BUFFER: usize = 4_096;
+const SMALL_RECEIVE_BUFFER_BYTES: usize = 4_096;
 /// How often a write is long while clients write long values, and the longest one, in bytes.
 const LONG_WRITE_RATIO: f64 = 0.3;
 const MAX_WRITE_BYTES: u64 = 600_000;
@@ -39,14 +39,14 @@
 const MAX_PAUSE_MS: u64 = 120;
 
 /// What all clients of a run share.
-pub(crate) struct Clients {
+pub(crate) struct ClientPool {
     plan: SoakPlan,
     router: SocketAddr,
     recorder: Rc<Recorder>,
     rng: RefCell<SeededRng>,
     last_request: Cell<u32>,
     /// Clients leave before their answers.
-    pub are_leaving: Cell<bool>,
+    pub disconnect_early: Cell<bool>,
     /// Clients write long values.
     pub write_long_values: Cell<bool>,
     /// Clients read late, with small receive buffers where they connect meanwhile.
@@ -71,21 +71,21 @@
 struct Pipeline {
     bytes: Vec<u8>,
     ids: Vec<u64>,
-    longest: Duration,
+    max_deadline: Duration,
 }
 
 /// A connection is over.
-struct Over;
+struct ConnectionEnded;
 
-impl Clients {
-    pub fn new(plan: &SoakPlan, router: SocketAddr, recorder: Rc<Recorder>) -> Rc<Clients> {
-        Rc::new(Clients {
+impl ClientPool {
+    pub fn new(plan: &SoakPlan, router: SocketAddr, recorder: Rc<Recorder>) -> Rc<ClientPool> {
+        Rc::new(ClientPool {
             plan: plan.clone(),
             router,
             recorder,
             rng: RefCell::new(SeededRng::new(plan.seed, 3)),
             last_request: Cell::new(0),
-            are_leaving: Cell::new(false),
+            disconnect_early: Cell::new(false),
             write_long_values: Cell::new(false),
             read_slowly: Cell::new(false),
             connect_until: Cell::new(None),
@@ -117,7 +117,7 @@
             if let Ok(stream) = TcpStream::connect(self.router).await {
                 let _ = stream.set_nodelay(true);
                 if self.read_slowly.get() {
-                    let _ = SockRef::from(&stream).set_recv_buffer_size(SMALL_RECEIVE_BUFFER);
+                    let _ = SockRef::from(&stream).set_recv_buffer_size(SMALL_RECEIVE_BUFFER_BYTES);
                 }
                 return Some(Connection {
                     number: self.recorder.client_connected(),
@@ -131,22 +131,22 @@
     }
 
     /// Sends a pipeline and reads its answers.
-    async fn exchange(&self, connection: &mut Connection) -> Result<(), Over> {
+    async fn exchange(&self, connection: &mut Connection) -> Result<(), ConnectionEnded> {
         if is_closed(&connection.stream) {
-            self.router_ended(connection, RouterEnd::Closed);
-            return Err(Over);
+            self.router_ended(connection, ConnectionEnd::Closed);
+            return Err(ConnectionEnded);
         }
         let pipeline = self.draw_pipeline();
         self.send(connection, &pipeline).await?;
-        let leaves = self.are_leaving.get() && self.chance(LEAVE_RATIO);
-        if leaves {
+        let disconnects = self.disconnect_early.get() && self.chance(DISCONNECT_RATIO);
+        if disconnects {
             let stay = self.rng.borrow_mut().range(0, 100);
             tokio::time::sleep(Duration::from_millis(stay)).await;
-            self.leave(connection);
-            return Err(Over);
+            self.disconnect(connection);
+            return Err(ConnectionEnded);
         }
-        let until = Instant::now() + pipeline.longest + LATE_ANSWER_TIME;
-        if self.read_slowly.get() && self.chance(SLOW_RATIO) {
+        let until = Instant::now() + pipeline.max_deadline + LATE_ANSWER_GRACE;
+        if self.read_slowly.get() && self.chance(SLOW_READ_RATIO) {
             let delay = self.rng.borrow_mut().range(0, MAX_READ_DELAY_MS);
             tokio::time::sleep(Duration::from_millis(delay)).await;
         }
@@ -156,15 +156,19 @@
         Ok(())
     }
 
-    async fn send(&self, connection: &mut Connection, pipeline: &Pipeline) -> Result<(), Over> {
-        let is_in_pieces = self.chance(PIECES_RATIO);
-        let first = if is_in_pieces {
+    async fn send(
+        &self,
+        connection: &mut Connection,
+        pipeline: &Pipeline,
+    ) -> Result<(), ConnectionEnded> {
+        let is_split = self.chance(SPLIT_WRITE_RATIO);
+        let first = if is_split {
             self.rng.borrow_mut().index(pipeline.bytes.len())
         } else {
             pipeline.bytes.len()
         };
         let (first, second) = pipeline.bytes.split_at(first);
-        if is_in_pieces {
+        if is_split {
             self.write(connection, first).await?;
             tokio::time::sleep(Duration::from_millis(30)).await;
         }
@@ -176,42 +180,51 @@
         connection.pending.extend(pending);
         self.requests
             .set(self.requests.get() + pipeline.ids.len() as u64);
-        self.write(connection, if is_in_pieces { second } else { first })
+        self.write(connection, if is_split { second } else { first })
             .await
     }
 
-    async fn write(&self, connection: &mut Connection, bytes: &[u8]) -> Result<(), Over> {
-        self.recorder.passed(connection.number, Side::Dialer, bytes);
+    async fn write(
+        &self,
+        connection: &mut Connection,
+        bytes: &[u8],
+    ) -> Result<(), ConnectionEnded> {
+        self.recorder
+            .record_bytes(connection.number, Side::Dialer, bytes);
         if connection.stream.write_all(bytes).await.is_err() {
-            self.router_ended(connection, RouterEnd::Reset);
-            return Err(Over);
+            self.router_ended(connection, ConnectionEnd::Reset);
+            return Err(ConnectionEnded);
         }
         Ok(())
     }
 
     /// Reads what comes; a client whose time is over leaves.
-    async fn read_answers(&self, connection: &mut Connection, until: Instant) -> Result<(), Over> {
+    async fn read_answers(
+        &self,
+        connection: &mut Connection,
+        until: Instant,
+    ) -> Result<(), ConnectionEnded> {
         let mut buffer = vec![0; 64 * 1024];
         let read = connection.stream.read(&mut buffer);
         let read = tokio::time::timeout_at(until.into(), read).await;
         let count = match read {
             Ok(Ok(0)) => {
-                self.router_ended(connection, RouterEnd::Closed);
-                return Err(Over);
+                self.router_ended(connection, ConnectionEnd::Closed);
+                return Err(ConnectionEnded);
             }
             Ok(Ok(count)) => count,
             Ok(Err(_)) => {
-                self.router_ended(connection, RouterEnd::Reset);
-                return Err(Over);
+                self.router_ended(connection, ConnectionEnd::Reset);
+                return Err(ConnectionEnded);
             }
             Err(_) => {
-                self.leave(connection);
-                return Err(Over);
+                self.disconnect(connection);
+                return Err(ConnectionEnded);
             }
         };
         let bytes = &buffer[..count];
         self.recorder
-            .passed(connection.number, Side::Listener, bytes);
+            .record_bytes(connection.number, Side::Listener, bytes);
         connection.frames.feed(0, bytes);
         while let Ok(Some(DecodedFrame { frame, .. })) = connection.frames.next(0) {
             connection.pending.pop_front();
@@ -223,12 +236,12 @@
         Ok(())
     }
 
-    fn leave(&self, connection: &mut Connection) {
+    fn disconnect(&self, connection: &mut Connection) {
         self.recorder
-            .ended(connection.number, Side::Dialer, CloseKind::Fin);
+            .record_close(connection.number, Side::Dialer, CloseKind::Fin);
     }
 
-    fn router_ended(&self, connection: &mut Connection, end: RouterEnd) {
+    fn router_ended(&self, connection: &mut Connection, end: ConnectionEnd) {
         // A long answer that is broken off has failed: its client sees that it is not whole.
         if connection.frames.has_begun_long_value() {
             connection.pending.pop_front();
@@ -246,7 +259,7 @@
         let mut pipeline = Pipeline {
             bytes: Vec::new(),
             ids: Vec::new(),
-            longest: Duration::ZERO,
+            max_deadline: Duration::ZERO,
         };
         for _ in 0..length {
             self.add_request(&mut pipeline);
@@ -266,7 +279,7 @@
             _ => 3,
         };
         let deadline_ms = self.plan.deadlines_ms[class.min(1)];
-        let wait_ms = if rng.chance(NO_TIME_RATIO) {
+        let wait_ms = if rng.chance(ZERO_DEADLINE_RATIO) {
             0
         } else {
             rng.range(deadline_ms / 3, deadline_ms)
@@ -282,7 +295,7 @@
             _ => write_command(key, id, &fields, b"sheet"),
         });
         pipeline.ids.push(id);
-        pipeline.longest = pipeline.longest.max(Duration::from_millis(wait_ms));
+        pipeline.max_deadline = pipeline.max_deadline.max(Duration::from_millis(wait_ms));
     }
 
     fn chance(&self, ratio: f64) -> bool {
@@ -300,8 +313,8 @@
 }
 
 /// Idle clients, every third with half a command. The connections end with what is returned.
-pub(crate) async fn open_crowd(router: SocketAddr, count: usize) -> Vec<TcpStream> {
-    let mut crowd = Vec::new();
+pub(crate) async fn open_idle_connections(router: SocketAddr, count: usize) -> Vec<TcpStream> {
+    let mut idle_clients = Vec::new();
     for number in 0..count {
         let Ok(mut stream) = TcpStream::connect(router).await else {
             continue;
@@ -309,7 +322,7 @@
         if number % 3 == 0 {
             let _ = stream.write_all(b"*4\r\n$5\r\nC.GET\r\n$16\r\n0000").await;
         }
-        crowd.push(stream);
+        idle_clients.push(stream);
     }
-    crowd
+    idle_clients
 }
--- a/crates/router-soak/src/discovery.rs
+++ b/crates/router-soak/src/discovery.rs
@@ -1,6 +1,6 @@
 //! Discovery, or an agent of it, on a loopback socket: watches on the endpoint list, and the faults of a plan.
 
-use crate::recorder::{Recorder, server_name, zone};
+use crate::recorder::{Recorder, server_name, zone_of};
 use crate::server::Server;
 use router_simulation::discovery::{
     ListEntry, RESPONSE_HEAD, chunk, known_version, list_json, read_head,
@@ -29,7 +29,7 @@
 struct Entry {
     health: Health,
     born_ms: u64,
-    changed_in: u64,
+    changed_in_version: u64,
 }
 
 /// See the module.
@@ -54,7 +54,7 @@
         let entry = Entry {
             health: Health::Up,
             born_ms: 0,
-            changed_in: 1,
+            changed_in_version: 1,
         };
         let discovery = Rc::new(Discovery {
             address: listener.local_addr().expect("an address"),
@@ -80,28 +80,28 @@
     }
 
     /// The list says this of a server from now on.
-    pub fn set(&self, server: usize, health: Health, born_ms: u64) {
+    pub fn set_endpoint(&self, server: usize, health: Health, born_ms: u64) {
         let version = self.version.get() + 1;
         self.version.set(version);
         self.entries.borrow_mut()[server] = Entry {
             health,
             born_ms,
-            changed_in: version,
+            changed_in_version: version,
         };
         self.changed.notify_waiters();
-        self.record_announcement(server, health == Health::Up, born_ms);
+        self.schedule_announcement(server, health == Health::Up, born_ms);
     }
 
     /// What changes while discovery is down, nobody is told before its return.
-    fn record_announcement(&self, server: usize, is_up: bool, born_ms: u64) {
+    fn schedule_announcement(&self, server: usize, is_up: bool, born_ms: u64) {
         let recorder = self.recorder.clone();
         match self.down_until.get().filter(|at| Instant::now() < *at) {
-            None => recorder.announced(server, is_up, born_ms),
+            None => recorder.record_announcement(server, is_up, born_ms),
             Some(at) => {
                 // Detached: ends with the run's task set at the latest.
                 spawn_local(async move {
                     tokio::time::sleep_until(at.into()).await;
-                    recorder.announced(server, is_up, born_ms);
+                    recorder.record_announcement(server, is_up, born_ms);
                 });
             }
         }
@@ -120,7 +120,7 @@
     }
 
     /// The whole list.
-    pub fn whole_list(&self) -> String {
+    pub fn snapshot(&self) -> String {
         self.list(true, |_| true)
     }
 
@@ -133,7 +133,7 @@
                 let listed = ListEntry {
                     name: &server_name(number),
                     address: server.address,
-                    zone: zone(number),
+                    zone: zone_of(number),
                     health: match entry.health {
                         Health::Up => "up",
                         Health::Draining => "draining",
@@ -152,15 +152,15 @@
             self.answer(&mut stream, connection, &head).await;
         }
         self.recorder
-            .ended(connection, Side::Listener, CloseKind::Fin);
+            .record_close(connection, Side::Listener, CloseKind::Fin);
     }
 
     async fn answer(&self, stream: &mut TcpStream, connection: u32, head: &str) {
-        if take_one(&self.calls_to_hang) {
+        if decrement(&self.calls_to_hang) {
             return read_to_end(stream).await;
         }
         let is_down = self.down_until.get().is_some_and(|at| Instant::now() < at);
-        if is_down || take_one(&self.calls_to_fail) {
+        if is_down || decrement(&self.calls_to_fail) {
             let busy = b"HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n\r\n";
             let _ = stream.write_all(busy).await;
             return;
@@ -187,9 +187,9 @@
             tokio::pin!(changed);
             changed.as_mut().enable();
             let line = if is_first && known == 0 {
-                self.whole_list()
+                self.snapshot()
             } else if self.version.get() > sent || is_first {
-                self.list(false, |entry| entry.changed_in > sent)
+                self.list(false, |entry| entry.changed_in_version > sent)
             } else {
                 String::new()
             };
@@ -198,7 +198,7 @@
             if !line.is_empty() {
                 let text = format!("{line}\n");
                 self.recorder
-                    .passed(connection, Side::Listener, text.as_bytes());
+                    .record_bytes(connection, Side::Listener, text.as_bytes());
             }
             if stream.write_all(chunk(&line).as_bytes()).await.is_err() {
                 return;
@@ -218,7 +218,7 @@
     }
 }
 
-fn take_one(count: &Cell<usize>) -> bool {
+fn decrement(count: &Cell<usize>) -> bool {
     let is_left = count.get() > 0;
     count.set(count.get().saturating_sub(1));
     is_left
--- a/crates/router-soak/src/plan.rs
+++ b/crates/router-soak/src/plan.rs
@@ -93,11 +93,11 @@
     /// Cache servers.
     pub servers: usize,
     /// Lists are pushed; else discovery is asked.
-    pub is_push: bool,
+    pub lists_are_pushed: bool,
     /// Clients that send all the time.
     pub clients: usize,
     /// Idle clients beside them, some with half a command.
-    pub crowd: usize,
+    pub idle_clients: usize,
     /// The router's memory limit, in MiB.
     pub memory_mb: usize,
     /// The router's limit of descriptors.
@@ -105,9 +105,9 @@
     /// The deadlines of reads and of writes, in milliseconds.
     pub deadlines_ms: [u64; 2],
     /// How long servers remember a write's idempotency key, in milliseconds.
-    pub deduplication_ms: u64,
+    pub deduplication_window_ms: u64,
     /// How long a server takes at the most, in milliseconds.
-    pub service_ms: u64,
+    pub max_service_ms: u64,
     /// The faults, in the order of their beginnings.
     pub faults: Vec<PlannedFault>,
     /// How the router is ended.
@@ -121,26 +121,30 @@
     pub fn draw(seed: u64) -> SoakPlan {
         let rng = &mut SeededRng::new(seed, 1);
         let descriptors = rng.range(120, 260) as usize;
-        let places = (descriptors - RESERVED_DESCRIPTORS) / 2;
-        let has_crowd = rng.chance(0.3);
+        let connection_capacity = (descriptors - RESERVED_DESCRIPTORS) / 2;
+        let has_idle_clients = rng.chance(0.3);
         // The fields are drawn in the order in which they stand.
         let mut plan = SoakPlan {
             seed,
             servers: rng.range(3, 6) as usize,
-            is_push: rng.chance(0.5),
+            lists_are_pushed: rng.chance(0.5),
             clients: rng.range(6, 14) as usize,
-            crowd: if has_crowd { places + 10 } else { 0 },
+            idle_clients: if has_idle_clients {
+                connection_capacity + 10
+            } else {
+                0
+            },
             memory_mb: [48, 64, 96][rng.index(3)],
             descriptors,
             deadlines_ms: [rng.range(400, 1_200), rng.range(600, 2_000)],
-            deduplication_ms: rng.range(1_000, 3_000),
-            service_ms: rng.range(5, 60),
+            deduplication_window_ms: rng.range(1_000, 3_000),
+            max_service_ms: rng.range(5, 60),
             faults: Vec::new(),
             ending: ENDINGS[rng.index(ENDINGS.len())],
             has_failing_calls: SeededRng::new(seed, 5).chance(0.5),
         };
         plan.draw_faults(&mut SeededRng::new(seed, 2));
-        plan.draw_further_faults(&mut SeededRng::new(seed, 4));
+        plan.draw_additional_faults(&mut SeededRng::new(seed, 4));
         plan.faults.sort_by_key(|fault| fault.at_ms);
         plan
     }
@@ -161,7 +165,7 @@
     }
 
     /// Kinds that are drawn apart, so that the plans of seeds keep the others.
-    fn draw_further_faults(&mut self, rng: &mut SeededRng) {
+    fn draw_additional_faults(&mut self, rng: &mut SeededRng) {
         for _ in 0..rng.range(1, 3) {
             let server = rng.index(self.servers);
             let kinds = [
@@ -218,7 +222,11 @@
 
 impl fmt::Display for SoakPlan {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let discovery = if self.is_push { "pushed" } else { "asked" };
+        let discovery = if self.lists_are_pushed {
+            "pushed"
+        } else {
+            "asked"
+        };
         write!(
             f,
             "seed {}: {} servers, lists {discovery}, {} clients and {} idle, {} MiB, {} descriptors, deadlines {:?} ms, \
@@ -226,12 +234,12 @@
             self.seed,
             self.servers,
             self.clients,
-            self.crowd,
+            self.idle_clients,
             self.memory_mb,
             self.descriptors,
             self.deadlines_ms,
-            self.deduplication_ms,
-            self.service_ms,
+            self.deduplication_window_ms,
+            self.max_service_ms,
             self.ending,
             if self.has_failing_calls {
                 "fail"
--- a/crates/router-soak/src/recorder.rs
+++ b/crates/router-soak/src/recorder.rs
@@ -26,11 +26,11 @@
 /// Each time limit is this much longer on sockets.
 const SOCKET_SLACK: Time = 50_000;
 /// A request that was written this long before the end of its connection has been read, or is reset.
-const CROSSING_TIME: Duration = Duration::from_millis(50);
+const CLOSE_RACE_WINDOW: Duration = Duration::from_millis(50);
 
 /// How a connection ended at a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum RouterEnd {
+pub(crate) enum ConnectionEnd {
     /// In order.
     Closed,
     /// By a reset.
@@ -52,7 +52,7 @@
     /// Requests that a cache server has received.
     attempted: RefCell<HashSet<u64>>,
     /// Until when a process that was killed excuses the ends of connections.
-    killed_until: Cell<Option<Instant>>,
+    kill_grace_until: Cell<Option<Instant>>,
     discovery: Node,
 }
 
@@ -61,7 +61,7 @@
         let identities: Vec<ServerIdentity> = (0..plan.servers)
             .map(|number| ServerIdentity {
                 name: server_name(number),
-                zone: zone(number),
+                zone: zone_of(number),
             })
             .collect();
         let mut checker = InvariantChecker::new(rule_parameters(plan), &identities, false);
@@ -76,7 +76,7 @@
             started: Instant::now(),
             last_connection: Cell::new(0),
             attempted: RefCell::default(),
-            killed_until: Cell::new(None),
+            kill_grace_until: Cell::new(None),
             discovery: Node(FIRST_SERVER + plan.servers as u32),
         }
     }
@@ -107,7 +107,7 @@
     }
 
     /// One side writes bytes, which are at the other's machine with that.
-    pub fn passed(&self, connection: u32, side: Side, bytes: &[u8]) {
+    pub fn record_bytes(&self, connection: u32, side: Side, bytes: &[u8]) {
         let now = self.now();
         let mut checker = self.checker.borrow_mut();
         checker.written(now, connection, side, bytes);
@@ -115,7 +115,7 @@
     }
 
     /// One side ends a connection.
-    pub fn ended(&self, connection: u32, side: Side, how: CloseKind) {
+    pub fn record_close(&self, connection: u32, side: Side, how: CloseKind) {
         let now = self.now();
         let mut checker = self.checker.borrow_mut();
         checker.closed(now, connection, side, how);
@@ -123,20 +123,21 @@
     }
 
     /// A cache server has received a request whole.
-    pub fn attempted(&self, id: u64) {
+    pub fn record_attempt(&self, id: u64) {
         self.attempted.borrow_mut().insert(id);
     }
 
     /// The router has ended a client's connection with requests unanswered: what it had read is lost.
-    pub fn router_ended(&self, connection: u32, end: RouterEnd, pending: &[PendingRequest]) {
+    pub fn router_ended(&self, connection: u32, end: ConnectionEnd, pending: &[PendingRequest]) {
         let now = self.now();
         let is_excused = self
-            .killed_until
+            .kill_grace_until
             .get()
             .is_some_and(|until| Instant::now() < until);
         for request in pending.iter().filter(|_| !is_excused) {
             let was_sent = self.attempted.borrow().contains(&request.id);
-            let was_read = end == RouterEnd::Closed && request.written_at.elapsed() > CROSSING_TIME;
+            let was_read =
+                end == ConnectionEnd::Closed && request.written_at.elapsed() > CLOSE_RACE_WINDOW;
             if was_sent || was_read {
                 let text =
                     format!("lost: the router ended its connection ({end:?}), sent on: {was_sent}");
@@ -150,8 +151,8 @@
     }
 
     /// A process of the router was killed: the connections that it held end with it.
-    pub fn process_killed(&self, excused_for: Duration) {
-        self.killed_until.set(Some(Instant::now() + excused_for));
+    pub fn process_killed(&self, grace: Duration) {
+        self.kill_grace_until.set(Some(Instant::now() + grace));
     }
 
     pub fn router_started(&self, list: &str) {
@@ -159,7 +160,7 @@
         self.checker.borrow_mut().router_started(now, 0, list);
     }
 
-    pub fn announced(&self, server: usize, is_up: bool, born_ms: u64) {
+    pub fn record_announcement(&self, server: usize, is_up: bool, born_ms: u64) {
         let now = self.now();
         self.checker
             .borrow_mut()
@@ -172,7 +173,7 @@
     }
 
     /// A limit that the router has passed.
-    pub fn limit_passed(&self, text: String) {
+    pub fn record_exceeded_limit(&self, text: String) {
         let now = self.now();
         self.checker
             .borrow_mut()
@@ -190,12 +191,12 @@
 }
 
 /// Servers stand in two zones by turns.
-pub(crate) fn zone(number: usize) -> usize {
+pub(crate) fn zone_of(number: usize) -> usize {
     number % 2
 }
 
 fn rule_parameters(plan: &SoakPlan) -> RuleParameters {
-    let window = plan.deduplication_ms * 1_000 + SOCKET_SLACK;
+    let window = plan.deduplication_window_ms * 1_000 + SOCKET_SLACK;
     let classes = [
         Idempotency::Idempotent,
         Idempotency::Keyed(DeduplicationScope::All, window),
@@ -204,7 +205,7 @@
     ];
     let names = CLASSES.map(str::to_string);
     RuleParameters {
-        lists_are_pushed: plan.is_push,
+        lists_are_pushed: plan.lists_are_pushed,
         classes: names.into_iter().zip(classes).collect::<BTreeMap<_, _>>(),
         answer_grace: ANSWER_GRACE,
         drain_grace: DRAIN_GRACE,
--- a/crates/router-soak/src/run.rs
+++ b/crates/router-soak/src/run.rs
@@ -1,6 +1,6 @@
 //! One run of the soak: starts the stand-ins and the router, plays the plan, ends the router, and reports.
 
-use crate::client::{Clients, open_crowd};
+use crate::client::{ClientPool, open_idle_connections};
 use crate::discovery::{Discovery, Health};
 use crate::plan::{Ending, FaultKind, LOAD_MS, PlannedFault, SoakPlan};
 use crate::recorder::Recorder;
@@ -22,31 +22,31 @@
 /// SIGKILL comes no sooner than the longest deadline and this long after SIGTERM.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
 /// New connections go on coming for this long after SIGTERM.
-const CONNECTS_AFTER_TERM: Duration = Duration::from_millis(400);
+const CONNECT_TIME_AFTER_TERM: Duration = Duration::from_millis(400);
 /// A server that is listed as draining takes requests for this long, and is away for this long after its drain.
-const DRAIN_NOTICE: Duration = Duration::from_millis(300);
+const DRAIN_DELAY: Duration = Duration::from_millis(300);
 const RESTART_PAUSE: Duration = Duration::from_millis(400);
 /// How often the router's memory and descriptors are looked at.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
 /// How long before the end of the load another process is started, and how long it lives where it is killed.
 const TAKEOVER_LEAD: Duration = Duration::from_millis(2_000);
-const SUCCESSOR_LIFE: Duration = Duration::from_millis(250);
+const SUCCESSOR_LIFETIME: Duration = Duration::from_millis(250);
 /// Ends of connections are excused for this long after a process was killed.
-const KILL_EXCUSE: Duration = Duration::from_millis(500);
+const KILL_GRACE: Duration = Duration::from_millis(500);
 
 /// Sets a fault of a server, or takes it back.
 type SetFault = fn(&mut ServerFaults, bool);
 
-const HANGS: SetFault = |faults, holds| faults.hangs = holds;
-const MALFORMED: SetFault = |faults, holds| faults.is_malformed = holds;
-const RESETS: SetFault = |faults, holds| faults.resets = holds;
-const LATE: SetFault = |faults, holds| faults.is_late = holds;
-const LONG_VALUES: SetFault = |faults, holds| faults.has_long_values = holds;
-const PAUSED_VALUES: SetFault = |faults, holds| {
-    faults.has_long_values = holds;
-    faults.has_pauses = holds;
+const HANGING: SetFault = |faults, is_active| faults.hangs = is_active;
+const MALFORMED_REPLIES: SetFault = |faults, is_active| faults.sends_malformed_replies = is_active;
+const RESETTING: SetFault = |faults, is_active| faults.resets_connections = is_active;
+const LATE_FIRST_ANSWERS: SetFault = |faults, is_active| faults.delays_first_answer = is_active;
+const LONG_VALUES: SetFault = |faults, is_active| faults.has_long_values = is_active;
+const PAUSED_VALUES: SetFault = |faults, is_active| {
+    faults.has_long_values = is_active;
+    faults.pauses_long_values = is_active;
 };
-const VANISHED: SetFault = |faults, holds| faults.has_vanished = holds;
+const UNRESPONSIVE: SetFault = |faults, is_active| faults.is_unresponsive = is_active;
 
 /// What came of a run.
 pub struct SoakReport {
@@ -112,7 +112,7 @@
     recorder: Rc<Recorder>,
     servers: Vec<Rc<Server>>,
     discovery: Rc<Discovery>,
-    clients: Rc<Clients>,
+    clients: Rc<ClientPool>,
     platform: Arc<Platform>,
     configuration: Value,
     /// The processes of the router, the newest last.
@@ -126,7 +126,7 @@
     let recorder = Rc::new(Recorder::new(&plan));
     let mut servers = Vec::new();
     for number in 0..plan.servers {
-        let server = Server::start(number, plan.seed, plan.service_ms, recorder.clone());
+        let server = Server::start(number, plan.seed, plan.max_service_ms, recorder.clone());
         servers.push(server.await);
     }
     let discovery = Discovery::start(&servers, recorder.clone()).await;
@@ -134,7 +134,7 @@
     platform.failing_calls = failing_calls(&plan);
     let platform = Arc::new(platform);
     let run = Rc::new(Run {
-        clients: Clients::new(&plan, platform.addr(), recorder.clone()),
+        clients: ClientPool::new(&plan, platform.addr(), recorder.clone()),
         configuration: router_configuration(&plan, &discovery),
         recorder,
         servers,
@@ -147,18 +147,18 @@
         plan,
     });
     run.start_process().await;
-    run.recorder.router_started(&run.discovery.whole_list());
+    run.recorder.router_started(&run.discovery.snapshot());
     spawn_local(run.clone().sample());
-    let crowd = open_crowd(run.platform.addr(), run.plan.crowd).await;
+    let idle_clients = open_idle_connections(run.platform.addr(), run.plan.idle_clients).await;
     for _ in 0..run.plan.clients {
         spawn_local(run.clients.clone().run());
     }
     for fault in run.plan.faults.clone() {
-        spawn_local(run.clone().bring_about(fault));
+        spawn_local(run.clone().inject(fault));
     }
     tokio::time::sleep(Duration::from_millis(LOAD_MS) - TAKEOVER_LEAD).await;
     run.end().await;
-    drop(crowd);
+    drop(idle_clients);
     run.report()
 }
 
@@ -187,7 +187,7 @@
         }
     }
 
-    async fn bring_about(self: Rc<Self>, fault: PlannedFault) {
+    async fn inject(self: Rc<Self>, fault: PlannedFault) {
         tokio::time::sleep(Duration::from_millis(fault.at_ms)).await;
         let duration = Duration::from_millis(fault.duration_ms);
         match fault.kind {
@@ -207,26 +207,36 @@
                 self.servers[server].kill();
                 self.restart(server).await;
             }
-            FaultKind::Hang(server) => self.impair(&[server], duration, HANGS).await,
-            FaultKind::Malformed(server) => self.impair(&[server], duration, MALFORMED).await,
-            FaultKind::Resets(server) => self.impair(&[server], duration, RESETS).await,
-            FaultKind::LateConnections(server) => self.impair(&[server], duration, LATE).await,
+            FaultKind::Hang(server) => self.inject_server_fault(&[server], duration, HANGING).await,
+            FaultKind::Malformed(server) => {
+                self.inject_server_fault(&[server], duration, MALFORMED_REPLIES)
+                    .await
+            }
+            FaultKind::Resets(server) => {
+                self.inject_server_fault(&[server], duration, RESETTING)
+                    .await
+            }
+            FaultKind::LateConnections(server) => {
+                self.inject_server_fault(&[server], duration, LATE_FIRST_ANSWERS)
+                    .await
+            }
             FaultKind::LongValues => {
-                self.impair(&self.all_servers(), duration, LONG_VALUES)
+                self.inject_server_fault(&self.all_servers(), duration, LONG_VALUES)
                     .await
             }
             FaultKind::PausedValues => {
-                self.impair(&self.all_servers(), duration, PAUSED_VALUES)
+                self.inject_server_fault(&self.all_servers(), duration, PAUSED_VALUES)
                     .await;
             }
             FaultKind::Vanish(server) => {
-                self.impair(&[server], duration, VANISHED).await;
+                self.inject_server_fault(&[server], duration, UNRESPONSIVE)
+                    .await;
                 self.servers[server].kill();
                 self.restart(server).await;
             }
-            FaultKind::ClientsLeave => hold(&self.clients.are_leaving, duration).await,
-            FaultKind::LongWrites => hold(&self.clients.write_long_values, duration).await,
-            FaultKind::SlowReaders => hold(&self.clients.read_slowly, duration).await,
+            FaultKind::ClientsLeave => set_during(&self.clients.disconnect_early, duration).await,
+            FaultKind::LongWrites => set_during(&self.clients.write_long_values, duration).await,
+            FaultKind::SlowReaders => set_during(&self.clients.read_slowly, duration).await,
         }
     }
 
@@ -235,10 +245,10 @@
     }
 
     /// Sets a fault of servers, and takes it back.
-    async fn impair(&self, servers: &[usize], duration: Duration, set: SetFault) {
-        let set_all = |holds| {
+    async fn inject_server_fault(&self, servers: &[usize], duration: Duration, set: SetFault) {
+        let set_all = |is_active| {
             for &server in servers {
-                self.servers[server].change(|faults| set(faults, holds));
+                self.servers[server].change(|faults| set(faults, is_active));
             }
         };
         set_all(true);
@@ -248,8 +258,9 @@
 
     async fn drain(&self, server: usize, duration: Duration) {
         let born_ms = self.discovery.born_ms(server);
-        self.discovery.set(server, Health::Draining, born_ms);
-        tokio::time::sleep(DRAIN_NOTICE).await;
+        self.discovery
+            .set_endpoint(server, Health::Draining, born_ms);
+        tokio::time::sleep(DRAIN_DELAY).await;
         self.servers[server].change(|faults| faults.is_draining = true);
         tokio::time::sleep(duration).await;
         self.servers[server].kill();
@@ -261,7 +272,7 @@
         self.servers[server].restart().await;
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
         let born_ms = since_epoch.expect("a time").as_millis() as u64;
-        self.discovery.set(server, Health::Up, born_ms);
+        self.discovery.set_endpoint(server, Health::Up, born_ms);
     }
 
     /// Ends the router, as planned, and waits until the earliest time of SIGKILL.
@@ -273,8 +284,8 @@
             }
             Ending::SuccessorKilled => {
                 self.start_process().await;
-                tokio::time::sleep(SUCCESSOR_LIFE).await;
-                self.recorder.process_killed(KILL_EXCUSE);
+                tokio::time::sleep(SUCCESSOR_LIFETIME).await;
+                self.recorder.process_killed(KILL_GRACE);
                 let successor = self.processes.borrow_mut().pop();
                 drop(successor);
             }
@@ -282,12 +293,12 @@
         }
         tokio::time::sleep(TAKEOVER_LEAD).await;
         self.signal_end();
-        let told_at = Instant::now();
+        let terminated_at = Instant::now();
         self.clients
             .connect_until
-            .set(Some(told_at + CONNECTS_AFTER_TERM));
+            .set(Some(terminated_at + CONNECT_TIME_AFTER_TERM));
         let longest = Duration::from_millis(self.plan.longest_deadline_ms());
-        tokio::time::sleep_until((told_at + longest + KILL_MARGIN).into()).await;
+        tokio::time::sleep_until((terminated_at + longest + KILL_MARGIN).into()).await;
         self.processes.borrow_mut().clear();
         // The ends of connections that the kill made are seen by their clients.
         tokio::time::sleep(Duration::from_millis(100)).await;
@@ -327,11 +338,11 @@
         let limit_kb = self.plan.memory_mb * 1024;
         if self.peak_memory_kb.get() > limit_kb {
             let text = format!("{} KB of {limit_kb}", self.peak_memory_kb.get());
-            self.recorder.limit_passed(text);
+            self.recorder.record_exceeded_limit(text);
         }
         if self.peak_descriptors.get() > self.plan.descriptors {
             let text = format!("{} descriptors", self.peak_descriptors.get());
-            self.recorder.limit_passed(text);
+            self.recorder.record_exceeded_limit(text);
         }
         SoakReport {
             plan: self.plan.clone(),
@@ -347,7 +358,7 @@
 }
 
 /// Sets a fault of clients, and takes it back.
-async fn hold(fault: &Cell<bool>, duration: Duration) {
+async fn set_during(fault: &Cell<bool>, duration: Duration) {
     fault.set(true);
     tokio::time::sleep(duration).await;
     fault.set(false);
@@ -367,12 +378,12 @@
         .map(|(number, (name, (effect, group)))| {
             let give_up = plan.deadlines_ms[number.min(1)] as f64 / 1_000.0;
             json!({"name": name, "effect": effect, "group": group,
-                "memory_span": plan.deduplication_ms as f64 / 1_000.0, "target": give_up / 3.0,
+                "memory_span": plan.deduplication_window_ms as f64 / 1_000.0, "target": give_up / 3.0,
                 "give_up": give_up, "credit": 1.0, "late_value": 0.5})
         })
         .collect();
     let mut configuration = configuration(discovery.address, &[]);
-    let known: Value = serde_json::from_str(&discovery.whole_list()).expect("a list");
+    let known: Value = serde_json::from_str(&discovery.snapshot()).expect("a list");
     configuration["known"] = known;
     configuration["limits"]["memory_mb"] = plan.memory_mb.into();
     configuration["limits"]["sockets"] = plan.descriptors.into();
@@ -380,7 +391,7 @@
     settings["request_classes"] = classes.into();
     settings["zones"] = json!(["z0", "z1"]);
     settings["zone"] = "z0".into();
-    settings["discovery"] = if plan.is_push {
+    settings["discovery"] = if plan.lists_are_pushed {
         "automatic"
     } else {
         "subscribe"
--- a/crates/router-soak/src/server.rs
+++ b/crates/router-soak/src/server.rs
@@ -21,7 +21,7 @@
 const FAULT_RATIO: f64 = 0.3;
 /// The ratio of reads with a long value while values are long, and of those that are broken off.
 const LONG_VALUE_RATIO: f64 = 0.3;
-const BREAK_RATIO: f64 = 0.3;
+const TRUNCATED_VALUE_RATIO: f64 = 0.3;
 /// Replies beyond this are long, in bytes.
 const LONG_REPLY_BYTES: usize = 65_536;
 /// The longest value, in bytes.
@@ -29,21 +29,21 @@
 /// How long a value pauses at most, in milliseconds.
 const MAX_PAUSE_MS: u64 = 300;
 /// How late the first command of a late connection is answered at most, in milliseconds.
-const MAX_LATENESS_MS: u64 = 900;
+const MAX_FIRST_ANSWER_DELAY_MS: u64 = 900;
 
 /// What is wrong with a server now.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ServerFaults {
     pub is_draining: bool,
     pub hangs: bool,
-    pub is_malformed: bool,
-    pub resets: bool,
-    pub is_late: bool,
+    pub sends_malformed_replies: bool,
+    pub resets_connections: bool,
+    pub delays_first_answer: bool,
     pub has_long_values: bool,
     /// Long values pause half-way.
-    pub has_pauses: bool,
+    pub pauses_long_values: bool,
     /// It neither reads nor answers nor closes.
-    pub has_vanished: bool,
+    pub is_unresponsive: bool,
 }
 
 /// See the module.
@@ -51,7 +51,7 @@
     number: usize,
     pub address: SocketAddr,
     pub faults: Cell<ServerFaults>,
-    service_ms: u64,
+    max_service_ms: u64,
     recorder: Rc<Recorder>,
     rng: RefCell<SeededRng>,
     tasks: RefCell<Vec<JoinHandle<()>>>,
@@ -62,7 +62,7 @@
     pub async fn start(
         number: usize,
         seed: u64,
-        service_ms: u64,
+        max_service_ms: u64,
         recorder: Rc<Recorder>,
     ) -> Rc<Server> {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -70,7 +70,7 @@
             number,
             address: listener.local_addr().expect("an address"),
             faults: Cell::default(),
-            service_ms,
+            max_service_ms,
             recorder,
             rng: RefCell::new(SeededRng::new(seed, 100 + number as u64)),
             tasks: RefCell::default(),
@@ -133,20 +133,21 @@
                 let Command::CacheRequest(request) = Command::of(&frame) else {
                     return;
                 };
-                self.recorder.attempted(request.id);
+                self.recorder.record_attempt(request.id);
                 let is_first = std::mem::take(&mut is_new);
                 if !self.execute(&mut stream, &guard, &request, is_first).await {
                     return;
                 }
             }
             let read = stream.read(&mut buffer).await;
-            if self.faults.get().has_vanished {
+            if self.faults.get().is_unresponsive {
                 std::future::pending::<()>().await;
             }
             match read {
                 Ok(count @ 1..) => {
                     let bytes = &buffer[..count];
-                    self.recorder.passed(guard.connection, Side::Dialer, bytes);
+                    self.recorder
+                        .record_bytes(guard.connection, Side::Dialer, bytes);
                     frames.feed(0, bytes);
                 }
                 _ => return,
@@ -163,29 +164,29 @@
         is_first: bool,
     ) -> bool {
         let faults = self.faults.get();
-        if faults.hangs || faults.has_vanished {
+        if faults.hangs || faults.is_unresponsive {
             std::future::pending::<()>().await;
         }
-        if is_first && faults.is_late {
-            self.sleep_up_to(MAX_LATENESS_MS).await;
+        if is_first && faults.delays_first_answer {
+            self.sleep_up_to(MAX_FIRST_ANSWER_DELAY_MS).await;
         }
-        self.sleep_up_to(self.service_ms).await;
-        if faults.resets && self.chance(FAULT_RATIO) {
+        self.sleep_up_to(self.max_service_ms).await;
+        if faults.resets_connections && self.chance(FAULT_RATIO) {
             // A close without waiting for unsent bytes is a reset.
             let _ = SockRef::from(&*stream).set_linger(Some(Duration::ZERO));
             return false;
         }
         let reply = self.reply(request, faults);
-        let is_whole = reply.is_whole;
+        let keeps_connection = reply.keeps_connection;
         self.recorder
-            .passed(guard.connection, Side::Listener, &reply.bytes);
+            .record_bytes(guard.connection, Side::Listener, &reply.bytes);
         let is_long = reply.bytes.len() > LONG_REPLY_BYTES;
-        let written = if faults.has_pauses && is_long {
+        let written = if faults.pauses_long_values && is_long {
             self.write_with_pause(stream, &reply.bytes).await
         } else {
             stream.write_all(&reply.bytes).await
         };
-        written.is_ok() && is_whole
+        written.is_ok() && keeps_connection
     }
 
     /// Writes a reply in two parts, with a pause in between.
@@ -198,10 +199,10 @@
 
     fn reply(&self, request: &CacheRequest, faults: ServerFaults) -> Reply {
         if faults.is_draining {
-            return Reply::whole(b"-BUSY\r\n".to_vec());
+            return Reply::complete(b"-BUSY\r\n".to_vec());
         }
-        if faults.is_malformed && self.chance(FAULT_RATIO) {
-            return Reply::broken(b"%what\r\n".to_vec());
+        if faults.sends_malformed_replies && self.chance(FAULT_RATIO) {
+            return Reply::then_close(b"%what\r\n".to_vec());
         }
         let is_long = faults.has_long_values && !request.is_write && self.chance(LONG_VALUE_RATIO);
         let size = if is_long {
@@ -211,11 +212,11 @@
         };
         let value = value_for(request.id, &server_name(self.number), size);
         let reply = served_reply(&value, "hit");
-        if is_long && self.chance(BREAK_RATIO) {
+        if is_long && self.chance(TRUNCATED_VALUE_RATIO) {
             let length = self.rng.borrow_mut().index(reply.len() - 30);
-            return Reply::broken(reply[..length].to_vec());
+            return Reply::then_close(reply[..length].to_vec());
         }
-        Reply::whole(reply)
+        Reply::complete(reply)
     }
 
     fn chance(&self, ratio: f64) -> bool {
@@ -231,21 +232,21 @@
 struct Reply {
     bytes: Vec<u8>,
     /// Else the connection ends behind it.
-    is_whole: bool,
+    keeps_connection: bool,
 }
 
 impl Reply {
-    fn whole(bytes: Vec<u8>) -> Reply {
+    fn complete(bytes: Vec<u8>) -> Reply {
         Reply {
             bytes,
-            is_whole: true,
+            keeps_connection: true,
         }
     }
 
-    fn broken(bytes: Vec<u8>) -> Reply {
+    fn then_close(bytes: Vec<u8>) -> Reply {
         Reply {
             bytes,
-            is_whole: false,
+            keeps_connection: false,
         }
     }
 }
@@ -259,6 +260,6 @@
 impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.recorder
-            .ended(self.connection, Side::Listener, CloseKind::Fin);
+            .record_close(self.connection, Side::Listener, CloseKind::Fin);
     }
 }
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -14,7 +14,7 @@
     },
     /// The input ended too soon.
     #[error("input ended inside a {inside}")]
-    EndOfInput { inside: &'static str },
+    UnexpectedEndOfInput { inside: &'static str },
     /// An event for a router that does not run.
     #[error("router {router} has not come up")]
     UnknownRouter { router: u64 },
@@ -29,7 +29,7 @@
     AbsentField { line: String, field: &'static str },
     /// A value cannot be read.
     #[error("{line}: {field} '{value}' is not {expected}")]
-    Unreadable {
+    InvalidValue {
         line: String,
         field: &'static str,
         value: String,
@@ -37,7 +37,7 @@
     },
     /// A value is not a flag.
     #[error("{line}: {field} '{value}' is neither 1 nor 0")]
-    NotAFlag {
+    InvalidFlag {
         line: String,
         field: &'static str,
         value: String,
--- a/crates/simulator-adapter/src/line.rs
+++ b/crates/simulator-adapter/src/line.rs
@@ -58,7 +58,7 @@
         let value = self.text(field)?;
         value
             .parse()
-            .map_err(|_| self.unreadable(field, value, expected))
+            .map_err(|_| self.invalid_value(field, value, expected))
     }
 
     /// Reads a value that may be absent.
@@ -73,7 +73,7 @@
         }
         match value.parse() {
             Ok(parsed) => Ok(Some(parsed)),
-            Err(_) => Err(self.unreadable(field, value, expected)),
+            Err(_) => Err(self.invalid_value(field, value, expected)),
         }
     }
 
@@ -90,20 +90,20 @@
     /// Reads a time in seconds.
     pub fn time(&mut self, field: &'static str) -> Result<Micros, WireError> {
         let seconds = self.parsed(field, "a time")?;
-        self.checked_time(field, seconds)
+        self.validate_time(field, seconds)
     }
 
     /// Reads a time in seconds that may be absent.
     pub fn optional_time(&mut self, field: &'static str) -> Result<Option<Micros>, WireError> {
         let seconds = self.optional(field, "a time")?;
         seconds
-            .map(|seconds| self.checked_time(field, seconds))
+            .map(|seconds| self.validate_time(field, seconds))
             .transpose()
     }
 
-    fn checked_time(&self, field: &'static str, seconds: f64) -> Result<Micros, WireError> {
+    fn validate_time(&self, field: &'static str, seconds: f64) -> Result<Micros, WireError> {
         if !seconds.is_finite() || seconds < 0.0 {
-            return Err(self.unreadable(field, &seconds.to_string(), "a time"));
+            return Err(self.invalid_value(field, &seconds.to_string(), "a time"));
         }
         Ok(Micros::from_secs_f64(seconds))
     }
@@ -113,7 +113,7 @@
         match self.text(field)? {
             "1" => Ok(true),
             "0" | ABSENT => Ok(false),
-            other => Err(WireError::NotAFlag {
+            other => Err(WireError::InvalidFlag {
                 line: self.name.into(),
                 field,
                 value: other.into(),
@@ -122,7 +122,7 @@
     }
 
     /// Reads one of the `known` names and returns its index; `None` where the value is absent.
-    pub fn one_of(
+    pub fn name_index(
         &mut self,
         field: &'static str,
         known: &[String],
@@ -134,17 +134,17 @@
         if value == ABSENT || value == "0" || value.is_empty() {
             return Ok(None);
         }
-        Err(self.unreadable(field, value, "in the settings"))
+        Err(self.invalid_value(field, value, "in the settings"))
     }
 
     /// The error of a value that cannot be read.
-    pub fn unreadable(
+    pub fn invalid_value(
         &self,
         field: &'static str,
         value: &str,
         expected: &'static str,
     ) -> WireError {
-        WireError::Unreadable {
+        WireError::InvalidValue {
             line: self.name.into(),
             field,
             value: value.into(),
--- a/crates/simulator-adapter/src/session.rs
+++ b/crates/simulator-adapter/src/session.rs
@@ -45,10 +45,10 @@
     }
 
     /// The next line of something that has not ended.
-    fn expect_line(&mut self, inside: &'static str) -> Result<Line<'_>, SessionError> {
+    fn require_line(&mut self, inside: &'static str) -> Result<Line<'_>, SessionError> {
         match self.next_line()? {
             Some(line) => Ok(line),
-            None => Err(WireError::EndOfInput { inside }.into()),
+            None => Err(WireError::UnexpectedEndOfInput { inside }.into()),
         }
     }
 }
@@ -93,9 +93,9 @@
 
     /// Answers batch after batch until the input ends.
     pub fn run<R: BufRead>(&mut self, input: &mut Input<R>) -> Result<(), SessionError> {
-        while let Some(now) = start_of_batch(input)? {
+        while let Some(now) = read_batch_start(input)? {
             self.run_batch(input, now)?;
-            wire::write_yield(&mut self.output)?;
+            wire::write_batch_end(&mut self.output)?;
             self.output.flush()?;
         }
         Ok(())
@@ -108,10 +108,10 @@
         now: Micros,
     ) -> Result<(), SessionError> {
         loop {
-            let mut line = input.expect_line("batch")?;
+            let mut line = input.require_line("batch")?;
             match line.name() {
                 "commit" => return Ok(self.write_trace(now)?),
-                "up" => self.start_instance(&mut line)?,
+                "up" => self.start_router(&mut line)?,
                 "exit" => {
                     self.instances.remove(&line.integer("router")?);
                 }
@@ -138,10 +138,10 @@
     }
 
     /// Starts a router, in place of one that has the same number.
-    fn start_instance(&mut self, line: &mut Line<'_>) -> Result<(), WireError> {
+    fn start_router(&mut self, line: &mut Line<'_>) -> Result<(), WireError> {
         let number = line.integer("router")?;
         let seed = line.integer("rng_seed")?;
-        let deployment = deployment::read(wire::pairs(line.rest())?)?;
+        let deployment = deployment::read(wire::split_settings(line.rest())?)?;
         let instance = Instance {
             router: Router::new(deployment.settings, seed)?,
             names: deployment.names,
@@ -187,7 +187,7 @@
 }
 
 /// Reads the line that opens a batch and returns its time; `None` at the end of input.
-fn start_of_batch<R: BufRead>(input: &mut Input<R>) -> Result<Option<Micros>, SessionError> {
+fn read_batch_start<R: BufRead>(input: &mut Input<R>) -> Result<Option<Micros>, SessionError> {
     let Some(mut line) = input.next_line()? else {
         return Ok(None);
     };
@@ -209,7 +209,7 @@
     event: &mut Event,
 ) -> Result<(), SessionError> {
     for _ in 0..count {
-        let mut line = input.expect_line("list")?;
+        let mut line = input.require_line("list")?;
         let endpoint = wire::endpoint(&mut line, names)?;
         if let Event::EndpointsChanged { endpoints, .. } = event {
             endpoints.push(endpoint);
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -14,12 +14,12 @@
 const DEFAULT_WEIGHT: f64 = 1.0;
 
 /// The `path=value` pairs of a router's first message.
-pub fn pairs(text: &str) -> Result<Vec<(&str, &str)>, WireError> {
+pub fn split_settings(text: &str) -> Result<Vec<(&str, &str)>, WireError> {
     let pairs = text.split('\t').filter(|pair| !pair.is_empty());
-    pairs.map(split_pair).collect()
+    pairs.map(split_setting).collect()
 }
 
-fn split_pair(pair: &str) -> Result<(&str, &str), WireError> {
+fn split_setting(pair: &str) -> Result<(&str, &str), WireError> {
     pair.split_once('=')
         .ok_or_else(|| WireError::SettingWithoutValue { pair: pair.into() })
 }
@@ -40,7 +40,7 @@
     let count = line.rest().split('\t').nth(2).unwrap_or("");
     count
         .parse()
-        .map_err(|_| line.unreadable("items", count, "a whole number"))
+        .map_err(|_| line.invalid_value("items", count, "a whole number"))
 }
 
 /// Reads an event; `None` for one that this router does not use.
@@ -75,7 +75,7 @@
         "total" => EndpointUpdate::Snapshot,
         "warm_copy" => EndpointUpdate::Restored,
         "lost" => EndpointUpdate::WatchLost,
-        other => return Err(line.unreadable("mode", other, "known")),
+        other => return Err(line.invalid_value("mode", other, "known")),
     };
     line.integer("stamp")?;
     Ok(Event::EndpointsChanged {
@@ -90,12 +90,12 @@
 
 fn request(line: &mut Line<'_>, names: &Names) -> Result<Request, WireError> {
     let id = line.request_id()?;
-    let class = line.one_of("class", &names.classes)?;
+    let class = line.name_index("class", &names.classes)?;
     let class = class.ok_or_else(|| WireError::AbsentField {
         line: line.name().into(),
         field: "class",
     })?;
-    let tenant = line.one_of("owner", &names.tenants)?.map(TenantId);
+    let tenant = line.name_index("owner", &names.tenants)?.map(TenantId);
     let key = line.optional("object", "a key")?;
     let expires = line.time("expires")?;
     let cost_hint = line.optional_time("size_hint")?;
@@ -150,7 +150,7 @@
         "withdrawn" => Outcome::Cancelled,
         "void" => Outcome::NotSent,
         "absent" => Outcome::Miss,
-        other => return Err(line.unreadable("code", other, "known")),
+        other => return Err(line.invalid_value("code", other, "known")),
     })
 }
 
@@ -165,8 +165,8 @@
     let cell = CellId(line.optional("bay", "a whole number")?.unwrap_or(0));
     let server = ServerId::from(line.text("server")?);
     let state = endpoint_state(line)?;
-    let zone = line.one_of("dc", &names.zones)?.map(ZoneId);
-    let kind = line.one_of("class_of_host", &names.kinds)?.map(KindId);
+    let zone = line.name_index("dc", &names.zones)?.map(ZoneId);
+    let kind = line.name_index("class_of_host", &names.kinds)?.map(KindId);
     let started = line.optional_time("start_time")?.unwrap_or_default();
     let weight = line.optional("weight", "a number")?;
     Ok(Endpoint {
@@ -185,7 +185,7 @@
         "Running" => EndpointState::Ready,
         "Stopping" => EndpointState::Draining,
         "Deleted" => EndpointState::Removed,
-        other => return Err(line.unreadable("state", other, "known")),
+        other => return Err(line.invalid_value("state", other, "known")),
     })
 }
 
@@ -216,21 +216,21 @@
         }
         Action::CloseIdle { server } => writeln!(output, "let_go\t{router}\t{server}"),
         Action::Subscribe => writeln!(output, "follow\t{router}\t1"),
-        Action::Log(text) => writeln!(output, "emit\t{router}\t{}", one_line(text)),
+        Action::Log(text) => writeln!(output, "emit\t{router}\t{}", without_separators(text)),
     }
 }
 
 /// Writes that a router panicked.
 pub fn write_crash(output: &mut impl Write, router: u64, cause: &str) -> io::Result<()> {
-    writeln!(output, "crash\t{router}\t{}", one_line(cause))
+    writeln!(output, "crash\t{router}\t{}", without_separators(cause))
 }
 
 /// Writes that all events of a batch are taken in.
-pub fn write_yield(output: &mut impl Write) -> io::Result<()> {
+pub fn write_batch_end(output: &mut impl Write) -> io::Result<()> {
     output.write_all(b"yield\n")
 }
 
 /// A text as one value of a line.
-fn one_line(text: &str) -> String {
+fn without_separators(text: &str) -> String {
     text.replace(['\n', '\t'], " ")
 }
--- a/crates/traffic-replay/src/block.rs
+++ b/crates/traffic-replay/src/block.rs
@@ -6,16 +6,16 @@
 /// The first line of a capture: its name and the version of its form.
 pub const MAGIC: &[u8] = b"asterport-capture 1\n";
 /// What the first line of every version begins with.
-pub(crate) const MAGIC_NAME: &[u8] = b"asterport-capture ";
+pub(crate) const MAGIC_PREFIX: &[u8] = b"asterport-capture ";
 /// The longest first line of any version.
-pub(crate) const MAGIC_MAXIMUM_BYTES: usize = 32;
+pub(crate) const MAX_MAGIC_BYTES: usize = 32;
 /// Bytes of a block before its payload.
-pub(crate) const HEAD_BYTES: usize = 9;
+pub(crate) const BLOCK_HEADER_BYTES: usize = 9;
 /// A block of items is closed once its payload has this size: bounds what a cut file loses and what a reader buffers.
-pub(crate) const PAYLOAD_TARGET_BYTES: usize = 64 * 1024;
+pub(crate) const TARGET_PAYLOAD_BYTES: usize = 64 * 1024;
 /// The longest payload: holds a header with 256 names of 1,024 bytes, and bounds what a reader buffers of a damaged
 /// file.
-pub(crate) const PAYLOAD_MAXIMUM_BYTES: usize = 512 * 1024;
+pub(crate) const MAX_PAYLOAD_BYTES: usize = 512 * 1024;
 
 /// What a block holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,7 +25,7 @@
     /// One or more [`Item`](crate::Item)s.
     Items = 2,
     /// A [`Summary`](crate::Summary); the last block only.
-    End = 3,
+    Summary = 3,
 }
 
 impl BlockKind {
@@ -34,7 +34,7 @@
         match byte {
             1 => Some(BlockKind::Header),
             2 => Some(BlockKind::Items),
-            3 => Some(BlockKind::End),
+            3 => Some(BlockKind::Summary),
             _ => None,
         }
     }
@@ -42,18 +42,18 @@
 
 /// A block's head, as it stands before the payload.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct BlockHead {
+pub(crate) struct BlockHeader {
     /// Length of the payload.
     pub payload_bytes: u32,
     checksum: u32,
     kind: u8,
 }
 
-impl BlockHead {
+impl BlockHeader {
     /// The head of a block that holds this payload.
-    pub fn of(kind: BlockKind, payload: &[u8]) -> BlockHead {
+    pub fn of(kind: BlockKind, payload: &[u8]) -> BlockHeader {
         let kind = kind as u8;
-        BlockHead {
+        BlockHeader {
             payload_bytes: payload.len() as u32,
             checksum: checksum(kind, payload),
             kind,
@@ -61,9 +61,9 @@
     }
 
     /// Reads a head.
-    pub fn decode(bytes: [u8; HEAD_BYTES]) -> BlockHead {
+    pub fn decode(bytes: [u8; BLOCK_HEADER_BYTES]) -> BlockHeader {
         let [a, b, c, d, checksum @ .., kind] = bytes;
-        BlockHead {
+        BlockHeader {
             payload_bytes: u32::from_le_bytes([a, b, c, d]),
             checksum: u32::from_le_bytes(checksum),
             kind,
@@ -89,8 +89,8 @@
 }
 
 /// Appends a whole block to `out`.
-pub(crate) fn write_block(kind: BlockKind, payload: &[u8], out: &mut Vec<u8>) {
-    BlockHead::of(kind, payload).encode(out);
+pub(crate) fn append_block(kind: BlockKind, payload: &[u8], out: &mut Vec<u8>) {
+    BlockHeader::of(kind, payload).encode(out);
     out.extend(payload);
 }
 
--- a/crates/traffic-replay/src/item.rs
+++ b/crates/traffic-replay/src/item.rs
@@ -5,11 +5,11 @@
 use std::collections::BTreeMap;
 
 /// The longest text of an item: the router's bound on a command's field.
-const TEXT_MAXIMUM_BYTES: usize = 1024;
+const MAX_TEXT_BYTES: usize = 1024;
 /// Bounds the sources of a header and the kinds of malformed items in a summary.
-const NAME_MAXIMUM_COUNT: usize = 256;
+const MAX_NAMES: usize = 256;
 /// Counts the malformed items whose kind a summary has no room for.
-const OTHER_KIND: &str = "other";
+const OVERFLOW_KIND: &str = "other";
 
 /// The first block of a capture.
 ///
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Header {
     /// The capture's start: Unix time in microseconds.
-    pub begins_us: i64,
+    pub start_us: i64,
     /// The sources, as the operator names them; an item holds an index into this list.
     pub sources: Vec<String>,
 }
@@ -25,7 +25,7 @@
 /// One recorded request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Item {
-    /// When it was sent, in microseconds since [`Header::begins_us`]; never less than that of the item before.
+    /// When it was sent, in microseconds since [`Header::start_us`]; never less than that of the item before.
     pub at_us: u64,
     /// Index into [`Header::sources`].
     pub source: u16,
@@ -48,7 +48,7 @@
     /// The status that the source recorded.
     pub status: Option<u16>,
     /// The latency that the source recorded, in microseconds.
-    pub took_us: Option<u64>,
+    pub latency_us: Option<u64>,
 }
 
 /// The last block of a capture. It accounts for all input, malformed items included.
@@ -62,10 +62,10 @@
 
 impl Header {
     pub(crate) fn validate(&self) -> Result<(), CaptureError> {
-        if self.sources.len() > NAME_MAXIMUM_COUNT {
+        if self.sources.len() > MAX_NAMES {
             return Err(CaptureError::TooMany {
                 what: "sources",
-                most: NAME_MAXIMUM_COUNT,
+                limit: MAX_NAMES,
             });
         }
         for source in &self.sources {
@@ -103,21 +103,21 @@
     /// Counts one malformed item. Past 255 kinds, new ones count as `other`, as do kinds of over 1,024 bytes.
     pub fn count_malformed(&mut self, kind: &str) {
         let has_entry = self.malformed.contains_key(kind);
-        let has_room = self.malformed.len() < NAME_MAXIMUM_COUNT - 1;
-        let kind = if (has_entry || has_room) && kind.len() <= TEXT_MAXIMUM_BYTES {
+        let has_room = self.malformed.len() < MAX_NAMES - 1;
+        let kind = if (has_entry || has_room) && kind.len() <= MAX_TEXT_BYTES {
             kind
         } else {
-            OTHER_KIND
+            OVERFLOW_KIND
         };
         let count = self.malformed.entry(kind.to_string()).or_default();
         *count = count.saturating_add(1);
     }
 
     pub(crate) fn validate(&self) -> Result<(), CaptureError> {
-        if self.malformed.len() > NAME_MAXIMUM_COUNT {
+        if self.malformed.len() > MAX_NAMES {
             return Err(CaptureError::TooMany {
                 what: "kinds of malformed items",
-                most: NAME_MAXIMUM_COUNT,
+                limit: MAX_NAMES,
             });
         }
         for kind in self.malformed.keys() {
@@ -128,11 +128,11 @@
 }
 
 fn validate_text(what: &'static str, text: &str) -> Result<(), CaptureError> {
-    if text.len() > TEXT_MAXIMUM_BYTES {
+    if text.len() > MAX_TEXT_BYTES {
         return Err(CaptureError::TooLong {
             what,
             bytes: text.len(),
-            most: TEXT_MAXIMUM_BYTES,
+            limit: MAX_TEXT_BYTES,
         });
     }
     Ok(())
--- a/crates/traffic-replay/src/lib.rs
+++ b/crates/traffic-replay/src/lib.rs
@@ -7,15 +7,15 @@
 //! ```
 //! use traffic_replay::*;
 //!
-//! let mut writer = CaptureWriter::new(Header { begins_us: 1_750_000_000_000_000, sources: vec!["a.log".into()] })?;
+//! let mut writer = CaptureWriter::new(Header { start_us: 1_750_000_000_000_000, sources: vec!["a.log".into()] })?;
 //! writer.push(&Item { at_us: 250, class: "ambil-soal".into(), key: "7f3a".into(), ..Item::default() })?;
 //! let bytes = writer.finish();
 //!
 //! let mut reader = CaptureReader::default();
 //! reader.feed(&bytes);
-//! assert!(matches!(reader.next()?, Some(Piece::Header(_))));
-//! assert!(matches!(reader.next()?, Some(Piece::Item(item)) if item.at_us == 250));
-//! assert!(matches!(reader.next()?, Some(Piece::End(summary)) if summary.items == 1));
+//! assert!(matches!(reader.next()?, Some(CapturePart::Header(_))));
+//! assert!(matches!(reader.next()?, Some(CapturePart::Item(item)) if item.at_us == 250));
+//! assert!(matches!(reader.next()?, Some(CapturePart::Summary(summary)) if summary.items == 1));
 //! reader.finish()?;
 //! # Ok::<(), CaptureError>(())
 //! ```
@@ -33,5 +33,5 @@
 pub use log_format::{
     ExpectedPart, FieldName, Fields, FormatError, FormatProblem, LineError, LogFormat,
 };
-pub use reader::{CaptureReader, Piece};
+pub use reader::{CapturePart, CaptureReader};
 pub use writer::CaptureWriter;
--- a/crates/traffic-replay/src/log_format.rs
+++ b/crates/traffic-replay/src/log_format.rs
@@ -6,7 +6,7 @@
 //!
 //! let format = LogFormat::nginx(r#"$remote_addr [$time_local] "$request" $status"#)?;
 //! let line = br#"127.0.0.1 [10/Oct/2000:13:55:36 -0700] "GET /soal/7f3a HTTP/1.1" 200"#;
-//! let fields = format.cut(line).expect("a line of this form");
+//! let fields = format.split(line).expect("a line of this form");
 //! assert_eq!(fields.get(FieldName::Status), Some(&b"200"[..]));
 //! # Ok::<(), traffic_replay::FormatError>(())
 //! ```
@@ -26,12 +26,12 @@
 /// The combined log format of Apache and nginx.
 const COMBINED: &str = r#"%h %l %u %t "%r" %>s %b "%{Referer}i" "%{User-Agent}i""#;
 /// Why a built-in format compiles.
-const IS_TESTED: &str = "a built-in format compiles, as its test shows";
+const BUILT_IN_FORMAT_IS_VALID: &str = "a built-in format compiles, as its test shows";
 
 /// A compiled format.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogFormat {
-    literal_before: Vec<u8>,
+    leading_literal: Vec<u8>,
     fields: Vec<Field>,
 }
 
@@ -55,12 +55,12 @@
 impl LogFormat {
     /// The common log format of Apache and nginx.
     pub fn common() -> LogFormat {
-        LogFormat::apache(COMMON).expect(IS_TESTED)
+        LogFormat::apache(COMMON).expect(BUILT_IN_FORMAT_IS_VALID)
     }
 
     /// The combined log format of Apache and nginx.
     pub fn combined() -> LogFormat {
-        LogFormat::apache(COMBINED).expect(IS_TESTED)
+        LogFormat::apache(COMBINED).expect(BUILT_IN_FORMAT_IS_VALID)
     }
 
     /// Compiles nginx's `log_format`, without its name and quotes.
@@ -83,17 +83,17 @@
     ///
     /// # Errors
     /// The first place where the line departs from the format.
-    pub fn cut<'a>(&'a self, line: &'a [u8]) -> Result<Fields<'a>, LineError> {
-        let mut position = match_literal(line, &self.literal_before)?;
+    pub fn split<'a>(&'a self, line: &'a [u8]) -> Result<Fields<'a>, LineError> {
+        let mut position = match_literal(line, &self.leading_literal)?;
         let mut values = Vec::with_capacity(self.fields.len());
         for field in &self.fields {
             let rest = &line[position..];
-            let value = cut_field(rest, field).map_err(|expected| LineError {
+            let value = split_field(rest, field).map_err(|expected| LineError {
                 column: line.len() + 1,
                 expected,
             })?;
             values.push(value);
-            position += value.len() + field.literal_after.len();
+            position += value.len() + field.following_literal.len();
         }
         if position < line.len() {
             return Err(LineError {
@@ -122,13 +122,13 @@
 }
 
 /// The value of a field at the beginning of `rest`, up to the literal behind it.
-fn cut_field<'a>(rest: &'a [u8], field: &Field) -> Result<&'a [u8], ExpectedPart> {
-    let literal = &field.literal_after;
+fn split_field<'a>(rest: &'a [u8], field: &Field) -> Result<&'a [u8], ExpectedPart> {
+    let literal = &field.following_literal;
     let Some(&first) = literal.first() else {
         return Ok(rest);
     };
     let length = if field.is_quoted {
-        find_unescaped(rest, literal)
+        find_outside_escapes(rest, literal)
     } else {
         memchr::memmem::find(rest, literal)
     };
@@ -139,7 +139,7 @@
 }
 
 /// Where `literal`, which begins with a quote, first stands without a backslash before it.
-fn find_unescaped(rest: &[u8], literal: &[u8]) -> Option<usize> {
+fn find_outside_escapes(rest: &[u8], literal: &[u8]) -> Option<usize> {
     let mut from = 0;
     while from < rest.len() {
         let found = from + memchr::memchr2(b'"', b'\\', &rest[from..])?;
--- a/crates/traffic-replay/src/log_format/apache.rs
+++ b/crates/traffic-replay/src/log_format/apache.rs
@@ -20,7 +20,7 @@
     while let Some(rest) = compiler.rest() {
         match rest.strip_prefix('%') {
             Some(after_percent) if after_percent.starts_with('%') => {
-                compiler.literal("%", "%%".len());
+                compiler.push_literal("%", "%%".len());
             }
             Some(after_percent) => compile_directive(&mut compiler, after_percent)?,
             None => compiler.literal_until('%'),
@@ -41,11 +41,11 @@
     // Apache writes `%t` in brackets.
     let has_brackets = directive.letter == 't' && directive.argument.is_none();
     if has_brackets {
-        compiler.literal("[", 0);
+        compiler.push_literal("[", 0);
     }
-    compiler.field(name, directive.format_bytes)?;
+    compiler.push_field(name, directive.format_bytes)?;
     if has_brackets {
-        compiler.literal("]", 0);
+        compiler.push_literal("]", 0);
     }
     Ok(())
 }
@@ -54,10 +54,10 @@
     let after_modifiers = after_percent.trim_start_matches(is_modifier);
     let (argument, after_argument) = match after_modifiers.strip_prefix('{') {
         Some(inner) => {
-            let (argument, behind) = inner
+            let (argument, remaining) = inner
                 .split_once('}')
                 .ok_or(FormatProblem::UnclosedDirective)?;
-            (Some(argument), behind)
+            (Some(argument), remaining)
         }
         None => (None, after_modifiers),
     };
@@ -65,11 +65,11 @@
         .chars()
         .next()
         .ok_or(FormatProblem::UnfinishedDirective)?;
-    let behind = &after_argument[letter.len_utf8()..];
+    let remaining = &after_argument[letter.len_utf8()..];
     Ok(Directive {
         argument,
         letter,
-        format_bytes: "%".len() + after_percent.len() - behind.len(),
+        format_bytes: "%".len() + after_percent.len() - remaining.len(),
     })
 }
 
@@ -94,9 +94,9 @@
         ('q', _) => FieldName::Query,
         ('s', _) => FieldName::Status,
         ('b' | 'B', _) => FieldName::Bytes,
-        ('D', _) | ('T', Some("us")) => FieldName::TookMicros,
-        ('T', Some("ms")) => FieldName::TookMillis,
-        ('T', None | Some("s")) => FieldName::TookSeconds,
+        ('D', _) | ('T', Some("us")) => FieldName::DurationMicros,
+        ('T', Some("ms")) => FieldName::DurationMillis,
+        ('T', None | Some("s")) => FieldName::DurationSeconds,
         ('i', Some(header)) => return Some(OwnedFieldName::Header(header.to_ascii_lowercase())),
         ('i', None) => return None,
         (letter, argument) if letter.is_ascii_alphabetic() => {
--- a/crates/traffic-replay/src/log_format/compiler.rs
+++ b/crates/traffic-replay/src/log_format/compiler.rs
@@ -5,16 +5,16 @@
 use super::field::{Field, OwnedFieldName};
 
 /// The longest format.
-pub(super) const FORMAT_MAXIMUM_BYTES: usize = 4096;
+pub(super) const MAX_FORMAT_BYTES: usize = 4096;
 /// The most fields of a format.
-pub(super) const FIELD_MAXIMUM_COUNT: usize = 64;
+pub(super) const MAX_FIELDS: usize = 64;
 
 /// A format on its way through compilation.
 pub(super) struct FormatCompiler<'a> {
     format: &'a str,
     /// Bytes of `format` that are compiled.
     position: usize,
-    literal_before: Vec<u8>,
+    leading_literal: Vec<u8>,
     fields: Vec<Field>,
 }
 
@@ -25,10 +25,10 @@
         let compiler = FormatCompiler {
             format,
             position: 0,
-            literal_before: Vec::new(),
+            leading_literal: Vec::new(),
             fields: Vec::new(),
         };
-        if format.len() > FORMAT_MAXIMUM_BYTES {
+        if format.len() > MAX_FORMAT_BYTES {
             return Err(compiler.error(FormatProblem::TooLong));
         }
         Ok(compiler)
@@ -51,14 +51,14 @@
     pub fn literal_until(&mut self, mark: char) {
         let rest = &self.format[self.position..];
         let end = rest.find(mark).unwrap_or(rest.len());
-        self.literal(&rest[..end], end);
+        self.push_literal(&rest[..end], end);
     }
 
     /// Adds literal text of the line that stands for this many bytes of the format.
-    pub fn literal(&mut self, text: &str, format_bytes: usize) {
+    pub fn push_literal(&mut self, text: &str, format_bytes: usize) {
         let literal = match self.fields.last_mut() {
-            Some(field) => &mut field.literal_after,
-            None => &mut self.literal_before,
+            Some(field) => &mut field.following_literal,
+            None => &mut self.leading_literal,
         };
         literal.extend(text.as_bytes());
         self.position += format_bytes;
@@ -68,18 +68,22 @@
     ///
     /// # Errors
     /// A field right behind another, or one too many.
-    pub fn field(&mut self, name: OwnedFieldName, format_bytes: usize) -> Result<(), FormatError> {
+    pub fn push_field(
+        &mut self,
+        name: OwnedFieldName,
+        format_bytes: usize,
+    ) -> Result<(), FormatError> {
         let previous = self.fields.last();
-        if previous.is_some_and(|field| field.literal_after.is_empty()) {
+        if previous.is_some_and(|field| field.following_literal.is_empty()) {
             return Err(self.error(FormatProblem::AdjacentFields));
         }
-        if self.fields.len() == FIELD_MAXIMUM_COUNT {
+        if self.fields.len() == MAX_FIELDS {
             return Err(self.error(FormatProblem::TooManyFields));
         }
-        let literal = previous.map_or(&self.literal_before, |field| &field.literal_after);
+        let literal = previous.map_or(&self.leading_literal, |field| &field.following_literal);
         let field = Field {
             name,
-            literal_after: Vec::new(),
+            following_literal: Vec::new(),
             is_quoted: literal.ends_with(b"\""),
         };
         self.fields.push(field);
@@ -96,10 +100,10 @@
             return Err(self.error(FormatProblem::NoField));
         }
         for field in &mut self.fields {
-            field.is_quoted &= field.literal_after.starts_with(b"\"");
+            field.is_quoted &= field.following_literal.starts_with(b"\"");
         }
         Ok(LogFormat {
-            literal_before: self.literal_before,
+            leading_literal: self.leading_literal,
             fields: self.fields,
         })
     }
--- a/crates/traffic-replay/src/log_format/error.rs
+++ b/crates/traffic-replay/src/log_format/error.rs
@@ -1,6 +1,6 @@
 //! Why a log format cannot be compiled, and why a line does not match one.
 
-use super::compiler::FIELD_MAXIMUM_COUNT;
+use super::compiler::MAX_FIELDS;
 
 /// Why a format cannot be compiled.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -19,7 +19,7 @@
     #[error("longer than 4,096 bytes")]
     TooLong,
     /// It has more than 64 fields.
-    #[error("more than {FIELD_MAXIMUM_COUNT} fields")]
+    #[error("more than {MAX_FIELDS} fields")]
     TooManyFields,
     /// It has no field.
     #[error("no field")]
--- a/crates/traffic-replay/src/log_format/field.rs
+++ b/crates/traffic-replay/src/log_format/field.rs
@@ -30,11 +30,11 @@
     /// Bytes sent; `-` for none.
     Bytes,
     /// The request's duration in seconds, with or without a fraction.
-    TookSeconds,
+    DurationSeconds,
     /// The request's duration in milliseconds.
-    TookMillis,
+    DurationMillis,
     /// The request's duration in microseconds.
-    TookMicros,
+    DurationMicros,
     /// A request header, by its name in lower case with `-`.
     Header(&'a str),
     /// Any other field, by its name in the format.
@@ -65,7 +65,7 @@
 pub(super) struct Field {
     pub name: OwnedFieldName,
     /// The literal text behind it; empty for the last field of a line.
-    pub literal_after: Vec<u8>,
+    pub following_literal: Vec<u8>,
     /// Whether it stands in quotes: servers escape quotes inside with a backslash.
     pub is_quoted: bool,
 }
--- a/crates/traffic-replay/src/log_format/nginx.rs
+++ b/crates/traffic-replay/src/log_format/nginx.rs
@@ -19,7 +19,7 @@
             Some(after_dollar) => {
                 let variable =
                     parse_variable(after_dollar).map_err(|problem| compiler.error(problem))?;
-                compiler.field(field_name(variable.name), variable.format_bytes)?;
+                compiler.push_field(field_name(variable.name), variable.format_bytes)?;
             }
             None => compiler.literal_until('$'),
         }
@@ -69,7 +69,7 @@
         "args" | "query_string" => FieldName::Query,
         "status" => FieldName::Status,
         "body_bytes_sent" => FieldName::Bytes,
-        "request_time" => FieldName::TookSeconds,
+        "request_time" => FieldName::DurationSeconds,
         _ => {
             return match variable.strip_prefix("http_") {
                 Some(header) => {
--- a/crates/traffic-replay/src/reader.rs
+++ b/crates/traffic-replay/src/reader.rs
@@ -1,7 +1,8 @@
 //! Reads captures: bytes into items, whatever the bytes are.
 
 use crate::block::{
-    BlockHead, BlockKind, HEAD_BYTES, MAGIC, MAGIC_MAXIMUM_BYTES, MAGIC_NAME, PAYLOAD_MAXIMUM_BYTES,
+    BLOCK_HEADER_BYTES, BlockHeader, BlockKind, MAGIC, MAGIC_PREFIX, MAX_MAGIC_BYTES,
+    MAX_PAYLOAD_BYTES,
 };
 use crate::{CaptureError, Header, Item, Summary};
 use serde::Deserialize;
@@ -9,18 +10,18 @@
 
 /// A part of a capture. They come in this order: one header, items, one end.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Piece {
+pub enum CapturePart {
     /// The header.
     Header(Header),
     /// An item.
     Item(Item),
     /// The end.
-    End(Summary),
+    Summary(Summary),
 }
 
 /// What the reader expects next.
 #[derive(Debug, Default)]
-enum Stage {
+enum ReadState {
     #[default]
     Magic,
     Header,
@@ -44,15 +45,15 @@
 }
 
 impl<'a> Block<'a> {
-    fn unreadable(&self) -> CaptureError {
-        CaptureError::Unreadable {
+    fn malformed(&self) -> CaptureError {
+        CaptureError::MalformedBlock {
             offset: self.offset,
         }
     }
 
     /// The value at the beginning of `bytes`, which are a part of the payload, and the bytes behind it.
     fn decode<T: Deserialize<'a>>(&self, bytes: &'a [u8]) -> Result<(T, &'a [u8]), CaptureError> {
-        postcard::take_from_bytes(bytes).map_err(|_| self.unreadable())
+        postcard::take_from_bytes(bytes).map_err(|_| self.malformed())
     }
 
     /// The one value that the payload holds.
@@ -61,7 +62,7 @@
         if rest.is_empty() {
             Ok(value)
         } else {
-            Err(self.unreadable())
+            Err(self.malformed())
         }
     }
 
@@ -75,15 +76,15 @@
         let mut items = VecDeque::new();
         let mut rest = self.payload;
         while !rest.is_empty() {
-            let (item, behind) = self.decode::<Item>(rest)?;
+            let (item, remaining) = self.decode::<Item>(rest)?;
             item.validate(header, last_at_us)?;
             last_at_us = item.at_us;
             items.push_back(item);
-            rest = behind;
+            rest = remaining;
         }
         match items.pop_front() {
             Some(first) => Ok(ItemBlock { first, rest: items }),
-            None => Err(self.unreadable()),
+            None => Err(self.malformed()),
         }
     }
 }
@@ -99,7 +100,7 @@
     consumed: usize,
     /// Where `buffer` begins in the capture.
     buffer_offset: u64,
-    stage: Stage,
+    state: ReadState,
     /// Items of the last block that [`CaptureReader::next`] has not returned yet.
     items: VecDeque<Item>,
     /// Items of all blocks so far.
@@ -117,23 +118,23 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next piece; `None` if more bytes are needed, or behind the end.
+    /// The next part; `None` if more bytes are needed, or behind the end.
     ///
     /// # Errors
     /// Bytes that are no capture or a damaged one. An error is final: later calls return it again.
     #[allow(clippy::should_implement_trait)] // An iterator cannot tell a need for more bytes from the end.
-    pub fn next(&mut self) -> Result<Option<Piece>, CaptureError> {
+    pub fn next(&mut self) -> Result<Option<CapturePart>, CaptureError> {
         if let Some(item) = self.items.pop_front() {
-            return Ok(Some(Piece::Item(item)));
+            return Ok(Some(CapturePart::Item(item)));
         }
-        if let Stage::Failed(error) = &self.stage {
+        if let ReadState::Failed(error) = &self.state {
             return Err(error.clone());
         }
-        let piece = self.read_piece();
-        if let Err(error) = &piece {
-            self.stage = Stage::Failed(error.clone());
+        let part = self.read_part();
+        if let Err(error) = &part {
+            self.state = ReadState::Failed(error.clone());
         }
-        piece
+        part
     }
 
     /// Tells whether the capture was complete. To be called when all bytes were fed and all pieces taken.
@@ -141,16 +142,16 @@
     /// # Errors
     /// A capture that is cut, damaged or followed by other bytes, or bytes that are no capture.
     pub fn finish(self) -> Result<(), CaptureError> {
-        match self.stage {
-            Stage::Ended if self.has_unread_bytes() => Err(CaptureError::Trailing {
+        match self.state {
+            ReadState::Ended if self.has_unread_bytes() => Err(CaptureError::TrailingBytes {
                 offset: self.offset(),
             }),
-            Stage::Ended => Ok(()),
-            Stage::Failed(error) => Err(error),
-            Stage::Magic if !MAGIC.starts_with(&self.buffer) || self.buffer.is_empty() => {
+            ReadState::Ended => Ok(()),
+            ReadState::Failed(error) => Err(error),
+            ReadState::Magic if !MAGIC.starts_with(&self.buffer) || self.buffer.is_empty() => {
                 Err(CaptureError::NotACapture)
             }
-            _ => Err(CaptureError::Cut {
+            _ => Err(CaptureError::Truncated {
                 items: self.item_count,
             }),
         }
@@ -165,13 +166,13 @@
         self.buffer.len() > self.consumed
     }
 
-    fn read_piece(&mut self) -> Result<Option<Piece>, CaptureError> {
-        if matches!(self.stage, Stage::Magic) && !self.read_magic()? {
+    fn read_part(&mut self) -> Result<Option<CapturePart>, CaptureError> {
+        if matches!(self.state, ReadState::Magic) && !self.read_magic()? {
             return Ok(None);
         }
-        if matches!(self.stage, Stage::Ended) {
+        if matches!(self.state, ReadState::Ended) {
             return if self.has_unread_bytes() {
-                Err(CaptureError::Trailing {
+                Err(CaptureError::TrailingBytes {
                     offset: self.offset(),
                 })
             } else {
@@ -181,71 +182,73 @@
         let Some(block) = self.next_block()? else {
             return Ok(None);
         };
-        let block_bytes = HEAD_BYTES + block.payload.len();
-        let piece = match (&self.stage, block.kind) {
-            (Stage::Header, BlockKind::Header) => {
+        let block_bytes = BLOCK_HEADER_BYTES + block.payload.len();
+        let part = match (&self.state, block.kind) {
+            (ReadState::Header, BlockKind::Header) => {
                 let header = block.decode_only()?;
                 self.accept_header(header)?
             }
-            (Stage::Items(header), BlockKind::Items) => {
+            (ReadState::Items(header), BlockKind::Items) => {
                 let items = block.decode_items(header, self.last_at_us)?;
                 self.accept_items(items)
             }
-            (Stage::Items(_), BlockKind::End) => {
+            (ReadState::Items(_), BlockKind::Summary) => {
                 let summary = block.decode_only()?;
-                self.accept_end(summary)?
+                self.accept_summary(summary)?
             }
-            _ => return Err(block.unreadable()),
+            _ => return Err(block.malformed()),
         };
         self.consumed += block_bytes;
-        Ok(Some(piece))
+        Ok(Some(part))
     }
 
-    fn accept_header(&mut self, header: Header) -> Result<Piece, CaptureError> {
+    fn accept_header(&mut self, header: Header) -> Result<CapturePart, CaptureError> {
         header.validate()?;
-        self.stage = Stage::Items(header.clone());
-        Ok(Piece::Header(header))
+        self.state = ReadState::Items(header.clone());
+        Ok(CapturePart::Header(header))
     }
 
     /// Takes a block's items; returns the first of them.
-    fn accept_items(&mut self, items: ItemBlock) -> Piece {
+    fn accept_items(&mut self, items: ItemBlock) -> CapturePart {
         let last = items.rest.back().unwrap_or(&items.first);
         self.last_at_us = last.at_us;
         self.item_count += 1 + items.rest.len() as u64;
         self.items = items.rest;
-        Piece::Item(items.first)
+        CapturePart::Item(items.first)
     }
 
-    fn accept_end(&mut self, summary: Summary) -> Result<Piece, CaptureError> {
+    fn accept_summary(&mut self, summary: Summary) -> Result<CapturePart, CaptureError> {
         summary.validate()?;
         if summary.items != self.item_count {
-            return Err(CaptureError::Count {
+            return Err(CaptureError::CountMismatch {
                 items: self.item_count,
-                counted: summary.items,
+                summary_items: summary.items,
             });
         }
-        self.stage = Stage::Ended;
-        Ok(Piece::End(summary))
+        self.state = ReadState::Ended;
+        Ok(CapturePart::Summary(summary))
     }
 
     /// Reads the first line; `false` if more bytes are needed. A line that is too long or another is an error at once.
     fn read_magic(&mut self) -> Result<bool, CaptureError> {
-        let line = &self.buffer[..self.buffer.len().min(MAGIC_MAXIMUM_BYTES)];
-        let common = line.len().min(MAGIC_NAME.len());
-        if line[..common] != MAGIC_NAME[..common] {
+        let line = &self.buffer[..self.buffer.len().min(MAX_MAGIC_BYTES)];
+        let common = line.len().min(MAGIC_PREFIX.len());
+        if line[..common] != MAGIC_PREFIX[..common] {
             return Err(CaptureError::NotACapture);
         }
         match line.iter().position(|&byte| byte == b'\n') {
             Some(end) if line[..=end] == *MAGIC => {
                 self.consumed = MAGIC.len();
-                self.stage = Stage::Header;
+                self.state = ReadState::Header;
                 Ok(true)
             }
             Some(end) => {
                 let text = String::from_utf8_lossy(&line[..end]);
-                Err(CaptureError::Version(text.escape_debug().to_string()))
+                Err(CaptureError::UnsupportedVersion(
+                    text.escape_debug().to_string(),
+                ))
             }
-            None if line.len() == MAGIC_MAXIMUM_BYTES => Err(CaptureError::NotACapture),
+            None if line.len() == MAX_MAGIC_BYTES => Err(CaptureError::NotACapture),
             None => Ok(false),
         }
     }
@@ -254,23 +257,25 @@
     fn next_block(&self) -> Result<Option<Block<'_>>, CaptureError> {
         let offset = self.offset();
         let unread = &self.buffer[self.consumed..];
-        let Some((head, rest)) = unread.split_first_chunk::<HEAD_BYTES>() else {
+        let Some((header, rest)) = unread.split_first_chunk::<BLOCK_HEADER_BYTES>() else {
             return Ok(None);
         };
-        let head = BlockHead::decode(*head);
-        if head.payload_bytes as usize > PAYLOAD_MAXIMUM_BYTES {
+        let header = BlockHeader::decode(*header);
+        if header.payload_bytes as usize > MAX_PAYLOAD_BYTES {
             return Err(CaptureError::BlockTooLong {
                 offset,
-                bytes: head.payload_bytes,
+                bytes: header.payload_bytes,
             });
         }
-        let Some(payload) = rest.get(..head.payload_bytes as usize) else {
+        let Some(payload) = rest.get(..header.payload_bytes as usize) else {
             return Ok(None);
         };
-        if !head.matches(payload) {
-            return Err(CaptureError::Checksum { offset });
+        if !header.matches(payload) {
+            return Err(CaptureError::ChecksumMismatch { offset });
         }
-        let kind = head.kind().ok_or(CaptureError::Unreadable { offset })?;
+        let kind = header
+            .kind()
+            .ok_or(CaptureError::MalformedBlock { offset })?;
         Ok(Some(Block {
             kind,
             payload,
--- a/crates/traffic-replay/src/writer.rs
+++ b/crates/traffic-replay/src/writer.rs
@@ -1,6 +1,6 @@
 //! Writes captures: items into bytes, a block at a time.
 
-use crate::block::{BlockKind, MAGIC, PAYLOAD_TARGET_BYTES, write_block};
+use crate::block::{BlockKind, MAGIC, TARGET_PAYLOAD_BYTES, append_block};
 use crate::{CaptureError, Header, Item, Summary};
 use serde::Serialize;
 
@@ -17,7 +17,7 @@
     /// Encoded items of the block in progress.
     payload: Vec<u8>,
     /// Whole blocks to be taken.
-    ready: Vec<u8>,
+    finished_blocks: Vec<u8>,
 }
 
 impl CaptureWriter {
@@ -27,14 +27,14 @@
     /// More than 256 sources, or a name of over 1,024 bytes.
     pub fn new(header: Header) -> Result<CaptureWriter, CaptureError> {
         header.validate()?;
-        let mut ready = MAGIC.to_vec();
-        write_block(BlockKind::Header, &encode(&header), &mut ready);
+        let mut finished_blocks = MAGIC.to_vec();
+        append_block(BlockKind::Header, &encode(&header), &mut finished_blocks);
         Ok(CaptureWriter {
             header,
             summary: Summary::default(),
             last_at_us: 0,
             payload: Vec::new(),
-            ready,
+            finished_blocks,
         })
     }
 
@@ -49,8 +49,8 @@
         self.payload = postcard::to_extend(item, payload).expect(ENCODING_IS_INFALLIBLE);
         self.summary.items += 1;
         self.last_at_us = item.at_us;
-        if self.payload.len() >= PAYLOAD_TARGET_BYTES {
-            self.close_block();
+        if self.payload.len() >= TARGET_PAYLOAD_BYTES {
+            self.finish_block();
         }
         Ok(())
     }
@@ -62,22 +62,26 @@
 
     /// Takes the bytes that are ready, to be written behind those taken before.
     pub fn take(&mut self) -> Vec<u8> {
-        std::mem::take(&mut self.ready)
+        std::mem::take(&mut self.finished_blocks)
     }
 
     /// Ends the capture; returns the bytes that were not taken yet.
     pub fn finish(mut self) -> Vec<u8> {
-        self.close_block();
-        write_block(BlockKind::End, &encode(&self.summary), &mut self.ready);
-        self.ready
+        self.finish_block();
+        append_block(
+            BlockKind::Summary,
+            &encode(&self.summary),
+            &mut self.finished_blocks,
+        );
+        self.finished_blocks
     }
 
-    fn close_block(&mut self) {
+    fn finish_block(&mut self) {
         if self.payload.is_empty() {
             return;
         }
         let payload = std::mem::take(&mut self.payload);
-        write_block(BlockKind::Items, &payload, &mut self.ready);
+        append_block(BlockKind::Items, &payload, &mut self.finished_blocks);
     }
 }
 
--- a/crates/traffic-replay/tests/capture.rs
+++ b/crates/traffic-replay/tests/capture.rs
@@ -5,7 +5,7 @@
 
 fn header() -> Header {
     Header {
-        begins_us: 1_750_000_000_000_000,
+        start_us: 1_750_000_000_000_000,
         sources: vec!["a.log".into(), "b.log.gz".into()],
     }
 }
@@ -38,9 +38,9 @@
         loop {
             match reader.next() {
                 Ok(None) => break,
-                Ok(Some(Piece::Header(read))) => assert_eq!(read, header()),
-                Ok(Some(Piece::Item(item))) => items.push(item),
-                Ok(Some(Piece::End(end))) => summary = Some(end),
+                Ok(Some(CapturePart::Header(read))) => assert_eq!(read, header()),
+                Ok(Some(CapturePart::Item(item))) => items.push(item),
+                Ok(Some(CapturePart::Summary(end))) => summary = Some(end),
                 Err(error) => return (items, Err(error)),
             }
         }
@@ -65,7 +65,7 @@
         any::<Option<u64>>(),
     );
     (texts, rest).prop_map(
-        |((class, key, tenant, size, status), (at_us, source, write, retry, took_us))| Item {
+        |((class, key, tenant, size, status), (at_us, source, write, retry, latency_us))| Item {
             at_us,
             source,
             write,
@@ -75,7 +75,7 @@
             size,
             idempotency_key: write.then(|| key.clone()),
             status,
-            took_us,
+            latency_us,
             class,
             key,
         },
@@ -124,7 +124,7 @@
         let expected = if end == 0 {
             CaptureError::NotACapture
         } else {
-            CaptureError::Cut {
+            CaptureError::Truncated {
                 items: read.len() as u64,
             }
         };
@@ -142,7 +142,7 @@
     assert_eq!(some, items[..some.len()]);
     assert_eq!(
         result,
-        Err(CaptureError::Cut {
+        Err(CaptureError::Truncated {
             items: some.len() as u64
         })
     );
@@ -200,7 +200,7 @@
     let (items, result) = read(&bytes, 1_000);
     assert_eq!(
         (items.len(), result),
-        (1, Err(CaptureError::Trailing { offset }))
+        (1, Err(CaptureError::TrailingBytes { offset }))
     );
 }
 
@@ -211,9 +211,9 @@
     bytes.extend(b"xy");
     let mut reader = CaptureReader::default();
     reader.feed(&bytes);
-    assert!(matches!(reader.next(), Ok(Some(Piece::Header(_)))));
-    assert!(matches!(reader.next(), Ok(Some(Piece::End(_)))));
-    assert_eq!(reader.finish(), Err(CaptureError::Trailing { offset }));
+    assert!(matches!(reader.next(), Ok(Some(CapturePart::Header(_)))));
+    assert!(matches!(reader.next(), Ok(Some(CapturePart::Summary(_)))));
+    assert_eq!(reader.finish(), Err(CaptureError::TrailingBytes { offset }));
 }
 
 /// Guards what reads a capture later: a writer takes nothing that a reader would refuse, and stays usable.
@@ -230,7 +230,7 @@
         Err(CaptureError::TooLong {
             what: "key",
             bytes: 1_025,
-            most: 1_024
+            limit: 1_024
         })
     );
     assert_eq!(
--- a/crates/traffic-replay/tests/capture_format.rs
+++ b/crates/traffic-replay/tests/capture_format.rs
@@ -32,7 +32,7 @@
 
 fn header() -> Header {
     Header {
-        begins_us: -1_750_000_000_000_000,
+        start_us: -1_750_000_000_000_000,
         sources: vec!["a.log".into(), "b.log.gz".into()],
     }
 }
@@ -56,7 +56,7 @@
         size: Some(1_800),
         idempotency_key: Some("5c0f6e1a2b3d4c59".into()),
         status: Some(201),
-        took_us: Some(18_500),
+        latency_us: Some(18_500),
     };
     let extreme = Item {
         at_us: 70_000_000_000,
@@ -84,9 +84,9 @@
     while let Some(piece) = reader.next().expect("a whole capture") {
         pieces.push(piece);
     }
-    let mut expected = vec![Piece::Header(header())];
-    expected.extend(items().map(Piece::Item));
-    expected.push(Piece::End(summary()));
+    let mut expected = vec![CapturePart::Header(header())];
+    expected.extend(items().map(CapturePart::Item));
+    expected.push(CapturePart::Summary(summary()));
     assert_eq!(pieces, expected);
     assert_eq!(reader.finish(), Ok(()));
 }
@@ -107,7 +107,7 @@
 #[test]
 fn blocks_are_closed_where_earlier_versions_closed_them() {
     let mut writer = CaptureWriter::new(Header {
-        begins_us: 1,
+        start_us: 1,
         sources: vec!["s".into()],
     })
     .expect("a header");
--- a/crates/traffic-replay/tests/error_texts.rs
+++ b/crates/traffic-replay/tests/error_texts.rs
@@ -10,7 +10,7 @@
             "this is no capture: its first line is another",
         ),
         (
-            CaptureError::Version("asterport-capture 2".into()),
+            CaptureError::UnsupportedVersion("asterport-capture 2".into()),
             "'asterport-capture 2' is not a version that this program reads",
         ),
         (
@@ -21,25 +21,25 @@
             "the block at byte 20 claims 600000 bytes; none has over 524288",
         ),
         (
-            CaptureError::Checksum { offset: 20 },
+            CaptureError::ChecksumMismatch { offset: 20 },
             "the block at byte 20 does not match its checksum",
         ),
         (
-            CaptureError::Unreadable { offset: 20 },
+            CaptureError::MalformedBlock { offset: 20 },
             "the block at byte 20 cannot be read",
         ),
         (
-            CaptureError::Cut { items: 7 },
+            CaptureError::Truncated { items: 7 },
             "the capture was cut off after 7 items",
         ),
         (
-            CaptureError::Trailing { offset: 99 },
+            CaptureError::TrailingBytes { offset: 99 },
             "from byte 99 on something follows the end",
         ),
         (
-            CaptureError::Count {
+            CaptureError::CountMismatch {
                 items: 7,
-                counted: 8,
+                summary_items: 8,
             },
             "the capture holds 7 items and counts 8",
         ),
@@ -47,14 +47,14 @@
             CaptureError::TooLong {
                 what: "key",
                 bytes: 1_025,
-                most: 1_024,
+                limit: 1_024,
             },
             "a key of 1025 bytes is longer than 1024",
         ),
         (
             CaptureError::TooMany {
                 what: "sources",
-                most: 256,
+                limit: 256,
             },
             "there are more than 256 sources",
         ),
--- a/crates/traffic-replay/tests/log_format.rs
+++ b/crates/traffic-replay/tests/log_format.rs
@@ -12,7 +12,7 @@
 #[test]
 fn a_combined_line_is_cut_into_its_fields() {
     let format = LogFormat::combined();
-    let fields = format.cut(COMBINED).expect("a combined line");
+    let fields = format.split(COMBINED).expect("a combined line");
     assert_eq!(text(&fields, FieldName::Client), "192.0.2.7");
     assert_eq!(
         text(&fields, FieldName::TimeLocal),
@@ -28,7 +28,7 @@
         text(&fields, FieldName::Header("user-agent")),
         r#"Mozilla/5.0 (\"tablet\")"#
     );
-    assert_eq!(fields.get(FieldName::TookMicros), None);
+    assert_eq!(fields.get(FieldName::DurationMicros), None);
 }
 
 #[test]
@@ -37,8 +37,8 @@
         r#"$remote_addr - $remote_user [$time_local] "$request" $status $body_bytes_sent "$http_referer" "${http_user_agent}""#,
     )
     .expect("nginx's combined");
-    let (ours, theirs) = (nginx.cut(COMBINED).expect("cut"), LogFormat::combined());
-    let theirs = theirs.cut(COMBINED).expect("cut");
+    let (ours, theirs) = (nginx.split(COMBINED).expect("cut"), LogFormat::combined());
+    let theirs = theirs.split(COMBINED).expect("cut");
     for name in [
         FieldName::Client,
         FieldName::TimeLocal,
@@ -54,12 +54,12 @@
     let format = LogFormat::apache(r#"%{usec}t %{ms}T %D %T %m %U%% "%{X-Tenant}i" %{cookie}C"#)
         .expect("a format");
     let fields = format
-        .cut(br#"1760079336000000 12 12345 0 GET /soal% "smp-3" c"#)
+        .split(br#"1760079336000000 12 12345 0 GET /soal% "smp-3" c"#)
         .expect("cut");
     assert_eq!(text(&fields, FieldName::TimeMicros), "1760079336000000");
-    assert_eq!(text(&fields, FieldName::TookMillis), "12");
-    assert_eq!(text(&fields, FieldName::TookMicros), "12345");
-    assert_eq!(text(&fields, FieldName::TookSeconds), "0");
+    assert_eq!(text(&fields, FieldName::DurationMillis), "12");
+    assert_eq!(text(&fields, FieldName::DurationMicros), "12345");
+    assert_eq!(text(&fields, FieldName::DurationSeconds), "0");
     assert_eq!(text(&fields, FieldName::Path), "/soal");
     assert_eq!(text(&fields, FieldName::Header("x-tenant")), "smp-3");
     assert_eq!(text(&fields, FieldName::Other("{cookie}C")), "c");
@@ -79,7 +79,7 @@
     let format = LogFormat::common();
     let error = |line: &[u8]| {
         format
-            .cut(line)
+            .split(line)
             .map(|_| ())
             .expect_err("not of this form")
             .to_string()
@@ -94,7 +94,7 @@
     let format = LogFormat::nginx("$status|").expect("a format");
     assert_eq!(
         format
-            .cut(b"200|x")
+            .split(b"200|x")
             .map(|_| ())
             .expect_err("too long")
             .to_string(),
@@ -144,9 +144,9 @@
     #[test]
     fn no_format_and_no_line_is_a_panic(format in "[$%{}\"a-z_ <>!,0-9é-]{0,40}", line in prop::collection::vec(any::<u8>(), 0..200)) {
         for format in [LogFormat::nginx(&format), LogFormat::apache(&format)].into_iter().flatten() {
-            let _ = format.cut(&line);
+            let _ = format.split(&line);
         }
-        let _ = LogFormat::combined().cut(&line);
+        let _ = LogFormat::combined().split(&line);
     }
 
     /// What a line is built from is what it is cut into, quotes and backslashes escaped as servers do.
@@ -155,7 +155,7 @@
         let escaped = agent.replace('\\', "\\\\").replace('"', "\\\"");
         let line = format!("h - - [t] \"r\" {status} 1 \"-\" \"{escaped}\"");
         let format = LogFormat::combined();
-        let fields = format.cut(line.as_bytes()).expect("a combined line");
+        let fields = format.split(line.as_bytes()).expect("a combined line");
         prop_assert_eq!(text(&fields, FieldName::Header("user-agent")), escaped);
         prop_assert_eq!(text(&fields, FieldName::Status), status.to_string());
     }
