--- a/crates/traffic-replay/src/block.rs
+++ b/crates/traffic-replay/src/block.rs
@@ -1,35 +1,36 @@
-//! The framing of captures: the first line, then blocks with length, checksum and kind.
+//! Framing of captures: a magic line, then a sequence of blocks.
 //!
-//! A block is the length of its payload (4 bytes, little-endian), the CRC-32C of kind and payload (4 bytes,
-//! little-endian), its kind (1 byte), and the payload.
+//! A block consists of the payload length (4 bytes, little-endian), the CRC-32C of kind and payload
+//! (4 bytes, little-endian), the kind (1 byte), and the payload.
 
-/// The first line of a capture: its name and the version of its form.
+/// Magic line at the start of a capture: format name and format version.
 pub const MAGIC: &[u8] = b"asterport-capture 1\n";
-/// What the first line of every version begins with.
+/// Prefix of the magic line in every format version.
 pub(crate) const MAGIC_PREFIX: &[u8] = b"asterport-capture ";
-/// The longest first line of any version.
+/// Upper bound for the magic line of any format version, in bytes.
 pub(crate) const MAX_MAGIC_BYTES: usize = 32;
-/// Bytes of a block before its payload.
+/// Size of a block header, in bytes.
 pub(crate) const BLOCK_HEADER_BYTES: usize = 9;
-/// A block of items is closed once its payload has this size: bounds what a cut file loses and what a reader buffers.
+/// Payload size at which a block of items is finished. Bounds the items lost when a file is
+/// truncated and the memory that a reader needs for one block.
 pub(crate) const TARGET_PAYLOAD_BYTES: usize = 64 * 1024;
-/// The longest payload: holds a header with 256 names of 1,024 bytes, and bounds what a reader buffers of a damaged
-/// file.
+/// Largest payload that a reader accepts. Large enough for a header with 256 names of 1,024 bytes,
+/// and bounds the memory that a reader needs for a damaged file.
 pub(crate) const MAX_PAYLOAD_BYTES: usize = 512 * 1024;
 
-/// What a block holds.
+/// Type of a block's payload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum BlockKind {
-    /// A [`Header`](crate::Header); the first block only.
+    /// One [`Header`](crate::Header). Exactly the first block has this kind.
     Header = 1,
     /// One or more [`Item`](crate::Item)s.
     Items = 2,
-    /// A [`Summary`](crate::Summary); the last block only.
+    /// One [`Summary`](crate::Summary). Exactly the last block has this kind.
     Summary = 3,
 }
 
 impl BlockKind {
-    /// The kind that a block's head names; `None` for an unknown one.
+    /// Decodes the kind byte of a block header; `None` if the kind is unknown.
     pub fn from_byte(byte: u8) -> Option<BlockKind> {
         match byte {
             1 => Some(BlockKind::Header),
@@ -40,17 +41,17 @@
     }
 }
 
-/// A block's head, as it stands before the payload.
+/// Header of a block.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct BlockHeader {
-    /// Length of the payload.
+    /// Payload length.
     pub payload_bytes: u32,
     checksum: u32,
     kind: u8,
 }
 
 impl BlockHeader {
-    /// The head of a block that holds this payload.
+    /// Creates the header of a block with this payload.
     pub fn of(kind: BlockKind, payload: &[u8]) -> BlockHeader {
         let kind = kind as u8;
         BlockHeader {
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Reads a head.
+    /// Decodes a header.
     pub fn decode(bytes: [u8; BLOCK_HEADER_BYTES]) -> BlockHeader {
         let [a, b, c, d, checksum @ .., kind] = bytes;
         BlockHeader {
@@ -70,25 +71,25 @@
         }
     }
 
-    /// Appends the head to `out`.
+    /// Appends the encoded header to `out`.
     pub fn encode(self, out: &mut Vec<u8>) {
         out.extend(self.payload_bytes.to_le_bytes());
         out.extend(self.checksum.to_le_bytes());
         out.push(self.kind);
     }
 
-    /// Whether the payload is the one that was written behind this head.
+    /// Whether the checksum matches the payload.
     pub fn matches(self, payload: &[u8]) -> bool {
         checksum(self.kind, payload) == self.checksum
     }
 
-    /// The kind; `None` if it is unknown.
+    /// Block kind; `None` if it is unknown.
     pub fn kind(self) -> Option<BlockKind> {
         BlockKind::from_byte(self.kind)
     }
 }
 
-/// Appends a whole block to `out`.
+/// Appends a block, header and payload, to `out`.
 pub(crate) fn append_block(kind: BlockKind, payload: &[u8], out: &mut Vec<u8>) {
     BlockHeader::of(kind, payload).encode(out);
     out.extend(payload);
--- a/crates/traffic-replay/src/error.rs
+++ b/crates/traffic-replay/src/error.rs
@@ -1,86 +1,89 @@
-//! Why a capture cannot be written or read on.
+//! Errors of writing and reading captures.
 
 use crate::block::MAX_PAYLOAD_BYTES;
 
-/// Why a capture cannot be written or read on. Offsets count bytes from the beginning of the capture.
+/// Error of writing or reading a capture. Offsets are in bytes from the start of the capture.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CaptureError {
-    /// The first line is not that of a capture.
-    #[error("this is no capture: its first line is another")]
+    /// The first line is not the magic line of a capture.
+    #[error("not a capture: the first line does not name the capture format")]
     NotACapture,
-    /// The first line names a version that this program does not read.
-    #[error("'{0}' is not a version that this program reads")]
+    /// The format version in the first line is not supported.
+    #[error("unsupported capture format version: '{0}'")]
     UnsupportedVersion(String),
-    /// A block claims to be longer than any that is written.
-    #[error("the block at byte {offset} claims {bytes} bytes; none has over {MAX_PAYLOAD_BYTES}")]
+    /// The payload length in a block header exceeds the limit.
+    #[error(
+        "block at byte {offset}: payload length of {bytes} bytes exceeds the limit of {MAX_PAYLOAD_BYTES}"
+    )]
     BlockTooLong {
-        /// Where the block begins.
+        /// Offset of the block.
         offset: u64,
-        /// The length of the payload that it claims.
+        /// Payload length in the block header.
         bytes: u32,
     },
     /// A block does not match its checksum.
-    #[error("the block at byte {offset} does not match its checksum")]
+    #[error("block at byte {offset}: checksum mismatch")]
     ChecksumMismatch {
-        /// Where the block begins.
+        /// Offset of the block.
         offset: u64,
     },
-    /// A block with a right checksum has a payload or a place that no writer gives it.
-    #[error("the block at byte {offset} cannot be read")]
+    /// The checksum of a block matches, but its payload cannot be decoded or its kind is unknown or
+    /// not allowed at this position.
+    #[error("block at byte {offset}: malformed payload or unexpected block kind")]
     MalformedBlock {
-        /// Where the block begins.
+        /// Offset of the block.
         offset: u64,
     },
-    /// The capture ends before its last block. The items read so far are good; the rest is lost.
-    #[error("the capture was cut off after {items} items")]
+    /// The capture ends before its summary block. Items read so far are valid; the rest is lost.
+    #[error("the capture is truncated after {items} items")]
     Truncated {
-        /// Items read.
+        /// Number of items read.
         items: u64,
     },
-    /// Bytes follow the last block.
-    #[error("from byte {offset} on something follows the end")]
+    /// Bytes follow the summary block.
+    #[error("unexpected bytes after the end of the capture, from byte {offset}")]
     TrailingBytes {
-        /// Where they begin.
+        /// Offset of the first of them.
         offset: u64,
     },
-    /// The number of items differs from the one in the summary.
-    #[error("the capture holds {items} items and counts {summary_items}")]
+    /// The number of items differs from the count in the summary.
+    #[error("the capture contains {items} items, but its summary counts {summary_items}")]
     CountMismatch {
-        /// Items read.
+        /// Number of items read.
         items: u64,
-        /// Items that the summary counts.
+        /// Number of items according to the summary.
         summary_items: u64,
     },
-    /// A text is too long.
-    #[error("a {what} of {bytes} bytes is longer than {limit}")]
+    /// A text exceeds its length limit.
+    #[error("{what} of {bytes} bytes exceeds the limit of {limit} bytes")]
     TooLong {
-        /// The field.
+        /// Name of the field.
         what: &'static str,
-        /// Its length in bytes.
+        /// Length of the text, in bytes.
         bytes: usize,
-        /// The longest allowed, in bytes.
+        /// Length limit, in bytes.
         limit: usize,
     },
-    /// A list has too many entries.
-    #[error("there are more than {limit} {what}")]
+    /// A list exceeds its limit of entries.
+    #[error("too many {what}: the limit is {limit}")]
     TooMany {
-        /// What the list holds.
+        /// Plural name of the entries.
         what: &'static str,
-        /// The most entries allowed.
+        /// Limit of entries.
         limit: usize,
     },
-    /// An item names a source that the header does not list.
-    #[error("source {source_index} is not in the header")]
+    /// The source index of an item is out of the range of the header's sources.
+    #[error("source index {source_index} is not in the header")]
     UnknownSource {
-        /// Its index.
+        /// Source index of the item.
         source_index: u16,
     },
-    /// An item is earlier than the one before it.
-    #[error("an item at {at_us} us stands behind one at {after_us} us")]
+    /// The time of an item is earlier than that of its predecessor.
+    #[error("item at {at_us} us follows an item at {after_us} us")]
     OutOfOrder {
-        /// Its time, in microseconds since the capture's start.
+        /// Time of the item, in microseconds since the start of the capture.
         at_us: u64,
-        /// The time of the item before it.
+        /// Time of its predecessor, in microseconds since the start of the capture.
         after_us: u64,
     },
 }
--- a/crates/traffic-replay/src/item.rs
+++ b/crates/traffic-replay/src/item.rs
@@ -4,59 +4,60 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The longest text of an item: the router's bound on a command's field.
+/// Length limit for texts; equals the router's limit for a command field.
 const MAX_TEXT_BYTES: usize = 1024;
-/// Bounds the sources of a header and the kinds of malformed items in a summary.
+/// Limit for the sources in a header and for the kinds of malformed items in a summary.
 const MAX_NAMES: usize = 256;
-/// Counts the malformed items whose kind a summary has no room for.
+/// Kind under which malformed items are counted when the summary has no room for their own kind.
 const OVERFLOW_KIND: &str = "other";
 
-/// The first block of a capture.
+/// Contents of the first block of a capture.
 ///
-/// The order of the fields is the stored form, here and in [`Item`] and [`Summary`].
+/// The order and types of the fields define the stored form, here and in [`Item`] and [`Summary`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Header {
-    /// The capture's start: Unix time in microseconds.
+    /// Start of the capture, as Unix time in microseconds.
     pub start_us: i64,
-    /// The sources, as the operator names them; an item holds an index into this list.
+    /// Names of the sources, chosen by the operator; items refer to them by index.
     pub sources: Vec<String>,
 }
 
 /// One recorded request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Item {
-    /// When it was sent, in microseconds since [`Header::start_us`]; never less than that of the item before.
+    /// Time at which the request was sent, in microseconds since [`Header::start_us`]. Not earlier
+    /// than that of the preceding item.
     pub at_us: u64,
     /// Index into [`Header::sources`].
     pub source: u16,
-    /// Whether it is a write.
+    /// Whether the request is a write.
     pub write: bool,
-    /// Whether it is a client's retry of an earlier one.
+    /// Whether the request is a client's retry of an earlier request.
     pub retry: bool,
-    /// The request class, named as in the router's settings.
+    /// Request class, by its name in the router's settings.
     pub class: String,
-    /// The key that it reads or writes.
+    /// Key that the request reads or writes.
     pub key: String,
-    /// The tenant that sent it.
+    /// Tenant that sent the request.
     pub tenant: Option<String>,
-    /// The cost hint: its estimated work, in microseconds.
+    /// Cost hint: estimated work of the request, in microseconds.
     pub cost_hint_us: Option<u64>,
     /// Size of the value, in bytes.
     pub size: Option<u64>,
-    /// The idempotency key, which retries of it share.
+    /// Idempotency key; retries of a request carry the same one.
     pub idempotency_key: Option<String>,
-    /// The status that the source recorded.
+    /// HTTP status that the source recorded.
     pub status: Option<u16>,
-    /// The latency that the source recorded, in microseconds.
+    /// Latency that the source recorded, in microseconds.
     pub latency_us: Option<u64>,
 }
 
-/// The last block of a capture. It accounts for all input, malformed items included.
+/// Contents of the last block of a capture. Accounts for all input, including malformed items.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Summary {
-    /// Items in this capture.
+    /// Number of items in the capture.
     pub items: u64,
-    /// Malformed items of the source, by kind.
+    /// Number of malformed items in the sources, by kind.
     pub malformed: BTreeMap<String, u64>,
 }
 
@@ -100,7 +101,8 @@
 }
 
 impl Summary {
-    /// Counts one malformed item. Past 255 kinds, new ones count as `other`, as do kinds of over 1,024 bytes.
+    /// Counts one malformed item. It counts as `other` if its kind is new and there are 255 kinds
+    /// already, or if the name of its kind exceeds 1,024 bytes.
     pub fn count_malformed(&mut self, kind: &str) {
         let has_entry = self.malformed.contains_key(kind);
         let has_room = self.malformed.len() < MAX_NAMES - 1;
--- a/crates/traffic-replay/src/lib.rs
+++ b/crates/traffic-replay/src/lib.rs
@@ -1,14 +1,22 @@
-//! Captures of production traffic for replay: what was requested, when, and how it ended.
+//! Captures of production traffic for replay: the requests, their times and their outcomes.
 //!
-//! So far the crate holds the capture format ([`CaptureWriter`], [`CaptureReader`]) and the formats of access logs
-//! ([`LogFormat`]), both without I/O: bytes come in and go out in chunks of any size. `docs/design/load.md` describes
-//! what is planned.
+//! The crate provides the capture format ([`CaptureWriter`], [`CaptureReader`]) and access-log
+//! formats ([`LogFormat`]). Neither does I/O: bytes are passed in and out in chunks of any size.
+//! `docs/design/load.md` describes the planned parts.
 //!
 //! ```
 //! use traffic_replay::*;
 //!
-//! let mut writer = CaptureWriter::new(Header { start_us: 1_750_000_000_000_000, sources: vec!["a.log".into()] })?;
-//! writer.push(&Item { at_us: 250, class: "ambil-soal".into(), key: "7f3a".into(), ..Item::default() })?;
+//! let mut writer = CaptureWriter::new(Header {
+//!     start_us: 1_750_000_000_000_000,
+//!     sources: vec!["a.log".into()],
+//! })?;
+//! writer.push(&Item {
+//!     at_us: 250,
+//!     class: "ambil-soal".into(),
+//!     key: "7f3a".into(),
+//!     ..Item::default()
+//! })?;
 //! let bytes = writer.finish();
 //!
 //! let mut reader = CaptureReader::default();
--- a/crates/traffic-replay/src/log_format.rs
+++ b/crates/traffic-replay/src/log_format.rs
@@ -1,12 +1,13 @@
-//! Access-log formats, compiled from the server's own configuration: nginx's `log_format` (ngx_http_log_module) or
-//! Apache's `LogFormat` (mod_log_config). A compiled format cuts a line into fields without copying.
+//! Access-log formats, compiled from the configuration of the server that writes the log: nginx's
+//! `log_format` (ngx_http_log_module) or Apache's `LogFormat` (mod_log_config). A compiled format
+//! splits a line into fields without copying.
 //!
 //! ```
 //! use traffic_replay::{FieldName, LogFormat};
 //!
 //! let format = LogFormat::nginx(r#"$remote_addr [$time_local] "$request" $status"#)?;
 //! let line = br#"127.0.0.1 [10/Oct/2000:13:55:36 -0700] "GET /soal/7f3a HTTP/1.1" 200"#;
-//! let fields = format.split(line).expect("a line of this form");
+//! let fields = format.split(line).expect("a line in this format");
 //! assert_eq!(fields.get(FieldName::Status), Some(&b"200"[..]));
 //! # Ok::<(), traffic_replay::FormatError>(())
 //! ```
@@ -21,30 +22,29 @@
 use field::Field;
 pub use field::FieldName;
 
-/// Apache's common log format.
+/// Common log format of Apache.
 const COMMON: &str = r#"%h %l %u %t "%r" %>s %b"#;
-/// The combined log format of Apache and nginx.
+/// Combined log format of Apache and nginx.
 const COMBINED: &str = r#"%h %l %u %t "%r" %>s %b "%{Referer}i" "%{User-Agent}i""#;
-/// Why a built-in format compiles.
-const BUILT_IN_FORMAT_IS_VALID: &str = "a built-in format compiles, as its test shows";
+const BUILT_IN_FORMAT_IS_VALID: &str = "built-in formats are valid";
 
-/// A compiled format.
+/// Compiled access-log format.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogFormat {
     leading_literal: Vec<u8>,
     fields: Vec<Field>,
 }
 
-/// The fields of a line, as they stand in it: escapes are not undone.
+/// Fields of a log line, as written in the line: escapes are not decoded.
 #[derive(Clone, Debug)]
 pub struct Fields<'a> {
     format: &'a LogFormat,
-    /// One for each field of the format.
+    /// One value for each field of the format, in the same order.
     values: Vec<&'a [u8]>,
 }
 
 impl Fields<'_> {
-    /// The first field of this name; `None` if the format has none.
+    /// Value of the first field with this name; `None` if the format has no such field.
     pub fn get(&self, name: FieldName<'_>) -> Option<&[u8]> {
         let fields = &self.format.fields;
         let index = fields.iter().position(|field| field.name.is(name))?;
@@ -53,36 +53,37 @@
 }
 
 impl LogFormat {
-    /// The common log format of Apache and nginx.
+    /// Common log format of Apache and nginx.
     pub fn common() -> LogFormat {
         LogFormat::apache(COMMON).expect(BUILT_IN_FORMAT_IS_VALID)
     }
 
-    /// The combined log format of Apache and nginx.
+    /// Combined log format of Apache and nginx.
     pub fn combined() -> LogFormat {
         LogFormat::apache(COMBINED).expect(BUILT_IN_FORMAT_IS_VALID)
     }
 
-    /// Compiles nginx's `log_format`, without its name and quotes.
+    /// Compiles the value of nginx's `log_format`, given without the format's name and quotes.
     ///
     /// # Errors
-    /// A format that cannot be used, with column and problem.
+    /// The format is invalid; the error names the column and the problem.
     pub fn nginx(format: &str) -> Result<LogFormat, FormatError> {
         nginx::compile(format)
     }
 
-    /// Compiles Apache's `LogFormat`, without its nickname and outer quotes. `\"` may stand as in the file or plain.
+    /// Compiles the value of Apache's `LogFormat`, given without nickname and outer quotes. Quotes
+    /// inside may be escaped (`\"`), as in the configuration file, or plain.
     ///
     /// # Errors
-    /// A format that cannot be used, with column and problem. Columns count in the format without its escapes.
+    /// The format is invalid; the error names the problem and its column in the unescaped format.
     pub fn apache(format: &str) -> Result<LogFormat, FormatError> {
         apache::compile(format)
     }
 
-    /// Cuts a line, given without its line end, into fields.
+    /// Splits a line, given without its line terminator, into fields.
     ///
     /// # Errors
-    /// The first place where the line departs from the format.
+    /// The line does not match the format; the error names the first difference.
     pub fn split<'a>(&'a self, line: &'a [u8]) -> Result<Fields<'a>, LineError> {
         let mut position = match_literal(line, &self.leading_literal)?;
         let mut values = Vec::with_capacity(self.fields.len());
@@ -108,7 +109,7 @@
     }
 }
 
-/// The length of the literal that the line begins with.
+/// Length of `literal`; an error if the line does not begin with it.
 fn match_literal(line: &[u8], literal: &[u8]) -> Result<usize, LineError> {
     let pairs = line.iter().zip(literal);
     let matching = pairs.take_while(|(a, b)| a == b).count();
@@ -121,7 +122,7 @@
     }
 }
 
-/// The value of a field at the beginning of `rest`, up to the literal behind it.
+/// Value of a field at the start of `rest`: everything up to the literal that follows the field.
 fn split_field<'a>(rest: &'a [u8], field: &Field) -> Result<&'a [u8], ExpectedPart> {
     let literal = &field.following_literal;
     let Some(&first) = literal.first() else {
@@ -138,7 +139,8 @@
     }
 }
 
-/// Where `literal`, which begins with a quote, first stands without a backslash before it.
+/// Offset of the first occurrence of `literal` whose first byte, a quote, is not escaped by a
+/// backslash.
 fn find_outside_escapes(rest: &[u8], literal: &[u8]) -> Option<usize> {
     let mut from = 0;
     while from < rest.len() {
--- a/crates/traffic-replay/src/log_format/apache.rs
+++ b/crates/traffic-replay/src/log_format/apache.rs
@@ -1,16 +1,16 @@
-//! Apache's `LogFormat` (mod_log_config): `%` directives among literal text.
+//! Compiles Apache's `LogFormat` (mod_log_config): `%` directives and literal text.
 
 use super::LogFormat;
 use super::compiler::FormatCompiler;
 use super::error::{FormatError, FormatProblem};
 use super::field::{FieldName, OwnedFieldName};
 
-/// A directive at the beginning of a format's rest.
+/// A parsed `%` directive.
 struct Directive<'a> {
-    /// What stands in braces.
+    /// Text in braces before the letter.
     argument: Option<&'a str>,
     letter: char,
-    /// Its length in the format, `%` included.
+    /// Length of the directive in the format, including `%`.
     format_bytes: usize,
 }
 
@@ -38,7 +38,7 @@
         let letter = directive.letter;
         return Err(compiler.error(FormatProblem::UnknownDirective { letter }));
     };
-    // Apache writes `%t` in brackets.
+    // Apache writes the value of a plain `%t` in square brackets.
     let has_brackets = directive.letter == 't' && directive.argument.is_none();
     if has_brackets {
         compiler.push_literal("[", 0);
@@ -73,12 +73,13 @@
     })
 }
 
-/// Conditions on the status and the choice of original or final request. They change no field's form.
+/// Whether the character belongs to a status condition or selects the original or final request.
+/// Neither changes the form of the field.
 fn is_modifier(c: char) -> bool {
     c.is_ascii_digit() || matches!(c, ',' | '!' | '<' | '>')
 }
 
-/// The field of a directive; `None` if that is not known.
+/// Field that a directive writes; `None` if the directive is unknown.
 fn field_name(letter: char, argument: Option<&str>) -> Option<OwnedFieldName> {
     let name = match (letter, argument) {
         ('h' | 'a', _) => FieldName::Client,
@@ -86,7 +87,7 @@
         ('t', Some("sec")) => FieldName::TimeSeconds,
         ('t', Some("msec")) => FieldName::TimeMillis,
         ('t', Some("usec")) => FieldName::TimeMicros,
-        // Any other argument is a format of strftime.
+        // Any other argument is a strftime format.
         ('t', Some(_)) => return None,
         ('r', _) => FieldName::Request,
         ('m', _) => FieldName::Method,
--- a/crates/traffic-replay/src/log_format/compiler.rs
+++ b/crates/traffic-replay/src/log_format/compiler.rs
@@ -1,18 +1,18 @@
-//! Builds a [`LogFormat`] from the literals and fields of a format, left to right.
+//! Builds a [`LogFormat`] from the literals and fields of a format string, left to right.
 
 use super::LogFormat;
 use super::error::{FormatError, FormatProblem};
 use super::field::{Field, OwnedFieldName};
 
-/// The longest format.
+/// Length limit for a format string, in bytes.
 pub(super) const MAX_FORMAT_BYTES: usize = 4096;
-/// The most fields of a format.
+/// Limit for the fields of a format.
 pub(super) const MAX_FIELDS: usize = 64;
 
-/// A format on its way through compilation.
+/// State of the compilation of one format string.
 pub(super) struct FormatCompiler<'a> {
     format: &'a str,
-    /// Bytes of `format` that are compiled.
+    /// Number of bytes of `format` that are compiled already.
     position: usize,
     leading_literal: Vec<u8>,
     fields: Vec<Field>,
@@ -20,7 +20,7 @@
 
 impl<'a> FormatCompiler<'a> {
     /// # Errors
-    /// A format of over 4,096 bytes.
+    /// The format exceeds 4,096 bytes.
     pub fn new(format: &'a str) -> Result<FormatCompiler<'a>, FormatError> {
         let compiler = FormatCompiler {
             format,
@@ -34,7 +34,7 @@
         Ok(compiler)
     }
 
-    /// An error at the current position.
+    /// Creates an error at the current position.
     pub fn error(&self, problem: FormatProblem) -> FormatError {
         FormatError {
             column: self.position + 1,
@@ -42,19 +42,19 @@
         }
     }
 
-    /// What is not compiled yet; `None` at the end.
+    /// Part of the format that is not compiled yet; `None` at the end.
     pub fn rest(&self) -> Option<&'a str> {
         Some(&self.format[self.position..]).filter(|rest| !rest.is_empty())
     }
 
-    /// Compiles literal text up to this mark, or up to the end.
+    /// Compiles literal text up to the next `mark`, or to the end of the format.
     pub fn literal_until(&mut self, mark: char) {
         let rest = &self.format[self.position..];
         let end = rest.find(mark).unwrap_or(rest.len());
         self.push_literal(&rest[..end], end);
     }
 
-    /// Adds literal text of the line that stands for this many bytes of the format.
+    /// Adds literal text that lines contain, and advances by `format_bytes` in the format.
     pub fn push_literal(&mut self, text: &str, format_bytes: usize) {
         let literal = match self.fields.last_mut() {
             Some(field) => &mut field.following_literal,
@@ -64,10 +64,10 @@
         self.position += format_bytes;
     }
 
-    /// Adds a field that stands for this many bytes of the format.
+    /// Adds a field, and advances by `format_bytes` in the format.
     ///
     /// # Errors
-    /// A field right behind another, or one too many.
+    /// No literal separates the field from the one before it, or the format has too many fields.
     pub fn push_field(
         &mut self,
         name: OwnedFieldName,
@@ -91,10 +91,10 @@
         Ok(())
     }
 
-    /// The compiled format.
+    /// Returns the compiled format.
     ///
     /// # Errors
-    /// A format without a field.
+    /// The format has no field.
     pub fn finish(mut self) -> Result<LogFormat, FormatError> {
         if self.fields.is_empty() {
             return Err(self.error(FormatProblem::NoField));
--- a/crates/traffic-replay/src/log_format/error.rs
+++ b/crates/traffic-replay/src/log_format/error.rs
@@ -1,69 +1,69 @@
-//! Why a log format cannot be compiled, and why a line does not match one.
+//! Errors of compiling log formats and of matching lines.
 
-use super::compiler::MAX_FIELDS;
+use super::compiler::{MAX_FIELDS, MAX_FORMAT_BYTES};
 
-/// Why a format cannot be compiled.
+/// Error of compiling a format.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("log format, column {column}: {problem}")]
 pub struct FormatError {
-    /// Where in the format; counts bytes from 1.
+    /// Position in the format, in bytes from 1.
     pub column: usize,
-    /// What is wrong there.
+    /// Problem at this position.
     pub problem: FormatProblem,
 }
 
-/// What is wrong with a format.
+/// Problem that makes a format invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FormatProblem {
-    /// It is longer than 4,096 bytes.
-    #[error("longer than 4,096 bytes")]
+    /// The format exceeds 4,096 bytes.
+    #[error("format exceeds the limit of {MAX_FORMAT_BYTES} bytes")]
     TooLong,
-    /// It has more than 64 fields.
-    #[error("more than {MAX_FIELDS} fields")]
+    /// The format has more than 64 fields.
+    #[error("format has more than {MAX_FIELDS} fields")]
     TooManyFields,
-    /// It has no field.
-    #[error("no field")]
+    /// The format has no field.
+    #[error("format has no field")]
     NoField,
-    /// A line cannot be cut between two fields.
-    #[error("two fields with nothing between them: where one ends can't be told")]
+    /// No literal text separates two fields, so their boundary in a line is ambiguous.
+    #[error("no literal text separates two adjacent fields")]
     AdjacentFields,
-    /// nginx: a variable's brace is not closed.
-    #[error("'${{' is never closed")]
+    /// nginx: the brace of a variable is not closed.
+    #[error("'${{' has no closing brace")]
     UnclosedVariable,
-    /// nginx: a variable without a name.
-    #[error("a '$' that no name follows")]
+    /// nginx: a variable has no valid name.
+    #[error("'$' is not followed by a valid variable name")]
     UnnamedVariable,
-    /// Apache: a directive's brace is not closed.
-    #[error("'%{{' is never closed")]
+    /// Apache: the brace of a directive is not closed.
+    #[error("'%{{' has no closing brace")]
     UnclosedDirective,
-    /// Apache: the format ends within a directive.
-    #[error("a '%' that nothing follows")]
+    /// Apache: the format ends inside a directive.
+    #[error("'%' is not followed by a directive")]
     UnfinishedDirective,
-    /// Apache: a directive that this compiler does not know.
-    #[error("the directive that ends with '{letter}' is not known")]
+    /// Apache: the directive is unknown.
+    #[error("unknown directive, ending in '{letter}'")]
     UnknownDirective {
-        /// The letter that ends it.
+        /// Letter at the end of the directive.
         letter: char,
     },
 }
 
-/// Why a line does not match a format.
+/// Mismatch between a line and a format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("column {column}: {expected}")]
 pub struct LineError {
-    /// Where the line departs from the format; counts bytes from 1.
+    /// Position of the first difference in the line, in bytes from 1.
     pub column: usize,
-    /// What the format has there.
+    /// What the format requires at this position.
     pub expected: ExpectedPart,
 }
 
-/// What a line lacks.
+/// Part of a format that a line does not match.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ExpectedPart {
-    /// This byte, the first of the literal text that the format has there.
-    #[error("{:?} is missing", char::from(*.0))]
+    /// First byte of the literal text that the format requires.
+    #[error("expected {:?}", char::from(*.0))]
     Byte(u8),
     /// The end of the line.
-    #[error("the line goes on where it should end")]
+    #[error("expected the end of the line")]
     EndOfLine,
 }
--- a/crates/traffic-replay/src/log_format/field.rs
+++ b/crates/traffic-replay/src/log_format/field.rs
@@ -1,50 +1,50 @@
-//! The fields of a log line, by meaning.
+//! Fields of a log line and what they hold.
 
-/// What a field holds. Units are the server's own.
+/// Contents of a field, with the unit that the server writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum FieldName<'a> {
-    /// The client's address.
+    /// Client address.
     Client,
-    /// The end of the request as `day/Mon/year:hour:minute:second zone`.
+    /// Local time at the end of the request, as `day/Mon/year:hour:minute:second zone`.
     TimeLocal,
-    /// The end of the request in ISO 8601 with its zone.
+    /// Time at the end of the request, in ISO 8601 with a time zone.
     TimeIso,
-    /// Unix time in seconds with a fraction.
+    /// Unix time in seconds, with or without a fraction.
     TimeSeconds,
     /// Unix time in milliseconds.
     TimeMillis,
     /// Unix time in microseconds.
     TimeMicros,
-    /// The request line: method, target and protocol, as received.
+    /// Request line as received: method, target and protocol.
     Request,
-    /// The method.
+    /// Request method.
     Method,
-    /// The target: path and query.
+    /// Request target: path and query.
     Target,
-    /// The path alone.
+    /// Path without query.
     Path,
-    /// The query alone.
+    /// Query without path.
     Query,
-    /// The status.
+    /// Response status.
     Status,
-    /// Bytes sent; `-` for none.
+    /// Size of the response in bytes; `-` if empty.
     Bytes,
-    /// The request's duration in seconds, with or without a fraction.
+    /// Duration of the request in seconds, with or without a fraction.
     DurationSeconds,
-    /// The request's duration in milliseconds.
+    /// Duration of the request in milliseconds.
     DurationMillis,
-    /// The request's duration in microseconds.
+    /// Duration of the request in microseconds.
     DurationMicros,
-    /// A request header, by its name in lower case with `-`.
+    /// Request header, by its lower-case name with `-`.
     Header(&'a str),
-    /// Any other field, by its name in the format.
+    /// Any other field, by its name in the format string.
     Other(&'a str),
 }
 
 /// An owned [`FieldName`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum OwnedFieldName {
-    /// A field without a name of its own.
+    /// Any variant that carries no name.
     Plain(FieldName<'static>),
     Header(String),
     Other(String),
@@ -60,12 +60,12 @@
     }
 }
 
-/// A field of a compiled format.
+/// Field of a compiled format.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Field {
     pub name: OwnedFieldName,
-    /// The literal text behind it; empty for the last field of a line.
+    /// Literal text after the field; empty only after the last field of a line.
     pub following_literal: Vec<u8>,
-    /// Whether it stands in quotes: servers escape quotes inside with a backslash.
+    /// Whether the field is enclosed in quotes. Servers escape quotes inside with a backslash.
     pub is_quoted: bool,
 }
--- a/crates/traffic-replay/src/log_format/nginx.rs
+++ b/crates/traffic-replay/src/log_format/nginx.rs
@@ -1,14 +1,15 @@
-//! nginx's `log_format` (ngx_http_log_module): `$name` and `${name}` among literal text.
+//! Compiles nginx's `log_format` (ngx_http_log_module): `$name` and `${name}` variables and literal
+//! text.
 
 use super::LogFormat;
 use super::compiler::FormatCompiler;
 use super::error::{FormatError, FormatProblem};
 use super::field::{FieldName, OwnedFieldName};
 
-/// A variable at the beginning of a format's rest.
+/// A parsed variable.
 struct Variable<'a> {
     name: &'a str,
-    /// Its length in the format, `$` and braces included.
+    /// Length of the variable in the format, including `$` and braces.
     format_bytes: usize,
 }
 
--- a/crates/traffic-replay/src/reader.rs
+++ b/crates/traffic-replay/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reads captures: bytes into items, whatever the bytes are.
+//! Incremental decoder of captures. Arbitrary input yields errors, never panics.
 
 use crate::block::{
     BLOCK_HEADER_BYTES, BlockHeader, BlockKind, MAGIC, MAGIC_PREFIX, MAX_MAGIC_BYTES,
@@ -8,18 +8,18 @@
 use serde::Deserialize;
 use std::collections::VecDeque;
 
-/// A part of a capture. They come in this order: one header, items, one end.
+/// Decoded part of a capture. A capture yields one header, then the items, then one summary.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CapturePart {
-    /// The header.
+    /// First part.
     Header(Header),
-    /// An item.
+    /// One recorded request.
     Item(Item),
-    /// The end.
+    /// Last part.
     Summary(Summary),
 }
 
-/// What the reader expects next.
+/// Decoder state: what the reader expects next, or how it ended.
 #[derive(Debug, Default)]
 enum ReadState {
     #[default]
@@ -30,17 +30,17 @@
     Failed(CaptureError),
 }
 
-/// The items of one block.
+/// Items of one block, of which there is at least one.
 struct ItemBlock {
     first: Item,
     rest: VecDeque<Item>,
 }
 
-/// A block whose length and checksum are right.
+/// Block with a valid length and checksum.
 struct Block<'a> {
     kind: BlockKind,
     payload: &'a [u8],
-    /// Where it begins in the capture.
+    /// Offset of the block in the capture.
     offset: u64,
 }
 
@@ -51,12 +51,13 @@
         }
     }
 
-    /// The value at the beginning of `bytes`, which are a part of the payload, and the bytes behind it.
+    /// Decodes a value from the start of `bytes`, a part of the payload; returns it with the
+    /// remaining bytes.
     fn decode<T: Deserialize<'a>>(&self, bytes: &'a [u8]) -> Result<(T, &'a [u8]), CaptureError> {
         postcard::take_from_bytes(bytes).map_err(|_| self.malformed())
     }
 
-    /// The one value that the payload holds.
+    /// Decodes the payload as exactly one value.
     fn decode_only<T: Deserialize<'a>>(&self) -> Result<T, CaptureError> {
         let (value, rest) = self.decode(self.payload)?;
         if rest.is_empty() {
@@ -66,8 +67,8 @@
         }
     }
 
-    /// All items of the payload, the first of which is not earlier than `last_at_us`. A block without items is
-    /// unreadable: no writer writes one.
+    /// Decodes all items of the payload, none of which may be earlier than `last_at_us`. A block
+    /// without items is malformed, as the writer never produces one.
     fn decode_items(
         &self,
         header: &Header,
@@ -89,28 +90,28 @@
     }
 }
 
-/// Reads a capture from bytes that come in chunks of any size.
+/// Decodes a capture from chunks of any size.
 ///
-/// It buffers one block and its items beside what was fed and not read yet: feed it little at a time, and call
-/// [`CaptureReader::next`] until it wants more.
+/// Buffers the unread input and the items of one block. To bound memory, feed small chunks and call
+/// [`CaptureReader::next`] after each until it returns `None`.
 #[derive(Debug, Default)]
 pub struct CaptureReader {
     buffer: Vec<u8>,
-    /// Bytes of `buffer` that are read.
+    /// Number of bytes of `buffer` that are decoded already.
     consumed: usize,
-    /// Where `buffer` begins in the capture.
+    /// Offset of the start of `buffer` in the capture.
     buffer_offset: u64,
     state: ReadState,
     /// Items of the last block that [`CaptureReader::next`] has not returned yet.
     items: VecDeque<Item>,
-    /// Items of all blocks so far.
+    /// Number of items in all blocks so far.
     item_count: u64,
-    /// The time of the last of them.
+    /// Time of the last item of those blocks.
     last_at_us: u64,
 }
 
 impl CaptureReader {
-    /// Takes the next bytes.
+    /// Appends the next bytes of the capture.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.buffer_offset += self.consumed as u64;
         self.buffer.drain(..self.consumed);
@@ -118,11 +119,12 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next part; `None` if more bytes are needed, or behind the end.
+    /// Returns the next part; `None` if more bytes are needed or the capture has ended.
     ///
     /// # Errors
-    /// Bytes that are no capture or a damaged one. An error is final: later calls return it again.
-    #[allow(clippy::should_implement_trait)] // An iterator cannot tell a need for more bytes from the end.
+    /// The input is not a capture, or is damaged. An error is final: later calls return it again.
+    // Not an `Iterator`: that could not tell a need for more bytes from the end.
+    #[allow(clippy::should_implement_trait)]
     pub fn next(&mut self) -> Result<Option<CapturePart>, CaptureError> {
         if let Some(item) = self.items.pop_front() {
             return Ok(Some(CapturePart::Item(item)));
@@ -137,10 +139,10 @@
         part
     }
 
-    /// Tells whether the capture was complete. To be called when all bytes were fed and all pieces taken.
+    /// Checks that the capture was complete. Call it after feeding all bytes and taking all parts.
     ///
     /// # Errors
-    /// A capture that is cut, damaged or followed by other bytes, or bytes that are no capture.
+    /// The capture is truncated, damaged or followed by other bytes, or the input is not a capture.
     pub fn finish(self) -> Result<(), CaptureError> {
         match self.state {
             ReadState::Ended if self.has_unread_bytes() => Err(CaptureError::TrailingBytes {
@@ -157,7 +159,7 @@
         }
     }
 
-    /// Where the first unread byte stands in the capture.
+    /// Offset of the first unread byte in the capture.
     fn offset(&self) -> u64 {
         self.buffer_offset + self.consumed as u64
     }
@@ -208,7 +210,7 @@
         Ok(CapturePart::Header(header))
     }
 
-    /// Takes a block's items; returns the first of them.
+    /// Stores the items of a block and returns the first.
     fn accept_items(&mut self, items: ItemBlock) -> CapturePart {
         let last = items.rest.back().unwrap_or(&items.first);
         self.last_at_us = last.at_us;
@@ -229,7 +231,8 @@
         Ok(CapturePart::Summary(summary))
     }
 
-    /// Reads the first line; `false` if more bytes are needed. A line that is too long or another is an error at once.
+    /// Reads the magic line; `false` if more bytes are needed. Fails as soon as the input cannot be
+    /// a magic line.
     fn read_magic(&mut self) -> Result<bool, CaptureError> {
         let line = &self.buffer[..self.buffer.len().min(MAX_MAGIC_BYTES)];
         let common = line.len().min(MAGIC_PREFIX.len());
@@ -253,7 +256,7 @@
         }
     }
 
-    /// The next block, once all of it is there.
+    /// Returns the next block, or `None` until all of it is buffered.
     fn next_block(&self) -> Result<Option<Block<'_>>, CaptureError> {
         let offset = self.offset();
         let unread = &self.buffer[self.consumed..];
--- a/crates/traffic-replay/src/writer.rs
+++ b/crates/traffic-replay/src/writer.rs
@@ -1,30 +1,31 @@
-//! Writes captures: items into bytes, a block at a time.
+//! Encoder of captures, one block at a time.
 
 use crate::block::{BlockKind, MAGIC, TARGET_PAYLOAD_BYTES, append_block};
 use crate::{CaptureError, Header, Item, Summary};
 use serde::Serialize;
 
-/// Why encoding cannot fail: all lengths are known beforehand, and memory is the only medium.
-const ENCODING_IS_INFALLIBLE: &str = "plain data can be encoded";
+/// Encoding into memory cannot fail, as all lengths are known beforehand.
+const ENCODING_IS_INFALLIBLE: &str = "encoding plain data into memory is infallible";
 
-/// Writes a capture. Buffers at most one block beside the bytes that [`CaptureWriter::take`] has not taken yet.
+/// Encodes a capture. Buffers at most one block besides the bytes that [`CaptureWriter::take`] has
+/// not taken yet.
 #[derive(Debug)]
 pub struct CaptureWriter {
     header: Header,
     summary: Summary,
-    /// The time of the last item.
+    /// Time of the last item.
     last_at_us: u64,
     /// Encoded items of the block in progress.
     payload: Vec<u8>,
-    /// Whole blocks to be taken.
+    /// Finished bytes that are not taken yet: the magic line and whole blocks.
     finished_blocks: Vec<u8>,
 }
 
 impl CaptureWriter {
-    /// A capture with this header.
+    /// Starts a capture with this header.
     ///
     /// # Errors
-    /// More than 256 sources, or a name of over 1,024 bytes.
+    /// The header has more than 256 sources, or a source name exceeds 1,024 bytes.
     pub fn new(header: Header) -> Result<CaptureWriter, CaptureError> {
         header.validate()?;
         let mut finished_blocks = MAGIC.to_vec();
@@ -41,8 +42,8 @@
     /// Adds an item.
     ///
     /// # Errors
-    /// An item that is earlier than the last one, names no source or has a text of over 1,024 bytes. It is left out,
-    /// and the capture stays usable.
+    /// The item is earlier than the last one, its source is unknown, or one of its texts exceeds
+    /// 1,024 bytes. The item is skipped, and the writer stays usable.
     pub fn push(&mut self, item: &Item) -> Result<(), CaptureError> {
         item.validate(&self.header, self.last_at_us)?;
         let payload = std::mem::take(&mut self.payload);
@@ -55,17 +56,17 @@
         Ok(())
     }
 
-    /// Counts a malformed item; the summary at the capture's end holds the counts.
+    /// Counts a malformed item in the summary of the capture.
     pub fn count_malformed(&mut self, kind: &str) {
         self.summary.count_malformed(kind);
     }
 
-    /// Takes the bytes that are ready, to be written behind those taken before.
+    /// Takes the finished bytes; append them to those taken before.
     pub fn take(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.finished_blocks)
     }
 
-    /// Ends the capture; returns the bytes that were not taken yet.
+    /// Ends the capture and returns the bytes that are not taken yet.
     pub fn finish(mut self) -> Vec<u8> {
         self.finish_block();
         append_block(
--- a/crates/traffic-replay/tests/capture.rs
+++ b/crates/traffic-replay/tests/capture.rs
@@ -1,4 +1,4 @@
-//! Captures: what is written is read again, and damage is reported with its place.
+//! Captures are read as they were written, and damage is reported with its offset.
 
 use proptest::prelude::*;
 use traffic_replay::*;
@@ -22,18 +22,18 @@
 fn capture(items: &[Item]) -> Vec<u8> {
     let mut writer = CaptureWriter::new(header()).expect("a header");
     for item in items {
-        writer.push(item).expect("a usable item");
+        writer.push(item).expect("a valid item");
     }
     writer.count_malformed("no time");
     writer.finish()
 }
 
-/// Items until the end or the first error, fed in pieces.
-fn read(bytes: &[u8], piece: usize) -> (Vec<Item>, Result<Option<Summary>, CaptureError>) {
+/// Items up to the end or the first error of a capture that is fed in chunks, and the final result.
+fn read(bytes: &[u8], chunk_bytes: usize) -> (Vec<Item>, Result<Option<Summary>, CaptureError>) {
     let mut reader = CaptureReader::default();
     let mut items = Vec::new();
     let mut summary = None;
-    for bytes in bytes.chunks(piece) {
+    for bytes in bytes.chunks(chunk_bytes) {
         reader.feed(bytes);
         loop {
             match reader.next() {
@@ -86,40 +86,42 @@
     #[test]
     fn a_capture_reads_back_as_it_was_written(
         mut items in prop::collection::vec(any_item(), 0..60),
-        piece in 1usize..3_000,
+        chunk_bytes in 1usize..3_000,
     ) {
         items.sort_by_key(|item| item.at_us);
-        let (read, end) = read(&capture(&items), piece);
+        let (read, end) = read(&capture(&items), chunk_bytes);
         prop_assert_eq!(read, items.clone());
         let end = end.expect("a whole capture").expect("an end");
         prop_assert_eq!(end.items, items.len() as u64);
         prop_assert_eq!(end.malformed.get("no time"), Some(&1));
     }
 
-    /// Guards memory and the process against files that are no captures, and against those that look like one.
+    /// Guards against panics and unbounded memory on files that are not captures, with or without a
+    /// valid first line.
     #[test]
-    fn noise_is_an_error_and_no_panic(
+    fn random_bytes_are_an_error_and_no_panic(
         bytes in prop::collection::vec(any::<u8>(), 0..2_000),
-        looks_right in any::<bool>(),
-        piece in 1usize..500,
+        has_magic in any::<bool>(),
+        chunk_bytes in 1usize..500,
     ) {
-        let bytes = if looks_right { [b"asterport-capture 1\n".to_vec(), bytes].concat() } else { bytes };
-        let (items, end) = read(&bytes, piece);
+        let bytes = if has_magic { [b"asterport-capture 1\n".to_vec(), bytes].concat() } else { bytes };
+        let (items, end) = read(&bytes, chunk_bytes);
         prop_assert!(items.is_empty());
         prop_assert!(end.is_err());
     }
 }
 
-/// Guards a capture whose writer died: the items of whole blocks are used, and the loss is said.
+/// Guards captures whose writer was killed: items of whole blocks are returned, and the truncation
+/// is reported.
 #[test]
-fn a_capture_cut_anywhere_yields_its_complete_blocks_and_an_error() {
+fn a_capture_truncated_anywhere_yields_its_complete_blocks_and_an_error() {
     let items: Vec<Item> = (0..40).map(item).collect();
     let whole = capture(&items);
     for end in 0..whole.len() {
         let (read, result) = read(&whole[..end], 1_000);
         assert!(
             read.len() == items.len() || read.is_empty(),
-            "whole blocks only, at {end}"
+            "only whole blocks are read, truncated at {end}"
         );
         let expected = if end == 0 {
             CaptureError::NotACapture
@@ -128,12 +130,12 @@
                 items: read.len() as u64,
             }
         };
-        assert_eq!(result, Err(expected), "cut at {end}");
+        assert_eq!(result, Err(expected), "truncated at {end}");
     }
 }
 
 #[test]
-fn several_blocks_are_read_and_a_cut_loses_only_the_last() {
+fn several_blocks_are_read_and_truncation_loses_only_the_last() {
     let items: Vec<Item> = (0..10_000).map(item).collect();
     let whole = capture(&items);
     assert_eq!(read(&whole, 4_096).0, items);
@@ -148,9 +150,9 @@
     );
 }
 
-/// Guards against damage that goes unseen: one flipped bit anywhere is an error, and no item is read from its block.
+/// Guards against undetected damage: one flipped bit anywhere is an error.
 #[test]
-fn a_flipped_bit_anywhere_is_found() {
+fn a_flipped_bit_anywhere_is_detected() {
     let whole = capture(&(0..8).map(item).collect::<Vec<_>>());
     for at in 0..whole.len() {
         for bit in 0..8 {
@@ -164,12 +166,12 @@
 
 #[test]
 fn a_newer_version_is_rejected_by_its_first_line() {
-    let error = read(b"asterport-capture 2\nwhat it holds", 7)
+    let error = read(b"asterport-capture 2\npayload", 7)
         .1
-        .expect_err("a newer form");
+        .expect_err("a newer version");
     assert_eq!(
         error.to_string(),
-        "'asterport-capture 2' is not a version that this program reads"
+        "unsupported capture format version: 'asterport-capture 2'"
     );
     let error = read(b"asterport-capture 1, with\x1b[31m more\n", 7)
         .1
@@ -177,9 +179,9 @@
     assert!(!error.to_string().contains('\x1b'), "{error}");
 }
 
-/// Guards memory: a length that no writer writes is refused before anything of it is held.
+/// Guards memory: a payload length over the limit is rejected before the payload is buffered.
 #[test]
-fn a_block_that_claims_too_much_is_rejected_at_its_head() {
+fn an_oversized_block_is_rejected_at_its_header() {
     let mut bytes = b"asterport-capture 1\n".to_vec();
     bytes.extend(u32::MAX.to_le_bytes());
     bytes.extend([0; 5]);
@@ -193,7 +195,7 @@
 }
 
 #[test]
-fn bytes_behind_the_end_are_an_error() {
+fn bytes_after_the_end_are_an_error() {
     let mut bytes = capture(&[item(1)]);
     let offset = bytes.len() as u64;
     bytes.push(b'x');
@@ -205,7 +207,7 @@
 }
 
 #[test]
-fn bytes_behind_the_end_are_an_error_for_a_reader_that_stops_there() {
+fn bytes_after_the_end_are_an_error_for_a_reader_that_stops_at_the_summary() {
     let mut bytes = capture(&[]);
     let offset = bytes.len() as u64;
     bytes.extend(b"xy");
@@ -216,11 +218,11 @@
     assert_eq!(reader.finish(), Err(CaptureError::TrailingBytes { offset }));
 }
 
-/// Guards what reads a capture later: a writer takes nothing that a reader would refuse, and stays usable.
+/// Guards later readers: a writer accepts no item that a reader would reject, and stays usable.
 #[test]
-fn an_unusable_item_is_rejected_and_leaves_the_capture_usable() {
+fn an_invalid_item_is_rejected_and_leaves_the_capture_usable() {
     let mut writer = CaptureWriter::new(header()).expect("a header");
-    writer.push(&item(10)).expect("a usable item");
+    writer.push(&item(10)).expect("a valid item");
     let long = Item {
         key: "k".repeat(1_025),
         ..item(11)
@@ -240,25 +242,23 @@
             after_us: 10
         })
     );
-    let strange = Item {
+    let unknown_source = Item {
         source: 2,
         ..item(12)
     };
     assert_eq!(
-        writer.push(&strange),
+        writer.push(&unknown_source),
         Err(CaptureError::UnknownSource { source_index: 2 })
     );
-    writer
-        .push(&item(10))
-        .expect("an equal time is no step back");
+    writer.push(&item(10)).expect("an equal time is in order");
     let (items, end) = read(&writer.finish(), 1_000);
     assert_eq!(items, [item(10), item(10)]);
     assert_eq!(end.expect("a whole capture").expect("an end").items, 2);
 }
 
-/// Guards memory: however many kinds of malformed lines a source invents, few are counted apart and none is lost.
+/// Guards memory: the number of kinds of malformed items is bounded, and every item is counted.
 #[test]
-fn kinds_of_malformed_items_are_bounded_and_none_is_lost() {
+fn kinds_of_malformed_items_are_bounded_and_all_items_are_counted() {
     let mut summary = Summary::default();
     for i in 0..10_000 {
         summary.count_malformed(&format!("kind {i}"));
--- a/crates/traffic-replay/tests/capture_format.rs
+++ b/crates/traffic-replay/tests/capture_format.rs
@@ -1,10 +1,11 @@
-//! The stored form of captures: files that earlier versions wrote are read, and the same items give the same bytes.
+//! The stored form of captures: files of earlier versions are readable, and the same items give the
+//! same bytes.
 
 use traffic_replay::*;
 
-/// A capture of three items, as version 0.2.0 wrote it before its types were renamed.
+/// A capture of three items, written by version 0.2.0.
 const CAPTURE_HEX: &str = concat!(
-    // The first line.
+    // The magic line.
     "6173746572706f72742d6361707475726520310a",
     // The header: length 24, checksum, kind 1, payload.
     "1800000055128b1701",
@@ -37,7 +38,7 @@
     }
 }
 
-/// An item with all that is optional left out, one with all of it, and one at the limits of its numbers.
+/// An item without optional fields, one with all of them, and one with numbers at their limits.
 fn items() -> [Item; 3] {
     let smallest = Item {
         class: "ambil-soal".into(),
@@ -77,17 +78,17 @@
 }
 
 #[test]
-fn a_capture_of_an_earlier_version_is_read() {
+fn a_capture_of_an_earlier_version_is_readable() {
     let mut reader = CaptureReader::default();
     reader.feed(&capture_bytes());
-    let mut pieces = Vec::new();
-    while let Some(piece) = reader.next().expect("a whole capture") {
-        pieces.push(piece);
+    let mut parts = Vec::new();
+    while let Some(part) = reader.next().expect("a whole capture") {
+        parts.push(part);
     }
     let mut expected = vec![CapturePart::Header(header())];
     expected.extend(items().map(CapturePart::Item));
     expected.push(CapturePart::Summary(summary()));
-    assert_eq!(pieces, expected);
+    assert_eq!(parts, expected);
     assert_eq!(reader.finish(), Ok(()));
 }
 
@@ -95,7 +96,7 @@
 fn the_same_items_give_the_same_bytes() {
     let mut writer = CaptureWriter::new(header()).expect("a header");
     for item in items() {
-        writer.push(&item).expect("a usable item");
+        writer.push(&item).expect("a valid item");
     }
     for kind in ["no time", "no time", "bad status"] {
         writer.count_malformed(kind);
@@ -103,9 +104,9 @@
     assert_eq!(writer.finish(), capture_bytes());
 }
 
-/// Length and checksum of a capture with several blocks: they show where blocks are closed.
+/// Length and checksum of a capture with several blocks change if the block boundaries move.
 #[test]
-fn blocks_are_closed_where_earlier_versions_closed_them() {
+fn block_boundaries_are_those_of_earlier_versions() {
     let mut writer = CaptureWriter::new(Header {
         start_us: 1,
         sources: vec!["s".into()],
@@ -118,7 +119,7 @@
             key: format!("{:x}", i * 31),
             ..Item::default()
         };
-        writer.push(&item).expect("a usable item");
+        writer.push(&item).expect("a valid item");
     }
     let bytes = writer.finish();
     assert_eq!(bytes.len(), 172_309);
