--- a/crates/simulator-adapter/src/line.rs
+++ b/crates/simulator-adapter/src/line.rs
@@ -1,23 +1,23 @@
-//! One line of the simulator's wire: its name and the values that are not read yet.
+//! Reader for one line of the simulator's line protocol: a name and tab-separated values.
 
 use crate::error::WireError;
 use load_balancer::{Micros, RequestId};
 use std::str::FromStr;
 
-/// Separates the name and the values of a line.
+/// Separator between the name and the values of a line.
 const SEPARATOR: char = '\t';
-/// A value that is absent.
+/// Marks an absent value.
 const ABSENT: &str = "-";
 
-/// A line that is being read, value by value.
+/// Line whose values are read one after another.
 pub struct Line<'a> {
     name: &'a str,
-    /// The values that are not read yet; `None` after the last.
+    /// Values that are not read yet; `None` after the last.
     rest: Option<&'a str>,
 }
 
 impl<'a> Line<'a> {
-    /// A line, of which the name is read.
+    /// Creates a line and reads its name.
     pub fn new(text: &'a str) -> Self {
         let values = Values::split(text);
         Line {
@@ -26,17 +26,17 @@
         }
     }
 
-    /// What kind of line it is.
+    /// Name of the line, which determines its kind.
     pub fn name(&self) -> &'a str {
         self.name
     }
 
-    /// All values that are not read yet.
+    /// Returns all values that are not read yet, unsplit.
     pub fn rest(&self) -> &'a str {
         self.rest.unwrap_or("")
     }
 
-    /// Reads a value of any text.
+    /// Reads a value as text.
     pub fn text(&mut self, field: &'static str) -> Result<&'a str, WireError> {
         let Some(rest) = self.rest else {
             return Err(WireError::MissingField {
@@ -49,7 +49,7 @@
         Ok(values.first)
     }
 
-    /// Reads a value that must be there.
+    /// Reads a required value. `expected` completes the error text "is not ...".
     pub fn parsed<T: FromStr>(
         &mut self,
         field: &'static str,
@@ -61,7 +61,7 @@
             .map_err(|_| self.invalid_value(field, value, expected))
     }
 
-    /// Reads a value that may be absent.
+    /// Reads an optional value; `None` if it is absent or empty.
     pub fn optional<T: FromStr>(
         &mut self,
         field: &'static str,
@@ -77,23 +77,23 @@
         }
     }
 
-    /// Reads a whole number.
+    /// Reads a required whole number.
     pub fn integer(&mut self, field: &'static str) -> Result<u64, WireError> {
         self.parsed(field, "a whole number")
     }
 
-    /// Reads a request's identifier.
+    /// Reads a request ID.
     pub fn request_id(&mut self) -> Result<RequestId, WireError> {
         Ok(RequestId(self.parsed("id", "a number below 2^32")?))
     }
 
-    /// Reads a time in seconds.
+    /// Reads a required time in seconds.
     pub fn time(&mut self, field: &'static str) -> Result<Micros, WireError> {
         let seconds = self.parsed(field, "a time")?;
         self.validate_time(field, seconds)
     }
 
-    /// Reads a time in seconds that may be absent.
+    /// Reads an optional time in seconds.
     pub fn optional_time(&mut self, field: &'static str) -> Result<Option<Micros>, WireError> {
         let seconds = self.optional(field, "a time")?;
         seconds
@@ -108,7 +108,7 @@
         Ok(Micros::from_secs_f64(seconds))
     }
 
-    /// Reads a flag; an absent one is false.
+    /// Reads a flag; an absent flag is false.
     pub fn flag(&mut self, field: &'static str) -> Result<bool, WireError> {
         match self.text(field)? {
             "1" => Ok(true),
@@ -121,7 +121,8 @@
         }
     }
 
-    /// Reads one of the `known` names and returns its index; `None` where the value is absent.
+    /// Reads one of the `known` names and returns its index; `None` if the value is absent, empty
+    /// or `0`.
     pub fn name_index(
         &mut self,
         field: &'static str,
@@ -137,7 +138,7 @@
         Err(self.invalid_value(field, value, "in the settings"))
     }
 
-    /// The error of a value that cannot be read.
+    /// Creates the error for a value that cannot be parsed or is out of range.
     pub fn invalid_value(
         &self,
         field: &'static str,
@@ -153,7 +154,7 @@
     }
 }
 
-/// The first value of a text, and the others if there are any.
+/// First value of a text, and the remaining values if there are any.
 struct Values<'a> {
     first: &'a str,
     rest: Option<&'a str>,
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,7 +1,8 @@
-//! The adapter between the simulator and the decision library: reads the simulator's wire on standard input, hosts a
-//! router for each instance, writes the replies. It decides nothing.
+//! Adapter between the simulator and the `load-balancer` library: reads the simulator's line
+//! protocol from standard input, runs one router per instance and writes the routers' actions to
+//! standard output. All decisions are made by the library.
 //!
-//! `--trace FILE` writes the state of the routers to a file, a line a second.
+//! `--trace FILE` writes the mean state of the routers to a file, one line per second.
 
 mod error;
 mod line;
@@ -14,13 +15,13 @@
 use std::process::ExitCode;
 use trace::Trace;
 
-/// Bytes of output that are written together.
+/// Size of the output buffer, in bytes.
 const OUTPUT_BUFFER_BYTES: usize = 1 << 16;
-/// Exit code for input or arguments that cannot be used.
+/// Exit code for invalid input or arguments.
 const USAGE_EXIT_CODE: u8 = 2;
 
 fn main() -> ExitCode {
-    // Panics of routers are reported on the wire.
+    // Panics of routers are reported as `crash` lines instead.
     std::panic::set_hook(Box::new(|_| {}));
     let trace = match open_trace() {
         Ok(trace) => trace,
@@ -45,7 +46,7 @@
     }
 }
 
-/// The trace that the arguments ask for.
+/// Opens the trace file that the arguments name, if any.
 fn open_trace() -> io::Result<Option<Trace>> {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     match arguments.as_slice() {
--- a/crates/simulator-adapter/src/session.rs
+++ b/crates/simulator-adapter/src/session.rs
@@ -1,4 +1,4 @@
-//! One session with the simulator: hosts a router for each instance and hands it the events of each batch.
+//! A session with the simulator: runs one router per instance and passes it the events of batches.
 
 use crate::error::WireError;
 use crate::line::Line;
@@ -11,7 +11,7 @@
 use std::io::{self, BufRead, Write};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// Reads lines and counts them.
+/// Line reader that counts lines for error messages.
 pub struct Input<R> {
     source: R,
     line: String,
@@ -19,7 +19,7 @@
 }
 
 impl<R: BufRead> Input<R> {
-    /// Input of which nothing is read yet.
+    /// Creates an input at its first line.
     pub fn new(source: R) -> Input<R> {
         Input {
             source,
@@ -28,12 +28,12 @@
         }
     }
 
-    /// The number of the line that was read last, from 1.
+    /// Number of the line that was read last, from 1.
     pub fn line_number(&self) -> u64 {
         self.line_number
     }
 
-    /// The next line, or `None` at the end of input.
+    /// Reads the next line; `None` at the end of input.
     fn next_line(&mut self) -> io::Result<Option<Line<'_>>> {
         self.line.clear();
         if self.source.read_line(&mut self.line)? == 0 {
@@ -44,7 +44,7 @@
         Ok(Some(Line::new(text)))
     }
 
-    /// The next line of something that has not ended.
+    /// Reads the next line; an error at the end of input.
     fn require_line(&mut self, inside: &'static str) -> Result<Line<'_>, SessionError> {
         match self.next_line()? {
             Some(line) => Ok(line),
@@ -53,35 +53,35 @@
     }
 }
 
-/// Why a session ended before its input.
+/// Error that ends a session before the end of its input.
 #[derive(Debug, thiserror::Error)]
 pub enum SessionError {
-    /// The input cannot be read as lines of the wire.
+    /// The input violates the line protocol.
     #[error(transparent)]
     Wire(#[from] WireError),
-    /// Reading or writing failed.
+    /// Reading the input or writing the output failed.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
-/// One router and the names of its settings.
+/// A router with the names and the load report format from its settings.
 struct Instance {
     router: Router,
     names: Names,
     reports: LoadReportFormat,
 }
 
-/// The routers of a session, by their numbers, and where their actions go.
+/// The routers of a session by number, and the output for their actions.
 pub struct Session<W> {
     instances: HashMap<u64, Instance>,
     output: W,
     trace: Option<Trace>,
-    /// Empty between events.
+    /// Buffer for the actions of one event; empty between events.
     actions: Vec<Action>,
 }
 
 impl<W: Write> Session<W> {
-    /// A session without routers.
+    /// Creates a session without routers.
     pub fn new(output: W, trace: Option<Trace>) -> Session<W> {
         Session {
             instances: HashMap::new(),
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Answers batch after batch until the input ends.
+    /// Processes batches until the input ends.
     pub fn run<R: BufRead>(&mut self, input: &mut Input<R>) -> Result<(), SessionError> {
         while let Some(now) = read_batch_start(input)? {
             self.run_batch(input, now)?;
@@ -101,7 +101,7 @@
         Ok(())
     }
 
-    /// Takes in the lines of a batch, all of which happen at `now`.
+    /// Processes the lines of a batch, all of which happen at `now`.
     fn run_batch<R: BufRead>(
         &mut self,
         input: &mut Input<R>,
@@ -125,7 +125,8 @@
                         self.handle(now, router, event)?;
                     }
                 }
-                // Lines that are new to this adapter are ignored, as new settings are.
+                // Unknown lines are ignored, like unknown settings, for compatibility with newer
+                // simulators.
                 _ => {}
             }
         }
@@ -137,7 +138,7 @@
             .ok_or(WireError::UnknownRouter { router })
     }
 
-    /// Starts a router, in place of one that has the same number.
+    /// Starts a router and replaces a running one with the same number.
     fn start_router(&mut self, line: &mut Line<'_>) -> Result<(), WireError> {
         let number = line.integer("router")?;
         let seed = line.integer("rng_seed")?;
@@ -151,8 +152,8 @@
         Ok(())
     }
 
-    /// Hands an event to a router and writes what it wants done. A router that panics is reported to the
-    /// simulator, and the session goes on.
+    /// Passes an event to a router and writes the router's actions. A panic of the router is
+    /// reported to the simulator, and the session continues.
     fn handle(&mut self, now: Micros, number: u64, event: Event) -> Result<(), SessionError> {
         if let Some(trace) = &mut self.trace {
             trace.record_event(&event);
@@ -186,7 +187,7 @@
     }
 }
 
-/// Reads the line that opens a batch and returns its time; `None` at the end of input.
+/// Reads the first line of a batch and returns its time; `None` at the end of input.
 fn read_batch_start<R: BufRead>(input: &mut Input<R>) -> Result<Option<Micros>, SessionError> {
     let Some(mut line) = input.next_line()? else {
         return Ok(None);
@@ -201,7 +202,7 @@
     Ok(Some(line.time("clock")?))
 }
 
-/// Reads the items that follow an update of the endpoint list into it.
+/// Reads the `item` lines after an endpoint list update and adds them to the event.
 fn read_items<R: BufRead>(
     input: &mut Input<R>,
     count: u64,
@@ -218,7 +219,7 @@
     Ok(())
 }
 
-/// The message of a panic.
+/// Message of a panic, from its payload.
 fn panic_message(cause: &(dyn Any + Send)) -> &str {
     let owned = cause.downcast_ref::<String>().map(String::as_str);
     owned
--- a/crates/simulator-adapter/src/trace.rs
+++ b/crates/simulator-adapter/src/trace.rs
@@ -1,18 +1,19 @@
-//! Trace of all routers of one process, a line a second, for finding out how overload begins and what keeps it up.
+//! Trace of all routers of the process, one line per second, for analyzing how overload begins and
+//! what sustains it.
 //!
-//! Counts are of the second before; state is the mean over the routers. The names of the columns are read by scripts.
+//! Counts cover the time since the previous line and are totals over the routers; state columns are
+//! means over the routers. Scripts read the column names.
 
 use load_balancer::{Action, CacheStatus, CandidateVerdict, Diagnostics, Event, Micros, Outcome};
 use std::fs::File;
 use std::io::{self, BufWriter, Write};
 
-/// The time between two lines.
+/// Minimum interval between two lines.
 const LINE_INTERVAL: Micros = Micros::from_millis(1_000);
 
-/// Milliseconds in a second.
 const MS_PER_S: f64 = 1e3;
 
-/// What happened since the last line.
+/// Counts of events and actions since the last line.
 #[derive(Default)]
 struct Counts {
     requests: u32,
@@ -26,17 +27,17 @@
     rejected: u32,
 }
 
-/// A trace file and what goes into its next line.
+/// Trace file and the counts for its next line.
 pub struct Trace {
     file: BufWriter<File>,
     next_line_at: Micros,
     counts: Counts,
-    /// Verdicts of all routers up to the last line.
+    /// Total verdicts of all routers at the last line, by kind.
     verdicts: [u64; CandidateVerdict::ALL.len()],
 }
 
 impl Trace {
-    /// Creates the file and writes the names of the columns.
+    /// Creates the file and writes the column names.
     pub fn create(path: &str) -> io::Result<Trace> {
         let mut file = BufWriter::new(File::create(path)?);
         let verdicts = CandidateVerdict::ALL.map(CandidateVerdict::label).join(" ");
@@ -87,12 +88,12 @@
         }
     }
 
-    /// Whether the next line is due.
+    /// Whether it is time for the next line.
     pub fn is_due(&self, now: Micros) -> bool {
         now >= self.next_line_at
     }
 
-    /// Writes a line with the state of all routers.
+    /// Writes a line with the counts and the state of all routers, and resets the counts.
     pub fn write_line(
         &mut self,
         now: Micros,
@@ -137,7 +138,7 @@
         self.file.flush()
     }
 
-    /// Verdicts since the last line, by kind.
+    /// Formats the number of verdicts since the last line, by kind.
     fn verdict_columns(&mut self, diagnostics: &[Diagnostics]) -> String {
         let total = |kind: usize| diagnostics.iter().map(|d| d.verdicts[kind]).sum::<u64>();
         let before = std::mem::replace(&mut self.verdicts, std::array::from_fn(total));
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,4 +1,5 @@
-//! The names of the simulator's wire, mapped to events and actions. They are a protocol and do not change.
+//! Mapping between the simulator's line protocol and the router's events and actions. The names of
+//! the protocol are defined by the simulator.
 
 use crate::error::WireError;
 use crate::line::Line;
@@ -10,10 +11,10 @@
 };
 use std::io::{self, Write};
 
-/// The weight of a server for which none is given.
+/// Weight of a server without a weight in the protocol.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// The `path=value` pairs of a router's first message.
+/// Splits the settings of an `up` line into pairs of path and value.
 pub fn split_settings(text: &str) -> Result<Vec<(&str, &str)>, WireError> {
     let pairs = text.split('\t').filter(|pair| !pair.is_empty());
     pairs.map(split_setting).collect()
@@ -24,7 +25,7 @@
         .ok_or_else(|| WireError::SettingWithoutValue { pair: pair.into() })
 }
 
-/// Whether a line is an event of a router that runs.
+/// Whether lines of this name are events for a running router.
 pub fn is_event(name: &str) -> bool {
     matches!(
         name,
@@ -32,7 +33,7 @@
     )
 }
 
-/// How many `item` lines follow an event.
+/// Number of `item` lines that follow an event.
 pub fn item_count(line: &Line<'_>) -> Result<u64, WireError> {
     if line.name() != "membership" {
         return Ok(0);
@@ -43,7 +44,7 @@
         .map_err(|_| line.invalid_value("items", count, "a whole number"))
 }
 
-/// Reads an event; `None` for one that this router does not use.
+/// Reads an event; `None` if the router does not use events of this kind.
 pub fn event(
     line: &mut Line<'_>,
     names: &Names,
@@ -68,7 +69,7 @@
     Ok(Some(event))
 }
 
-/// Reads an update of the endpoint list; its entries follow as items.
+/// Reads an endpoint list update; its entries follow as `item` lines.
 fn endpoints_changed(line: &mut Line<'_>) -> Result<Event, WireError> {
     let update = match line.text("mode")? {
         "incr" => EndpointUpdate::Delta,
@@ -154,7 +155,7 @@
     })
 }
 
-/// Reads one `item` line: an entry of the endpoint list.
+/// Reads an `item` line: an entry of the endpoint list.
 pub fn endpoint(line: &mut Line<'_>, names: &Names) -> Result<Endpoint, WireError> {
     if line.name() != "item" {
         return Err(WireError::UnexpectedLine {
@@ -189,10 +190,10 @@
     })
 }
 
-/// Writes one action of a router.
+/// Writes an action of a router.
 pub fn write_action(output: &mut impl Write, router: u64, action: &Action) -> io::Result<()> {
     match action {
-        // The simulator writes a command the moment it is sent: `write_within` always holds.
+        // The simulator writes a command immediately, so `write_within` is never exceeded.
         Action::Send {
             id,
             server,
@@ -220,17 +221,17 @@
     }
 }
 
-/// Writes that a router panicked.
+/// Reports the panic of a router.
 pub fn write_crash(output: &mut impl Write, router: u64, cause: &str) -> io::Result<()> {
     writeln!(output, "crash\t{router}\t{}", without_separators(cause))
 }
 
-/// Writes that all events of a batch are taken in.
+/// Reports that all events of a batch are processed.
 pub fn write_batch_end(output: &mut impl Write) -> io::Result<()> {
     output.write_all(b"yield\n")
 }
 
-/// A text as one value of a line.
+/// Replaces line breaks and tabs, so that the text is one value of a line.
 fn without_separators(text: &str) -> String {
     text.replace(['\n', '\t'], " ")
 }
--- a/crates/simulator-adapter/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -1,9 +1,9 @@
-//! The adapter over its standard input and output.
+//! The adapter process, driven through its standard input and output.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-const PARAMS: &str = "peers_total=2\tzones=east\tkinds=box,origin\tzone=east\trequest_classes.count=2\t\
+const SETTINGS: &str = "peers_total=2\tzones=east\tkinds=box,origin\tzone=east\trequest_classes.count=2\t\
 request_classes.0.name=read\trequest_classes.0.effect=idempotent\trequest_classes.0.target=0.3\t\
 request_classes.0.give_up=1.0\trequest_classes.0.credit=1.0\trequest_classes.0.late_value=0.3\t\
 request_classes.1.name=write\trequest_classes.1.effect=at_most_once\trequest_classes.1.target=0.3\t\
@@ -28,7 +28,7 @@
     let mut stdin = child.stdin.take().expect("its input");
     let text = input.to_string();
     let writer = std::thread::spawn(move || {
-        // It may stop reading early when a line is malformed.
+        // The adapter stops reading at a malformed line, so that writing may fail.
         let _ = stdin.write_all(text.as_bytes());
     });
     let output = child.wait_with_output().expect("the adapter ends");
@@ -45,7 +45,7 @@
 
 fn up(router: u32) -> String {
     format!(
-        "up\t{router}\t5\t{PARAMS}\nmembership\t{router}\twarm_copy\t1\t2\n\
+        "up\t{router}\t5\t{SETTINGS}\nmembership\t{router}\twarm_copy\t1\t2\n\
          item\t0\t10.0.0.1:80\tRunning\teast\tbox\t-\t1\nitem\t0\t10.0.0.2:80\tRunning\teast\tbox\t3.5\t1.5\textra\n"
     )
 }
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn rejections_failures_and_timers_are_written() {
+fn rejections_and_failures_are_written() {
     let input = format!(
         "sync\t100\n{}commit\nsync\t101\narrival\t3\t1\tread\t-\t2\t101.5\t-\t-\t0\t0\n\
          arrival\t3\t2\twrite\t-\t2\t101.5\t-\t-\t0\t1\ncommit\nsync\t101.5\ndue\t3\t4\ndue\t3\t8\ncommit\n",
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn instances_are_separate_and_restart_afresh() {
+fn instances_are_independent_and_restart_without_state() {
     let arrivals: String = (0..3)
         .map(|r| format!("arrival\t{r}\t9\tread\tacme\t2\t101.5\t-\t-\t0\t0\n"))
         .collect();
@@ -152,17 +152,17 @@
 }
 
 #[test]
-fn the_end_of_input_is_a_clean_end() {
+fn the_adapter_exits_successfully_at_the_end_of_input() {
     assert!(run("").status.success());
     assert!(run("sync\t1\ncommit\n").status.success());
 }
 
-/// Each malformed line ends the adapter with one message that has its number and cause.
+/// A malformed line ends the adapter with one message that names the line number and the cause.
 #[test]
-fn malformed_lines_are_named() {
+fn a_malformed_line_is_reported_with_number_and_cause() {
     let setup = format!("sync\t100\n{}commit\nsync\t101\n", up(3));
     let line = setup.lines().count() + 1;
-    for (bad, cause) in [
+    for (malformed, cause) in [
         (
             "arrival\t3\tx\tread\tacme\t2\t101.8\t-\t-\t0\t0\n",
             "id 'x'",
@@ -186,17 +186,17 @@
         ),
         ("membership\t3\tincr\t1\tmany\n", "items 'many'"),
         ("membership\t3\tincr\t1\t1\ncommit\n", "expected item"),
-        ("due\t4\t1\n", "router 4 has not come up"),
+        ("due\t4\t1\n", "router 4 is not running"),
         (
             "up\t4\t1\tpeers_total=2\n",
             "request_classes.count is missing",
         ),
     ] {
-        let output = run(&format!("{setup}{bad}commit\n"));
+        let output = run(&format!("{setup}{malformed}commit\n"));
         let stderr = String::from_utf8_lossy(&output.stderr).to_string();
-        assert_eq!(output.status.code(), Some(2), "{bad:?} was accepted");
+        assert_eq!(output.status.code(), Some(2), "{malformed:?} was accepted");
         assert_eq!(stderr.lines().count(), 1, "{stderr}");
-        let second_line = bad.contains("items") || cause == "expected item";
+        let second_line = malformed.contains("items") || cause == "expected item";
         let number = if second_line && cause == "expected item" {
             line + 1
         } else {
@@ -204,9 +204,9 @@
         };
         assert!(
             stderr.contains(&format!("line {number}:")),
-            "{bad:?}: {stderr}"
+            "{malformed:?}: {stderr}"
         );
-        assert!(stderr.contains(cause), "{bad:?}: {stderr}");
+        assert!(stderr.contains(cause), "{malformed:?}: {stderr}");
     }
     assert!(
         !run("sync\t100\narrival\t3").status.success(),
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn unusable_settings_are_named() {
+fn invalid_settings_are_reported_by_path() {
     for (from, to, cause) in [
         (
             "request_classes.0.target=0.3",
@@ -257,36 +257,37 @@
     }
 }
 
-/// Settings that decisions use arrive: a timeout is written where late answers have no weight, idle connections to a
-/// draining server are closed where that is a rule, and weights move keys off a small server.
+/// The router receives its settings: it sets a timeout where late answers have no weight, closes
+/// idle connections to a draining server if configured, and moves keys off a server with a low
+/// weight.
 #[test]
-fn settings_that_decisions_use_are_passed_on() {
-    let list = |params: &str| {
+fn settings_are_passed_to_the_router() {
+    let setup = |extra_settings: &str| {
         format!(
-            "sync\t100\nup\t3\t5\t{PARAMS}{params}\nmembership\t3\ttotal\t1\t2\n\
+            "sync\t100\nup\t3\t5\t{SETTINGS}{extra_settings}\nmembership\t3\ttotal\t1\t2\n\
              item\t0\t10.0.0.1:80\tRunning\teast\tbox\t-\t4\nitem\t0\t10.0.0.2:80\tRunning\teast\tbox\t-\t0.1\ncommit\n"
         )
     };
     let arrivals: String = (0..8)
         .map(|id| format!("arrival\t3\t{id}\tread\tacme\t{id}\t101.8\t-\t-\t0\t0\n"))
         .collect();
-    let small = |params: &str| {
+    let sends_to_small_server = |extra_settings: &str| {
         let output = stdout(&run(&format!(
             "{}sync\t101\n{arrivals}commit\n",
-            list(params)
+            setup(extra_settings)
         )));
         output
             .iter()
             .filter(|l| l.starts_with("send\t") && l.contains("10.0.0.2:80"))
             .count()
     };
-    assert!(small("") > 2);
+    assert!(sends_to_small_server("") > 2);
     assert!(
-        small("\tweight_kind=live") > 2,
-        "weights that vary tell nothing"
+        sends_to_small_server("\tweight_kind=live") > 2,
+        "live weights do not express capacity"
     );
-    assert!(small("\tweight_kind=nominal") <= 1);
-    let input = list(
+    assert!(sends_to_small_server("\tweight_kind=nominal") <= 1);
+    let input = setup(
         "\tinvariants.drain_close=0.8\trequest_classes.0.late_value=0\trequest_classes.0.target=1.2\t\
          request_classes.0.give_up=3",
     );
@@ -306,9 +307,10 @@
     );
 }
 
-/// A trace leaves the replies as they are; a file that cannot be written is reported before anything is read.
+/// Tracing does not change the replies, and a trace file that cannot be created is reported before
+/// any input is read.
 #[test]
-fn a_trace_has_a_line_a_second_and_changes_no_reply() {
+fn a_trace_has_one_line_per_second_and_changes_no_reply() {
     let input = format!(
         "sync\t100.5\n{}commit\nsync\t100.7\ncommit\nsync\t102\ncommit\n",
         up(3)
