--- a/crates/failing-system-calls/src/lib.rs
+++ b/crates/failing-system-calls/src/lib.rs
@@ -1,18 +1,20 @@
-//! A library for `LD_PRELOAD`: `accept4` and `connect` of the process fail now and then, as Linux documents for them.
+//! `LD_PRELOAD` library that makes some calls of `accept4` and `connect` fail with transient errors
+//! that Linux documents for them.
 //!
-//! `ASTERPORT_FAILING_CALLS_SEED` draws which calls fail, in bursts of up to four. A call that fails is not
-//! made: a connection stays in the listener's queue, and no packet goes out. Without the variable every call is made.
+//! `ASTERPORT_FAILING_CALLS_SEED` seeds the choice of calls, which fail in bursts of up to four. A
+//! call that fails does not reach the kernel: a connection stays in the listener's queue, and
+//! `connect` sends no packet. Without a valid seed no call fails.
 
 use libc::{c_char, c_int, c_void, sockaddr, socklen_t};
 use std::sync::OnceLock;
 use std::sync::atomic::{AtomicI32, AtomicU32, AtomicU64, Ordering};
 
 const SEED_VARIABLE: &str = "ASTERPORT_FAILING_CALLS_SEED";
-/// One call in so many begins a burst of failures.
+/// Outside bursts, one call in this many begins a burst of failures on average.
 const MEAN_CALLS_PER_BURST: u64 = 20;
-/// So many calls on end fail at most.
+/// Maximum number of consecutive calls that fail in one burst.
 const MAX_BURST_CALLS: u64 = 4;
-/// What accept(2) fails with for a moment.
+/// Transient errors of accept(2).
 const ACCEPT_ERRORS: [c_int; 6] = [
     libc::ECONNABORTED,
     libc::EINTR,
@@ -21,7 +23,7 @@
     libc::ENOBUFS,
     libc::EHOSTUNREACH,
 ];
-/// What connect(2) fails with for a moment.
+/// Transient errors of connect(2).
 const CONNECT_ERRORS: [c_int; 6] = [
     libc::EADDRNOTAVAIL,
     libc::ENETUNREACH,
@@ -34,10 +36,13 @@
 type Accept4 = unsafe extern "C" fn(c_int, *mut sockaddr, *mut socklen_t, c_int) -> c_int;
 type Connect = unsafe extern "C" fn(c_int, *const sockaddr, socklen_t) -> c_int;
 
-/// The failures of one function.
+/// Draws the failures of one function.
 struct FailureInjector {
+    /// Errors to choose from.
     errors: &'static [c_int],
+    /// Error of the current burst.
     error: AtomicI32,
+    /// Number of calls that are still to fail in the current burst.
     remaining: AtomicU32,
 }
 
@@ -50,7 +55,7 @@
         }
     }
 
-    /// The error number of this call, if it is to fail.
+    /// Error number for this call; `None` if the call is to be made.
     fn next_error(&self) -> Option<c_int> {
         let decrement = |remaining: u32| remaining.checked_sub(1);
         let ordering = Ordering::Relaxed;
@@ -76,7 +81,7 @@
 static ACCEPT_FAILURES: FailureInjector = FailureInjector::new(&ACCEPT_ERRORS);
 static CONNECT_FAILURES: FailureInjector = FailureInjector::new(&CONNECT_ERRORS);
 
-/// The next number of the seed's sequence (SplitMix64); `None` without a seed.
+/// Next number of the seeded sequence (SplitMix64); `None` without a valid seed.
 fn next_random() -> Option<u64> {
     static STATE: OnceLock<Option<AtomicU64>> = OnceLock::new();
     let seed = || {
@@ -91,22 +96,23 @@
     Some(mixed ^ (mixed >> 31))
 }
 
-/// The C library's function of this name.
+/// Address of the next definition of this symbol, which is the C library's function.
 fn next_definition(name: &'static std::ffi::CStr) -> *mut c_void {
-    // SAFETY: the name ends with a NUL and lives for ever.
+    // SAFETY: the name is NUL-terminated and has the static lifetime.
     unsafe { libc::dlsym(libc::RTLD_NEXT, name.as_ptr().cast::<c_char>()) }
 }
 
+/// Sets `errno` and returns the result of a failed call.
 fn fail_with(error: c_int) -> c_int {
-    // SAFETY: the pointer is that of this thread's errno.
+    // SAFETY: the pointer refers to the `errno` of this thread.
     unsafe { *libc::__errno_location() = error };
     -1
 }
 
-/// accept4(2), which may fail.
+/// accept4(2) with injected failures.
 ///
 /// # Safety
-/// As for the function of the C library.
+/// The requirements of the C library's function apply.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn accept4(
     socket: c_int,
@@ -117,17 +123,17 @@
     if let Some(error) = ACCEPT_FAILURES.next_error() {
         return fail_with(error);
     }
-    // SAFETY: the function of this name has this type, and the arguments are the caller's.
+    // SAFETY: the C library's function has this type, and the arguments are the caller's.
     unsafe {
         let call: Accept4 = std::mem::transmute(next_definition(c"accept4"));
         call(socket, address, length, flags)
     }
 }
 
-/// connect(2), which may fail.
+/// connect(2) with injected failures.
 ///
 /// # Safety
-/// As for the function of the C library.
+/// The requirements of the C library's function apply.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn connect(
     socket: c_int,
@@ -137,7 +143,7 @@
     if let Some(error) = CONNECT_FAILURES.next_error() {
         return fail_with(error);
     }
-    // SAFETY: the function of this name has this type, and the arguments are the caller's.
+    // SAFETY: the C library's function has this type, and the arguments are the caller's.
     unsafe {
         let call: Connect = std::mem::transmute(next_definition(c"connect"));
         call(socket, address, length)
