--- a/crates/router-soak/src/client.rs
+++ b/crates/router-soak/src/client.rs
@@ -1,4 +1,5 @@
-//! Clients: each keeps a connection and uses it again and again, until the router ends it or is killed.
+//! Fake clients. Each sends pipelines over one connection until the connection ends, and then
+//! reconnects.
 
 use crate::plan::SoakPlan;
 use crate::recorder::{ConnectionEnd, PendingRequest, Recorder};
@@ -17,49 +18,57 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Keys that clients ask for.
+/// Number of distinct keys.
 const KEY_COUNT: u64 = 200;
-/// Most commands of a pipeline, and how often a client pipelines, sends in two pieces, and leaves while clients leave.
+/// Maximum number of commands in a pipeline.
 const MAX_PIPELINE: u64 = 24;
+/// Ratio of exchanges that send more than one command.
 const PIPELINE_RATIO: f64 = 0.3;
+/// Ratio of pipelines that are written in two parts.
 const SPLIT_WRITE_RATIO: f64 = 0.15;
+/// Ratio of exchanges that end in an early disconnect while `disconnect_early` is set.
 const DISCONNECT_RATIO: f64 = 0.3;
-/// How often a request of a pipeline has no time left.
+/// Ratio of requests with a deadline of zero.
 const ZERO_DEADLINE_RATIO: f64 = 0.05;
-/// A client waits for an answer this much longer than its time.
+/// Time past the deadline for which a client still waits for an answer.
 const LATE_ANSWER_GRACE: Duration = Duration::from_millis(700);
-/// How often a client reads late while clients read slowly, for how many milliseconds at most, and its receive buffer.
+/// Ratio of exchanges that are read late while `read_slowly` is set.
 const SLOW_READ_RATIO: f64 = 0.3;
+/// Longest delay of a late read, in milliseconds.
 const MAX_READ_DELAY_MS: u64 = 300;
+/// Receive buffer of connections that are opened while `read_slowly` is set.
 const SMALL_RECEIVE_BUFFER_BYTES: usize = 4_096;
-/// How often a write is long while clients write long values, and the longest one, in bytes.
+/// Ratio of writes with a long value while `write_long_values` is set.
 const LONG_WRITE_RATIO: f64 = 0.3;
+/// Longest value that a client writes.
 const MAX_WRITE_BYTES: u64 = 600_000;
-/// The longest pause between two pipelines, in milliseconds.
+/// Longest pause between two exchanges of a client, in milliseconds.
 const MAX_PAUSE_MS: u64 = 120;
 
-/// What all clients of a run share.
+/// State that all clients of a run share.
 pub(crate) struct ClientPool {
     plan: SoakPlan,
     router: SocketAddr,
     recorder: Rc<Recorder>,
     rng: RefCell<SeededRng>,
     last_request: Cell<u32>,
-    /// Clients leave before their answers.
+    /// Whether clients disconnect before they have their answers.
     pub disconnect_early: Cell<bool>,
-    /// Clients write long values.
+    /// Whether clients write long values.
     pub write_long_values: Cell<bool>,
-    /// Clients read late, with small receive buffers where they connect meanwhile.
+    /// Whether clients read late, and connect with small receive buffers.
     pub read_slowly: Cell<bool>,
-    /// From then on no new connection is opened.
+    /// Time from which clients open no new connections.
     pub connect_until: Cell<Option<Instant>>,
-    /// Requests sent, and answers received.
+    /// Number of requests sent.
     pub requests: Cell<u64>,
+    /// Number of answers received.
     pub answers: Cell<u64>,
+    /// Number of those answers that are neither errors nor rejections.
     pub served: Cell<u64>,
 }
 
-/// One connection of a client.
+/// Connection of a client.
 struct Connection {
     number: u32,
     stream: TcpStream,
@@ -67,14 +76,14 @@
     pending: VecDeque<PendingRequest>,
 }
 
-/// A pipeline as it is sent.
+/// Commands that are sent together.
 struct Pipeline {
     bytes: Vec<u8>,
     ids: Vec<u64>,
     max_deadline: Duration,
 }
 
-/// A connection is over.
+/// The connection has ended, on either side.
 struct ConnectionEnded;
 
 impl ClientPool {
@@ -95,7 +104,7 @@
         })
     }
 
-    /// One client, for as long as it finds a connection.
+    /// Runs one client until no new connections are opened.
     pub async fn run(self: Rc<Self>) {
         while let Some(mut connection) = self.connect().await {
             while let Ok(()) = self.exchange(&mut connection).await {
@@ -107,11 +116,11 @@
 
     async fn connect(&self) -> Option<Connection> {
         loop {
-            let is_over = self
+            let is_stopped = self
                 .connect_until
                 .get()
                 .is_some_and(|until| Instant::now() >= until);
-            if is_over {
+            if is_stopped {
                 return None;
             }
             if let Ok(stream) = TcpStream::connect(self.router).await {
@@ -130,7 +139,7 @@
         }
     }
 
-    /// Sends a pipeline and reads its answers.
+    /// Sends a pipeline and reads the answers to it.
     async fn exchange(&self, connection: &mut Connection) -> Result<(), ConnectionEnded> {
         if is_closed(&connection.stream) {
             self.router_ended(connection, ConnectionEnd::Closed);
@@ -140,8 +149,8 @@
         self.send(connection, &pipeline).await?;
         let disconnects = self.disconnect_early.get() && self.chance(DISCONNECT_RATIO);
         if disconnects {
-            let stay = self.rng.borrow_mut().range(0, 100);
-            tokio::time::sleep(Duration::from_millis(stay)).await;
+            let delay = self.rng.borrow_mut().range(0, 100);
+            tokio::time::sleep(Duration::from_millis(delay)).await;
             self.disconnect(connection);
             return Err(ConnectionEnded);
         }
@@ -198,7 +207,7 @@
         Ok(())
     }
 
-    /// Reads what comes; a client whose time is over leaves.
+    /// Reads the available answers; disconnects if none arrives before `until`.
     async fn read_answers(
         &self,
         connection: &mut Connection,
@@ -242,7 +251,7 @@
     }
 
     fn router_ended(&self, connection: &mut Connection, end: ConnectionEnd) {
-        // A long answer that is broken off has failed: its client sees that it is not whole.
+        // A truncated long answer is failed, not lost: the client sees that it is incomplete.
         if connection.frames.has_begun_long_value() {
             connection.pending.pop_front();
         }
@@ -279,13 +288,13 @@
             _ => 3,
         };
         let deadline_ms = self.plan.deadlines_ms[class.min(1)];
-        let wait_ms = if rng.chance(ZERO_DEADLINE_RATIO) {
+        let remaining_ms = if rng.chance(ZERO_DEADLINE_RATIO) {
             0
         } else {
             rng.range(deadline_ms / 3, deadline_ms)
         };
         let key = rng.range(1, KEY_COUNT);
-        let fields = format!("c={},t=acme,d={wait_ms},k={id:016x}", CLASSES[class]);
+        let fields = format!("c={},t=acme,d={remaining_ms},k={id:016x}", CLASSES[class]);
         pipeline.bytes.extend(match class {
             0 => read_command(key, id, &fields),
             _ if self.write_long_values.get() && rng.chance(LONG_WRITE_RATIO) => {
@@ -295,7 +304,9 @@
             _ => write_command(key, id, &fields, b"sheet"),
         });
         pipeline.ids.push(id);
-        pipeline.max_deadline = pipeline.max_deadline.max(Duration::from_millis(wait_ms));
+        pipeline.max_deadline = pipeline
+            .max_deadline
+            .max(Duration::from_millis(remaining_ms));
     }
 
     fn chance(&self, ratio: f64) -> bool {
@@ -303,7 +314,7 @@
     }
 }
 
-/// Whether the router has ended a connection without unread bytes.
+/// Whether the router has ended a connection and no bytes are unread.
 fn is_closed(stream: &TcpStream) -> bool {
     match stream.try_read(&mut [0]) {
         Ok(0) => true,
@@ -312,7 +323,8 @@
     }
 }
 
-/// Idle clients, every third with half a command. The connections end with what is returned.
+/// Opens connections of idle clients and sends an incomplete command on every third. Dropping the
+/// returned streams closes the connections.
 pub(crate) async fn open_idle_connections(router: SocketAddr, count: usize) -> Vec<TcpStream> {
     let mut idle_clients = Vec::new();
     for number in 0..count {
--- a/crates/router-soak/src/discovery.rs
+++ b/crates/router-soak/src/discovery.rs
@@ -1,4 +1,5 @@
-//! Discovery, or an agent of it, on a loopback socket: watches on the endpoint list, and the faults of a plan.
+//! Fake discovery on a loopback socket: serves watches on the endpoint list, with the faults of a
+//! plan.
 
 use crate::recorder::{Recorder, server_name, zone_of};
 use crate::server::Server;
@@ -15,40 +16,49 @@
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
 
-/// While nothing changes an empty line is sent this often.
+/// Interval at which a watch without changes gets an empty line.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 
-/// What the list says of a server.
+/// State of a server in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Health {
     Up,
     Draining,
 }
 
+/// Endpoint list entry of a server.
 #[derive(Clone, Copy)]
 struct Entry {
     health: Health,
+    /// Start time of the server, as Unix time in milliseconds.
     born_ms: u64,
+    /// List version of the last change.
     changed_in_version: u64,
 }
 
-/// See the module.
+/// Fake discovery; see the module documentation.
 pub(crate) struct Discovery {
     pub address: SocketAddr,
     servers: Vec<Rc<Server>>,
     entries: RefCell<Vec<Entry>>,
     version: Cell<u64>,
     recorder: Rc<Recorder>,
+    /// The list has changed.
     changed: Notify,
+    /// Open watches are to be closed.
     reset: Notify,
+    /// Open watches are to stay open and send nothing more.
     silenced: Notify,
+    /// Number of next calls that are not answered.
     pub calls_to_hang: Cell<usize>,
+    /// Number of next calls that fail.
     pub calls_to_fail: Cell<usize>,
+    /// Time until which all calls fail.
     pub down_until: Cell<Option<Instant>>,
 }
 
 impl Discovery {
-    /// Starts with all servers up since long ago.
+    /// Starts discovery with all servers up, with a start time of zero.
     pub async fn start(servers: &[Rc<Server>], recorder: Rc<Recorder>) -> Rc<Discovery> {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let entry = Entry {
@@ -79,7 +89,7 @@
         discovery
     }
 
-    /// The list says this of a server from now on.
+    /// Changes the list entry of a server.
     pub fn set_endpoint(&self, server: usize, health: Health, born_ms: u64) {
         let version = self.version.get() + 1;
         self.version.set(version);
@@ -92,13 +102,13 @@
         self.schedule_announcement(server, health == Health::Up, born_ms);
     }
 
-    /// What changes while discovery is down, nobody is told before its return.
+    /// Records a change of the list, which the router can learn of only once discovery is up.
     fn schedule_announcement(&self, server: usize, is_up: bool, born_ms: u64) {
         let recorder = self.recorder.clone();
         match self.down_until.get().filter(|at| Instant::now() < *at) {
             None => recorder.record_announcement(server, is_up, born_ms),
             Some(at) => {
-                // Detached: ends with the run's task set at the latest.
+                // A detached task; it is dropped with the run's `LocalSet` at the latest.
                 spawn_local(async move {
                     tokio::time::sleep_until(at.into()).await;
                     recorder.record_announcement(server, is_up, born_ms);
@@ -119,12 +129,12 @@
         self.silenced.notify_waiters();
     }
 
-    /// The whole list.
+    /// Returns a snapshot of the list.
     pub fn snapshot(&self) -> String {
         self.list(true, |_| true)
     }
 
-    fn list(&self, is_whole: bool, contains: impl Fn(&Entry) -> bool) -> String {
+    fn list(&self, is_snapshot: bool, contains: impl Fn(&Entry) -> bool) -> String {
         let entries = self.entries.borrow();
         let listed = entries.iter().zip(&self.servers).enumerate();
         let hosts: Vec<String> = listed
@@ -143,7 +153,7 @@
                 listed.json()
             })
             .collect();
-        list_json(self.version.get(), is_whole, &hosts)
+        list_json(self.version.get(), is_snapshot, &hosts)
     }
 
     async fn serve(&self, mut stream: TcpStream) {
@@ -166,8 +176,8 @@
             return;
         }
         let known = known_version(head);
-        let is_possible = known <= self.version.get();
-        self.watch(stream, connection, if is_possible { known } else { 0 })
+        let is_known_version = known <= self.version.get();
+        self.watch(stream, connection, if is_known_version { known } else { 0 })
             .await;
     }
 
@@ -218,10 +228,11 @@
     }
 }
 
+/// Decrements a count; false if it is zero.
 fn decrement(count: &Cell<usize>) -> bool {
-    let is_left = count.get() > 0;
+    let is_positive = count.get() > 0;
     count.set(count.get().saturating_sub(1));
-    is_left
+    is_positive
 }
 
 async fn read_to_end(stream: &mut TcpStream) {
--- a/crates/router-soak/src/lib.rs
+++ b/crates/router-soak/src/lib.rs
@@ -1,7 +1,9 @@
-//! A soak of the router's real binary: a seed draws the fleet, its settings and the faults of a run, stand-ins on loopback
-//! sockets play them, and the checker of the simulation judges what passes.
+//! Soak test of the real router binary. A seed determines the number of servers and clients, the
+//! settings and the faults of a run. Fake clients, cache servers and discovery on loopback sockets
+//! carry out the plan, and the simulation's invariant checker evaluates the traffic.
 //!
-//! Timing is not repeated by a seed. All stand-ins of a run share one thread; what they record comes before what it causes.
+//! A seed does not reproduce timing. All fakes of a run share one thread, and each records an event
+//! before it acts on the event, so that the checker sees causes before effects.
 
 mod client;
 mod discovery;
--- a/crates/router-soak/src/main.rs
+++ b/crates/router-soak/src/main.rs
@@ -1,4 +1,5 @@
-//! Plays the soak over a range of seeds: a line a seed, the plan of a seed that broke a rule, and a summary.
+//! Runs the soak test for a range of seeds. Prints one line per seed, the plan, the violations and
+//! the router log of each run with violations, and a summary.
 
 use router_soak::{SoakReport, soak};
 use std::collections::BTreeMap;
@@ -6,13 +7,13 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Runs side by side.
+/// Number of concurrent runs.
 const JOBS: usize = 4;
 
 fn main() -> ExitCode {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
-    let Some((first, last)) = arguments.first().and_then(|range| seeds(range)) else {
-        eprintln!("usage: router-soak FIRST..LAST, two seeds of which the first is not the larger");
+    let Some((first, last)) = arguments.first().and_then(|range| parse_seeds(range)) else {
+        eprintln!("usage: router-soak FIRST..LAST, an inclusive range of seeds");
         return ExitCode::from(2);
     };
     let next = AtomicU64::new(first);
@@ -40,8 +41,8 @@
     }
 }
 
-/// The seeds of `FIRST..LAST`, both played.
-fn seeds(range: &str) -> Option<(u64, u64)> {
+/// Parses `FIRST..LAST`, an inclusive range of seeds.
+fn parse_seeds(range: &str) -> Option<(u64, u64)> {
     let (first, last) = range.split_once("..")?;
     let seeds = (first.parse().ok()?, last.parse().ok()?);
     (seeds.0 <= seeds.1).then_some(seeds)
@@ -75,7 +76,7 @@
         .iter()
         .map(|report| report.peak_descriptors as f64 / report.plan.descriptors as f64);
     println!(
-        "{} runs: {} requests, {} final answers, {} served; at most {:.2} of the memory and {:.2} of the descriptors allowed",
+        "{} runs: {} requests, {} final answers, {} served; peak use: {:.2} of the memory limit, {:.2} of the descriptor limit",
         reports.len(),
         sum(|report| report.requests),
         sum(|report| report.answers),
--- a/crates/router-soak/src/plan.rs
+++ b/crates/router-soak/src/plan.rs
@@ -1,65 +1,68 @@
-//! What a seed draws: the fleet, its settings, the faults and how the router is ended.
+//! Plan of a run, drawn from a seed: servers, clients, settings, faults and how the router is shut
+//! down.
 
 use router_simulation::rng::SeededRng;
 use std::fmt;
 
-/// How long clients send before the router is told to stop, in milliseconds.
+/// Time from the start of the load to the shutdown signal, in milliseconds.
 pub(crate) const LOAD_MS: u64 = 11_000;
-/// Descriptors that the router keeps for other uses than connections.
+/// Descriptors that the router reserves for other uses than client and server connections.
 const RESERVED_DESCRIPTORS: usize = 48;
 
-/// What goes wrong.
+/// Kind of a fault. The plan's text contains the names of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultKind {
-    /// Open watches send nothing more; the next calls hang, then fail. Servers begin to drain meanwhile.
+    /// Open watches stay open but send nothing more; of the next calls some hang and some fail. A
+    /// separate `Drain` fault begins meanwhile.
     Silence {
-        /// Calls that are not answered.
+        /// Number of calls that are not answered.
         hanging: usize,
-        /// Calls that are answered 503.
+        /// Number of calls that are answered with status 503.
         failing: usize,
     },
-    /// Open watches end.
+    /// Discovery closes open watches.
     WatchReset,
-    /// Watches end, and calls fail.
+    /// Discovery closes open watches, and calls fail.
     DiscoveryDown,
-    /// A server drains, and starts again under its name.
+    /// A server drains, and restarts under the same name.
     Drain(usize),
-    /// A server's process dies, and starts again under its name.
+    /// The process of a server is killed, and restarts under the same name.
     Restart(usize),
-    /// A server reads commands and never replies.
+    /// A server reads commands and does not reply.
     Hang(usize),
-    /// A server sends replies that are none.
+    /// A server sends malformed replies.
     Malformed(usize),
-    /// A server resets connections under requests.
+    /// A server resets connections with requests in flight.
     Resets(usize),
-    /// A server answers the first command of a connection late.
+    /// A server delays the answer to the first command of each connection.
     LateConnections(usize),
-    /// Values are long, and some of them are broken off.
+    /// Servers send long values, some of them truncated.
     LongValues,
-    /// Clients leave before their answers.
+    /// Clients disconnect before they have their answers.
     ClientsLeave,
     /// Clients write long values.
     LongWrites,
-    /// Clients read their answers late, with small receive buffers.
+    /// Clients read their answers late and use small receive buffers.
     SlowReaders,
-    /// A server neither reads nor answers nor closes, and comes back in another process.
+    /// A server stops reading, answering and closing connections, and then restarts as another
+    /// process.
     Vanish(usize),
-    /// Values are long, and pause half-way.
+    /// Servers send long values with a pause in the middle.
     PausedValues,
 }
 
-/// A fault at its time.
+/// Fault with its start time and duration.
 #[derive(Clone, Copy, Debug)]
 pub struct PlannedFault {
-    /// What.
+    /// Kind and target of the fault.
     pub kind: FaultKind,
-    /// When it begins, in milliseconds.
+    /// Start time, in milliseconds from the start of the load.
     pub at_ms: u64,
-    /// How long it lasts, in milliseconds.
+    /// Duration, in milliseconds.
     pub duration_ms: u64,
 }
 
-/// The signals at the end of a run.
+/// How a run shuts the router down. The plan's text contains the names of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
     /// SIGTERM.
@@ -68,11 +71,11 @@
     HupHupTerm,
     /// SIGTERM twice.
     TermTerm,
-    /// SIGHUP in the moment of SIGTERM.
+    /// SIGTERM, immediately followed by SIGHUP.
     HupWithTerm,
-    /// Another process takes over; SIGTERM comes meanwhile, and later to the other process.
+    /// A successor takes over; the old process gets SIGTERM meanwhile, and the successor later.
     TermInTakeover,
-    /// Another process takes over and is killed half-way; then SIGTERM.
+    /// A successor starts to take over and is killed; then the old process gets SIGTERM.
     SuccessorKilled,
 }
 
@@ -85,45 +88,46 @@
     Ending::SuccessorKilled,
 ];
 
-/// The plan of a run.
+/// Plan of a run.
 #[derive(Clone, Debug)]
 pub struct SoakPlan {
-    /// Draws it.
+    /// Seed of the plan.
     pub seed: u64,
-    /// Cache servers.
+    /// Number of cache servers.
     pub servers: usize,
-    /// Lists are pushed; else discovery is asked.
+    /// Whether endpoint lists are pushed; otherwise the router subscribes to them.
     pub lists_are_pushed: bool,
-    /// Clients that send all the time.
+    /// Number of clients that send requests continuously.
     pub clients: usize,
-    /// Idle clients beside them, some with half a command.
+    /// Number of additional idle clients, some of which have sent an incomplete command.
     pub idle_clients: usize,
-    /// The router's memory limit, in MiB.
+    /// Memory limit of the router, in MiB.
     pub memory_mb: usize,
-    /// The router's limit of descriptors.
+    /// Descriptor limit of the router.
     pub descriptors: usize,
-    /// The deadlines of reads and of writes, in milliseconds.
+    /// Longest deadlines of reads and of writes, in milliseconds.
     pub deadlines_ms: [u64; 2],
-    /// How long servers remember a write's idempotency key, in milliseconds.
+    /// Deduplication window of the servers for idempotency keys, in milliseconds.
     pub deduplication_window_ms: u64,
-    /// How long a server takes at the most, in milliseconds.
+    /// Longest service time of a server, in milliseconds.
     pub max_service_ms: u64,
-    /// The faults, in the order of their beginnings.
+    /// Faults, in the order of their start times.
     pub faults: Vec<PlannedFault>,
-    /// How the router is ended.
+    /// How the router is shut down.
     pub ending: Ending,
-    /// The router's system calls fail now and then.
+    /// Whether some system calls of the router fail.
     pub has_failing_calls: bool,
 }
 
 impl SoakPlan {
-    /// The plan of a seed.
+    /// Draws the plan of a seed.
     pub fn draw(seed: u64) -> SoakPlan {
         let rng = &mut SeededRng::new(seed, 1);
         let descriptors = rng.range(120, 260) as usize;
         let connection_capacity = (descriptors - RESERVED_DESCRIPTORS) / 2;
         let has_idle_clients = rng.chance(0.3);
-        // The fields are drawn in the order in which they stand.
+        // Fields are drawn in the order in which they are written here. Another order changes the
+        // plans of all seeds.
         let mut plan = SoakPlan {
             seed,
             servers: rng.range(3, 6) as usize,
@@ -164,7 +168,8 @@
         }
     }
 
-    /// Kinds that are drawn apart, so that the plans of seeds keep the others.
+    /// Draws these kinds with a generator of their own, so that the other faults of a seed stay the
+    /// same.
     fn draw_additional_faults(&mut self, rng: &mut SeededRng) {
         for _ in 0..rng.range(1, 3) {
             let server = rng.index(self.servers);
@@ -198,7 +203,8 @@
         }
     }
 
-    /// A silence early enough that what it hides counts as told before the end, and a drain inside it.
+    /// Adds a silence and a drain during it. The silence is early enough that the checker deems the
+    /// router to know of hidden changes before the run ends.
     fn draw_silence(&mut self, rng: &mut SeededRng) {
         let at_ms = rng.range(700, 2_500);
         let (hanging, failing) = (rng.index(3), rng.index(2));
@@ -214,7 +220,7 @@
         });
     }
 
-    /// The longest deadline of a class, in milliseconds.
+    /// Longest deadline of any class, in milliseconds.
     pub fn longest_deadline_ms(&self) -> u64 {
         self.deadlines_ms.into_iter().max().unwrap_or_default()
     }
@@ -225,12 +231,12 @@
         let discovery = if self.lists_are_pushed {
             "pushed"
         } else {
-            "asked"
+            "by subscription"
         };
         write!(
             f,
-            "seed {}: {} servers, lists {discovery}, {} clients and {} idle, {} MiB, {} descriptors, deadlines {:?} ms, \
-             idempotency keys for {} ms, service {} ms, {:?}, system calls {}",
+            "seed {}: {} servers, endpoint lists {discovery}, {} clients and {} idle clients, {} MiB, {} descriptors, deadlines {:?} ms, \
+             deduplication window {} ms, service time {} ms, {:?}, system calls {}",
             self.seed,
             self.servers,
             self.clients,
@@ -242,9 +248,9 @@
             self.max_service_ms,
             self.ending,
             if self.has_failing_calls {
-                "fail"
+                "fail at times"
             } else {
-                "succeed"
+                "do not fail"
             }
         )?;
         for fault in &self.faults {
--- a/crates/router-soak/src/recorder.rs
+++ b/crates/router-soak/src/recorder.rs
@@ -1,8 +1,9 @@
-//! What the stand-ins see, told to the simulation's checker.
+//! Reports the events that the fakes see to the simulation's invariant checker.
 //!
-//! The checker wants to know what is at the router's machine. On loopback that is what a stand-in has written. Two facts
-//! stay with the soak, as sockets do not show them: a request that crosses the router's close is not lost, and a reset
-//! means that the router has left bytes unread.
+//! The checker needs to know which bytes have reached the router's machine. On loopback these are
+//! the bytes that a fake has written. Two cases are decided here, because sockets do not show them to
+//! the checker: a request that crosses the router's close on the wire is not lost, and a reset means
+//! that the router left bytes unread.
 
 use crate::plan::SoakPlan;
 use router_simulation::executor::{Node, Time};
@@ -19,39 +20,42 @@
 const ROUTER: Node = Node(0);
 const CLIENTS: Node = Node(1);
 const FIRST_SERVER: u32 = 2;
-/// Up to half a second after its time an answer earns nothing; later, or never, the request is lost.
+/// Time past its deadline within which a request must be answered; otherwise it counts as lost. In
+/// microseconds.
 const ANSWER_GRACE: Time = 500_000;
-/// `drain_grace` of the settings, 50 ms on sockets, and what a stand-in may be held up between a read and its record.
+/// The sum of `drain_grace` in the settings, 50 ms of slack for sockets, and the delay that a fake
+/// may have between reading bytes and recording them. In microseconds.
 const DRAIN_GRACE: Time = 250_000 + 50_000 + 150_000;
-/// Each time limit is this much longer on sockets.
+/// Slack that time limits get on sockets, in microseconds.
 const SOCKET_SLACK: Time = 50_000;
-/// A request that was written this long before the end of its connection has been read, or is reset.
+/// A request that was written longer than this before the connection ended in order was read by the
+/// router. One that was written later may have crossed the close.
 const CLOSE_RACE_WINDOW: Duration = Duration::from_millis(50);
 
-/// How a connection ended at a client.
+/// How a client's connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConnectionEnd {
-    /// In order.
+    /// By an orderly close.
     Closed,
     /// By a reset.
     Reset,
 }
 
-/// A request without its answer.
+/// Request that is not answered yet.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PendingRequest {
     pub id: u64,
     pub written_at: Instant,
 }
 
-/// See the module.
+/// Recorder of a run; see the module documentation.
 pub(crate) struct Recorder {
     checker: RefCell<InvariantChecker>,
     started: Instant,
     last_connection: Cell<u32>,
-    /// Requests that a cache server has received.
+    /// IDs of the requests that a cache server has received.
     attempted: RefCell<HashSet<u64>>,
-    /// Until when a process that was killed excuses the ends of connections.
+    /// Time until which ended connections are attributed to a process that the soak killed.
     kill_grace_until: Cell<Option<Instant>>,
     discovery: Node,
 }
@@ -106,7 +110,7 @@
         self.open(ROUTER, self.discovery)
     }
 
-    /// One side writes bytes, which are at the other's machine with that.
+    /// Records bytes that one side writes. On loopback they reach the other side at once.
     pub fn record_bytes(&self, connection: u32, side: Side, bytes: &[u8]) {
         let now = self.now();
         let mut checker = self.checker.borrow_mut();
@@ -114,7 +118,7 @@
         checker.delivered(now, connection, side, bytes.len());
     }
 
-    /// One side ends a connection.
+    /// Records that one side ends a connection.
     pub fn record_close(&self, connection: u32, side: Side, how: CloseKind) {
         let now = self.now();
         let mut checker = self.checker.borrow_mut();
@@ -122,35 +126,38 @@
         checker.close_delivered(now, connection, side);
     }
 
-    /// A cache server has received a request whole.
+    /// Records that a cache server has received a complete request.
     pub fn record_attempt(&self, id: u64) {
         self.attempted.borrow_mut().insert(id);
     }
 
-    /// The router has ended a client's connection with requests unanswered: what it had read is lost.
+    /// Records that the router has ended a client's connection. Pending requests that it had read
+    /// are lost, which is a violation.
     pub fn router_ended(&self, connection: u32, end: ConnectionEnd, pending: &[PendingRequest]) {
         let now = self.now();
-        let is_excused = self
+        let is_within_kill_grace = self
             .kill_grace_until
             .get()
             .is_some_and(|until| Instant::now() < until);
-        for request in pending.iter().filter(|_| !is_excused) {
+        for request in pending.iter().filter(|_| !is_within_kill_grace) {
             let was_sent = self.attempted.borrow().contains(&request.id);
             let was_read =
                 end == ConnectionEnd::Closed && request.written_at.elapsed() > CLOSE_RACE_WINDOW;
             if was_sent || was_read {
-                let text =
-                    format!("lost: the router ended its connection ({end:?}), sent on: {was_sent}");
+                let text = format!(
+                    "lost: the router ended the client connection ({end:?}); forwarded to a cache server: {was_sent}"
+                );
                 let mut checker = self.checker.borrow_mut();
                 checker.record_violation(Rule::Answered, now, Some(request.id), text);
             }
         }
-        // The checker judges no end that a client makes, and lets its requests go.
+        // The checker does not require answers on a connection that the client has closed, so this
+        // avoids reporting the requests twice.
         let mut checker = self.checker.borrow_mut();
         checker.closed(now, connection, Side::Dialer, CloseKind::Fin);
     }
 
-    /// A process of the router was killed: the connections that it held end with it.
+    /// Records that the soak killed a router process, which ends the connections of that process.
     pub fn process_killed(&self, grace: Duration) {
         self.kill_grace_until.set(Some(Instant::now() + grace));
     }
@@ -172,7 +179,7 @@
         self.checker.borrow_mut().watch_silenced(now, connection);
     }
 
-    /// A limit that the router has passed.
+    /// Records that the router has exceeded a resource limit.
     pub fn record_exceeded_limit(&self, text: String) {
         let now = self.now();
         self.checker
@@ -185,12 +192,12 @@
     }
 }
 
-/// The name of a server on the list.
+/// Name of a server in the endpoint list.
 pub(crate) fn server_name(number: usize) -> String {
     format!("s-{number:02}")
 }
 
-/// Servers stand in two zones by turns.
+/// Zone of a server: servers alternate between two zones.
 pub(crate) fn zone_of(number: usize) -> usize {
     number % 2
 }
@@ -210,9 +217,10 @@
         answer_grace: ANSWER_GRACE,
         drain_grace: DRAIN_GRACE,
         max_attempts: crate::run::MAX_ATTEMPTS,
-        // Ends of connections to servers are seen late: two attempts may seem in flight at once.
+        // Closed connections to servers are recorded late, so that two attempts of a request may
+        // seem to be in flight at once.
         hedging: true,
-        // No server fails under load here.
+        // The fake servers do not fail under load, so the overload rule is disabled.
         overload_multiple: f64::MAX,
         overload_duration: 1,
         receive_window: usize::MAX,
--- a/crates/router-soak/src/run.rs
+++ b/crates/router-soak/src/run.rs
@@ -1,4 +1,5 @@
-//! One run of the soak: starts the stand-ins and the router, plays the plan, ends the router, and reports.
+//! A run of the soak test: starts the fakes and the router, carries out the plan, shuts the router
+//! down, and reports.
 
 use crate::client::{ClientPool, open_idle_connections};
 use crate::discovery::{Discovery, Health};
@@ -17,24 +18,26 @@
 use test_support::{Platform, RouterProcess, configuration};
 use tokio::task::{LocalSet, spawn_blocking, spawn_local};
 
-/// Attempts of one request.
+/// Maximum number of attempts per request.
 pub(crate) const MAX_ATTEMPTS: usize = 5;
-/// SIGKILL comes no sooner than the longest deadline and this long after SIGTERM.
+/// Time that the router gets after SIGTERM on top of the longest deadline before it is killed.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
-/// New connections go on coming for this long after SIGTERM.
+/// Time after SIGTERM during which clients still open connections.
 const CONNECT_TIME_AFTER_TERM: Duration = Duration::from_millis(400);
-/// A server that is listed as draining takes requests for this long, and is away for this long after its drain.
+/// Time for which a server that is listed as draining still accepts requests.
 const DRAIN_DELAY: Duration = Duration::from_millis(300);
+/// Time between the end of a server process and its restart.
 const RESTART_PAUSE: Duration = Duration::from_millis(400);
-/// How often the router's memory and descriptors are looked at.
+/// Interval at which the router's memory and descriptors are sampled.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
-/// How long before the end of the load another process is started, and how long it lives where it is killed.
+/// Time before the end of the load at which a successor is started.
 const TAKEOVER_LEAD: Duration = Duration::from_millis(2_000);
+/// Time after which a successor that is to be killed is killed.
 const SUCCESSOR_LIFETIME: Duration = Duration::from_millis(250);
-/// Ends of connections are excused for this long after a process was killed.
+/// Time after a process was killed during which ended connections are attributed to the kill.
 const KILL_GRACE: Duration = Duration::from_millis(500);
 
-/// Sets a fault of a server, or takes it back.
+/// Sets or clears a fault of a server.
 type SetFault = fn(&mut ServerFaults, bool);
 
 const HANGING: SetFault = |faults, is_active| faults.hangs = is_active;
@@ -48,23 +51,23 @@
 };
 const UNRESPONSIVE: SetFault = |faults, is_active| faults.is_unresponsive = is_active;
 
-/// What came of a run.
+/// Results of a run.
 pub struct SoakReport {
-    /// The plan.
+    /// Plan of the run.
     pub plan: SoakPlan,
-    /// Requests that clients sent.
+    /// Number of requests that clients sent.
     pub requests: u64,
-    /// Final answers that they received.
+    /// Number of final answers that clients received.
     pub answers: u64,
-    /// Those of them that served.
+    /// Number of those answers that are neither errors nor rejections.
     pub served: u64,
-    /// The rules that were broken.
+    /// Violations of the invariant checker's rules.
     pub violations: Vec<Violation>,
-    /// The most resident memory of one process, in KB.
+    /// Peak resident memory of one router process, in KiB.
     pub peak_memory_kb: usize,
-    /// The most descriptors of one process.
+    /// Peak number of descriptors of one router process.
     pub peak_descriptors: usize,
-    /// The log of the router's processes.
+    /// Log lines of the router processes.
     pub log: Vec<String>,
 }
 
@@ -87,26 +90,27 @@
     }
 }
 
-/// Plays the run of a seed. It takes the time that it lasts.
+/// Runs the plan of a seed in real time.
 pub fn soak(seed: u64) -> SoakReport {
     let plan = SoakPlan::draw(seed);
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .expect("a runtime");
-    LocalSet::new().block_on(&runtime, play(plan))
+    LocalSet::new().block_on(&runtime, run_plan(plan))
 }
 
-/// Names the library that lets system calls of the router fail; without it none do.
+/// Path of the `failing-system-calls` library. If unset, no system calls fail.
 const FAILING_CALLS_VARIABLE: &str = "ASTERPORT_FAILING_CALLS";
 
-/// The library that is loaded into the router, and its seed, where the plan wants system calls to fail.
+/// Path and seed of the library that makes system calls of the router fail, if the plan includes
+/// such failures and the path is set.
 fn failing_calls(plan: &SoakPlan) -> Option<(PathBuf, u64)> {
     let library = std::env::var_os(FAILING_CALLS_VARIABLE).filter(|_| plan.has_failing_calls)?;
     Some((library.into(), plan.seed))
 }
 
-/// The parts of a run.
+/// State of a run.
 struct Run {
     plan: SoakPlan,
     recorder: Rc<Recorder>,
@@ -115,14 +119,14 @@
     clients: Rc<ClientPool>,
     platform: Arc<Platform>,
     configuration: Value,
-    /// The processes of the router, the newest last.
+    /// Router processes, the newest last.
     processes: RefCell<Vec<RouterProcess>>,
     logs: RefCell<Vec<Arc<Mutex<Vec<String>>>>>,
     peak_memory_kb: Cell<usize>,
     peak_descriptors: Cell<usize>,
 }
 
-async fn play(plan: SoakPlan) -> SoakReport {
+async fn run_plan(plan: SoakPlan) -> SoakReport {
     let recorder = Rc::new(Recorder::new(&plan));
     let mut servers = Vec::new();
     for number in 0..plan.servers {
@@ -157,13 +161,13 @@
         spawn_local(run.clone().inject(fault));
     }
     tokio::time::sleep(Duration::from_millis(LOAD_MS) - TAKEOVER_LEAD).await;
-    run.end().await;
+    run.shut_down().await;
     drop(idle_clients);
     run.report()
 }
 
 impl Run {
-    /// Starts a process of the router, which takes over from the one before.
+    /// Starts a router process, which takes over from a running one.
     async fn start_process(&self) {
         let (platform, configuration) = (self.platform.clone(), self.configuration.clone());
         let starting = spawn_blocking(move || platform.start(&configuration));
@@ -172,7 +176,7 @@
         self.processes.borrow_mut().push(process);
     }
 
-    /// Looks at the processes' memory and descriptors for as long as the run lasts.
+    /// Samples memory and descriptors of the router processes for the whole run.
     async fn sample(self: Rc<Self>) {
         loop {
             tokio::time::sleep(SAMPLE_INTERVAL).await;
@@ -187,6 +191,7 @@
         }
     }
 
+    /// Carries out a fault of the plan at its time.
     async fn inject(self: Rc<Self>, fault: PlannedFault) {
         tokio::time::sleep(Duration::from_millis(fault.at_ms)).await;
         let duration = Duration::from_millis(fault.duration_ms);
@@ -244,7 +249,7 @@
         (0..self.servers.len()).collect()
     }
 
-    /// Sets a fault of servers, and takes it back.
+    /// Sets a fault on servers for a duration.
     async fn inject_server_fault(&self, servers: &[usize], duration: Duration, set: SetFault) {
         let set_all = |is_active| {
             for &server in servers {
@@ -275,8 +280,8 @@
         self.discovery.set_endpoint(server, Health::Up, born_ms);
     }
 
-    /// Ends the router, as planned, and waits until the earliest time of SIGKILL.
-    async fn end(&self) {
+    /// Shuts the router down as planned, and kills it once its time is over.
+    async fn shut_down(&self) {
         match self.plan.ending {
             Ending::TermInTakeover => {
                 self.start_process().await;
@@ -292,7 +297,7 @@
             _ => {}
         }
         tokio::time::sleep(TAKEOVER_LEAD).await;
-        self.signal_end();
+        self.send_shutdown_signals();
         let terminated_at = Instant::now();
         self.clients
             .connect_until
@@ -300,11 +305,11 @@
         let longest = Duration::from_millis(self.plan.longest_deadline_ms());
         tokio::time::sleep_until((terminated_at + longest + KILL_MARGIN).into()).await;
         self.processes.borrow_mut().clear();
-        // The ends of connections that the kill made are seen by their clients.
+        // Gives clients time to notice the connections that the kill closed.
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
 
-    fn signal_end(&self) {
+    fn send_shutdown_signals(&self) {
         let processes = self.processes.borrow();
         let Some(process) = processes.last() else {
             return;
@@ -337,11 +342,18 @@
     fn report(&self) -> SoakReport {
         let limit_kb = self.plan.memory_mb * 1024;
         if self.peak_memory_kb.get() > limit_kb {
-            let text = format!("{} KB of {limit_kb}", self.peak_memory_kb.get());
+            let text = format!(
+                "{} KiB resident, the limit is {limit_kb}",
+                self.peak_memory_kb.get()
+            );
             self.recorder.record_exceeded_limit(text);
         }
         if self.peak_descriptors.get() > self.plan.descriptors {
-            let text = format!("{} descriptors", self.peak_descriptors.get());
+            let limit = self.plan.descriptors;
+            let text = format!(
+                "{} descriptors, the limit is {limit}",
+                self.peak_descriptors.get()
+            );
             self.recorder.record_exceeded_limit(text);
         }
         SoakReport {
@@ -357,11 +369,11 @@
     }
 }
 
-/// Sets a fault of clients, and takes it back.
-async fn set_during(fault: &Cell<bool>, duration: Duration) {
-    fault.set(true);
+/// Sets a flag for a duration.
+async fn set_during(flag: &Cell<bool>, duration: Duration) {
+    flag.set(true);
     tokio::time::sleep(duration).await;
-    fault.set(false);
+    flag.set(false);
 }
 
 fn router_configuration(plan: &SoakPlan, discovery: &Discovery) -> Value {
@@ -403,14 +415,14 @@
     configuration
 }
 
-/// The resident memory of a process, in KB; none if it has ended.
+/// Resident memory of a process, in KiB; `None` if the process has ended.
 fn resident_kb(pid: u32) -> Option<usize> {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
     let line = status.lines().find(|line| line.starts_with("VmRSS"))?;
     line.split_whitespace().nth(1)?.parse().ok()
 }
 
-/// The descriptors of a process; none if it has ended.
+/// Number of descriptors of a process; `None` if the process has ended.
 fn descriptor_count(pid: u32) -> Option<usize> {
     Some(std::fs::read_dir(format!("/proc/{pid}/fd")).ok()?.count())
 }
--- a/crates/router-soak/src/server.rs
+++ b/crates/router-soak/src/server.rs
@@ -1,5 +1,5 @@
-//! A cache server on a loopback socket, with the faults of a plan. Its tasks end with its process, which a plan may kill
-//! and start again at the same address.
+//! Fake cache server on a loopback socket, with the faults of a plan. Its process is simulated by a
+//! set of tasks, which a plan may abort and start again on the same address.
 
 use crate::recorder::{Recorder, server_name};
 use router_simulation::network::{CloseKind, Side};
@@ -17,36 +17,44 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{JoinHandle, spawn_local};
 
-/// The ratio of requests that a fault of a server concerns.
+/// Ratio of requests that a reset or malformed-reply fault affects.
 const FAULT_RATIO: f64 = 0.3;
-/// The ratio of reads with a long value while values are long, and of those that are broken off.
+/// Ratio of reads that get a long value while `has_long_values` is set.
 const LONG_VALUE_RATIO: f64 = 0.3;
+/// Ratio of long values that are truncated.
 const TRUNCATED_VALUE_RATIO: f64 = 0.3;
-/// Replies beyond this are long, in bytes.
+/// Replies above this size are long.
 const LONG_REPLY_BYTES: usize = 65_536;
-/// The longest value, in bytes.
+/// Longest value.
 const MAX_VALUE_BYTES: u64 = 600_000;
-/// How long a value pauses at most, in milliseconds.
+/// Longest pause inside a long value, in milliseconds.
 const MAX_PAUSE_MS: u64 = 300;
-/// How late the first command of a late connection is answered at most, in milliseconds.
+/// Longest delay of the first answer on a connection while `delays_first_answer` is set, in
+/// milliseconds.
 const MAX_FIRST_ANSWER_DELAY_MS: u64 = 900;
 
-/// What is wrong with a server now.
+/// Current faults of a server.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ServerFaults {
+    /// Rejects all requests with `-BUSY`.
     pub is_draining: bool,
+    /// Reads commands and does not answer them.
     pub hangs: bool,
+    /// Answers some requests with malformed replies.
     pub sends_malformed_replies: bool,
+    /// Resets connections on some requests.
     pub resets_connections: bool,
+    /// Delays the first answer on each connection.
     pub delays_first_answer: bool,
+    /// Answers some reads with long values, some of them truncated.
     pub has_long_values: bool,
-    /// Long values pause half-way.
+    /// Pauses in the middle of long values.
     pub pauses_long_values: bool,
-    /// It neither reads nor answers nor closes.
+    /// Neither reads nor answers, and does not close connections.
     pub is_unresponsive: bool,
 }
 
-/// See the module.
+/// Fake cache server; see the module documentation.
 pub(crate) struct Server {
     number: usize,
     pub address: SocketAddr,
@@ -79,31 +87,31 @@
         server
     }
 
-    /// Changes what is wrong with it.
+    /// Changes the current faults.
     pub fn change(&self, change: impl FnOnce(&mut ServerFaults)) {
         let mut faults = self.faults.get();
         change(&mut faults);
         self.faults.set(faults);
     }
 
-    /// Kills its process: its connections end, and new ones are refused.
+    /// Kills the process: its connections end, and new ones are refused.
     pub fn kill(&self) {
         for task in self.tasks.borrow_mut().drain(..) {
             task.abort();
         }
     }
 
-    /// Starts its process again.
+    /// Starts the process again, without faults.
     pub async fn restart(self: &Rc<Self>) {
         self.change(|faults| *faults = ServerFaults::default());
-        // The old listener is dropped once its task has been polled.
+        // The old listener is dropped only after its aborted task has been polled.
         for _ in 0..100 {
             if let Ok(listener) = TcpListener::bind(self.address).await {
                 return self.clone().accept_on(listener);
             }
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
-        panic!("the port of server {} is taken", self.number);
+        panic!("cannot bind the address of server {} again", self.number);
     }
 
     fn accept_on(self: Rc<Self>, listener: TcpListener) {
@@ -155,7 +163,7 @@
         }
     }
 
-    /// Executes a request; false if the connection is over.
+    /// Executes a request; false if the connection is to be closed.
     async fn execute(
         &self,
         stream: &mut TcpStream,
@@ -172,7 +180,7 @@
         }
         self.sleep_up_to(self.max_service_ms).await;
         if faults.resets_connections && self.chance(FAULT_RATIO) {
-            // A close without waiting for unsent bytes is a reset.
+            // With a linger time of zero the close sends a reset.
             let _ = SockRef::from(&*stream).set_linger(Some(Duration::ZERO));
             return false;
         }
@@ -189,7 +197,7 @@
         written.is_ok() && keeps_connection
     }
 
-    /// Writes a reply in two parts, with a pause in between.
+    /// Writes a reply in two parts with a pause between them.
     async fn write_with_pause(&self, stream: &mut TcpStream, bytes: &[u8]) -> io::Result<()> {
         let (first, second) = bytes.split_at(bytes.len() / 2);
         stream.write_all(first).await?;
@@ -229,9 +237,10 @@
     }
 }
 
+/// Bytes of a reply, and what happens to the connection after it.
 struct Reply {
     bytes: Vec<u8>,
-    /// Else the connection ends behind it.
+    /// Whether the connection stays open after the reply.
     keeps_connection: bool,
 }
 
@@ -251,7 +260,7 @@
     }
 }
 
-/// Records the end of a connection, also where its task is aborted.
+/// Records the end of a connection on drop, so also if its task is aborted.
 struct ConnectionGuard {
     recorder: Rc<Recorder>,
     connection: u32,
--- a/crates/router-soak/tests/soak.rs
+++ b/crates/router-soak/tests/soak.rs
@@ -1,9 +1,9 @@
-//! Short soaks of the router's real binary with fixed seeds; `tests/soak.sh` plays others.
+//! Short soak runs of the real router binary with fixed seeds; `tests/soak.sh` runs other seeds.
 
 use router_soak::soak;
 
-/// Plays a seed, and fails where a rule is broken.
-fn play(seed: u64) {
+/// Runs a seed, and fails if the checker reports a violation or clients sent too few requests.
+fn run_seed(seed: u64) {
     let report = soak(seed);
     println!("{report}");
     println!("{}", report.plan);
@@ -18,30 +18,30 @@
 
 #[test]
 fn seed_1() {
-    play(1);
+    run_seed(1);
 }
 
 #[test]
 fn seed_2() {
-    play(2);
+    run_seed(2);
 }
 
 #[test]
 fn seed_3() {
-    play(3);
+    run_seed(3);
 }
 
 #[test]
 fn seed_22() {
-    play(22);
+    run_seed(22);
 }
 
 #[test]
 fn seed_5() {
-    play(5);
+    run_seed(5);
 }
 
 #[test]
 fn seed_6() {
-    play(6);
+    run_seed(6);
 }
