--- a/crates/router-soak/src/discovery.rs
+++ b/crates/router-soak/src/discovery.rs
@@ -60,14 +60,18 @@
 impl Discovery {
     /// Starts discovery with all servers up, with a start time of zero.
     pub async fn start(servers: &[Rc<Server>], recorder: Rc<Recorder>) -> Rc<Discovery> {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let listener = TcpListener::bind("127.0.0.1:0")
+            .await
+            .expect("a free loopback port");
         let entry = Entry {
             health: Health::Up,
             born_ms: 0,
             changed_in_version: 1,
         };
         let discovery = Rc::new(Discovery {
-            address: listener.local_addr().expect("an address"),
+            address: listener
+                .local_addr()
+                .expect("a bound listener has an address"),
             servers: servers.to_vec(),
             entries: RefCell::new(vec![entry; servers.len()]),
             version: Cell::new(1),
--- a/crates/router-soak/src/main.rs
+++ b/crates/router-soak/src/main.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 /// Number of concurrent runs.
-const JOBS: usize = 4;
+const CONCURRENT_RUNS: usize = 4;
 
 fn main() -> ExitCode {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
@@ -19,7 +19,7 @@
     let next = AtomicU64::new(first);
     let reports = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
-        for _ in 0..JOBS {
+        for _ in 0..CONCURRENT_RUNS {
             scope.spawn(|| {
                 loop {
                     let seed = next.fetch_add(1, Ordering::Relaxed);
@@ -28,12 +28,17 @@
                     }
                     let report = soak(seed);
                     print_report(&report);
-                    reports.lock().expect("reports").push(report);
+                    reports
+                        .lock()
+                        .expect("the report lock is not poisoned")
+                        .push(report);
                 }
             });
         }
     });
-    let reports = reports.into_inner().expect("reports");
+    let reports = reports
+        .into_inner()
+        .expect("the report lock is not poisoned");
     print_summary(&reports);
     match reports.iter().all(|report| report.violations.is_empty()) {
         true => ExitCode::SUCCESS,
@@ -64,27 +69,29 @@
 }
 
 fn print_summary(reports: &[SoakReport]) {
-    let sum = |count: fn(&SoakReport) -> u64| reports.iter().map(count).sum::<u64>();
-    let mut breaches: BTreeMap<String, usize> = BTreeMap::new();
+    let total = |count: fn(&SoakReport) -> u64| reports.iter().map(count).sum::<u64>();
+    let mut violations_by_rule: BTreeMap<String, usize> = BTreeMap::new();
     for violation in reports.iter().flat_map(|report| &report.violations) {
-        *breaches.entry(violation.rule.to_string()).or_default() += 1;
+        *violations_by_rule
+            .entry(violation.rule.to_string())
+            .or_default() += 1;
     }
-    let memory = reports
+    let memory_ratios = reports
         .iter()
         .map(|report| report.peak_memory_kb as f64 / 1024.0 / report.plan.memory_mb as f64);
-    let descriptors = reports
+    let descriptor_ratios = reports
         .iter()
         .map(|report| report.peak_descriptors as f64 / report.plan.descriptors as f64);
     println!(
         "{} runs: {} requests, {} final answers, {} served; peak use: {:.2} of the memory limit, {:.2} of the descriptor limit",
         reports.len(),
-        sum(|report| report.requests),
-        sum(|report| report.answers),
-        sum(|report| report.served),
-        memory.fold(0.0, f64::max),
-        descriptors.fold(0.0, f64::max),
+        total(|report| report.requests),
+        total(|report| report.answers),
+        total(|report| report.served),
+        memory_ratios.fold(0.0, f64::max),
+        descriptor_ratios.fold(0.0, f64::max),
     );
-    println!("breaches by rule: {breaches:?}");
+    println!("breaches by rule: {violations_by_rule:?}");
     for report in reports
         .iter()
         .filter(|report| !report.violations.is_empty())
--- a/crates/router-soak/src/run.rs
+++ b/crates/router-soak/src/run.rs
@@ -96,11 +96,12 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .expect("a runtime");
+        .expect("the tokio runtime can be built");
     LocalSet::new().block_on(&runtime, run_plan(plan))
 }
 
-/// Path of the `failing-system-calls` library. If unset, no system calls fail.
+/// Environment variable with the path of the `failing-system-calls` library. If it is unset, no
+/// system calls are made to fail.
 const FAILING_CALLS_VARIABLE: &str = "ASTERPORT_FAILING_CALLS";
 
 /// Path and seed of the library that makes system calls of the router fail, if the plan includes
@@ -276,7 +277,9 @@
         tokio::time::sleep(RESTART_PAUSE).await;
         self.servers[server].restart().await;
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
-        let born_ms = since_epoch.expect("a time").as_millis() as u64;
+        let born_ms = since_epoch
+            .expect("the clock is past the Unix epoch")
+            .as_millis() as u64;
         self.discovery.set_endpoint(server, Health::Up, born_ms);
     }
 
@@ -335,7 +338,9 @@
 
     fn log(&self) -> Vec<String> {
         let logs = self.logs.borrow();
-        let lines = logs.iter().map(|log| log.lock().expect("a log").clone());
+        let lines = logs
+            .iter()
+            .map(|log| log.lock().expect("the log lock is not poisoned").clone());
         lines.flatten().collect()
     }
 
@@ -395,7 +400,8 @@
         })
         .collect();
     let mut configuration = configuration(discovery.address, &[]);
-    let known: Value = serde_json::from_str(&discovery.snapshot()).expect("a list");
+    let known: Value =
+        serde_json::from_str(&discovery.snapshot()).expect("the endpoint list is valid JSON");
     configuration["known"] = known;
     configuration["limits"]["memory_mb"] = plan.memory_mb.into();
     configuration["limits"]["sockets"] = plan.descriptors.into();
--- a/crates/router-soak/src/server.rs
+++ b/crates/router-soak/src/server.rs
@@ -73,10 +73,14 @@
         max_service_ms: u64,
         recorder: Rc<Recorder>,
     ) -> Rc<Server> {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let listener = TcpListener::bind("127.0.0.1:0")
+            .await
+            .expect("a free loopback port");
         let server = Rc::new(Server {
             number,
-            address: listener.local_addr().expect("an address"),
+            address: listener
+                .local_addr()
+                .expect("a bound listener has an address"),
             faults: Cell::default(),
             max_service_ms,
             recorder,
--- a/crates/simulator-adapter/src/trace.rs
+++ b/crates/simulator-adapter/src/trace.rs
@@ -102,8 +102,8 @@
         let diagnostics: Vec<Diagnostics> = diagnostics.collect();
         self.next_line_at = now.plus(LINE_INTERVAL);
         let counts = std::mem::take(&mut self.counts);
-        let mean = |figure: fn(&Diagnostics) -> f64| {
-            diagnostics.iter().map(figure).sum::<f64>() / diagnostics.len().max(1) as f64
+        let mean = |value: fn(&Diagnostics) -> f64| {
+            diagnostics.iter().map(value).sum::<f64>() / diagnostics.len().max(1) as f64
         };
         let verdicts = self.verdict_columns(&diagnostics);
         writeln!(
