--- a/crates/router-soak/src/run.rs
+++ b/crates/router-soak/src/run.rs
@@ -1,6 +1,7 @@
-//! One run of the soak: starts the stand-ins and the router, plays the plan, ends the router, and reports.
+//! A run of the soak test: starts the fakes and the router, carries out the plan, shuts the router
+//! down, and reports.
 
-use crate::client::{Clients, open_crowd};
+use crate::client::{ClientPool, open_idle_connections};
 use crate::discovery::{Discovery, Health};
 use crate::plan::{Ending, FaultKind, LOAD_MS, PlannedFault, SoakPlan};
 use crate::recorder::Recorder;
@@ -17,54 +18,56 @@
 use test_support::{Platform, RouterProcess, configuration};
 use tokio::task::{LocalSet, spawn_blocking, spawn_local};
 
-/// Attempts of one request.
+/// Maximum number of attempts per request.
 pub(crate) const MAX_ATTEMPTS: usize = 5;
-/// SIGKILL comes no sooner than the longest deadline and this long after SIGTERM.
+/// Time that the router gets after SIGTERM on top of the longest deadline before it is killed.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
-/// New connections go on coming for this long after SIGTERM.
-const CONNECTS_AFTER_TERM: Duration = Duration::from_millis(400);
-/// A server that is listed as draining takes requests for this long, and is away for this long after its drain.
-const DRAIN_NOTICE: Duration = Duration::from_millis(300);
+/// Time after SIGTERM during which clients still open connections.
+const CONNECT_TIME_AFTER_TERM: Duration = Duration::from_millis(400);
+/// Time for which a server that is listed as draining still accepts requests.
+const DRAIN_DELAY: Duration = Duration::from_millis(300);
+/// Time between the end of a server process and its restart.
 const RESTART_PAUSE: Duration = Duration::from_millis(400);
-/// How often the router's memory and descriptors are looked at.
+/// Interval at which the router's memory and descriptors are sampled.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
-/// How long before the end of the load another process is started, and how long it lives where it is killed.
+/// Time before the end of the load at which a successor is started.
 const TAKEOVER_LEAD: Duration = Duration::from_millis(2_000);
-const SUCCESSOR_LIFE: Duration = Duration::from_millis(250);
-/// Ends of connections are excused for this long after a process was killed.
-const KILL_EXCUSE: Duration = Duration::from_millis(500);
+/// Time after which a successor that is to be killed is killed.
+const SUCCESSOR_LIFETIME: Duration = Duration::from_millis(250);
+/// Time after a process was killed during which ended connections are attributed to the kill.
+const KILL_GRACE: Duration = Duration::from_millis(500);
 
-/// Sets a fault of a server, or takes it back.
+/// Sets or clears a fault of a server.
 type SetFault = fn(&mut ServerFaults, bool);
 
-const HANGS: SetFault = |faults, holds| faults.hangs = holds;
-const MALFORMED: SetFault = |faults, holds| faults.is_malformed = holds;
-const RESETS: SetFault = |faults, holds| faults.resets = holds;
-const LATE: SetFault = |faults, holds| faults.is_late = holds;
-const LONG_VALUES: SetFault = |faults, holds| faults.has_long_values = holds;
-const PAUSED_VALUES: SetFault = |faults, holds| {
-    faults.has_long_values = holds;
-    faults.has_pauses = holds;
+const HANGING: SetFault = |faults, is_active| faults.hangs = is_active;
+const MALFORMED_REPLIES: SetFault = |faults, is_active| faults.sends_malformed_replies = is_active;
+const RESETTING: SetFault = |faults, is_active| faults.resets_connections = is_active;
+const LATE_FIRST_ANSWERS: SetFault = |faults, is_active| faults.delays_first_answer = is_active;
+const LONG_VALUES: SetFault = |faults, is_active| faults.has_long_values = is_active;
+const PAUSED_VALUES: SetFault = |faults, is_active| {
+    faults.has_long_values = is_active;
+    faults.pauses_long_values = is_active;
 };
-const VANISHED: SetFault = |faults, holds| faults.has_vanished = holds;
+const UNRESPONSIVE: SetFault = |faults, is_active| faults.is_unresponsive = is_active;
 
-/// What came of a run.
+/// Results of a run.
 pub struct SoakReport {
-    /// The plan.
+    /// Plan of the run.
     pub plan: SoakPlan,
-    /// Requests that clients sent.
+    /// Number of requests that clients sent.
     pub requests: u64,
-    /// Final answers that they received.
+    /// Number of final answers that clients received.
     pub answers: u64,
-    /// Those of them that served.
+    /// Number of those answers that are neither errors nor rejections.
     pub served: u64,
-    /// The rules that were broken.
+    /// Violations of the invariant checker's rules.
     pub violations: Vec<Violation>,
-    /// The most resident memory of one process, in KB.
+    /// Peak resident memory of one router process, in KiB.
     pub peak_memory_kb: usize,
-    /// The most descriptors of one process.
+    /// Peak number of descriptors of one router process.
     pub peak_descriptors: usize,
-    /// The log of the router's processes.
+    /// Log lines of the router processes.
     pub log: Vec<String>,
 }
 
@@ -87,46 +90,48 @@
     }
 }
 
-/// Plays the run of a seed. It takes the time that it lasts.
+/// Runs the plan of a seed in real time.
 pub fn soak(seed: u64) -> SoakReport {
     let plan = SoakPlan::draw(seed);
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .expect("a runtime");
-    LocalSet::new().block_on(&runtime, play(plan))
+        .expect("the tokio runtime can be built");
+    LocalSet::new().block_on(&runtime, run_plan(plan))
 }
 
-/// Names the library that lets system calls of the router fail; without it none do.
+/// Environment variable with the path of the `failing-system-calls` library. If it is unset, no
+/// system calls are made to fail.
 const FAILING_CALLS_VARIABLE: &str = "ASTERPORT_FAILING_CALLS";
 
-/// The library that is loaded into the router, and its seed, where the plan wants system calls to fail.
+/// Path and seed of the library that makes system calls of the router fail, if the plan includes
+/// such failures and the path is set.
 fn failing_calls(plan: &SoakPlan) -> Option<(PathBuf, u64)> {
     let library = std::env::var_os(FAILING_CALLS_VARIABLE).filter(|_| plan.has_failing_calls)?;
     Some((library.into(), plan.seed))
 }
 
-/// The parts of a run.
+/// State of a run.
 struct Run {
     plan: SoakPlan,
     recorder: Rc<Recorder>,
     servers: Vec<Rc<Server>>,
     discovery: Rc<Discovery>,
-    clients: Rc<Clients>,
+    clients: Rc<ClientPool>,
     platform: Arc<Platform>,
     configuration: Value,
-    /// The processes of the router, the newest last.
+    /// Router processes, the newest last.
     processes: RefCell<Vec<RouterProcess>>,
     logs: RefCell<Vec<Arc<Mutex<Vec<String>>>>>,
     peak_memory_kb: Cell<usize>,
     peak_descriptors: Cell<usize>,
 }
 
-async fn play(plan: SoakPlan) -> SoakReport {
+async fn run_plan(plan: SoakPlan) -> SoakReport {
     let recorder = Rc::new(Recorder::new(&plan));
     let mut servers = Vec::new();
     for number in 0..plan.servers {
-        let server = Server::start(number, plan.seed, plan.service_ms, recorder.clone());
+        let server = Server::start(number, plan.seed, plan.max_service_ms, recorder.clone());
         servers.push(server.await);
     }
     let discovery = Discovery::start(&servers, recorder.clone()).await;
@@ -134,7 +139,7 @@
     platform.failing_calls = failing_calls(&plan);
     let platform = Arc::new(platform);
     let run = Rc::new(Run {
-        clients: Clients::new(&plan, platform.addr(), recorder.clone()),
+        clients: ClientPool::new(&plan, platform.addr(), recorder.clone()),
         configuration: router_configuration(&plan, &discovery),
         recorder,
         servers,
@@ -147,23 +152,23 @@
         plan,
     });
     run.start_process().await;
-    run.recorder.router_started(&run.discovery.whole_list());
+    run.recorder.router_started(&run.discovery.snapshot());
     spawn_local(run.clone().sample());
-    let crowd = open_crowd(run.platform.addr(), run.plan.crowd).await;
+    let idle_clients = open_idle_connections(run.platform.addr(), run.plan.idle_clients).await;
     for _ in 0..run.plan.clients {
         spawn_local(run.clients.clone().run());
     }
     for fault in run.plan.faults.clone() {
-        spawn_local(run.clone().bring_about(fault));
+        spawn_local(run.clone().inject(fault));
     }
     tokio::time::sleep(Duration::from_millis(LOAD_MS) - TAKEOVER_LEAD).await;
-    run.end().await;
-    drop(crowd);
+    run.shut_down().await;
+    drop(idle_clients);
     run.report()
 }
 
 impl Run {
-    /// Starts a process of the router, which takes over from the one before.
+    /// Starts a router process, which takes over from a running one.
     async fn start_process(&self) {
         let (platform, configuration) = (self.platform.clone(), self.configuration.clone());
         let starting = spawn_blocking(move || platform.start(&configuration));
@@ -172,7 +177,7 @@
         self.processes.borrow_mut().push(process);
     }
 
-    /// Looks at the processes' memory and descriptors for as long as the run lasts.
+    /// Samples memory and descriptors of the router processes for the whole run.
     async fn sample(self: Rc<Self>) {
         loop {
             tokio::time::sleep(SAMPLE_INTERVAL).await;
@@ -187,7 +192,8 @@
         }
     }
 
-    async fn bring_about(self: Rc<Self>, fault: PlannedFault) {
+    /// Carries out a fault of the plan at its time.
+    async fn inject(self: Rc<Self>, fault: PlannedFault) {
         tokio::time::sleep(Duration::from_millis(fault.at_ms)).await;
         let duration = Duration::from_millis(fault.duration_ms);
         match fault.kind {
@@ -207,26 +213,36 @@
                 self.servers[server].kill();
                 self.restart(server).await;
             }
-            FaultKind::Hang(server) => self.impair(&[server], duration, HANGS).await,
-            FaultKind::Malformed(server) => self.impair(&[server], duration, MALFORMED).await,
-            FaultKind::Resets(server) => self.impair(&[server], duration, RESETS).await,
-            FaultKind::LateConnections(server) => self.impair(&[server], duration, LATE).await,
+            FaultKind::Hang(server) => self.inject_server_fault(&[server], duration, HANGING).await,
+            FaultKind::Malformed(server) => {
+                self.inject_server_fault(&[server], duration, MALFORMED_REPLIES)
+                    .await
+            }
+            FaultKind::Resets(server) => {
+                self.inject_server_fault(&[server], duration, RESETTING)
+                    .await
+            }
+            FaultKind::LateConnections(server) => {
+                self.inject_server_fault(&[server], duration, LATE_FIRST_ANSWERS)
+                    .await
+            }
             FaultKind::LongValues => {
-                self.impair(&self.all_servers(), duration, LONG_VALUES)
+                self.inject_server_fault(&self.all_servers(), duration, LONG_VALUES)
                     .await
             }
             FaultKind::PausedValues => {
-                self.impair(&self.all_servers(), duration, PAUSED_VALUES)
+                self.inject_server_fault(&self.all_servers(), duration, PAUSED_VALUES)
                     .await;
             }
             FaultKind::Vanish(server) => {
-                self.impair(&[server], duration, VANISHED).await;
+                self.inject_server_fault(&[server], duration, UNRESPONSIVE)
+                    .await;
                 self.servers[server].kill();
                 self.restart(server).await;
             }
-            FaultKind::ClientsLeave => hold(&self.clients.are_leaving, duration).await,
-            FaultKind::LongWrites => hold(&self.clients.write_long_values, duration).await,
-            FaultKind::SlowReaders => hold(&self.clients.read_slowly, duration).await,
+            FaultKind::ClientsLeave => set_during(&self.clients.disconnect_early, duration).await,
+            FaultKind::LongWrites => set_during(&self.clients.write_long_values, duration).await,
+            FaultKind::SlowReaders => set_during(&self.clients.read_slowly, duration).await,
         }
     }
 
@@ -234,11 +250,11 @@
         (0..self.servers.len()).collect()
     }
 
-    /// Sets a fault of servers, and takes it back.
-    async fn impair(&self, servers: &[usize], duration: Duration, set: SetFault) {
-        let set_all = |holds| {
+    /// Sets a fault on servers for a duration.
+    async fn inject_server_fault(&self, servers: &[usize], duration: Duration, set: SetFault) {
+        let set_all = |is_active| {
             for &server in servers {
-                self.servers[server].change(|faults| set(faults, holds));
+                self.servers[server].change(|faults| set(faults, is_active));
             }
         };
         set_all(true);
@@ -248,8 +264,9 @@
 
     async fn drain(&self, server: usize, duration: Duration) {
         let born_ms = self.discovery.born_ms(server);
-        self.discovery.set(server, Health::Draining, born_ms);
-        tokio::time::sleep(DRAIN_NOTICE).await;
+        self.discovery
+            .set_endpoint(server, Health::Draining, born_ms);
+        tokio::time::sleep(DRAIN_DELAY).await;
         self.servers[server].change(|faults| faults.is_draining = true);
         tokio::time::sleep(duration).await;
         self.servers[server].kill();
@@ -260,12 +277,14 @@
         tokio::time::sleep(RESTART_PAUSE).await;
         self.servers[server].restart().await;
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
-        let born_ms = since_epoch.expect("a time").as_millis() as u64;
-        self.discovery.set(server, Health::Up, born_ms);
+        let born_ms = since_epoch
+            .expect("the clock is past the Unix epoch")
+            .as_millis() as u64;
+        self.discovery.set_endpoint(server, Health::Up, born_ms);
     }
 
-    /// Ends the router, as planned, and waits until the earliest time of SIGKILL.
-    async fn end(&self) {
+    /// Shuts the router down as planned, and kills it once its time is over.
+    async fn shut_down(&self) {
         match self.plan.ending {
             Ending::TermInTakeover => {
                 self.start_process().await;
@@ -273,27 +292,27 @@
             }
             Ending::SuccessorKilled => {
                 self.start_process().await;
-                tokio::time::sleep(SUCCESSOR_LIFE).await;
-                self.recorder.process_killed(KILL_EXCUSE);
+                tokio::time::sleep(SUCCESSOR_LIFETIME).await;
+                self.recorder.process_killed(KILL_GRACE);
                 let successor = self.processes.borrow_mut().pop();
                 drop(successor);
             }
             _ => {}
         }
         tokio::time::sleep(TAKEOVER_LEAD).await;
-        self.signal_end();
-        let told_at = Instant::now();
+        self.send_shutdown_signals();
+        let terminated_at = Instant::now();
         self.clients
             .connect_until
-            .set(Some(told_at + CONNECTS_AFTER_TERM));
+            .set(Some(terminated_at + CONNECT_TIME_AFTER_TERM));
         let longest = Duration::from_millis(self.plan.longest_deadline_ms());
-        tokio::time::sleep_until((told_at + longest + KILL_MARGIN).into()).await;
+        tokio::time::sleep_until((terminated_at + longest + KILL_MARGIN).into()).await;
         self.processes.borrow_mut().clear();
-        // The ends of connections that the kill made are seen by their clients.
+        // Gives clients time to notice the connections that the kill closed.
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
 
-    fn signal_end(&self) {
+    fn send_shutdown_signals(&self) {
         let processes = self.processes.borrow();
         let Some(process) = processes.last() else {
             return;
@@ -319,19 +338,28 @@
 
     fn log(&self) -> Vec<String> {
         let logs = self.logs.borrow();
-        let lines = logs.iter().map(|log| log.lock().expect("a log").clone());
+        let lines = logs
+            .iter()
+            .map(|log| log.lock().expect("the log lock is not poisoned").clone());
         lines.flatten().collect()
     }
 
     fn report(&self) -> SoakReport {
         let limit_kb = self.plan.memory_mb * 1024;
         if self.peak_memory_kb.get() > limit_kb {
-            let text = format!("{} KB of {limit_kb}", self.peak_memory_kb.get());
-            self.recorder.limit_passed(text);
+            let text = format!(
+                "{} KiB resident, the limit is {limit_kb}",
+                self.peak_memory_kb.get()
+            );
+            self.recorder.record_exceeded_limit(text);
         }
         if self.peak_descriptors.get() > self.plan.descriptors {
-            let text = format!("{} descriptors", self.peak_descriptors.get());
-            self.recorder.limit_passed(text);
+            let limit = self.plan.descriptors;
+            let text = format!(
+                "{} descriptors, the limit is {limit}",
+                self.peak_descriptors.get()
+            );
+            self.recorder.record_exceeded_limit(text);
         }
         SoakReport {
             plan: self.plan.clone(),
@@ -346,11 +374,11 @@
     }
 }
 
-/// Sets a fault of clients, and takes it back.
-async fn hold(fault: &Cell<bool>, duration: Duration) {
-    fault.set(true);
+/// Sets a flag for a duration.
+async fn set_during(flag: &Cell<bool>, duration: Duration) {
+    flag.set(true);
     tokio::time::sleep(duration).await;
-    fault.set(false);
+    flag.set(false);
 }
 
 fn router_configuration(plan: &SoakPlan, discovery: &Discovery) -> Value {
@@ -367,12 +395,13 @@
         .map(|(number, (name, (effect, group)))| {
             let give_up = plan.deadlines_ms[number.min(1)] as f64 / 1_000.0;
             json!({"name": name, "effect": effect, "group": group,
-                "memory_span": plan.deduplication_ms as f64 / 1_000.0, "target": give_up / 3.0,
+                "memory_span": plan.deduplication_window_ms as f64 / 1_000.0, "target": give_up / 3.0,
                 "give_up": give_up, "credit": 1.0, "late_value": 0.5})
         })
         .collect();
     let mut configuration = configuration(discovery.address, &[]);
-    let known: Value = serde_json::from_str(&discovery.whole_list()).expect("a list");
+    let known: Value =
+        serde_json::from_str(&discovery.snapshot()).expect("the endpoint list is valid JSON");
     configuration["known"] = known;
     configuration["limits"]["memory_mb"] = plan.memory_mb.into();
     configuration["limits"]["sockets"] = plan.descriptors.into();
@@ -380,7 +409,7 @@
     settings["request_classes"] = classes.into();
     settings["zones"] = json!(["z0", "z1"]);
     settings["zone"] = "z0".into();
-    settings["discovery"] = if plan.is_push {
+    settings["discovery"] = if plan.lists_are_pushed {
         "automatic"
     } else {
         "subscribe"
@@ -392,14 +421,14 @@
     configuration
 }
 
-/// The resident memory of a process, in KB; none if it has ended.
+/// Resident memory of a process, in KiB; `None` if the process has ended.
 fn resident_kb(pid: u32) -> Option<usize> {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
     let line = status.lines().find(|line| line.starts_with("VmRSS"))?;
     line.split_whitespace().nth(1)?.parse().ok()
 }
 
-/// The descriptors of a process; none if it has ended.
+/// Number of descriptors of a process; `None` if the process has ended.
 fn descriptor_count(pid: u32) -> Option<usize> {
     Some(std::fs::read_dir(format!("/proc/{pid}/fd")).ok()?.count())
 }
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,4 +1,5 @@
-//! The names of the simulator's wire, mapped to events and actions. They are a protocol and do not change.
+//! Mapping between the simulator's line protocol and the router's events and actions. The names of
+//! the protocol are defined by the simulator.
 
 use crate::error::WireError;
 use crate::line::Line;
@@ -10,21 +11,21 @@
 };
 use std::io::{self, Write};
 
-/// The weight of a server for which none is given.
+/// Weight of a server without a weight in the protocol.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// The `path=value` pairs of a router's first message.
-pub fn pairs(text: &str) -> Result<Vec<(&str, &str)>, WireError> {
+/// Splits the settings of an `up` line into pairs of path and value.
+pub fn split_settings(text: &str) -> Result<Vec<(&str, &str)>, WireError> {
     let pairs = text.split('\t').filter(|pair| !pair.is_empty());
-    pairs.map(split_pair).collect()
+    pairs.map(split_setting).collect()
 }
 
-fn split_pair(pair: &str) -> Result<(&str, &str), WireError> {
+fn split_setting(pair: &str) -> Result<(&str, &str), WireError> {
     pair.split_once('=')
         .ok_or_else(|| WireError::SettingWithoutValue { pair: pair.into() })
 }
 
-/// Whether a line is an event of a router that runs.
+/// Whether lines of this name are events for a running router.
 pub fn is_event(name: &str) -> bool {
     matches!(
         name,
@@ -32,7 +33,7 @@
     )
 }
 
-/// How many `item` lines follow an event.
+/// Number of `item` lines that follow an event.
 pub fn item_count(line: &Line<'_>) -> Result<u64, WireError> {
     if line.name() != "membership" {
         return Ok(0);
@@ -40,10 +41,10 @@
     let count = line.rest().split('\t').nth(2).unwrap_or("");
     count
         .parse()
-        .map_err(|_| line.unreadable("items", count, "a whole number"))
+        .map_err(|_| line.invalid_value("items", count, "a whole number"))
 }
 
-/// Reads an event; `None` for one that this router does not use.
+/// Reads an event; `None` if the router does not use events of this kind.
 pub fn event(
     line: &mut Line<'_>,
     names: &Names,
@@ -68,14 +69,14 @@
     Ok(Some(event))
 }
 
-/// Reads an update of the endpoint list; its entries follow as items.
+/// Reads an endpoint list update; its entries follow as `item` lines.
 fn endpoints_changed(line: &mut Line<'_>) -> Result<Event, WireError> {
     let update = match line.text("mode")? {
         "incr" => EndpointUpdate::Delta,
         "total" => EndpointUpdate::Snapshot,
         "warm_copy" => EndpointUpdate::Restored,
         "lost" => EndpointUpdate::WatchLost,
-        other => return Err(line.unreadable("mode", other, "known")),
+        other => return Err(line.invalid_value("mode", other, "known")),
     };
     line.integer("stamp")?;
     Ok(Event::EndpointsChanged {
@@ -90,12 +91,12 @@
 
 fn request(line: &mut Line<'_>, names: &Names) -> Result<Request, WireError> {
     let id = line.request_id()?;
-    let class = line.one_of("class", &names.classes)?;
+    let class = line.name_index("class", &names.classes)?;
     let class = class.ok_or_else(|| WireError::AbsentField {
         line: line.name().into(),
         field: "class",
     })?;
-    let tenant = line.one_of("owner", &names.tenants)?.map(TenantId);
+    let tenant = line.name_index("owner", &names.tenants)?.map(TenantId);
     let key = line.optional("object", "a key")?;
     let expires = line.time("expires")?;
     let cost_hint = line.optional_time("size_hint")?;
@@ -150,11 +151,11 @@
         "withdrawn" => Outcome::Cancelled,
         "void" => Outcome::NotSent,
         "absent" => Outcome::Miss,
-        other => return Err(line.unreadable("code", other, "known")),
+        other => return Err(line.invalid_value("code", other, "known")),
     })
 }
 
-/// Reads one `item` line: an entry of the endpoint list.
+/// Reads an `item` line: an entry of the endpoint list.
 pub fn endpoint(line: &mut Line<'_>, names: &Names) -> Result<Endpoint, WireError> {
     if line.name() != "item" {
         return Err(WireError::UnexpectedLine {
@@ -165,9 +166,9 @@
     let cell = CellId(line.optional("bay", "a whole number")?.unwrap_or(0));
     let server = ServerId::from(line.text("server")?);
     let state = endpoint_state(line)?;
-    let zone = line.one_of("dc", &names.zones)?.map(ZoneId);
+    let zone = line.name_index("dc", &names.zones)?.map(ZoneId);
     let kind = line
-        .one_of("class_of_host", &names.kinds)?
+        .name_index("class_of_host", &names.kinds)?
         .map(MachineKindId);
     let started = line.optional_time("start_time")?.unwrap_or_default();
     let weight = line.optional("weight", "a number")?;
@@ -187,14 +188,14 @@
         "Running" => EndpointState::Ready,
         "Stopping" => EndpointState::Draining,
         "Deleted" => EndpointState::Removed,
-        other => return Err(line.unreadable("state", other, "known")),
+        other => return Err(line.invalid_value("state", other, "known")),
     })
 }
 
-/// Writes one action of a router.
+/// Writes an action of a router.
 pub fn write_action(output: &mut impl Write, router: u64, action: &Action) -> io::Result<()> {
     match action {
-        // The simulator writes a command the moment it is sent: `write_within` always holds.
+        // The simulator writes a command immediately, so `write_within` is never exceeded.
         Action::Send {
             id,
             server,
@@ -218,21 +219,21 @@
         }
         Action::CloseIdle { server } => writeln!(output, "let_go\t{router}\t{server}"),
         Action::Subscribe => writeln!(output, "follow\t{router}\t1"),
-        Action::Log(text) => writeln!(output, "emit\t{router}\t{}", one_line(text)),
+        Action::Log(text) => writeln!(output, "emit\t{router}\t{}", without_separators(text)),
     }
 }
 
-/// Writes that a router panicked.
+/// Reports the panic of a router.
 pub fn write_crash(output: &mut impl Write, router: u64, cause: &str) -> io::Result<()> {
-    writeln!(output, "crash\t{router}\t{}", one_line(cause))
+    writeln!(output, "crash\t{router}\t{}", without_separators(cause))
 }
 
-/// Writes that all events of a batch are taken in.
-pub fn write_yield(output: &mut impl Write) -> io::Result<()> {
+/// Reports that all events of a batch are processed.
+pub fn write_batch_end(output: &mut impl Write) -> io::Result<()> {
     output.write_all(b"yield\n")
 }
 
-/// A text as one value of a line.
-fn one_line(text: &str) -> String {
+/// Replaces line breaks and tabs, so that the text is one value of a line.
+fn without_separators(text: &str) -> String {
     text.replace(['\n', '\t'], " ")
 }
--- a/crates/traffic-replay/src/log_format/apache.rs
+++ b/crates/traffic-replay/src/log_format/apache.rs
@@ -1,16 +1,16 @@
-//! Apache's `LogFormat` (mod_log_config): `%` directives among literal text.
+//! Compiles Apache's `LogFormat` (mod_log_config): `%` directives and literal text.
 
 use super::LogFormat;
 use super::compiler::FormatCompiler;
 use super::error::{FormatError, FormatProblem};
 use super::field::{FieldName, OwnedFieldName};
 
-/// A directive at the beginning of a format's rest.
+/// A parsed `%` directive.
 struct Directive<'a> {
-    /// What stands in braces.
+    /// Text in braces before the letter.
     argument: Option<&'a str>,
     letter: char,
-    /// Its length in the format, `%` included.
+    /// Length of the directive in the format, including `%`.
     format_bytes: usize,
 }
 
@@ -20,7 +20,7 @@
     while let Some(rest) = compiler.rest() {
         match rest.strip_prefix('%') {
             Some(after_percent) if after_percent.starts_with('%') => {
-                compiler.literal("%", "%%".len());
+                compiler.push_literal("%", "%%".len());
             }
             Some(after_percent) => compile_directive(&mut compiler, after_percent)?,
             None => compiler.literal_until('%'),
@@ -38,14 +38,14 @@
         let letter = directive.letter;
         return Err(compiler.error(FormatProblem::UnknownDirective { letter }));
     };
-    // Apache writes `%t` in brackets.
+    // Apache writes the value of a plain `%t` in square brackets.
     let has_brackets = directive.letter == 't' && directive.argument.is_none();
     if has_brackets {
-        compiler.literal("[", 0);
+        compiler.push_literal("[", 0);
     }
-    compiler.field(name, directive.format_bytes)?;
+    compiler.push_field(name, directive.format_bytes)?;
     if has_brackets {
-        compiler.literal("]", 0);
+        compiler.push_literal("]", 0);
     }
     Ok(())
 }
@@ -54,10 +54,10 @@
     let after_modifiers = after_percent.trim_start_matches(is_modifier);
     let (argument, after_argument) = match after_modifiers.strip_prefix('{') {
         Some(inner) => {
-            let (argument, behind) = inner
+            let (argument, remaining) = inner
                 .split_once('}')
                 .ok_or(FormatProblem::UnclosedDirective)?;
-            (Some(argument), behind)
+            (Some(argument), remaining)
         }
         None => (None, after_modifiers),
     };
@@ -65,20 +65,21 @@
         .chars()
         .next()
         .ok_or(FormatProblem::UnfinishedDirective)?;
-    let behind = &after_argument[letter.len_utf8()..];
+    let remaining = &after_argument[letter.len_utf8()..];
     Ok(Directive {
         argument,
         letter,
-        format_bytes: "%".len() + after_percent.len() - behind.len(),
+        format_bytes: "%".len() + after_percent.len() - remaining.len(),
     })
 }
 
-/// Conditions on the status and the choice of original or final request. They change no field's form.
+/// Whether the character belongs to a status condition or selects the original or final request.
+/// Neither changes the form of the field.
 fn is_modifier(c: char) -> bool {
     c.is_ascii_digit() || matches!(c, ',' | '!' | '<' | '>')
 }
 
-/// The field of a directive; `None` if that is not known.
+/// Field that a directive writes; `None` if the directive is unknown.
 fn field_name(letter: char, argument: Option<&str>) -> Option<OwnedFieldName> {
     let name = match (letter, argument) {
         ('h' | 'a', _) => FieldName::Client,
@@ -86,7 +87,7 @@
         ('t', Some("sec")) => FieldName::TimeSeconds,
         ('t', Some("msec")) => FieldName::TimeMillis,
         ('t', Some("usec")) => FieldName::TimeMicros,
-        // Any other argument is a format of strftime.
+        // Any other argument is a strftime format.
         ('t', Some(_)) => return None,
         ('r', _) => FieldName::Request,
         ('m', _) => FieldName::Method,
@@ -94,9 +95,9 @@
         ('q', _) => FieldName::Query,
         ('s', _) => FieldName::Status,
         ('b' | 'B', _) => FieldName::Bytes,
-        ('D', _) | ('T', Some("us")) => FieldName::TookMicros,
-        ('T', Some("ms")) => FieldName::TookMillis,
-        ('T', None | Some("s")) => FieldName::TookSeconds,
+        ('D', _) | ('T', Some("us")) => FieldName::DurationMicros,
+        ('T', Some("ms")) => FieldName::DurationMillis,
+        ('T', None | Some("s")) => FieldName::DurationSeconds,
         ('i', Some(header)) => return Some(OwnedFieldName::Header(header.to_ascii_lowercase())),
         ('i', None) => return None,
         (letter, argument) if letter.is_ascii_alphabetic() => {
--- a/crates/traffic-replay/src/log_format/nginx.rs
+++ b/crates/traffic-replay/src/log_format/nginx.rs
@@ -1,14 +1,15 @@
-//! nginx's `log_format` (ngx_http_log_module): `$name` and `${name}` among literal text.
+//! Compiles nginx's `log_format` (ngx_http_log_module): `$name` and `${name}` variables and literal
+//! text.
 
 use super::LogFormat;
 use super::compiler::FormatCompiler;
 use super::error::{FormatError, FormatProblem};
 use super::field::{FieldName, OwnedFieldName};
 
-/// A variable at the beginning of a format's rest.
+/// A parsed variable.
 struct Variable<'a> {
     name: &'a str,
-    /// Its length in the format, `$` and braces included.
+    /// Length of the variable in the format, including `$` and braces.
     format_bytes: usize,
 }
 
@@ -19,7 +20,7 @@
             Some(after_dollar) => {
                 let variable =
                     parse_variable(after_dollar).map_err(|problem| compiler.error(problem))?;
-                compiler.field(field_name(variable.name), variable.format_bytes)?;
+                compiler.push_field(field_name(variable.name), variable.format_bytes)?;
             }
             None => compiler.literal_until('$'),
         }
@@ -69,7 +70,7 @@
         "args" | "query_string" => FieldName::Query,
         "status" => FieldName::Status,
         "body_bytes_sent" => FieldName::Bytes,
-        "request_time" => FieldName::TookSeconds,
+        "request_time" => FieldName::DurationSeconds,
         _ => {
             return match variable.strip_prefix("http_") {
                 Some(header) => {
