--- a/crates/router-simulation/tests/drawn_runs.rs
+++ b/crates/router-simulation/tests/drawn_runs.rs
@@ -1,4 +1,4 @@
-//! Drawn runs: they repeat to the step, keep the rules, and catch what is mutated.
+//! Drawn runs are reproducible to the step, keep the rules, and detect mutations.
 
 use router_simulation::campaign;
 use router_simulation::fault_plan::{FAULT_PAIR_COUNT, FaultKind, RunPlan};
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_seed_plays_alike_in_two_runs_and_on_two_threads() {
+fn a_seed_gives_equal_runs_on_every_thread() {
     for seed in [0, 7, 101] {
         let plan = RunPlan::draw(seed, &[]);
         let first = simulate(&plan, Recording::Violations).digest;
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn seeds_play_alike_in_two_processes_and_whatever_the_number_of_jobs() {
+fn seeds_give_equal_runs_in_every_process_and_for_any_number_of_threads() {
     let runs: Vec<String> = ["1", "2", "3"]
         .iter()
         .map(|thread_count| {
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn each_plan_has_the_size_and_the_overlap_that_is_wanted() {
+fn each_plan_has_enough_processes_and_overlapping_faults() {
     for seed in 0..200 {
         let plan = RunPlan::draw(seed, &[]);
         assert!(
@@ -69,7 +69,7 @@
             "seed {seed}"
         );
         assert!(plan.faults.len() >= 3, "seed {seed}");
-        let begun = plan
+        let last_start = plan
             .faults
             .iter()
             .map(|fault| fault.at)
@@ -78,14 +78,14 @@
         assert!(
             plan.faults
                 .iter()
-                .all(|fault| fault.at + fault.duration > begun),
-            "seed {seed}: all overlap"
+                .all(|fault| fault.at + fault.duration > last_start),
+            "seed {seed}: not all faults overlap"
         );
     }
 }
 
 #[test]
-fn each_pair_of_faults_meets_once_in_as_many_seeds_as_there_are_pairs() {
+fn each_pair_of_faults_occurs_in_as_many_seeds_as_there_are_pairs() {
     let mut met = std::collections::BTreeSet::new();
     for seed in 0..FAULT_PAIR_COUNT {
         let plan = RunPlan::draw(seed, &[]);
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn only_named_faults_are_drawn_where_some_are_named() {
+fn only_allowed_faults_are_drawn() {
     let plan = RunPlan::draw(5, &[FaultKind::Unresponsive, FaultKind::ConnectsIgnored]);
     assert!(plan.faults.iter().all(|fault| matches!(
         fault.kind,
@@ -111,13 +111,14 @@
     )));
 }
 
-/// Days on which the program broke a rule before it was mended: keyed repeats that outlasted their memory while they
-/// waited for a connection (2231, 4567, 4587), cold servers pushed over by few routers with long requests (99, 3197,
-/// 9509, 9927). A change of the draw makes other runs of them; tests/scenarios.rs has the first to the microsecond.
+/// Seeds of runs that violated a rule: keyed requests were repeated after the deduplication window
+/// because they waited for a connection (2231, 4567, 4587), and few routers with long requests
+/// overloaded servers in slow start (99, 3197, 9509, 9927). The seeds give other runs if the
+/// drawing changes; tests/scenarios.rs reproduces the former at an exact microsecond.
 const REGRESSIONS: [u64; 7] = [99, 2231, 3197, 4567, 4587, 9509, 9927];
 
 #[test]
-fn runs_that_once_broke_a_rule_break_none() {
+fn runs_with_former_violations_have_none() {
     for seed in REGRESSIONS {
         let report = simulate(&RunPlan::draw(seed, &[]), Recording::Violations);
         assert!(
@@ -129,7 +130,7 @@
 }
 
 #[test]
-fn crowds_of_five_hundred_share_answers_and_a_seed_plays_alike() {
+fn crowds_share_answers_and_their_runs_are_reproducible() {
     for seed in [3, 107] {
         let plan = RunPlan::draw_coalescing(seed, &[]);
         assert!(plan.crowds.iter().all(|crowd| crowd.requests.len() == 500));
@@ -151,10 +152,11 @@
     }
 }
 
-/// Days on which the rig itself was unfair to joined reads: a flight's connection that came up late (566), an answer
-/// without its load report (1080), a full window between two answers (2049).
+/// Seeds of runs with violations that the checker reported wrongly: the connection of a flight was
+/// established late (566), an answer came without its load report (1080), a receive window was full
+/// between two answers (2049).
 #[test]
-fn runs_with_crowds_that_once_failed_do_not() {
+fn runs_with_crowds_and_former_violations_have_none() {
     for seed in [566, 1080, 2049] {
         let report = simulate(&RunPlan::draw_coalescing(seed, &[]), Recording::Violations);
         assert!(
@@ -166,7 +168,7 @@
 }
 
 #[test]
-fn arguments_that_cannot_be_used_get_one_plain_line_and_code_2() {
+fn invalid_arguments_get_one_line_and_exit_code_2() {
     for arguments in [
         &["run", "--seeds", "9..3"][..],
         &["run", "--seeds", "much"],
@@ -185,7 +187,7 @@
 }
 
 #[test]
-fn a_replay_shows_the_run_its_steps_and_its_verdict() {
+fn a_replay_shows_the_faults_the_steps_and_the_result() {
     let output = command(&["replay", "3", "--until", "5"]);
     assert_eq!(output.status.code(), Some(0));
     let output = text(&output);
@@ -205,14 +207,15 @@
 
 #[cfg(not(feature = "mutations"))]
 #[test]
-fn without_the_feature_there_is_no_mutation() {
+fn mutations_need_the_feature() {
     assert_eq!(command(&["mutants"]).status.code(), Some(2));
 }
 
-/// With the mutations built in: a failing run shrinks to less that fails still, and its replay fails alike.
+/// A run with a violation shrinks to a smaller one that still has it, and its replay has the same
+/// digest.
 #[cfg(feature = "mutations")]
 #[test]
-fn a_failing_run_shrinks_and_replays_alike() {
+fn a_run_with_a_violation_shrinks_and_its_replay_is_equal() {
     use router_runtime::mutation::{Mutation, activate};
     activate(Some(Mutation::RetriesNotIdempotent));
     let failing = (0..200)
@@ -223,8 +226,8 @@
                 .iter()
                 .any(|violation| violation.rule == Rule::Effects)
         })
-        .expect("a day that shows the bug");
-    let least = campaign::shrink(&failing, Rule::Effects).expect("it fails");
+        .expect("a run with the violation");
+    let least = campaign::shrink(&failing, Rule::Effects).expect("the plan has the violation");
     let (first, again) = (
         simulate(&least, Recording::Violations),
         simulate(&least, Recording::Trace),
@@ -248,22 +251,23 @@
         simulate(&least, Recording::Violations)
             .violations
             .is_empty(),
-        "without the bug the day is clean"
+        "no violation without the mutation"
     );
 }
 
 #[cfg(not(feature = "mutations"))]
 #[test]
-fn a_clean_run_does_not_shrink() {
+fn a_run_without_violations_does_not_shrink() {
     assert_eq!(
         campaign::shrink(&RunPlan::draw(3, &[]), Rule::Effects),
         None
     );
 }
 
-/// A run's world holds itself by its timers: they have to be let go of, or 10,000 runs fill any machine.
+/// Guards against a memory leak: the timers of a run refer to its state, and have to be released at
+/// its end.
 #[test]
-fn runs_leave_no_memory_behind() {
+fn runs_release_their_memory() {
     let kilobytes = || -> usize {
         let status = std::fs::read_to_string("/proc/self/statm").expect("the process's memory");
         let pages: usize = status
@@ -273,13 +277,13 @@
             .expect("resident pages");
         pages * 4
     };
-    let play_some = || {
+    let simulate_runs = || {
         (0..40).for_each(|seed| drop(simulate(&RunPlan::draw(seed, &[]), Recording::Violations)))
     };
-    play_some();
+    simulate_runs();
     let before = kilobytes();
-    play_some();
+    simulate_runs();
     let grown = kilobytes().saturating_sub(before);
-    // A world that is kept takes 2 MB and more.
-    assert!(grown < 40 * 1024, "{grown} KB more after 40 days");
+    // The state of one run takes at least 2 MB.
+    assert!(grown < 40 * 1024, "{grown} KB more after 40 runs");
 }
--- a/crates/router-simulation/tests/failing_system_calls.rs
+++ b/crates/router-simulation/tests/failing_system_calls.rs
@@ -1,4 +1,5 @@
-//! System calls of the router that fail for a moment, as Linux documents for them, at an exact microsecond.
+//! System calls of the router that fail temporarily at an exact microsecond, with the errors that
+//! Linux documents for them.
 
 use router_simulation::executor::Time;
 use router_simulation::fault_plan::{FaultKind, MILLI, RunPlan, SECOND};
@@ -7,7 +8,7 @@
 use router_simulation::scenario::{LATENCY, ReceivedChunks, Scenario};
 
 const DEADLINE: Time = 500 * MILLI;
-/// A process that is told to stop accepts clients for so long.
+/// How long a process accepts clients after SIGTERM.
 const ACCEPTS_AFTER_STOP: Time = 550 * MILLI;
 
 fn is_served(received: &ReceivedChunks) -> bool {
@@ -15,9 +16,10 @@
     chunks.iter().any(|chunk| chunk.bytes.starts_with(b"*"))
 }
 
-/// Guards against a failed accept at the end of a process that resets the connections behind it in the queue.
+/// Guards against a failed accept at the end of a process that resets the connections behind it in
+/// the queue.
 #[test]
-fn a_failed_accept_after_the_stop_loses_no_connection_behind_it() {
+fn a_failed_accept_after_sigterm_loses_no_connection_behind_it() {
     let errors = [
         libc::ECONNABORTED,
         libc::EINTR,
@@ -34,7 +36,7 @@
         scenario.terminate();
         let end = SECOND + ACCEPTS_AFTER_STOP;
         scenario.fail_system_calls(SystemCall::Accept, &[error, error, error]);
-        // A client connects as soon as it is made.
+        // A client connects when it is created.
         let clients = [12, 8, 3].map(|before| {
             scenario.run_until(end - LATENCY - before * MILLI);
             scenario.request_at(end - before * MILLI + LATENCY, 0, before, DEADLINE)
@@ -46,7 +48,7 @@
     }
 }
 
-/// Guards against a failed accept that keeps all clients waiting though it concerned one of them.
+/// Guards against a failed accept that delays all clients although it concerns only one connection.
 #[test]
 fn an_aborted_connection_delays_no_other_client() {
     let scenario = Scenario::new(1, 1);
@@ -57,9 +59,10 @@
     assert!(is_served(&received));
 }
 
-/// Guards against failures of this machine that count against a cache server and use up a request's attempts.
+/// Guards against errors of the router's machine that count against a cache server and use up the
+/// attempts of a request.
 #[test]
-fn a_connect_that_fails_on_this_machine_is_tried_again_at_the_same_server() {
+fn a_connect_that_fails_locally_is_retried_at_the_same_server() {
     let errors = [
         libc::EADDRNOTAVAIL,
         libc::ENETUNREACH,
@@ -79,14 +82,15 @@
     let counts = [0, 1].map(|server| scenario.received_requests(server).len());
     assert!(
         counts.contains(&2),
-        "both at the owner of the key: {counts:?}"
+        "both requests go to the owner of the key: {counts:?}"
     );
     assert!(scenario.violations().is_empty());
 }
 
-/// Guards against a request that is tried for ever, or without its final answer, where no connect succeeds.
+/// Guards against a request that is retried forever, or that gets no final answer, if no connect
+/// succeeds.
 #[test]
-fn where_each_connect_fails_a_request_gets_its_final_answer_in_time() {
+fn a_request_gets_its_final_answer_in_time_if_each_connect_fails() {
     let scenario = Scenario::new(2, 1);
     scenario.run_until(SECOND);
     scenario.fail_system_calls(SystemCall::Connect, &[libc::ENETUNREACH; 1_000]);
@@ -97,9 +101,10 @@
     assert!(scenario.violations().is_empty());
 }
 
-/// Guards against rules that hold only as long as system calls succeed: one in twenty fails, beside all other faults.
+/// Guards against rules that hold only while system calls succeed: one in twenty fails, beside all
+/// other faults.
 #[test]
-fn no_rule_breaks_on_drawn_runs_whose_system_calls_fail() {
+fn drawn_runs_with_failing_system_calls_have_no_violation() {
     for seed in 0..150 {
         let mut plan = RunPlan::draw(seed, &FaultKind::PAIRED);
         plan.failing_calls_ratio = 0.05;
@@ -112,9 +117,10 @@
     }
 }
 
-/// Guards against calls of discovery that fail on this machine and wait as long as if discovery had failed.
+/// Guards against a discovery call that fails on the router's machine and is delayed as if
+/// discovery had failed.
 #[test]
-fn a_call_of_discovery_that_fails_on_this_machine_is_made_again_at_once() {
+fn a_discovery_call_that_fails_locally_is_retried_at_once() {
     let scenario = Scenario::with_push_discovery(2, 1);
     scenario.run_until(SECOND);
     scenario.fail_system_calls(SystemCall::Connect, &[libc::EADDRNOTAVAIL; 12]);
@@ -125,7 +131,7 @@
     let mut checker = scenario.checker();
     checker.endpoint_announced(drained_at, 0, false, 0);
     drop(checker);
-    // Requests past the grace: earlier ones would use up the failures.
+    // Requests arrive after the drain grace, since earlier ones would use up the failing calls.
     for key in 26..100 {
         scenario.request_at(drained_at + key * 10 * MILLI, 0, key, SECOND);
     }
--- a/crates/router-simulation/tests/overloaded_discovery.rs
+++ b/crates/router-simulation/tests/overloaded_discovery.rs
@@ -1,4 +1,5 @@
-//! All watches of a fleet fall silent at once, while a discovery that serves all routers in turn is busy.
+//! All watches of a fleet fall silent at once, while a discovery service that answers calls one
+//! after another is busy.
 
 use router_simulation::executor::Time;
 use router_simulation::fault_plan::{MILLI, SECOND};
@@ -6,13 +7,14 @@
 
 const ROUTER_COUNTS: [usize; 4] = [5, 12, 100, 300];
 const SEEDS: std::ops::Range<u64> = 0..3;
-/// Discovery is busy with other work for so long.
+/// How long discovery is busy with other work.
 const BUSY_TIME: Time = 5 * SECOND;
-/// It takes one call of each router in 2 to 8 s, in a fleet of any size.
+/// The longest time that discovery takes for one call of each router. It takes 2 to 8 s, whatever
+/// the number of routers.
 const SLOWEST_FLEET_CALL_TIME: Time = 8 * SECOND;
-/// A jam that lasts for so long does not end by itself.
+/// The duration of a run. An overload that lasts this long does not end by itself.
 const RUN_TIME: Time = 120 * SECOND;
-/// The routers have their lists within this time after discovery answers again.
+/// How soon after discovery answers again the routers have to have their lists.
 const RECOVERY_TARGET: Time = 6 * SECOND;
 
 fn recoveries(fleet_call_time: Time) -> impl Iterator<Item = (usize, Recovery)> {
@@ -30,7 +32,8 @@
     })
 }
 
-/// Guards against calls that follow failed ones so soon that discovery works for nobody to the end.
+/// Guards against retries that follow failed calls so soon that discovery stays overloaded and
+/// answers none in time.
 #[test]
 fn the_slowest_discovery_recovers() {
     let stuck: Vec<_> = recoveries(SLOWEST_FLEET_CALL_TIME)
@@ -39,7 +42,7 @@
     assert!(stuck.is_empty(), "{stuck:?}");
 }
 
-/// Guards against routers that are without a list long after discovery answers again.
+/// Guards against routers that have no list long after discovery answers again.
 #[test]
 fn the_routers_have_their_lists_soon_after_discovery_answers_again() {
     let limit = BUSY_TIME + RECOVERY_TARGET;
--- a/crates/router-simulation/tests/pushed_lists.rs
+++ b/crates/router-simulation/tests/pushed_lists.rs
@@ -1,4 +1,5 @@
-//! Lists that an agent pushes, on drawn runs: watches are reset and processes start while servers drain.
+//! Endpoint lists that an agent pushes, on drawn runs: watches are reset and routers start while
+//! servers drain.
 
 use router_simulation::fault_plan::{FaultKind, RunPlan};
 #[cfg(feature = "mutations")]
@@ -15,7 +16,7 @@
     FaultKind::ServerDrain,
 ];
 
-/// The first violations of runs with these faults, where an agent pushes the lists.
+/// Returns the first violation of each run with these faults where an agent pushes the lists.
 fn violations(faults: &[FaultKind]) -> Vec<(u64, Violation)> {
     let first_violation = |seed| {
         let mut plan = RunPlan::draw(seed, faults);
@@ -33,27 +34,27 @@
     assert!(violations.is_empty(), "{:?}", violations.first());
 }
 
-/// Guards against calls that come late after a watch is reset: what the agent has counts as told.
+/// Guards against a late call after a watch is reset: what the agent has counts as known.
 #[test]
 fn drains_are_known_in_time_while_watches_are_reset() {
     assert_rules_hold(&RESETS);
 }
 
-/// Guards against a new process that serves from the list which it had before.
+/// Guards against a new process that serves from an outdated list.
 #[test]
 fn drains_are_known_in_time_while_routers_start() {
     assert_rules_hold(&STARTS);
 }
 
-/// The checker has to see a pause before the calls, after a reset and after a start.
+/// The checker has to detect a pause before calls, both after a reset and after a start.
 #[cfg(feature = "mutations")]
 #[test]
-fn a_pause_before_calls_is_caught() {
+fn a_pause_before_calls_is_detected() {
     use router_runtime::mutation::{Mutation, activate};
     activate(Some(Mutation::PausesBeforeCalls));
-    let caught = [violations(&RESETS), violations(&STARTS)];
+    let detected = [violations(&RESETS), violations(&STARTS)];
     activate(None);
-    for violations in caught {
+    for violations in detected {
         let is_drain = |(_, violation): &(u64, Violation)| violation.rule == Rule::Drains;
         assert!(violations.iter().any(is_drain), "{violations:?}");
     }
