--- a/crates/router-simulation/tests/slow_origin.rs
+++ b/crates/router-simulation/tests/slow_origin.rs
@@ -1,28 +1,30 @@
-//! Metastable failures that a router must not fall into, as long scripted runs: an origin that was slow, restarts into
-//! it, servers that fail quickly, many routers that each see little.
+//! Metastable failures that a router must not enter, as long scripted runs: an origin that was
+//! slow, restarts during the slowness, servers that fail quickly, and many routers with few
+//! requests each.
 
 use router_simulation::fault_plan::{Fault, FaultKind, MILLI, PlannedRequest, RunPlan, SECOND};
 use router_simulation::run::{Recording, Report, simulate};
 
-/// The origin is slow from here on ...
-const FROM: u64 = 5 * SECOND;
-/// ... for so long, and the calm counts from 5 s after.
-const LONG: u64 = 20 * SECOND;
+/// When the origin becomes slow, in microseconds.
+const SLOW_FROM: u64 = 5 * SECOND;
+/// How long the origin is slow, in microseconds. Recovery is checked from 5 s later.
+const SLOW_DURATION: u64 = 20 * SECOND;
 
-/// A run of 40 s without faults, with `routers` that see `rate` requests a second each.
+/// Returns the plan of a run of 40 s without faults, with `routers` routers that receive `rate`
+/// requests per second each.
 fn plan_without_faults(seed: u64, routers: usize, rate: f64) -> RunPlan {
     let mut plan = RunPlan::draw(seed, &[]);
     plan.faults.clear();
     plan.routers = (0..routers).map(|i| i % 3).collect();
     let drawn = std::mem::take(&mut plan.requests);
-    let times = routers as f64 * rate / (drawn.len() as f64 / 10.0);
-    let count = (drawn.len() as f64 * times * 4.0) as usize;
+    let rate_factor = routers as f64 * rate / (drawn.len() as f64 / 10.0);
+    let count = (drawn.len() as f64 * rate_factor * 4.0) as usize;
     plan.requests = (0..count)
         .map(|i| {
             let request = &drawn[i % drawn.len()];
             let at = SECOND / 4 + (i as f64 / count as f64 * 40e6) as u64;
-            let work = request.work / times;
-            // Each router sees all keys.
+            let work = request.work / rate_factor;
+            // Each router receives requests for all keys.
             PlannedRequest {
                 number: i as u32,
                 at,
@@ -32,8 +34,8 @@
             }
         })
         .collect();
-    plan.mean_work /= times;
-    plan.recovered_by = FROM + LONG;
+    plan.mean_work /= rate_factor;
+    plan.recovered_by = SLOW_FROM + SLOW_DURATION;
     plan
 }
 
@@ -47,9 +49,15 @@
     }
 }
 
-/// Eight times as slow as usual.
+/// The origin takes eight times as long as usual.
 fn slow_origin() -> Fault {
-    fault(FaultKind::OriginSlow, FROM, LONG, vec![0], 1.1)
+    fault(
+        FaultKind::OriginSlow,
+        SLOW_FROM,
+        SLOW_DURATION,
+        vec![0],
+        1.1,
+    )
 }
 
 fn served_after_faults(plan: &RunPlan) -> u64 {
@@ -62,29 +70,37 @@
     after_faults.served
 }
 
-/// Of what is served from 5 s after the end without the faults, at least nine tenths are with them.
-fn recovers(mut plan: RunPlan, faults: Vec<Fault>) {
+/// Checks that, from 5 s after the end of the faults, at least nine tenths of the requests are
+/// served that are served without the faults.
+fn assert_recovery(mut plan: RunPlan, faults: Vec<Fault>) {
     plan.recovered_by += 5 * SECOND;
     let before = served_after_faults(&plan);
     plan.faults = faults;
     let after = served_after_faults(&plan);
     assert!(
         after * 10 >= before * 9,
-        "seed {}: {after} of {before} served in the calm",
+        "seed {}: {after} of {before} served after the faults",
         plan.seed
     );
 }
 
 #[test]
-fn an_origin_slow_eight_times_for_20_s_is_recovered_from_within_5_s() {
-    (0..4).for_each(|seed| recovers(plan_without_faults(seed, 4, 14.0), vec![slow_origin()]));
+fn service_recovers_within_5_s_of_an_origin_eight_times_slower_for_20_s() {
+    (0..4)
+        .for_each(|seed| assert_recovery(plan_without_faults(seed, 4, 14.0), vec![slow_origin()]));
 }
 
 #[test]
-fn so_it_is_while_a_third_of_the_servers_answer_with_quick_errors() {
+fn service_recovers_while_a_third_of_the_servers_fail_quickly() {
     for seed in 0..4 {
-        let errors = fault(FaultKind::FastErrors, FROM, LONG, vec![0, 3, 6], 0.5);
-        recovers(
+        let errors = fault(
+            FaultKind::FastErrors,
+            SLOW_FROM,
+            SLOW_DURATION,
+            vec![0, 3, 6],
+            0.5,
+        );
+        assert_recovery(
             plan_without_faults(seed, 4, 14.0),
             vec![slow_origin(), errors],
         );
@@ -92,15 +108,16 @@
 }
 
 #[test]
-fn so_it_is_by_40_routers_that_see_3_requests_a_second_each() {
-    (0..3).for_each(|seed| recovers(plan_without_faults(seed, 40, 3.0), vec![slow_origin()]));
+fn service_recovers_with_40_routers_of_3_requests_per_second_each() {
+    (0..3)
+        .for_each(|seed| assert_recovery(plan_without_faults(seed, 40, 3.0), vec![slow_origin()]));
 }
 
 #[test]
-fn all_routers_restart_into_a_slow_origin_with_an_old_list_and_a_zone_cut_off() {
+fn service_recovers_if_all_routers_restart_with_an_old_list_and_a_partitioned_zone() {
     for seed in 0..4 {
         let plan = plan_without_faults(seed, 6, 9.0);
-        let at = FROM + 10 * SECOND;
+        let at = SLOW_FROM + 10 * SECOND;
         let restarts = fault(
             FaultKind::RouterCrash,
             at,
@@ -116,18 +133,18 @@
             0.5,
         );
         let cut = fault(FaultKind::ZonePartition, at, 5 * SECOND, vec![1], 0.5);
-        recovers(plan, vec![slow_origin(), restarts, down, cut]);
+        assert_recovery(plan, vec![slow_origin(), restarts, down, cut]);
     }
 }
 
-/// The invariant checker counts what all routers together send a server in slow start.
+/// The invariant checker sums what all routers together send to a server in slow start.
 #[test]
-fn cold_servers_stay_within_their_budget_at_30_routers() {
+fn servers_in_slow_start_are_not_overloaded_by_30_routers() {
     for seed in 0..4 {
         let mut plan = plan_without_faults(seed, 30, 3.0);
         plan.faults = vec![fault(
             FaultKind::ServerCrash,
-            FROM,
+            SLOW_FROM,
             500 * MILLI,
             vec![0, 2, 4],
             0.5,
