--- a/crates/router-simulation/src/clients.rs
+++ b/crates/router-simulation/src/clients.rs
@@ -296,7 +296,7 @@
         let mut buffer = vec![0; 8_192];
         loop {
             match frames.next(self.now()) {
-                Ok(Some(DecodedFrame { frame, .. })) => return Some(Response::of(&frame)),
+                Ok(Some(DecodedFrame { frame, .. })) => return Some(Response::parse(&frame)),
                 Ok(None) => {}
                 Err(_) => return None,
             }
--- a/crates/router-simulation/src/discovery.rs
+++ b/crates/router-simulation/src/discovery.rs
@@ -123,7 +123,7 @@
 
     /// Changes the entry of a server on the list. `born_ms` is the start of its process in Unix
     /// milliseconds.
-    pub fn set(&self, server: usize, health: Health, born_ms: u64) {
+    pub fn set_endpoint(&self, server: usize, health: Health, born_ms: u64) {
         let version = self.version.get() + 1;
         let mut entries = self.entries.borrow_mut();
         let entry = &mut entries[server];
--- a/crates/router-simulation/src/fleet.rs
+++ b/crates/router-simulation/src/fleet.rs
@@ -46,12 +46,12 @@
     /// Creates the shared state of a plan's servers.
     pub fn new(simulation: Simulation, plan: Rc<RunPlan>) -> Rc<FleetState> {
         let crowds = plan.crowds.iter();
-        let of_crowds = crowds.flat_map(|crowd| crowd.requests.iter().chain(&crowd.writes));
+        let crowd_requests = crowds.flat_map(|crowd| crowd.requests.iter().chain(&crowd.writes));
         let cost = |request: &PlannedRequest| RequestCost {
             work: request.work,
             value_size: request.value_size,
         };
-        let requests = plan.requests.iter().chain(of_crowds);
+        let requests = plan.requests.iter().chain(crowd_requests);
         Rc::new(FleetState {
             costs: requests
                 .map(|request| (request.number, cost(request)))
@@ -66,7 +66,7 @@
     }
 
     /// Registers a machine as that of a router.
-    pub fn add_router(&self, node: Node, router: usize) {
+    pub fn register_router(&self, node: Node, router: usize) {
         self.routers.borrow_mut().insert(node, router);
     }
 
--- a/crates/router-simulation/src/fleet/server.rs
+++ b/crates/router-simulation/src/fleet/server.rs
@@ -158,17 +158,17 @@
         let executor = &self.fleet.simulation.executor;
         let router = self.fleet.router_at(stream.peer());
         let mut frames = FrameDecoder::default();
-        let mut is_new = true;
+        let mut is_first_request = true;
         loop {
             let reset = self.register_idle(stream.id());
             let Some(frame) = self.read_frame(&mut stream, &mut frames, &reset).await else {
                 return;
             };
             self.unregister_idle(stream.id());
-            if std::mem::take(&mut is_new) {
+            if std::mem::take(&mut is_first_request) {
                 executor.sleep(self.fleet.plan.handshake_time).await;
             }
-            let Command::CacheRequest(request) = Command::of(&frame) else {
+            let Command::CacheRequest(request) = Command::parse(&frame) else {
                 // An error means that the router has closed the connection.
                 let _ = stream.write_all(b"-SYNTAX\r\n").await;
                 return;
--- a/crates/router-simulation/src/invariant_checker.rs
+++ b/crates/router-simulation/src/invariant_checker.rs
@@ -355,7 +355,7 @@
         });
     }
 
-    fn out_of_descriptors(&mut self, now: Time, node: Node) {
+    fn descriptor_limit_reached(&mut self, now: Time, node: Node) {
         self.advance(now, 0, StepKind::OutOfDescriptors, &[node.0 as u8]);
         if let Role::Router(router) = self.roles[node.0 as usize] {
             let text = format!("router {router} runs out of descriptors");
--- a/crates/router-simulation/src/invariant_checker/answers.rs
+++ b/crates/router-simulation/src/invariant_checker/answers.rs
@@ -47,7 +47,8 @@
         loop {
             match connection.commands.next(now) {
                 Ok(Some(DecodedFrame { frame, .. })) => {
-                    let expected = self.command_written(now, id, connection, &Command::of(&frame));
+                    let expected =
+                        self.command_written(now, id, connection, &Command::parse(&frame));
                     connection.expected.push_back(expected);
                 }
                 Ok(None) => return,
@@ -148,7 +149,7 @@
         loop {
             match connection.answers.next(now) {
                 Ok(Some(DecodedFrame { frame, began_at })) => {
-                    let response = Response::of(&frame);
+                    let response = Response::parse(&frame);
                     let answer = WrittenAnswer { began_at, response };
                     self.answer_written(now, connection_id, connection, &answer);
                 }
--- a/crates/router-simulation/src/invariant_checker/attempts.rs
+++ b/crates/router-simulation/src/invariant_checker/attempts.rs
@@ -54,7 +54,7 @@
         }
         connection.commands.feed(now, bytes);
         while let Ok(Some(DecodedFrame { frame, .. })) = connection.commands.next(now) {
-            let Command::CacheRequest(call) = Command::of(&frame) else {
+            let Command::CacheRequest(call) = Command::parse(&frame) else {
                 continue;
             };
             self.trace.note(now, connection_id, Some(call.id), || {
@@ -172,7 +172,7 @@
             let Some(id) = connection.current.take() else {
                 return;
             };
-            let response = Response::of(&frame);
+            let response = Response::parse(&frame);
             let server = connection.server;
             self.trace
                 .note(now, connection_id, Some(id), || match &response {
--- a/crates/router-simulation/src/main.rs
+++ b/crates/router-simulation/src/main.rs
@@ -129,9 +129,9 @@
 }
 
 /// The most runs with violations that `run` prints.
-const SHOWN_RUN_COUNT: usize = 20;
+const MAX_PRINTED_RUNS: usize = 20;
 /// The most requests that `shrink` prints.
-const SHOWN_REQUEST_COUNT: usize = 20;
+const MAX_PRINTED_REQUESTS: usize = 20;
 
 fn main() -> ExitCode {
     let cli = match Cli::try_parse() {
@@ -208,7 +208,7 @@
     println!("{summary}");
     let seconds = start.elapsed().as_secs_f64();
     println!("time      {seconds:.1} s on {threads} threads");
-    for report in summary.runs_with_violations.iter().take(SHOWN_RUN_COUNT) {
+    for report in summary.runs_with_violations.iter().take(MAX_PRINTED_RUNS) {
         if let Some(first) = report.violations.first() {
             print_violation(first, report.seed);
         }
@@ -275,7 +275,7 @@
             println!("  fault {index}: {fault}");
         }
     }
-    for request in reduced.requests.iter().take(SHOWN_REQUEST_COUNT) {
+    for request in reduced.requests.iter().take(MAX_PRINTED_REQUESTS) {
         println!(
             "  request {}: class {} at {} ms, router {}",
             request.number,
--- a/crates/router-simulation/src/network.rs
+++ b/crates/router-simulation/src/network.rs
@@ -73,11 +73,11 @@
     /// Bytes that this end wrote have arrived at the other end's machine.
     fn delivered(&mut self, now: Time, connection: u32, side: Side, count: usize);
     /// This end closed the connection.
-    fn closed(&mut self, now: Time, connection: u32, side: Side, how: CloseKind);
+    fn closed(&mut self, now: Time, connection: u32, side: Side, kind: CloseKind);
     /// The FIN or reset from this end has arrived at the other end's machine.
     fn close_delivered(&mut self, now: Time, connection: u32, side: Side);
     /// A process reached its descriptor limit and was refused another one.
-    fn out_of_descriptors(&mut self, now: Time, node: Node);
+    fn descriptor_limit_reached(&mut self, now: Time, node: Node);
 }
 
 /// The mutable state of a network.
--- a/crates/router-simulation/src/network/machine.rs
+++ b/crates/router-simulation/src/network/machine.rs
@@ -76,7 +76,10 @@
         });
         if !has_room {
             let now = network.executor.now();
-            network.observer.borrow_mut().out_of_descriptors(now, node);
+            network
+                .observer
+                .borrow_mut()
+                .descriptor_limit_reached(now, node);
             return Err(io::Error::other("too many open files"));
         }
         Ok(Descriptor {
--- a/crates/router-simulation/src/network/stream.rs
+++ b/crates/router-simulation/src/network/stream.rs
@@ -56,7 +56,7 @@
         self.close(CloseKind::Reset);
     }
 
-    fn close(&self, how: CloseKind) {
+    fn close(&self, kind: CloseKind) {
         let was_closed = {
             let mut inbound = self.connection.pipe(self.side.other()).borrow_mut();
             inbound.buffer = BytesMut::new();
@@ -70,9 +70,9 @@
         self.network
             .observer
             .borrow_mut()
-            .closed(now, self.id(), self.side, how);
+            .closed(now, self.id(), self.side, kind);
         let writer_was_closed = self.close_writer();
-        match how {
+        match kind {
             CloseKind::Fin if !writer_was_closed => self.send(Packet::Fin),
             CloseKind::Reset => self.send(Packet::Reset),
             CloseKind::Fin | CloseKind::Silent => {}
--- a/crates/router-simulation/src/run.rs
+++ b/crates/router-simulation/src/run.rs
@@ -195,7 +195,7 @@
         let mut clients = Vec::new();
         for (number, &zone) in plan.routers.iter().enumerate() {
             let router = RouterProcess::new(&simulation, number, zone, plan.descriptor_limit);
-            fleet.add_router(router.node, number);
+            fleet.register_router(router.node, number);
             let node = simulation.add_machine(Role::Client, zone, usize::MAX);
             let simulation = simulation.clone();
             clients.push(Clients::new(simulation, node, router.address, plan.clone()));
@@ -240,7 +240,7 @@
     /// Discovery's list says this of a server after its notice delay and this time.
     fn announce(self: &Rc<Self>, server: usize, health: Health, born_ms: u64, delay: Time) {
         self.after(self.plan.announcement_delay + delay, move |run| {
-            run.discovery.set(server, health, born_ms);
+            run.discovery.set_endpoint(server, health, born_ms);
         });
     }
 
--- a/crates/router-simulation/src/scenario/cache_server.rs
+++ b/crates/router-simulation/src/scenario/cache_server.rs
@@ -23,7 +23,7 @@
     /// Serves a request after the first time, and sends the same reply again after the second.
     ServeTwice(Time, Time),
     /// Never replies.
-    Ignore,
+    NeverReply,
     /// Resets the connection this long after a request.
     Reset(Time),
     /// Reads nothing, and resets the connection this long after it was accepted.
@@ -106,7 +106,7 @@
     let mut buffer = vec![0; 8_192];
     loop {
         match frames.next(executor.now()) {
-            Ok(Some(DecodedFrame { frame, .. })) => match Command::of(&frame) {
+            Ok(Some(DecodedFrame { frame, .. })) => match Command::parse(&frame) {
                 Command::CacheRequest(request) => return Some(request),
                 Command::Ping | Command::Other => return None,
             },
@@ -149,7 +149,7 @@
             executor.sleep(later).await;
             stream.write_all(&served(VALUE_SIZE)).await.is_ok()
         }
-        ServerBehavior::Ignore => true,
+        ServerBehavior::NeverReply => true,
         ServerBehavior::Reset(time) | ServerBehavior::NeverRead(time) => {
             executor.sleep(time).await;
             stream.reset();
--- a/crates/router-simulation/src/scenario/client.rs
+++ b/crates/router-simulation/src/scenario/client.rs
@@ -118,13 +118,19 @@
     }
 
     /// Starts a client whose request arrives completely at the router's machine at this time.
-    pub fn request_at(&self, at: Time, class: usize, key: u64, timeout: Time) -> ReceivedChunks {
+    pub fn send_request_at(
+        &self,
+        at: Time,
+        class: usize,
+        key: u64,
+        timeout: Time,
+    ) -> ReceivedChunks {
         let bytes = self.encode_request(class, key, timeout).bytes;
         self.start_client(vec![(at - LATENCY, bytes)], None)
     }
 
-    /// Starts a client like [`Scenario::request_at`] that sends a read on behalf of a tenant.
-    pub fn request_as_tenant(
+    /// Starts a client like [`Scenario::send_request_at`] that sends a read on behalf of a tenant.
+    pub fn send_request_as_tenant(
         &self,
         tenant: usize,
         at: Time,
--- a/crates/router-simulation/src/wire.rs
+++ b/crates/router-simulation/src/wire.rs
@@ -66,7 +66,7 @@
     pub fn next(&mut self, now: Time) -> Result<Option<DecodedFrame>, InvalidFrame> {
         match parse(&self.buffer, 0, 0)? {
             None => Ok(None),
-            Some(Parsed { frame, end }) => {
+            Some(ParsedFrame { frame, end }) => {
                 self.buffer.drain(..end);
                 let began_at = std::mem::replace(&mut self.first_at, now);
                 Ok(Some(DecodedFrame { frame, began_at }))
@@ -92,13 +92,13 @@
 }
 
 /// A complete frame and the index of its end.
-struct Parsed {
+struct ParsedFrame {
     frame: Frame,
     end: usize,
 }
 
 /// Parses the frame that starts at this index; `None` if it is incomplete.
-fn parse(bytes: &[u8], start: usize, depth: u32) -> Result<Option<Parsed>, InvalidFrame> {
+fn parse(bytes: &[u8], start: usize, depth: u32) -> Result<Option<ParsedFrame>, InvalidFrame> {
     let Some(length) = bytes[start..].iter().position(|&byte| byte == b'\n') else {
         let is_too_long = bytes.len() - start > MAX_LINE_BYTES;
         return if is_too_long {
@@ -113,7 +113,7 @@
     match line.first() {
         Some(b'+' | b'-' | b':') => {
             let frame = Frame::Line(line.to_vec());
-            Ok(Some(Parsed { frame, end }))
+            Ok(Some(ParsedFrame { frame, end }))
         }
         Some(b'$') => parse_bulk(bytes, end, parse_number(line)?),
         Some(b'*') if depth < MAX_DEPTH => parse_array(bytes, end, parse_number(line)?, depth),
@@ -129,10 +129,14 @@
 }
 
 /// Parses a bulk string of this length whose body starts at this index.
-fn parse_bulk(bytes: &[u8], start: usize, length: i64) -> Result<Option<Parsed>, InvalidFrame> {
+fn parse_bulk(
+    bytes: &[u8],
+    start: usize,
+    length: i64,
+) -> Result<Option<ParsedFrame>, InvalidFrame> {
     if length == -1 {
         let frame = Frame::Bulk(None);
-        return Ok(Some(Parsed { frame, end: start }));
+        return Ok(Some(ParsedFrame { frame, end: start }));
     }
     if !(0..=MAX_BULK_BYTES).contains(&length) {
         return Err(InvalidFrame);
@@ -143,7 +147,7 @@
     };
     let body = body.strip_suffix(b"\r\n").ok_or(InvalidFrame)?;
     let frame = Frame::Bulk(Some(body.to_vec()));
-    Ok(Some(Parsed { frame, end }))
+    Ok(Some(ParsedFrame { frame, end }))
 }
 
 /// Parses an array of this length whose first item starts at this index.
@@ -152,7 +156,7 @@
     start: usize,
     length: i64,
     depth: u32,
-) -> Result<Option<Parsed>, InvalidFrame> {
+) -> Result<Option<ParsedFrame>, InvalidFrame> {
     if !(0..=MAX_ARRAY_LENGTH).contains(&length) {
         return Err(InvalidFrame);
     }
@@ -169,7 +173,7 @@
         end = item.end;
     }
     let frame = Frame::Array(items);
-    Ok(Some(Parsed { frame, end }))
+    Ok(Some(ParsedFrame { frame, end }))
 }
 
 /// A decoded `C.GET` or `C.SET`.
@@ -204,7 +208,7 @@
 
 impl Command {
     /// Decodes a frame as a command.
-    pub fn of(frame: &Frame) -> Command {
+    pub fn parse(frame: &Frame) -> Command {
         let Frame::Array(items) = frame else {
             return Command::Other;
         };
@@ -265,7 +269,7 @@
 
 impl Response {
     /// Decodes a frame as a response.
-    pub fn of(frame: &Frame) -> Response {
+    pub fn parse(frame: &Frame) -> Response {
         match frame {
             Frame::Bulk(Some(value)) => Response::Served(value.clone()),
             Frame::Array(items) => match items.first() {
--- a/crates/router-simulation/tests/coalescing_scenarios.rs
+++ b/crates/router-simulation/tests/coalescing_scenarios.rs
@@ -62,7 +62,7 @@
 /// The owner of a key in a scenario with this many servers.
 fn owner_of_key(servers: usize, key: u64) -> usize {
     let scenario = Scenario::new(servers, 1);
-    scenario.request_at(SECOND, 0, key, SECOND);
+    scenario.send_request_at(SECOND, 0, key, SECOND);
     scenario.run_until(2 * SECOND);
     (0..servers)
         .find(|&server| !scenario.received_requests(server).is_empty())
@@ -148,9 +148,9 @@
     let owner = owner_of_key(2, 7);
     scenario.set_all_behaviors(&ServerBehavior::Serve(300 * MILLI));
     scenario.set_behavior(owner, ServerBehavior::Reset(100 * MILLI));
-    let long = scenario.request_at(SECOND, 0, 7, SECOND);
+    let long = scenario.send_request_at(SECOND, 0, 7, SECOND);
     // A retry needs a fifth of the latency objective, which is 100 ms.
-    let short = scenario.request_at(SECOND + MILLI, 0, 7, 150 * MILLI);
+    let short = scenario.send_request_at(SECOND + MILLI, 0, 7, 150 * MILLI);
     scenario.run_until(SECOND + 110 * MILLI);
     assert_eq!((rejected_count(&short), served_count(&long)), (1, 0));
     scenario.run_until(3 * SECOND);
@@ -162,9 +162,9 @@
 fn waiters_are_rejected_at_their_own_deadlines_and_the_latest_extends_the_flight() {
     let scenario = Scenario::coalescing(1, 1);
     scenario.set_all_behaviors(&ServerBehavior::Serve(700 * MILLI));
-    let first = scenario.request_at(SECOND, 0, 7, 300 * MILLI);
-    let long = scenario.request_at(SECOND + 50 * MILLI, 0, 7, 1_500 * MILLI);
-    let short = scenario.request_at(SECOND + 60 * MILLI, 0, 7, 100 * MILLI);
+    let first = scenario.send_request_at(SECOND, 0, 7, 300 * MILLI);
+    let long = scenario.send_request_at(SECOND + 50 * MILLI, 0, 7, 1_500 * MILLI);
+    let short = scenario.send_request_at(SECOND + 60 * MILLI, 0, 7, 100 * MILLI);
     scenario.run_until(4 * SECOND);
     assert_eq!(
         (
@@ -194,7 +194,7 @@
     scenario.set_all_behaviors(&ServerBehavior::Serve(500 * MILLI));
     let bytes = scenario.encode_request(0, 7, SECOND).bytes;
     scenario.start_client(vec![(SECOND, bytes)], Some(SECOND + 100 * MILLI));
-    let other = scenario.request_at(SECOND + 50 * MILLI, 0, 7, SECOND);
+    let other = scenario.send_request_at(SECOND + 50 * MILLI, 0, 7, SECOND);
     scenario.run_until(3 * SECOND);
     assert_eq!(
         (served_count(&other), scenario.total_received_requests()),
@@ -221,11 +221,11 @@
     let owner = owner_of_key(2, 7);
     // The router learns the usual latency of 5 ms from other keys.
     for key in 100..180 {
-        scenario.request_at(SECOND + key * 10 * MILLI, 0, key, SECOND);
+        scenario.send_request_at(SECOND + key * 10 * MILLI, 0, key, SECOND);
     }
     scenario.run_until(3 * SECOND);
     let before = scenario.total_received_requests();
-    scenario.set_behavior(owner, ServerBehavior::Ignore);
+    scenario.set_behavior(owner, ServerBehavior::NeverReply);
     let first = start_crowd(&scenario, 4 * SECOND, 7, DEADLINE);
     scenario.run_until(4 * SECOND + 40 * MILLI);
     assert_eq!(scenario.total_received_requests() - before, 1);
@@ -252,15 +252,15 @@
 fn reads_around_a_write(write: ServerBehavior) -> Scenario {
     let scenario = Scenario::coalescing(1, 1);
     scenario.set_all_behaviors(&ServerBehavior::Serve(400 * MILLI));
-    let before = scenario.request_at(SECOND, 0, 7, DEADLINE);
+    let before = scenario.send_request_at(SECOND, 0, 7, DEADLINE);
     scenario.run_until(SECOND + 10 * MILLI);
     scenario.set_all_behaviors(&write);
-    scenario.request_at(SECOND + 50 * MILLI, 1, 7, 300 * MILLI);
+    scenario.send_request_at(SECOND + 50 * MILLI, 1, 7, 300 * MILLI);
     scenario.run_until(SECOND + 60 * MILLI);
     scenario.set_all_behaviors(&ServerBehavior::Serve(500 * MILLI));
-    let during = scenario.request_at(SECOND + 70 * MILLI, 0, 7, DEADLINE);
+    let during = scenario.send_request_at(SECOND + 70 * MILLI, 0, 7, DEADLINE);
     scenario.run_until(SECOND + 399 * MILLI);
-    let after = scenario.request_at(SECOND + 400 * MILLI, 0, 7, DEADLINE);
+    let after = scenario.send_request_at(SECOND + 400 * MILLI, 0, 7, DEADLINE);
     scenario.run_until(4 * SECOND);
     assert_eq!(
         (
@@ -280,7 +280,7 @@
     for write in [
         ServerBehavior::Serve(100 * MILLI),
         ServerBehavior::Reply(100 * MILLI, b"-ERR failed\r\n"),
-        ServerBehavior::Ignore,
+        ServerBehavior::NeverReply,
     ] {
         let scenario = reads_around_a_write(write.clone());
         let reads = scenario
@@ -296,9 +296,9 @@
 fn a_write_to_another_key_does_not_close_a_flight() {
     let scenario = Scenario::coalescing(1, 1);
     scenario.set_all_behaviors(&ServerBehavior::Serve(400 * MILLI));
-    scenario.request_at(SECOND, 0, 7, DEADLINE);
-    scenario.request_at(SECOND + 50 * MILLI, 1, 8, DEADLINE);
-    scenario.request_at(SECOND + 70 * MILLI, 0, 7, DEADLINE);
+    scenario.send_request_at(SECOND, 0, 7, DEADLINE);
+    scenario.send_request_at(SECOND + 50 * MILLI, 1, 8, DEADLINE);
+    scenario.send_request_at(SECOND + 70 * MILLI, 0, 7, DEADLINE);
     scenario.run_until(4 * SECOND);
     assert_eq!(scenario.total_received_requests(), 2);
     assert_clean_end(&scenario);
@@ -312,7 +312,7 @@
         let before = scenario.total_received_requests();
         let at = SECOND * class as Time;
         let received: Vec<ReceivedChunks> = (0..3)
-            .map(|_| scenario.request_at(at, class, 7, SECOND))
+            .map(|_| scenario.send_request_at(at, class, 7, SECOND))
             .collect();
         scenario.run_until(at + 900 * MILLI);
         assert_eq!(
@@ -459,7 +459,7 @@
     let second = scenario.encode_request(0, 7, SECOND).bytes;
     let received =
         scenario.start_client(vec![(SECOND, first), (SECOND + 10 * MILLI, second)], None);
-    let other = scenario.request_at(SECOND + 20 * MILLI, 0, 7, SECOND);
+    let other = scenario.send_request_at(SECOND + 20 * MILLI, 0, 7, SECOND);
     scenario.run_until(3 * SECOND);
     assert_eq!(
         (
@@ -495,7 +495,7 @@
     let scenario = Scenario::coalescing(1, 1);
     scenario.set_all_behaviors(&ServerBehavior::Serve(100 * MILLI));
     let received: Vec<ReceivedChunks> = (0..150)
-        .map(|_| scenario.request_as_tenant(tenant, SECOND, 7, SECOND))
+        .map(|_| scenario.send_request_as_tenant(tenant, SECOND, 7, SECOND))
         .collect();
     scenario.run_until(3 * SECOND);
     assert_eq!(
@@ -505,8 +505,8 @@
         ),
         (1, 150)
     );
-    scenario.set_all_behaviors(&ServerBehavior::Ignore);
-    (0..60).for_each(|key| _ = scenario.request_as_tenant(0, 4 * SECOND, 100 + key, SECOND));
+    scenario.set_all_behaviors(&ServerBehavior::NeverReply);
+    (0..60).for_each(|key| _ = scenario.send_request_as_tenant(0, 4 * SECOND, 100 + key, SECOND));
     scenario.run_until(4 * SECOND + 50 * MILLI);
     scenario.total_received_requests() - 1
 }
--- a/crates/router-simulation/tests/failing_system_calls.rs
+++ b/crates/router-simulation/tests/failing_system_calls.rs
@@ -37,7 +37,7 @@
         // A client connects as soon as it is made.
         let clients = [12, 8, 3].map(|before| {
             scenario.run_until(end - LATENCY - before * MILLI);
-            scenario.request_at(end - before * MILLI + LATENCY, 0, before, DEADLINE)
+            scenario.send_request_at(end - before * MILLI + LATENCY, 0, before, DEADLINE)
         });
         scenario.run_until(end + SECOND);
         let served = clients.iter().filter(|client| is_served(client)).count();
@@ -52,7 +52,7 @@
     let scenario = Scenario::new(1, 1);
     scenario.run_until(SECOND);
     scenario.fail_system_calls(SystemCall::Accept, &[libc::ECONNABORTED; 20]);
-    let received = scenario.request_at(SECOND + 2 * LATENCY, 0, 1, DEADLINE);
+    let received = scenario.send_request_at(SECOND + 2 * LATENCY, 0, 1, DEADLINE);
     scenario.run_until(SECOND + 60 * MILLI);
     assert!(is_served(&received));
 }
@@ -70,10 +70,10 @@
     let scenario = Scenario::new(2, 1);
     scenario.run_until(SECOND);
     scenario.fail_system_calls(SystemCall::Connect, &errors);
-    let received = scenario.request_at(SECOND + MILLI, 0, 1, DEADLINE);
+    let received = scenario.send_request_at(SECOND + MILLI, 0, 1, DEADLINE);
     scenario.run_until(2 * SECOND);
     assert!(is_served(&received));
-    let again = scenario.request_at(2 * SECOND + MILLI, 0, 1, DEADLINE);
+    let again = scenario.send_request_at(2 * SECOND + MILLI, 0, 1, DEADLINE);
     scenario.run_until(3 * SECOND);
     assert!(is_served(&again));
     let counts = [0, 1].map(|server| scenario.received_requests(server).len());
@@ -90,7 +90,7 @@
     let scenario = Scenario::new(2, 1);
     scenario.run_until(SECOND);
     scenario.fail_system_calls(SystemCall::Connect, &[libc::ENETUNREACH; 1_000]);
-    let received = scenario.request_at(SECOND + MILLI, 0, 1, DEADLINE);
+    let received = scenario.send_request_at(SECOND + MILLI, 0, 1, DEADLINE);
     scenario.run_until(SECOND + MILLI + DEADLINE + LATENCY);
     let chunks = received.borrow();
     assert!(chunks.iter().any(|chunk| chunk.bytes.starts_with(b"-")));
@@ -127,7 +127,7 @@
     drop(checker);
     // Requests past the grace: earlier ones would use up the failures.
     for key in 26..100 {
-        scenario.request_at(drained_at + key * 10 * MILLI, 0, key, SECOND);
+        scenario.send_request_at(drained_at + key * 10 * MILLI, 0, key, SECOND);
     }
     scenario.run_until(4 * SECOND);
     assert!(
--- a/crates/router-simulation/tests/network.rs
+++ b/crates/router-simulation/tests/network.rs
@@ -20,7 +20,7 @@
     fn delivered(&mut self, _: Time, _: u32, _: Side, _: usize) {}
     fn closed(&mut self, _: Time, _: u32, _: Side, _: CloseKind) {}
     fn close_delivered(&mut self, _: Time, _: u32, _: Side) {}
-    fn out_of_descriptors(&mut self, _: Time, _: Node) {}
+    fn descriptor_limit_reached(&mut self, _: Time, _: Node) {}
 }
 
 fn new_network(conditions: NetworkConditions, seed: u64) -> (Executor, Network, Node, Node) {
--- a/crates/router-simulation/tests/rare_fault_scenarios.rs
+++ b/crates/router-simulation/tests/rare_fault_scenarios.rs
@@ -43,7 +43,7 @@
         .endpoint_announced(SECOND + 20 * MILLI, 0, false, 0);
     scenario.run_until(8 * SECOND - 100 * MILLI);
     for key in 0..20 {
-        scenario.request_at(8 * SECOND + key * 50 * MILLI, 0, key, SECOND);
+        scenario.send_request_at(8 * SECOND + key * 50 * MILLI, 0, key, SECOND);
     }
     scenario.run_until(10 * SECOND);
     assert_eq!(
@@ -67,7 +67,7 @@
         .checker()
         .endpoint_announced(drained_at, 0, false, 0);
     for key in 0..100 {
-        scenario.request_at(drained_at + key * 10 * MILLI, 0, key, SECOND);
+        scenario.send_request_at(drained_at + key * 10 * MILLI, 0, key, SECOND);
     }
     scenario.run_until(4 * SECOND);
     assert_eq!(
@@ -82,7 +82,7 @@
 /// the end of the process.
 fn request_during_shutdown() -> Scenario {
     let scenario = Scenario::new(1, 1);
-    scenario.set_behavior(0, ServerBehavior::Ignore);
+    scenario.set_behavior(0, ServerBehavior::NeverReply);
     let first = scenario.encode_request(3, 1, 2 * SECOND).bytes;
     let second = scenario.encode_request(3, 2, 2 * SECOND).bytes;
     scenario.start_client(
@@ -108,10 +108,10 @@
 fn connections_after_restart() -> usize {
     let scenario = Scenario::new(1, 1);
     scenario.set_behavior(0, ServerBehavior::Serve(200 * MILLI));
-    scenario.request_at(SECOND, 0, 1, 2 * SECOND);
+    scenario.send_request_at(SECOND, 0, 1, 2 * SECOND);
     scenario.announce_at(SECOND + 100 * MILLI, 0, "up", scenario.unix_now_ms());
     scenario.run_until(SECOND + 400 * MILLI);
-    scenario.request_at(SECOND + 500 * MILLI, 0, 1, 2 * SECOND);
+    scenario.send_request_at(SECOND + 500 * MILLI, 0, 1, 2 * SECOND);
     scenario.run_until(3 * SECOND);
     assert_eq!(scenario.received_requests(0).len(), 2);
     scenario.accepted_connections(0)
@@ -171,9 +171,9 @@
         for step in 0..60 {
             let scenario = Scenario::new(1, step);
             scenario.set_behavior(0, ServerBehavior::ServeTwice(5 * MILLI, delay_ms * MILLI));
-            scenario.request_at(SECOND, 0, 1, SECOND);
+            scenario.send_request_at(SECOND, 0, 1, SECOND);
             let answered: Time = SECOND + 5 * MILLI;
-            scenario.request_at(answered + step * 200, 0, 2, SECOND);
+            scenario.send_request_at(answered + step * 200, 0, 2, SECOND);
             scenario.run_until(3 * SECOND);
             assert!(
                 scenario.violations().is_empty(),
--- a/crates/router-simulation/tests/scenarios.rs
+++ b/crates/router-simulation/tests/scenarios.rs
@@ -13,7 +13,7 @@
     (1..100)
         .find(|&key| {
             let before = scenario.received_requests(server).len();
-            scenario.request_at(scenario.executor.now() + MILLI, 0, key, 200 * MILLI);
+            scenario.send_request_at(scenario.executor.now() + MILLI, 0, key, 200 * MILLI);
             scenario.run_until(scenario.executor.now() + 100 * MILLI);
             scenario.received_requests(server).len() > before
         })
@@ -32,7 +32,7 @@
 fn a_reply_after_the_deadline_is_discarded() {
     let scenario = Scenario::new(1, 1);
     scenario.set_behavior(0, ServerBehavior::Serve(300 * MILLI));
-    let received = scenario.request_at(SECOND, 0, 1, 200 * MILLI);
+    let received = scenario.send_request_at(SECOND, 0, 1, 200 * MILLI);
     scenario.run_until(4 * SECOND);
     assert_eq!(scenario.received_requests(0).len(), 1);
     let output = received_text(&received);
@@ -58,11 +58,11 @@
         let scenario = Scenario::new(1, seed);
         // The first request opens the connection.
         scenario.set_behavior(0, ServerBehavior::Serve(MILLI));
-        scenario.request_at(SECOND, 0, 1, 200 * MILLI);
+        scenario.send_request_at(SECOND, 0, 1, 200 * MILLI);
         scenario.run_until(SECOND + 100 * MILLI);
         let round_trip = 2 * LATENCY;
         scenario.set_behavior(0, ServerBehavior::Serve(200 * MILLI - round_trip));
-        let received = scenario.request_at(2 * SECOND, 0, 1, 200 * MILLI);
+        let received = scenario.send_request_at(2 * SECOND, 0, 1, 200 * MILLI);
         scenario.run_until(4 * SECOND);
         let output = received_text(&received);
         assert_eq!(received.borrow().len(), 1, "expected one answer: {output}");
@@ -104,7 +104,7 @@
     let at = (SECOND + 250 * MILLI)
         .checked_add_signed(offset)
         .expect("a time");
-    let received = scenario.request_at(at, 0, key, SECOND);
+    let received = scenario.send_request_at(at, 0, key, SECOND);
     scenario.run_until(4 * SECOND);
     assert!(
         received_text(&received).starts_with('*'),
@@ -152,7 +152,7 @@
     for seed in 0..30 {
         let scenario = Scenario::new(2, seed);
         scenario.announce_at(SECOND, 0, "draining", 0);
-        let received = scenario.request_at(SECOND, 0, key, SECOND);
+        let received = scenario.send_request_at(SECOND, 0, key, SECOND);
         scenario.run_until(4 * SECOND);
         assert!(
             received_text(&received).starts_with('*'),
@@ -188,7 +188,7 @@
     let request_length = encoded_length(class, timeout);
     scenario.set_behavior(0, ServerBehavior::NeverRead(50 * MILLI));
     scenario.set_receive_window(0, request_length - missing_bytes);
-    let received = scenario.request_at(SECOND, class, key, timeout);
+    let received = scenario.send_request_at(SECOND, class, key, timeout);
     scenario.run_until(4 * SECOND);
     assert_eq!(
         scenario.violations().len(),
@@ -244,12 +244,12 @@
     let scenario = Scenario::new(2, 1);
     // Opens the connections to both servers, so that the retry does not wait for one.
     for key in 1..20 {
-        scenario.request_at(500 * MILLI + key * 10 * MILLI, 0, key, SECOND);
+        scenario.send_request_at(500 * MILLI + key * 10 * MILLI, 0, key, SECOND);
     }
     scenario.run_until(900 * MILLI);
     let before = scenario.received_requests(1).len();
     scenario.set_behavior(0, ServerBehavior::Reset(failure_delay - 2 * LATENCY));
-    scenario.request_at(SECOND, 1, key, DEADLINE);
+    scenario.send_request_at(SECOND, 1, key, DEADLINE);
     scenario.run_until(4 * SECOND);
     assert_eq!(
         scenario.violations().len(),
@@ -273,7 +273,7 @@
     let key = key_owned_by(0);
     let scenario = Scenario::new(2, 1);
     scenario.set_behavior(0, ServerBehavior::Reset(DEDUPLICATION_WINDOW - 5 * LATENCY));
-    scenario.request_at(SECOND, 1, key, DEADLINE);
+    scenario.send_request_at(SECOND, 1, key, DEADLINE);
     scenario.run_until(SECOND + DEDUPLICATION_WINDOW - MILLI);
     assert_eq!(
         scenario.accepted_connections(1),
--- a/crates/router-soak/src/client.rs
+++ b/crates/router-soak/src/client.rs
@@ -217,7 +217,7 @@
         while let Ok(Some(DecodedFrame { frame, .. })) = connection.frames.next(0) {
             connection.pending.pop_front();
             self.answers.set(self.answers.get() + 1);
-            if matches!(Response::of(&frame), Response::Served(_)) {
+            if matches!(Response::parse(&frame), Response::Served(_)) {
                 self.served.set(self.served.get() + 1);
             }
         }
--- a/crates/router-soak/src/server.rs
+++ b/crates/router-soak/src/server.rs
@@ -130,7 +130,7 @@
         let mut is_new = true;
         loop {
             while let Ok(Some(DecodedFrame { frame, .. })) = frames.next(0) {
-                let Command::CacheRequest(request) = Command::of(&frame) else {
+                let Command::CacheRequest(request) = Command::parse(&frame) else {
                     return;
                 };
                 self.recorder.attempted(request.id);
