--- a/crates/router-soak/src/client.rs
+++ b/crates/router-soak/src/client.rs
@@ -1,7 +1,8 @@
-//! Clients: each keeps a connection and uses it again and again, until the router ends it or is killed.
+//! Fake clients. Each sends pipelines over one connection until the connection ends, and then
+//! reconnects.
 
 use crate::plan::SoakPlan;
-use crate::recorder::{PendingRequest, Recorder, RouterEnd};
+use crate::recorder::{ConnectionEnd, PendingRequest, Recorder};
 use router_simulation::fault_plan::CLASSES;
 use router_simulation::network::{CloseKind, Side};
 use router_simulation::rng::SeededRng;
@@ -17,49 +18,57 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Keys that clients ask for.
+/// Number of distinct keys.
 const KEY_COUNT: u64 = 200;
-/// Most commands of a pipeline, and how often a client pipelines, sends in two pieces, and leaves while clients leave.
+/// Maximum number of commands in a pipeline.
 const MAX_PIPELINE: u64 = 24;
+/// Ratio of exchanges that send more than one command.
 const PIPELINE_RATIO: f64 = 0.3;
-const PIECES_RATIO: f64 = 0.15;
-const LEAVE_RATIO: f64 = 0.3;
-/// How often a request of a pipeline has no time left.
-const NO_TIME_RATIO: f64 = 0.05;
-/// A client waits for an answer this much longer than its time.
-const LATE_ANSWER_TIME: Duration = Duration::from_millis(700);
-/// How often a client reads late while clients read slowly, for how many milliseconds at most, and its receive buffer.
-const SLOW_RATIO: f64 = 0.3;
+/// Ratio of pipelines that are written in two parts.
+const SPLIT_WRITE_RATIO: f64 = 0.15;
+/// Ratio of exchanges that end in an early disconnect while `disconnect_early` is set.
+const DISCONNECT_RATIO: f64 = 0.3;
+/// Ratio of requests with a deadline of zero.
+const ZERO_DEADLINE_RATIO: f64 = 0.05;
+/// Time past the deadline for which a client still waits for an answer.
+const LATE_ANSWER_GRACE: Duration = Duration::from_millis(700);
+/// Ratio of exchanges that are read late while `read_slowly` is set.
+const SLOW_READ_RATIO: f64 = 0.3;
+/// Longest delay of a late read, in milliseconds.
 const MAX_READ_DELAY_MS: u64 = 300;
-const SMALL_RECEIVE_BUFFER: usize = 4_096;
-/// How often a write is long while clients write long values, and the longest one, in bytes.
+/// Receive buffer of connections that are opened while `read_slowly` is set.
+const SMALL_RECEIVE_BUFFER_BYTES: usize = 4_096;
+/// Ratio of writes with a long value while `write_long_values` is set.
 const LONG_WRITE_RATIO: f64 = 0.3;
+/// Longest value that a client writes.
 const MAX_WRITE_BYTES: u64 = 600_000;
-/// The longest pause between two pipelines, in milliseconds.
+/// Longest pause between two exchanges of a client, in milliseconds.
 const MAX_PAUSE_MS: u64 = 120;
 
-/// What all clients of a run share.
-pub(crate) struct Clients {
+/// State that all clients of a run share.
+pub(crate) struct ClientPool {
     plan: SoakPlan,
     router: SocketAddr,
     recorder: Rc<Recorder>,
     rng: RefCell<SeededRng>,
     last_request: Cell<u32>,
-    /// Clients leave before their answers.
-    pub are_leaving: Cell<bool>,
-    /// Clients write long values.
+    /// Whether clients disconnect before they have their answers.
+    pub disconnect_early: Cell<bool>,
+    /// Whether clients write long values.
     pub write_long_values: Cell<bool>,
-    /// Clients read late, with small receive buffers where they connect meanwhile.
+    /// Whether clients read late, and connect with small receive buffers.
     pub read_slowly: Cell<bool>,
-    /// From then on no new connection is opened.
+    /// Time from which clients open no new connections.
     pub connect_until: Cell<Option<Instant>>,
-    /// Requests sent, and answers received.
+    /// Number of requests sent.
     pub requests: Cell<u64>,
+    /// Number of answers received.
     pub answers: Cell<u64>,
+    /// Number of those answers that are neither errors nor rejections.
     pub served: Cell<u64>,
 }
 
-/// One connection of a client.
+/// Connection of a client.
 struct Connection {
     number: u32,
     stream: TcpStream,
@@ -67,25 +76,25 @@
     pending: VecDeque<PendingRequest>,
 }
 
-/// A pipeline as it is sent.
+/// Commands that are sent together.
 struct Pipeline {
     bytes: Vec<u8>,
     ids: Vec<u64>,
-    longest: Duration,
+    max_deadline: Duration,
 }
 
-/// A connection is over.
-struct Over;
+/// The connection has ended, on either side.
+struct ConnectionEnded;
 
-impl Clients {
-    pub fn new(plan: &SoakPlan, router: SocketAddr, recorder: Rc<Recorder>) -> Rc<Clients> {
-        Rc::new(Clients {
+impl ClientPool {
+    pub fn new(plan: &SoakPlan, router: SocketAddr, recorder: Rc<Recorder>) -> Rc<ClientPool> {
+        Rc::new(ClientPool {
             plan: plan.clone(),
             router,
             recorder,
             rng: RefCell::new(SeededRng::new(plan.seed, 3)),
             last_request: Cell::new(0),
-            are_leaving: Cell::new(false),
+            disconnect_early: Cell::new(false),
             write_long_values: Cell::new(false),
             read_slowly: Cell::new(false),
             connect_until: Cell::new(None),
@@ -95,7 +104,7 @@
         })
     }
 
-    /// One client, for as long as it finds a connection.
+    /// Runs one client until no new connections are opened.
     pub async fn run(self: Rc<Self>) {
         while let Some(mut connection) = self.connect().await {
             while let Ok(()) = self.exchange(&mut connection).await {
@@ -107,17 +116,17 @@
 
     async fn connect(&self) -> Option<Connection> {
         loop {
-            let is_over = self
+            let is_stopped = self
                 .connect_until
                 .get()
                 .is_some_and(|until| Instant::now() >= until);
-            if is_over {
+            if is_stopped {
                 return None;
             }
             if let Ok(stream) = TcpStream::connect(self.router).await {
                 let _ = stream.set_nodelay(true);
                 if self.read_slowly.get() {
-                    let _ = SockRef::from(&stream).set_recv_buffer_size(SMALL_RECEIVE_BUFFER);
+                    let _ = SockRef::from(&stream).set_recv_buffer_size(SMALL_RECEIVE_BUFFER_BYTES);
                 }
                 return Some(Connection {
                     number: self.recorder.client_connected(),
@@ -130,23 +139,23 @@
         }
     }
 
-    /// Sends a pipeline and reads its answers.
-    async fn exchange(&self, connection: &mut Connection) -> Result<(), Over> {
+    /// Sends a pipeline and reads the answers to it.
+    async fn exchange(&self, connection: &mut Connection) -> Result<(), ConnectionEnded> {
         if is_closed(&connection.stream) {
-            self.router_ended(connection, RouterEnd::Closed);
-            return Err(Over);
+            self.router_ended(connection, ConnectionEnd::Closed);
+            return Err(ConnectionEnded);
         }
         let pipeline = self.draw_pipeline();
         self.send(connection, &pipeline).await?;
-        let leaves = self.are_leaving.get() && self.chance(LEAVE_RATIO);
-        if leaves {
-            let stay = self.rng.borrow_mut().range(0, 100);
-            tokio::time::sleep(Duration::from_millis(stay)).await;
-            self.leave(connection);
-            return Err(Over);
+        let disconnects = self.disconnect_early.get() && self.chance(DISCONNECT_RATIO);
+        if disconnects {
+            let delay = self.rng.borrow_mut().range(0, 100);
+            tokio::time::sleep(Duration::from_millis(delay)).await;
+            self.disconnect(connection);
+            return Err(ConnectionEnded);
         }
-        let until = Instant::now() + pipeline.longest + LATE_ANSWER_TIME;
-        if self.read_slowly.get() && self.chance(SLOW_RATIO) {
+        let until = Instant::now() + pipeline.max_deadline + LATE_ANSWER_GRACE;
+        if self.read_slowly.get() && self.chance(SLOW_READ_RATIO) {
             let delay = self.rng.borrow_mut().range(0, MAX_READ_DELAY_MS);
             tokio::time::sleep(Duration::from_millis(delay)).await;
         }
@@ -156,15 +165,19 @@
         Ok(())
     }
 
-    async fn send(&self, connection: &mut Connection, pipeline: &Pipeline) -> Result<(), Over> {
-        let is_in_pieces = self.chance(PIECES_RATIO);
-        let first = if is_in_pieces {
+    async fn send(
+        &self,
+        connection: &mut Connection,
+        pipeline: &Pipeline,
+    ) -> Result<(), ConnectionEnded> {
+        let is_split = self.chance(SPLIT_WRITE_RATIO);
+        let first = if is_split {
             self.rng.borrow_mut().index(pipeline.bytes.len())
         } else {
             pipeline.bytes.len()
         };
         let (first, second) = pipeline.bytes.split_at(first);
-        if is_in_pieces {
+        if is_split {
             self.write(connection, first).await?;
             tokio::time::sleep(Duration::from_millis(30)).await;
         }
@@ -176,43 +189,51 @@
         connection.pending.extend(pending);
         self.requests
             .set(self.requests.get() + pipeline.ids.len() as u64);
-        self.write(connection, if is_in_pieces { second } else { first })
+        self.write(connection, if is_split { second } else { first })
             .await
     }
 
-    async fn write(&self, connection: &mut Connection, bytes: &[u8]) -> Result<(), Over> {
+    async fn write(
+        &self,
+        connection: &mut Connection,
+        bytes: &[u8],
+    ) -> Result<(), ConnectionEnded> {
         self.recorder
-            .passed(connection.number, Side::Initiator, bytes);
+            .record_bytes(connection.number, Side::Initiator, bytes);
         if connection.stream.write_all(bytes).await.is_err() {
-            self.router_ended(connection, RouterEnd::Reset);
-            return Err(Over);
+            self.router_ended(connection, ConnectionEnd::Reset);
+            return Err(ConnectionEnded);
         }
         Ok(())
     }
 
-    /// Reads what comes; a client whose time is over leaves.
-    async fn read_answers(&self, connection: &mut Connection, until: Instant) -> Result<(), Over> {
+    /// Reads the available answers; disconnects if none arrives before `until`.
+    async fn read_answers(
+        &self,
+        connection: &mut Connection,
+        until: Instant,
+    ) -> Result<(), ConnectionEnded> {
         let mut buffer = vec![0; 64 * 1024];
         let read = connection.stream.read(&mut buffer);
         let read = tokio::time::timeout_at(until.into(), read).await;
         let count = match read {
             Ok(Ok(0)) => {
-                self.router_ended(connection, RouterEnd::Closed);
-                return Err(Over);
+                self.router_ended(connection, ConnectionEnd::Closed);
+                return Err(ConnectionEnded);
             }
             Ok(Ok(count)) => count,
             Ok(Err(_)) => {
-                self.router_ended(connection, RouterEnd::Reset);
-                return Err(Over);
+                self.router_ended(connection, ConnectionEnd::Reset);
+                return Err(ConnectionEnded);
             }
             Err(_) => {
-                self.leave(connection);
-                return Err(Over);
+                self.disconnect(connection);
+                return Err(ConnectionEnded);
             }
         };
         let bytes = &buffer[..count];
         self.recorder
-            .passed(connection.number, Side::Acceptor, bytes);
+            .record_bytes(connection.number, Side::Acceptor, bytes);
         connection.frames.feed(0, bytes);
         while let Ok(Some(DecodedFrame { frame, .. })) = connection.frames.next(0) {
             connection.pending.pop_front();
@@ -224,13 +245,13 @@
         Ok(())
     }
 
-    fn leave(&self, connection: &mut Connection) {
+    fn disconnect(&self, connection: &mut Connection) {
         self.recorder
-            .ended(connection.number, Side::Initiator, CloseKind::Fin);
+            .record_close(connection.number, Side::Initiator, CloseKind::Fin);
     }
 
-    fn router_ended(&self, connection: &mut Connection, end: RouterEnd) {
-        // A long answer that is broken off has failed: its client sees that it is not whole.
+    fn router_ended(&self, connection: &mut Connection, end: ConnectionEnd) {
+        // A truncated long answer is failed, not lost: the client sees that it is incomplete.
         if connection.frames.has_begun_long_value() {
             connection.pending.pop_front();
         }
@@ -247,7 +268,7 @@
         let mut pipeline = Pipeline {
             bytes: Vec::new(),
             ids: Vec::new(),
-            longest: Duration::ZERO,
+            max_deadline: Duration::ZERO,
         };
         for _ in 0..length {
             self.add_request(&mut pipeline);
@@ -267,13 +288,13 @@
             _ => 3,
         };
         let deadline_ms = self.plan.deadlines_ms[class.min(1)];
-        let wait_ms = if rng.chance(NO_TIME_RATIO) {
+        let remaining_ms = if rng.chance(ZERO_DEADLINE_RATIO) {
             0
         } else {
             rng.range(deadline_ms / 3, deadline_ms)
         };
         let key = rng.range(1, KEY_COUNT);
-        let fields = format!("c={},t=acme,d={wait_ms},k={id:016x}", CLASSES[class]);
+        let fields = format!("c={},t=acme,d={remaining_ms},k={id:016x}", CLASSES[class]);
         pipeline.bytes.extend(match class {
             0 => read_command(key, id, &fields),
             _ if self.write_long_values.get() && rng.chance(LONG_WRITE_RATIO) => {
@@ -283,7 +304,9 @@
             _ => write_command(key, id, &fields, b"sheet"),
         });
         pipeline.ids.push(id);
-        pipeline.longest = pipeline.longest.max(Duration::from_millis(wait_ms));
+        pipeline.max_deadline = pipeline
+            .max_deadline
+            .max(Duration::from_millis(remaining_ms));
     }
 
     fn chance(&self, ratio: f64) -> bool {
@@ -291,7 +314,7 @@
     }
 }
 
-/// Whether the router has ended a connection without unread bytes.
+/// Whether the router has ended a connection and no bytes are unread.
 fn is_closed(stream: &TcpStream) -> bool {
     match stream.try_read(&mut [0]) {
         Ok(0) => true,
@@ -300,9 +323,10 @@
     }
 }
 
-/// Idle clients, every third with half a command. The connections end with what is returned.
-pub(crate) async fn open_crowd(router: SocketAddr, count: usize) -> Vec<TcpStream> {
-    let mut crowd = Vec::new();
+/// Opens connections of idle clients and sends an incomplete command on every third. Dropping the
+/// returned streams closes the connections.
+pub(crate) async fn open_idle_connections(router: SocketAddr, count: usize) -> Vec<TcpStream> {
+    let mut idle_clients = Vec::new();
     for number in 0..count {
         let Ok(mut stream) = TcpStream::connect(router).await else {
             continue;
@@ -310,7 +334,7 @@
         if number % 3 == 0 {
             let _ = stream.write_all(b"*4\r\n$5\r\nC.GET\r\n$16\r\n0000").await;
         }
-        crowd.push(stream);
+        idle_clients.push(stream);
     }
-    crowd
+    idle_clients
 }
--- a/crates/router-soak/src/discovery.rs
+++ b/crates/router-soak/src/discovery.rs
@@ -1,6 +1,7 @@
-//! Discovery, or an agent of it, on a loopback socket: watches on the endpoint list, and the faults of a plan.
+//! Fake discovery on a loopback socket: serves watches on the endpoint list, with the faults of a
+//! plan.
 
-use crate::recorder::{Recorder, server_name, zone};
+use crate::recorder::{Recorder, server_name, zone_of};
 use crate::server::Server;
 use router_simulation::discovery::{
     ListEntry, RESPONSE_HEAD, chunk, known_version, list_json, read_head,
@@ -15,49 +16,62 @@
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
 
-/// While nothing changes an empty line is sent this often.
+/// Interval at which a watch without changes gets an empty line.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 
-/// What the list says of a server.
+/// State of a server in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Health {
     Up,
     Draining,
 }
 
+/// Endpoint list entry of a server.
 #[derive(Clone, Copy)]
 struct Entry {
     health: Health,
+    /// Start time of the server, as Unix time in milliseconds.
     born_ms: u64,
-    changed_in: u64,
+    /// List version of the last change.
+    changed_in_version: u64,
 }
 
-/// See the module.
+/// Fake discovery; see the module documentation.
 pub(crate) struct Discovery {
     pub address: SocketAddr,
     servers: Vec<Rc<Server>>,
     entries: RefCell<Vec<Entry>>,
     version: Cell<u64>,
     recorder: Rc<Recorder>,
+    /// The list has changed.
     changed: Notify,
+    /// Open watches are to be closed.
     reset: Notify,
+    /// Open watches are to stay open and send nothing more.
     silenced: Notify,
+    /// Number of next calls that are not answered.
     pub calls_to_hang: Cell<usize>,
+    /// Number of next calls that fail.
     pub calls_to_fail: Cell<usize>,
+    /// Time until which all calls fail.
     pub down_until: Cell<Option<Instant>>,
 }
 
 impl Discovery {
-    /// Starts with all servers up since long ago.
+    /// Starts discovery with all servers up, with a start time of zero.
     pub async fn start(servers: &[Rc<Server>], recorder: Rc<Recorder>) -> Rc<Discovery> {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let listener = TcpListener::bind("127.0.0.1:0")
+            .await
+            .expect("a free loopback port");
         let entry = Entry {
             health: Health::Up,
             born_ms: 0,
-            changed_in: 1,
+            changed_in_version: 1,
         };
         let discovery = Rc::new(Discovery {
-            address: listener.local_addr().expect("an address"),
+            address: listener
+                .local_addr()
+                .expect("a bound listener has an address"),
             servers: servers.to_vec(),
             entries: RefCell::new(vec![entry; servers.len()]),
             version: Cell::new(1),
@@ -79,29 +93,29 @@
         discovery
     }
 
-    /// The list says this of a server from now on.
-    pub fn set(&self, server: usize, health: Health, born_ms: u64) {
+    /// Changes the list entry of a server.
+    pub fn set_endpoint(&self, server: usize, health: Health, born_ms: u64) {
         let version = self.version.get() + 1;
         self.version.set(version);
         self.entries.borrow_mut()[server] = Entry {
             health,
             born_ms,
-            changed_in: version,
+            changed_in_version: version,
         };
         self.changed.notify_waiters();
-        self.record_announcement(server, health == Health::Up, born_ms);
+        self.schedule_announcement(server, health == Health::Up, born_ms);
     }
 
-    /// What changes while discovery is down, nobody is told before its return.
-    fn record_announcement(&self, server: usize, is_up: bool, born_ms: u64) {
+    /// Records a change of the list, which the router can learn of only once discovery is up.
+    fn schedule_announcement(&self, server: usize, is_up: bool, born_ms: u64) {
         let recorder = self.recorder.clone();
         match self.down_until.get().filter(|at| Instant::now() < *at) {
-            None => recorder.announced(server, is_up, born_ms),
+            None => recorder.record_announcement(server, is_up, born_ms),
             Some(at) => {
-                // Detached: ends with the run's task set at the latest.
+                // A detached task; it is dropped with the run's `LocalSet` at the latest.
                 spawn_local(async move {
                     tokio::time::sleep_until(at.into()).await;
-                    recorder.announced(server, is_up, born_ms);
+                    recorder.record_announcement(server, is_up, born_ms);
                 });
             }
         }
@@ -119,12 +133,12 @@
         self.silenced.notify_waiters();
     }
 
-    /// The whole list.
-    pub fn whole_list(&self) -> String {
+    /// Returns a snapshot of the list.
+    pub fn snapshot(&self) -> String {
         self.list(true, |_| true)
     }
 
-    fn list(&self, is_whole: bool, contains: impl Fn(&Entry) -> bool) -> String {
+    fn list(&self, is_snapshot: bool, contains: impl Fn(&Entry) -> bool) -> String {
         let entries = self.entries.borrow();
         let listed = entries.iter().zip(&self.servers).enumerate();
         let hosts: Vec<String> = listed
@@ -133,7 +147,7 @@
                 let listed = ListEntry {
                     name: &server_name(number),
                     address: server.address,
-                    zone: zone(number),
+                    zone: zone_of(number),
                     health: match entry.health {
                         Health::Up => "up",
                         Health::Draining => "draining",
@@ -143,7 +157,7 @@
                 listed.json()
             })
             .collect();
-        list_json(self.version.get(), is_whole, &hosts)
+        list_json(self.version.get(), is_snapshot, &hosts)
     }
 
     async fn serve(&self, mut stream: TcpStream) {
@@ -152,22 +166,22 @@
             self.answer(&mut stream, connection, &head).await;
         }
         self.recorder
-            .ended(connection, Side::Acceptor, CloseKind::Fin);
+            .record_close(connection, Side::Acceptor, CloseKind::Fin);
     }
 
     async fn answer(&self, stream: &mut TcpStream, connection: u32, head: &str) {
-        if take_one(&self.calls_to_hang) {
+        if decrement(&self.calls_to_hang) {
             return read_to_end(stream).await;
         }
         let is_down = self.down_until.get().is_some_and(|at| Instant::now() < at);
-        if is_down || take_one(&self.calls_to_fail) {
+        if is_down || decrement(&self.calls_to_fail) {
             let busy = b"HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n\r\n";
             let _ = stream.write_all(busy).await;
             return;
         }
         let known = known_version(head);
-        let is_possible = known <= self.version.get();
-        self.watch(stream, connection, if is_possible { known } else { 0 })
+        let is_known_version = known <= self.version.get();
+        self.watch(stream, connection, if is_known_version { known } else { 0 })
             .await;
     }
 
@@ -187,9 +201,9 @@
             tokio::pin!(changed);
             changed.as_mut().enable();
             let line = if is_first && known == 0 {
-                self.whole_list()
+                self.snapshot()
             } else if self.version.get() > sent || is_first {
-                self.list(false, |entry| entry.changed_in > sent)
+                self.list(false, |entry| entry.changed_in_version > sent)
             } else {
                 String::new()
             };
@@ -198,7 +212,7 @@
             if !line.is_empty() {
                 let text = format!("{line}\n");
                 self.recorder
-                    .passed(connection, Side::Acceptor, text.as_bytes());
+                    .record_bytes(connection, Side::Acceptor, text.as_bytes());
             }
             if stream.write_all(chunk(&line).as_bytes()).await.is_err() {
                 return;
@@ -218,10 +232,11 @@
     }
 }
 
-fn take_one(count: &Cell<usize>) -> bool {
-    let is_left = count.get() > 0;
+/// Decrements a count; false if it is zero.
+fn decrement(count: &Cell<usize>) -> bool {
+    let is_positive = count.get() > 0;
     count.set(count.get().saturating_sub(1));
-    is_left
+    is_positive
 }
 
 async fn read_to_end(stream: &mut TcpStream) {
--- a/crates/router-soak/src/server.rs
+++ b/crates/router-soak/src/server.rs
@@ -1,5 +1,5 @@
-//! A cache server on a loopback socket, with the faults of a plan. Its tasks end with its process, which a plan may kill
-//! and start again at the same address.
+//! Fake cache server on a loopback socket, with the faults of a plan. Its process is simulated by a
+//! set of tasks, which a plan may abort and start again on the same address.
 
 use crate::recorder::{Recorder, server_name};
 use router_simulation::network::{CloseKind, Side};
@@ -17,41 +17,49 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{JoinHandle, spawn_local};
 
-/// The ratio of requests that a fault of a server concerns.
+/// Ratio of requests that a reset or malformed-reply fault affects.
 const FAULT_RATIO: f64 = 0.3;
-/// The ratio of reads with a long value while values are long, and of those that are broken off.
+/// Ratio of reads that get a long value while `has_long_values` is set.
 const LONG_VALUE_RATIO: f64 = 0.3;
-const BREAK_RATIO: f64 = 0.3;
-/// Replies beyond this are long, in bytes.
+/// Ratio of long values that are truncated.
+const TRUNCATED_VALUE_RATIO: f64 = 0.3;
+/// Replies above this size are long.
 const LONG_REPLY_BYTES: usize = 65_536;
-/// The longest value, in bytes.
+/// Longest value.
 const MAX_VALUE_BYTES: u64 = 600_000;
-/// How long a value pauses at most, in milliseconds.
+/// Longest pause inside a long value, in milliseconds.
 const MAX_PAUSE_MS: u64 = 300;
-/// How late the first command of a late connection is answered at most, in milliseconds.
-const MAX_LATENESS_MS: u64 = 900;
+/// Longest delay of the first answer on a connection while `delays_first_answer` is set, in
+/// milliseconds.
+const MAX_FIRST_ANSWER_DELAY_MS: u64 = 900;
 
-/// What is wrong with a server now.
+/// Current faults of a server.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ServerFaults {
+    /// Rejects all requests with `-BUSY`.
     pub is_draining: bool,
+    /// Reads commands and does not answer them.
     pub hangs: bool,
-    pub is_malformed: bool,
-    pub resets: bool,
-    pub is_late: bool,
+    /// Answers some requests with malformed replies.
+    pub sends_malformed_replies: bool,
+    /// Resets connections on some requests.
+    pub resets_connections: bool,
+    /// Delays the first answer on each connection.
+    pub delays_first_answer: bool,
+    /// Answers some reads with long values, some of them truncated.
     pub has_long_values: bool,
-    /// Long values pause half-way.
-    pub has_pauses: bool,
-    /// It neither reads nor answers nor closes.
-    pub has_vanished: bool,
+    /// Pauses in the middle of long values.
+    pub pauses_long_values: bool,
+    /// Neither reads nor answers, and does not close connections.
+    pub is_unresponsive: bool,
 }
 
-/// See the module.
+/// Fake cache server; see the module documentation.
 pub(crate) struct Server {
     number: usize,
     pub address: SocketAddr,
     pub faults: Cell<ServerFaults>,
-    service_ms: u64,
+    max_service_ms: u64,
     recorder: Rc<Recorder>,
     rng: RefCell<SeededRng>,
     tasks: RefCell<Vec<JoinHandle<()>>>,
@@ -62,15 +70,19 @@
     pub async fn start(
         number: usize,
         seed: u64,
-        service_ms: u64,
+        max_service_ms: u64,
         recorder: Rc<Recorder>,
     ) -> Rc<Server> {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let listener = TcpListener::bind("127.0.0.1:0")
+            .await
+            .expect("a free loopback port");
         let server = Rc::new(Server {
             number,
-            address: listener.local_addr().expect("an address"),
+            address: listener
+                .local_addr()
+                .expect("a bound listener has an address"),
             faults: Cell::default(),
-            service_ms,
+            max_service_ms,
             recorder,
             rng: RefCell::new(SeededRng::new(seed, 100 + number as u64)),
             tasks: RefCell::default(),
@@ -79,31 +91,31 @@
         server
     }
 
-    /// Changes what is wrong with it.
+    /// Changes the current faults.
     pub fn change(&self, change: impl FnOnce(&mut ServerFaults)) {
         let mut faults = self.faults.get();
         change(&mut faults);
         self.faults.set(faults);
     }
 
-    /// Kills its process: its connections end, and new ones are refused.
+    /// Kills the process: its connections end, and new ones are refused.
     pub fn kill(&self) {
         for task in self.tasks.borrow_mut().drain(..) {
             task.abort();
         }
     }
 
-    /// Starts its process again.
+    /// Starts the process again, without faults.
     pub async fn restart(self: &Rc<Self>) {
         self.change(|faults| *faults = ServerFaults::default());
-        // The old listener is dropped once its task has been polled.
+        // The old listener is dropped only after its aborted task has been polled.
         for _ in 0..100 {
             if let Ok(listener) = TcpListener::bind(self.address).await {
                 return self.clone().accept_on(listener);
             }
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
-        panic!("the port of server {} is taken", self.number);
+        panic!("cannot bind the address of server {} again", self.number);
     }
 
     fn accept_on(self: Rc<Self>, listener: TcpListener) {
@@ -133,21 +145,21 @@
                 let Command::CacheRequest(request) = Command::parse(&frame) else {
                     return;
                 };
-                self.recorder.attempted(request.id);
+                self.recorder.record_attempt(request.id);
                 let is_first = std::mem::take(&mut is_new);
                 if !self.execute(&mut stream, &guard, &request, is_first).await {
                     return;
                 }
             }
             let read = stream.read(&mut buffer).await;
-            if self.faults.get().has_vanished {
+            if self.faults.get().is_unresponsive {
                 std::future::pending::<()>().await;
             }
             match read {
                 Ok(count @ 1..) => {
                     let bytes = &buffer[..count];
                     self.recorder
-                        .passed(guard.connection, Side::Initiator, bytes);
+                        .record_bytes(guard.connection, Side::Initiator, bytes);
                     frames.feed(0, bytes);
                 }
                 _ => return,
@@ -155,7 +167,7 @@
         }
     }
 
-    /// Executes a request; false if the connection is over.
+    /// Executes a request; false if the connection is to be closed.
     async fn execute(
         &self,
         stream: &mut TcpStream,
@@ -164,32 +176,32 @@
         is_first: bool,
     ) -> bool {
         let faults = self.faults.get();
-        if faults.hangs || faults.has_vanished {
+        if faults.hangs || faults.is_unresponsive {
             std::future::pending::<()>().await;
         }
-        if is_first && faults.is_late {
-            self.sleep_up_to(MAX_LATENESS_MS).await;
+        if is_first && faults.delays_first_answer {
+            self.sleep_up_to(MAX_FIRST_ANSWER_DELAY_MS).await;
         }
-        self.sleep_up_to(self.service_ms).await;
-        if faults.resets && self.chance(FAULT_RATIO) {
-            // A close without waiting for unsent bytes is a reset.
+        self.sleep_up_to(self.max_service_ms).await;
+        if faults.resets_connections && self.chance(FAULT_RATIO) {
+            // With a linger time of zero the close sends a reset.
             let _ = SockRef::from(&*stream).set_linger(Some(Duration::ZERO));
             return false;
         }
         let reply = self.reply(request, faults);
-        let is_whole = reply.is_whole;
+        let keeps_connection = reply.keeps_connection;
         self.recorder
-            .passed(guard.connection, Side::Acceptor, &reply.bytes);
+            .record_bytes(guard.connection, Side::Acceptor, &reply.bytes);
         let is_long = reply.bytes.len() > LONG_REPLY_BYTES;
-        let written = if faults.has_pauses && is_long {
+        let written = if faults.pauses_long_values && is_long {
             self.write_with_pause(stream, &reply.bytes).await
         } else {
             stream.write_all(&reply.bytes).await
         };
-        written.is_ok() && is_whole
+        written.is_ok() && keeps_connection
     }
 
-    /// Writes a reply in two parts, with a pause in between.
+    /// Writes a reply in two parts with a pause between them.
     async fn write_with_pause(&self, stream: &mut TcpStream, bytes: &[u8]) -> io::Result<()> {
         let (first, second) = bytes.split_at(bytes.len() / 2);
         stream.write_all(first).await?;
@@ -199,10 +211,10 @@
 
     fn reply(&self, request: &CacheRequest, faults: ServerFaults) -> Reply {
         if faults.is_draining {
-            return Reply::whole(b"-BUSY\r\n".to_vec());
+            return Reply::complete(b"-BUSY\r\n".to_vec());
         }
-        if faults.is_malformed && self.chance(FAULT_RATIO) {
-            return Reply::broken(b"%what\r\n".to_vec());
+        if faults.sends_malformed_replies && self.chance(FAULT_RATIO) {
+            return Reply::then_close(b"%what\r\n".to_vec());
         }
         let is_long = faults.has_long_values && !request.is_write && self.chance(LONG_VALUE_RATIO);
         let size = if is_long {
@@ -212,11 +224,11 @@
         };
         let value = value_for(request.id, &server_name(self.number), size);
         let reply = served_reply(&value, "hit");
-        if is_long && self.chance(BREAK_RATIO) {
+        if is_long && self.chance(TRUNCATED_VALUE_RATIO) {
             let length = self.rng.borrow_mut().index(reply.len() - 30);
-            return Reply::broken(reply[..length].to_vec());
+            return Reply::then_close(reply[..length].to_vec());
         }
-        Reply::whole(reply)
+        Reply::complete(reply)
     }
 
     fn chance(&self, ratio: f64) -> bool {
@@ -229,29 +241,30 @@
     }
 }
 
+/// Bytes of a reply, and what happens to the connection after it.
 struct Reply {
     bytes: Vec<u8>,
-    /// Else the connection ends behind it.
-    is_whole: bool,
+    /// Whether the connection stays open after the reply.
+    keeps_connection: bool,
 }
 
 impl Reply {
-    fn whole(bytes: Vec<u8>) -> Reply {
+    fn complete(bytes: Vec<u8>) -> Reply {
         Reply {
             bytes,
-            is_whole: true,
+            keeps_connection: true,
         }
     }
 
-    fn broken(bytes: Vec<u8>) -> Reply {
+    fn then_close(bytes: Vec<u8>) -> Reply {
         Reply {
             bytes,
-            is_whole: false,
+            keeps_connection: false,
         }
     }
 }
 
-/// Records the end of a connection, also where its task is aborted.
+/// Records the end of a connection on drop, so also if its task is aborted.
 struct ConnectionGuard {
     recorder: Rc<Recorder>,
     connection: u32,
@@ -260,6 +273,6 @@
 impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.recorder
-            .ended(self.connection, Side::Acceptor, CloseKind::Fin);
+            .record_close(self.connection, Side::Acceptor, CloseKind::Fin);
     }
 }
