--- a/crates/router-soak/src/recorder.rs
+++ b/crates/router-soak/src/recorder.rs
@@ -1,9 +1,9 @@
 //! Reports the events that the fakes see to the simulation's invariant checker.
 //!
 //! The checker needs to know which bytes have reached the router's machine. On loopback these are
-//! the bytes that a fake has written. Two cases are decided here, because sockets do not show them to
-//! the checker: a request that crosses the router's close on the wire is not lost, and a reset means
-//! that the router left bytes unread.
+//! the bytes that a fake has written. Two cases are decided here, because sockets do not show them
+//! to the checker: a request that crosses the router's close on the wire is not lost, and a reset
+//! means that the router left bytes unread.
 
 use crate::plan::SoakPlan;
 use router_simulation::executor::{Node, Time};
