--- a/crates/router-simulation/src/discovery.rs
+++ b/crates/router-simulation/src/discovery.rs
@@ -1,5 +1,5 @@
-//! A model of discovery: the endpoint list over HTTP/1.1, whole or as a watch on its changes, with the faults that a plan
-//! wants of it.
+//! A model of discovery. It serves the endpoint list over HTTP/1.1 as a watch, which starts with a
+//! snapshot or a delta and goes on with each change, and has the faults that a run's plan injects.
 
 mod call_queue;
 mod list;
@@ -13,7 +13,7 @@
 use crate::invariant_checker::Role;
 use crate::network::SimulatedStream;
 use crate::simulation::Simulation;
-use call_queue::Turn;
+use call_queue::Admission;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -21,21 +21,21 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWriteExt};
 use tokio::sync::Notify;
 
-/// While nothing changes, a heartbeat is sent this often, in microseconds.
+/// The interval of heartbeats on a watch without changes, in microseconds.
 const HEARTBEAT_INTERVAL: Time = 2 * SECOND;
-/// How long discovery takes to answer, in microseconds.
+/// The time that discovery takes to answer a call, in microseconds.
 const RESPONSE_TIME: Time = 3 * MILLI;
-/// The longest head of a request that discovery reads.
+/// The longest request head that discovery reads, in bytes.
 const MAX_HEAD_BYTES: usize = 8_192;
 
-/// What the list says of a server.
+/// The health of a server on the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
-    /// Accepts work.
+    /// The server accepts requests.
     Up,
-    /// Finishes its work.
+    /// The server finishes its requests and accepts no new ones.
     Draining,
-    /// Is gone.
+    /// The server has been removed from the list.
     Removed,
 }
 
@@ -49,40 +49,40 @@
     }
 }
 
-/// What the list says of one server.
+/// The entry of a server on the endpoint list.
 struct Entry {
     health: Health,
     born_ms: u64,
-    /// The version of the list that changed it last.
-    changed_in: u64,
+    /// The version of the list in which the entry last changed.
+    last_changed_version: u64,
 }
 
-/// Discovery's process. It never ends by itself.
+/// The simulated discovery process. It runs until the end of the run.
 pub struct Discovery {
     simulation: Simulation,
     node: Node,
-    /// Where it listens.
+    /// The address on which discovery listens.
     pub address: SocketAddr,
     servers: Vec<Rc<Server>>,
     entries: RefCell<Vec<Entry>>,
     version: Cell<u64>,
     changed: Notify,
-    ended: Notify,
+    watch_reset: Notify,
     silenced: Notify,
-    /// So many of the next calls are not answered.
+    /// How many of the next calls are left unanswered.
     pub calls_to_hang: Cell<usize>,
-    /// Calls fail until then.
+    /// The time until which all calls are answered with 503.
     pub down_until: Cell<Time>,
-    /// Calls wait their turn here, once it is set.
+    /// The queue in which calls wait, once it is set.
     queue: RefCell<Option<Rc<CallQueue>>>,
-    /// When each router's machine had its last answer from the queue.
+    /// When the queue last answered each router's machine.
     answered_at: RefCell<BTreeMap<Node, Time>>,
-    /// The whole list as each router's machine last had it.
+    /// The whole list as it was last sent to each router's machine.
     last_lists: RefCell<BTreeMap<Node, String>>,
 }
 
 impl Discovery {
-    /// Starts with all servers up since long ago. Its tasks belong to its machine and end with the run.
+    /// Starts discovery with all servers up since long ago. Its tasks run until the end of the run.
     pub fn start(
         simulation: Simulation,
         address: SocketAddr,
@@ -91,7 +91,7 @@
         let entry = |_| Entry {
             health: Health::Up,
             born_ms: 0,
-            changed_in: 1,
+            last_changed_version: 1,
         };
         let discovery = Rc::new(Discovery {
             node: simulation.add_machine(Role::Discovery, 0, usize::MAX),
@@ -101,7 +101,7 @@
             entries: RefCell::new(servers.iter().map(entry).collect()),
             version: Cell::new(1),
             changed: Notify::new(),
-            ended: Notify::new(),
+            watch_reset: Notify::new(),
             silenced: Notify::new(),
             calls_to_hang: Cell::new(0),
             down_until: Cell::new(0),
@@ -121,7 +121,8 @@
         discovery
     }
 
-    /// The list says this of a server from now on; `born_ms` is Unix time in milliseconds.
+    /// Changes the entry of a server on the list. `born_ms` is the start of its process in Unix
+    /// milliseconds.
     pub fn set(&self, server: usize, health: Health, born_ms: u64) {
         let version = self.version.get() + 1;
         let mut entries = self.entries.borrow_mut();
@@ -132,7 +133,7 @@
         *entry = Entry {
             health,
             born_ms,
-            changed_in: version,
+            last_changed_version: version,
         };
         self.version.set(version);
         drop(entries);
@@ -143,30 +144,31 @@
         self.changed.notify_waiters();
     }
 
-    /// Ends all open watches.
-    pub fn end_watches(&self) {
-        self.ended.notify_waiters();
+    /// Resets the connections of all open watches.
+    pub fn reset_watches(&self) {
+        self.watch_reset.notify_waiters();
     }
 
-    /// All open watches send nothing any more, and do not end.
+    /// Makes all open watches stop sending, without closing their connections.
     pub fn silence_watches(&self) {
         self.silenced.notify_waiters();
     }
 
-    /// The list as a router's machine last had it, else as it is now.
-    pub fn known_to(&self, router: Node) -> String {
+    /// The whole list as it was last sent to a router's machine, or the current list if none was
+    /// sent.
+    pub fn last_list_sent_to(&self, router: Node) -> String {
         let last = self.last_lists.borrow().get(&router).cloned();
         last.unwrap_or_else(|| self.snapshot())
     }
 
-    /// The whole list.
+    /// The whole list as JSON.
     fn snapshot(&self) -> String {
         self.list(true, |entry| entry.health != Health::Removed)
     }
 
-    /// What changed after a version.
+    /// The changes to the list after a version, as JSON.
     fn changes_after(&self, version: u64) -> String {
-        self.list(false, |entry| entry.changed_in > version)
+        self.list(false, |entry| entry.last_changed_version > version)
     }
 
     fn list(&self, is_snapshot: bool, contains: impl Fn(&Entry) -> bool) -> String {
@@ -200,9 +202,9 @@
         }
         let executor = &self.simulation.executor;
         executor.sleep(RESPONSE_TIME).await;
-        if executor.now() < self.down_until.get() || self.is_rejected(&stream).await {
+        if executor.now() < self.down_until.get() || self.wait_in_queue(&stream).await {
             let busy = b"HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n\r\n";
-            // The router has gone if this fails.
+            // An error means that the router has closed the connection.
             let _ = stream.write_all(busy).await;
             return;
         }
@@ -210,30 +212,31 @@
         self.watch(stream, known.unwrap_or(0)).await;
     }
 
-    /// From now on calls wait their turn.
-    pub fn begin_queue(&self, queue: Rc<CallQueue>) {
+    /// Makes calls wait in a queue from now on.
+    pub fn set_call_queue(&self, queue: Rc<CallQueue>) {
         *self.queue.borrow_mut() = Some(queue);
     }
 
-    /// When each router's machine had its last answer from the queue.
+    /// When the queue last answered each router's machine.
     pub fn answered_at(&self) -> BTreeMap<Node, Time> {
         self.answered_at.borrow().clone()
     }
 
-    /// Waits for the turn of a call in the queue, if there is one.
-    async fn is_rejected(&self, stream: &SimulatedStream) -> bool {
+    /// Waits until a call has passed the queue, if there is one. Returns whether the call is
+    /// rejected.
+    async fn wait_in_queue(&self, stream: &SimulatedStream) -> bool {
         let Some(queue) = self.queue.borrow().clone() else {
             return false;
         };
         let executor = &self.simulation.executor;
-        match queue.take_in(executor.now()) {
-            Turn::Answered(at) => {
+        match queue.admit(executor.now()) {
+            Admission::Answered(at) => {
                 executor.sleep_until(at).await;
                 let mut answered_at = self.answered_at.borrow_mut();
                 answered_at.insert(stream.peer(), executor.now());
                 false
             }
-            Turn::Rejected(at) => {
+            Admission::Rejected(at) => {
                 executor.sleep_until(at).await;
                 true
             }
@@ -246,12 +249,13 @@
         checker.watch_silenced(now, stream.id());
     }
 
-    /// Sends the list, or the changes after a version other than 0, and then each change and heartbeats.
+    /// Serves a watch: sends a snapshot if `known` is 0 and otherwise the changes after that
+    /// version, and then each further change and heartbeats.
     async fn watch(&self, mut stream: SimulatedStream, known: u64) {
         let router = stream.peer();
-        let ended = self.ended.notified();
+        let watch_reset = self.watch_reset.notified();
         let silenced = self.silenced.notified();
-        tokio::pin!(ended, silenced);
+        tokio::pin!(watch_reset, silenced);
         if stream.write_all(RESPONSE_HEAD.as_bytes()).await.is_err() {
             return;
         }
@@ -283,19 +287,19 @@
                 biased;
                 () = &mut changed => {}
                 () = heartbeat => {}
-                () = &mut ended => return stream.reset(),
+                () = &mut watch_reset => return stream.reset(),
                 () = &mut silenced => {
                     self.record_silence(&stream);
                     return read_to_end(&mut stream).await;
                 }
-                // The router has closed the watch, or sends what it should not.
+                // The router has closed the watch or sent unexpected bytes.
                 _ = stream.read(&mut buffer) => return,
             }
         }
     }
 }
 
-/// Reads the head of a call; none if it does not come whole.
+/// Reads the head of an HTTP request; `None` if the connection ends first or the head is too long.
 pub async fn read_head(stream: &mut (impl AsyncRead + Unpin)) -> Option<String> {
     let mut head = Vec::new();
     let mut buffer = [0; 1024];
@@ -310,14 +314,14 @@
     Some(String::from_utf8_lossy(&head).into_owned())
 }
 
-/// The version of the list that a call says it knows; 0 for none.
+/// The version of the list that a call gives as known; 0 if it gives none.
 pub fn known_version(head: &str) -> u64 {
     let after = head.split("after=").nth(1);
     let digits = after.and_then(|rest| rest.split([' ', '&']).next());
     digits.and_then(|digits| digits.parse().ok()).unwrap_or(0)
 }
 
-/// Reads until the other end closes, and sends nothing.
+/// Reads and discards bytes until the connection ends.
 pub(crate) async fn read_to_end(stream: &mut SimulatedStream) {
     let mut buffer = [0; 1024];
     while !matches!(stream.read(&mut buffer).await, Ok(0) | Err(_)) {}
--- a/crates/router-simulation/src/network.rs
+++ b/crates/router-simulation/src/network.rs
@@ -1,7 +1,11 @@
-//! TCP and UDP between simulated machines: latency, loss as delay, segments cut at any byte, resets, half-open peers,
-//! connects that are refused or not answered.
+//! TCP and UDP between simulated machines.
 //!
-//! What passes is shown to one [`Observer`]. All runs on one thread; no state is borrowed across an await.
+//! The network simulates latency, packet loss, segments split at any byte, resets, peers that
+//! vanish without closing, and connects that are refused or never answered. For TCP, a lost segment
+//! appears as the delay of its retransmission.
+//!
+//! One [`Observer`] sees all traffic. Everything runs on one thread, and no state is borrowed
+//! across an await.
 
 mod conditions;
 mod connection;
@@ -16,14 +20,14 @@
 pub use datagram::SimulatedDatagramSocket;
 pub use environment::SimulatedEnvironment;
 pub use listener::SimulatedListener;
-pub use stream::{Half, SimulatedStream};
+pub use stream::{SimulatedStream, SimulatedStreamHalf};
 pub use system_calls::SystemCall;
 
 use crate::executor::{Executor, Node, Time};
 use crate::rng::SeededRng;
-use datagram::Mailbox;
+use datagram::ReceiveBuffer;
 use listener::Backlog;
-use machine::{Machine, Power};
+use machine::{Machine, MachineStatus};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -33,18 +37,18 @@
 /// One of the two ends of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Side {
-    /// The end that connected.
-    Dialer,
-    /// The end that accepted.
-    Listener,
+    /// The end that opened the connection.
+    Initiator,
+    /// The end that accepted the connection.
+    Acceptor,
 }
 
 impl Side {
     /// The opposite end.
     pub fn other(self) -> Side {
         match self {
-            Side::Dialer => Side::Listener,
-            Side::Listener => Side::Dialer,
+            Side::Initiator => Side::Acceptor,
+            Side::Acceptor => Side::Initiator,
         }
     }
 }
@@ -52,45 +56,45 @@
 /// How one end closes a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseKind {
-    /// An orderly end.
+    /// An orderly close.
     Fin,
-    /// A reset, by the process or because it ended.
+    /// A reset, sent by the process or because the process has ended.
     Reset,
-    /// Without a packet: its machine vanished.
+    /// No packet is sent, because the machine has vanished.
     Silent,
 }
 
-/// Sees what passes on the wire, in order; `now` in microseconds.
+/// Observes the traffic of the network in order. `now` is virtual time in microseconds.
 pub trait Observer {
-    /// A machine took a connection.
-    fn opened(&mut self, now: Time, connection: u32, dialer: Node, listener: Node);
-    /// One end gave these bytes to its machine, which sends them.
+    /// A connection was opened: it is in the acceptor's backlog.
+    fn opened(&mut self, now: Time, connection: u32, initiator: Node, acceptor: Node);
+    /// The process at this end wrote these bytes, and its machine sends them.
     fn written(&mut self, now: Time, connection: u32, side: Side, bytes: &[u8]);
-    /// Bytes of this end are at the other's machine.
+    /// Bytes that this end wrote have arrived at the other end's machine.
     fn delivered(&mut self, now: Time, connection: u32, side: Side, count: usize);
-    /// This end closes the connection.
+    /// This end closed the connection.
     fn closed(&mut self, now: Time, connection: u32, side: Side, how: CloseKind);
-    /// The end or the reset of this end is at the other's machine.
+    /// The FIN or reset from this end has arrived at the other end's machine.
     fn close_delivered(&mut self, now: Time, connection: u32, side: Side);
-    /// A process asked for a descriptor beyond its limit.
+    /// A process reached its descriptor limit and was refused another one.
     fn out_of_descriptors(&mut self, now: Time, node: Node);
 }
 
-/// What the network's parts share.
-struct State {
+/// The mutable state of a network.
+struct NetworkState {
     machines: Vec<Machine>,
     listeners: BTreeMap<SocketAddr, Rc<Backlog>>,
-    /// The machine of each address that was ever listened at.
+    /// The machine of each address that a process has ever listened on.
     nodes_by_address: BTreeMap<SocketAddr, Node>,
-    mailboxes: BTreeMap<SocketAddr, Rc<Mailbox>>,
-    /// Until when zones are cut off from all others.
+    receive_buffers: BTreeMap<SocketAddr, Rc<ReceiveBuffer>>,
+    /// For each zone that was isolated, when its isolation ends.
     isolated_until: BTreeMap<usize, Time>,
     conditions: NetworkConditions,
     last_connection_id: u32,
     rng: SeededRng,
 }
 
-impl State {
+impl NetworkState {
     fn zone(&self, node: Node) -> usize {
         self.machines[node.0 as usize].zone
     }
@@ -100,11 +104,11 @@
     }
 }
 
-/// The network of a run.
+/// The simulated network of a run.
 #[derive(Clone)]
 pub struct Network {
     executor: Executor,
-    state: Rc<RefCell<State>>,
+    state: Rc<RefCell<NetworkState>>,
     observer: Rc<RefCell<dyn Observer>>,
     /// The instant at virtual time 0.
     epoch: Instant,
@@ -118,11 +122,11 @@
         conditions: NetworkConditions,
         rng: SeededRng,
     ) -> Network {
-        let state = State {
+        let state = NetworkState {
             machines: Vec::new(),
             listeners: BTreeMap::new(),
             nodes_by_address: BTreeMap::new(),
-            mailboxes: BTreeMap::new(),
+            receive_buffers: BTreeMap::new(),
             isolated_until: BTreeMap::new(),
             conditions,
             last_connection_id: 0,
@@ -136,14 +140,14 @@
         }
     }
 
-    /// Adds a machine in a zone whose process may hold this many connections.
+    /// Adds a machine to a zone. Its process can hold `descriptor_limit` connections.
     pub fn add_machine(&self, zone: usize, descriptor_limit: usize) -> Node {
         let mut state = self.state.borrow_mut();
         state.machines.push(Machine::new(zone, descriptor_limit));
         Node(state.machines.len() as u32 - 1)
     }
 
-    /// The environment of the machine's process.
+    /// The environment in which a process on this machine runs.
     pub fn environment(&self, node: Node) -> SimulatedEnvironment {
         SimulatedEnvironment {
             network: self.clone(),
@@ -151,58 +155,63 @@
         }
     }
 
-    /// Connections that the process of a machine holds.
+    /// The number of connections that the machine's process holds.
     pub fn open_connections(&self, node: Node) -> usize {
         self.with_machine(node, |machine| machine.descriptor_count)
     }
 
-    /// Ends the process of a machine. Its connections are reset, or end without a packet if the machine vanishes.
+    /// Ends the process of a machine. Its connections are reset, or end without a packet if the
+    /// machine vanishes as well.
     pub fn kill(&self, node: Node, vanishes: bool) {
-        let power = if vanishes { Power::Off } else { Power::Ending };
-        self.with_machine(node, |machine| machine.power = power);
+        let status = if vanishes {
+            MachineStatus::Vanished
+        } else {
+            MachineStatus::ProcessEnding
+        };
+        self.with_machine(node, |machine| machine.status = status);
         self.executor.kill(node);
         self.with_machine(node, |machine| {
             machine.incarnation += 1;
             if !vanishes {
-                machine.power = Power::On;
+                machine.status = MachineStatus::Running;
             }
         });
     }
 
-    /// Brings a machine that vanished back, with no process on it.
+    /// Restores a machine that vanished, with no process on it.
     pub fn restore(&self, node: Node) {
-        self.with_machine(node, |machine| machine.power = Power::On);
+        self.with_machine(node, |machine| machine.status = MachineStatus::Running);
     }
 
-    /// Connects to this machine are not answered before this time.
+    /// Leaves connection attempts to this machine unanswered until this time.
     pub fn ignore_connects(&self, node: Node, until: Time) {
         self.with_machine(node, |machine| machine.ignores_connects_until = until);
     }
 
-    /// Until a time, connects to this machine take `delay` microseconds longer.
+    /// Delays connection attempts to this machine by `delay` microseconds until a time.
     pub fn delay_connects(&self, node: Node, until: Time, delay: Time) {
         self.with_machine(node, |machine| {
-            machine.late_connects_until = until;
+            machine.connects_delayed_until = until;
             machine.connect_delay = delay;
         });
     }
 
-    /// Connections to this machine take so many bytes without their being read.
+    /// Sets how many bytes this machine receives on a connection before its process reads them.
     pub fn set_receive_window(&self, node: Node, bytes: usize) {
         self.with_machine(node, |machine| machine.receive_window = Some(bytes));
     }
 
-    /// Sets the wall clock of a machine to the true time and this offset, in microseconds.
+    /// Sets the offset of a machine's wall clock from the true time, in microseconds.
     pub fn set_clock(&self, node: Node, offset: i64) {
         self.with_machine(node, |machine| machine.clock_offset = offset);
     }
 
-    /// Cuts a zone off from all others until this time.
+    /// Partitions a zone from all others until this time.
     pub fn isolate_zone(&self, zone: usize, until: Time) {
         self.state.borrow_mut().isolated_until.insert(zone, until);
     }
 
-    /// Listens at an address of a machine.
+    /// Listens on an address of a machine.
     pub fn listen(&self, node: Node, address: SocketAddr) -> SimulatedListener {
         let backlog = Rc::new(Backlog::new(node));
         let mut state = self.state.borrow_mut();
@@ -222,14 +231,14 @@
         state.last_connection_id
     }
 
-    /// Bytes that a machine takes on a connection without their being read.
+    /// How many bytes a machine receives on a connection before its process reads them.
     fn receive_window(&self, node: Node) -> usize {
         let state = self.state.borrow();
         let own = state.machines[node.0 as usize].receive_window;
         own.unwrap_or(state.conditions.receive_window)
     }
 
-    /// Draws where a write is cut in two; 0 if it is not.
+    /// Draws the byte at which a write is split into two segments; 0 means that it is not split.
     fn draw_split(&self, count: usize) -> usize {
         let state = &mut *self.state.borrow_mut();
         if count > 1 && state.rng.chance(state.conditions.split_ratio) {
@@ -239,8 +248,8 @@
         }
     }
 
-    /// Whether two machines are in different zones of which one is cut off.
-    fn are_cut_off(&self, from: Node, to: Node) -> bool {
+    /// Whether two machines are in different zones, at least one of which is isolated.
+    fn are_partitioned(&self, from: Node, to: Node) -> bool {
         let state = self.state.borrow();
         let from_zone = state.zone(from);
         let to_zone = state.zone(to);
@@ -250,13 +259,15 @@
         from_zone != to_zone && isolated_until > self.executor.now()
     }
 
-    /// When a packet that is sent now arrives; none if it never does. A lost one is sent again after
-    /// `retransmission_timeout`, and so is one that meets a cut, once that has ended.
-    fn arrival(&self, from: Node, to: Node, retransmission_timeout: Time) -> Option<Time> {
+    /// When a packet that is sent now arrives; `None` if either machine has vanished. A lost packet
+    /// is sent again after `retransmission_timeout`. A packet between partitioned zones is sent
+    /// again that long after the partition ends.
+    fn arrival_time(&self, from: Node, to: Node, retransmission_timeout: Time) -> Option<Time> {
         let now = self.executor.now();
         let state = &mut *self.state.borrow_mut();
-        let is_off = |node: Node| state.machines[node.0 as usize].power == Power::Off;
-        if is_off(from) || is_off(to) {
+        let has_vanished =
+            |node: Node| state.machines[node.0 as usize].status == MachineStatus::Vanished;
+        if has_vanished(from) || has_vanished(to) {
             return None;
         }
         let from_zone = state.zone(from);
--- a/crates/router-simulation/src/run/faults.rs
+++ b/crates/router-simulation/src/run/faults.rs
@@ -45,7 +45,7 @@
             FaultKind::DiscoveryDown => {
                 let until = self.now() + fault.duration;
                 self.discovery.down_until.set(until);
-                self.discovery.end_watches();
+                self.discovery.reset_watches();
             }
             FaultKind::DiscoveryFlaps => self.flap_discovery(fault),
             // The list arrives late because discovery's zone is isolated for part of the time.
@@ -140,7 +140,7 @@
     fn flap_discovery(self: &Rc<Self>, fault: &Fault) {
         for index in 0..FLAP_COUNT {
             self.after(fault.duration / FLAP_COUNT * index, |run| {
-                run.discovery.end_watches();
+                run.discovery.reset_watches();
             });
         }
     }
--- a/crates/router-simulation/tests/invariant_checker.rs
+++ b/crates/router-simulation/tests/invariant_checker.rs
@@ -76,27 +76,32 @@
     }
 
     fn client_requests(&mut self, at: Time, conn: u32, id: u64, class: usize, timeout: Time) {
-        self.transfer(at, conn, Side::Dialer, &request_bytes(id, class, timeout));
+        self.transfer(
+            at,
+            conn,
+            Side::Initiator,
+            &request_bytes(id, class, timeout),
+        );
     }
 
     fn router_sends(&mut self, at: Time, conn: u32, id: u64, class: usize) {
         self.transfer(
             at,
             conn,
-            Side::Dialer,
+            Side::Initiator,
             &request_bytes(id, class, 100 * MILLI),
         );
     }
 
     fn replies(&mut self, at: Time, conn: u32, bytes: &[u8]) {
-        self.transfer(at, conn, Side::Listener, bytes);
+        self.transfer(at, conn, Side::Acceptor, bytes);
     }
 
     fn announce(&mut self, at: Time, conn: u32, health: &str, born: u64) {
         let line = format!(
             "{{\"seq\":2,\"whole\":false,\"hosts\":[{{\"host\":\"s-00\",\"health\":\"{health}\",\"born_ms\":{born}}}]}}\n"
         );
-        self.transfer(at, conn, Side::Listener, line.as_bytes());
+        self.transfer(at, conn, Side::Acceptor, line.as_bytes());
     }
 
     fn violated_rules(&mut self, end: Time) -> Vec<Rule> {
@@ -161,7 +166,7 @@
             "client disconnect" => {
                 trace
                     .checker
-                    .closed(SECOND + 1, client, Side::Dialer, CloseKind::Fin)
+                    .closed(SECOND + 1, client, Side::Initiator, CloseKind::Fin)
             }
             _ => {}
         }
@@ -179,13 +184,17 @@
         let mut trace = Trace::new();
         let client = trace.client(0);
         let bytes = request_bytes(1, 0, 100 * MILLI);
-        trace.checker.written(SECOND, client, Side::Dialer, &bytes);
+        trace
+            .checker
+            .written(SECOND, client, Side::Initiator, &bytes);
         // All bytes arrive, or all but the last one.
         let count = bytes.len() - usize::from(!arrives);
-        trace.checker.delivered(SECOND, client, Side::Dialer, count);
         trace
             .checker
-            .closed(SECOND + 1, client, Side::Listener, CloseKind::Fin);
+            .delivered(SECOND, client, Side::Initiator, count);
+        trace
+            .checker
+            .closed(SECOND + 1, client, Side::Acceptor, CloseKind::Fin);
         assert_eq!(
             trace.violated_rules(9 * SECOND) == [Rule::Answered],
             lost,
@@ -251,23 +260,23 @@
     let bytes = request_bytes(1, class, 100 * MILLI);
     match end {
         "all but the last byte" => {
-            trace.transfer(SECOND, first, Side::Dialer, &bytes[..bytes.len() - 1]);
+            trace.transfer(SECOND, first, Side::Initiator, &bytes[..bytes.len() - 1]);
             trace
                 .checker
-                .close_delivered(SECOND + 1, first, Side::Listener);
+                .close_delivered(SECOND + 1, first, Side::Acceptor);
         }
         "reset" => {
-            trace.transfer(SECOND, first, Side::Dialer, &bytes);
+            trace.transfer(SECOND, first, Side::Initiator, &bytes);
             trace
                 .checker
-                .close_delivered(SECOND + 1, first, Side::Listener);
+                .close_delivered(SECOND + 1, first, Side::Acceptor);
         }
         "busy" => {
-            trace.transfer(SECOND, first, Side::Dialer, &bytes);
+            trace.transfer(SECOND, first, Side::Initiator, &bytes);
             trace.replies(SECOND + 1, first, b"-BUSY\r\n");
         }
         _ => {
-            trace.transfer(SECOND, first, Side::Dialer, &bytes);
+            trace.transfer(SECOND, first, Side::Initiator, &bytes);
             trace.replies(SECOND + 1, first, b"-ERR failed\r\n");
         }
     }
@@ -323,7 +332,7 @@
         trace.router_sends(SECOND, server, 1, 3);
         trace
             .checker
-            .close_delivered(SECOND + 1, server, Side::Listener);
+            .close_delivered(SECOND + 1, server, Side::Acceptor);
         trace.replies(SECOND + 2, client, answer);
         assert_eq!(
             trace.violated_rules(9 * SECOND) == [Rule::Effects],
@@ -395,10 +404,10 @@
     let line = b"{\"seq\":3,\"whole\":false,\"hosts\":[{\"host\":\"s-00\",\"health\":\"draining\",\"born_ms\":5}]}\n";
     trace
         .checker
-        .written(3 * SECOND, watch, Side::Listener, line);
+        .written(3 * SECOND, watch, Side::Acceptor, line);
     trace
         .checker
-        .delivered(3 * SECOND, watch, Side::Listener, line.len() - 1);
+        .delivered(3 * SECOND, watch, Side::Acceptor, line.len() - 1);
     trace.client_requests(4 * SECOND, client, 2, 0, 100 * MILLI);
     trace.router_sends(4 * SECOND, server, 2, 0);
     trace.replies(4 * SECOND, client, &served(2));
--- a/crates/router-soak/src/recorder.rs
+++ b/crates/router-soak/src/recorder.rs
@@ -1,8 +1,9 @@
-//! What the stand-ins see, told to the simulation's checker.
+//! Reports the events that the fakes see to the simulation's invariant checker.
 //!
-//! The checker wants to know what is at the router's machine. On loopback that is what a stand-in has written. Two facts
-//! stay with the soak, as sockets do not show them: a request that crosses the router's close is not lost, and a reset
-//! means that the router has left bytes unread.
+//! The checker needs to know which bytes have reached the router's machine. On loopback these are
+//! the bytes that a fake has written. Two cases are decided here, because sockets do not show them to
+//! the checker: a request that crosses the router's close on the wire is not lost, and a reset means
+//! that the router left bytes unread.
 
 use crate::plan::SoakPlan;
 use router_simulation::executor::{Node, Time};
@@ -19,40 +20,43 @@
 const ROUTER: Node = Node(0);
 const CLIENTS: Node = Node(1);
 const FIRST_SERVER: u32 = 2;
-/// Up to half a second after its time an answer earns nothing; later, or never, the request is lost.
+/// Time past its deadline within which a request must be answered; otherwise it counts as lost. In
+/// microseconds.
 const ANSWER_GRACE: Time = 500_000;
-/// `drain_grace` of the settings, 50 ms on sockets, and what a stand-in may be held up between a read and its record.
+/// The sum of `drain_grace` in the settings, 50 ms of slack for sockets, and the delay that a fake
+/// may have between reading bytes and recording them. In microseconds.
 const DRAIN_GRACE: Time = 250_000 + 50_000 + 150_000;
-/// Each time limit is this much longer on sockets.
+/// Slack that time limits get on sockets, in microseconds.
 const SOCKET_SLACK: Time = 50_000;
-/// A request that was written this long before the end of its connection has been read, or is reset.
-const CROSSING_TIME: Duration = Duration::from_millis(50);
+/// A request that was written longer than this before the connection ended in order was read by the
+/// router. One that was written later may have crossed the close.
+const CLOSE_RACE_WINDOW: Duration = Duration::from_millis(50);
 
-/// How a connection ended at a client.
+/// How a client's connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum RouterEnd {
-    /// In order.
+pub(crate) enum ConnectionEnd {
+    /// By an orderly close.
     Closed,
     /// By a reset.
     Reset,
 }
 
-/// A request without its answer.
+/// Request that is not answered yet.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PendingRequest {
     pub id: u64,
     pub written_at: Instant,
 }
 
-/// See the module.
+/// Recorder of a run; see the module documentation.
 pub(crate) struct Recorder {
     checker: RefCell<InvariantChecker>,
     started: Instant,
     last_connection: Cell<u32>,
-    /// Requests that a cache server has received.
+    /// IDs of the requests that a cache server has received.
     attempted: RefCell<HashSet<u64>>,
-    /// Until when a process that was killed excuses the ends of connections.
-    killed_until: Cell<Option<Instant>>,
+    /// Time until which ended connections are attributed to a process that the soak killed.
+    kill_grace_until: Cell<Option<Instant>>,
     discovery: Node,
 }
 
@@ -61,7 +65,7 @@
         let identities: Vec<ServerIdentity> = (0..plan.servers)
             .map(|number| ServerIdentity {
                 name: server_name(number),
-                zone: zone(number),
+                zone: zone_of(number),
             })
             .collect();
         let mut checker = InvariantChecker::new(rule_parameters(plan), &identities, false);
@@ -76,7 +80,7 @@
             started: Instant::now(),
             last_connection: Cell::new(0),
             attempted: RefCell::default(),
-            killed_until: Cell::new(None),
+            kill_grace_until: Cell::new(None),
             discovery: Node(FIRST_SERVER + plan.servers as u32),
         }
     }
@@ -106,52 +110,56 @@
         self.open(ROUTER, self.discovery)
     }
 
-    /// One side writes bytes, which are at the other's machine with that.
-    pub fn passed(&self, connection: u32, side: Side, bytes: &[u8]) {
+    /// Records bytes that one side writes. On loopback they reach the other side at once.
+    pub fn record_bytes(&self, connection: u32, side: Side, bytes: &[u8]) {
         let now = self.now();
         let mut checker = self.checker.borrow_mut();
         checker.written(now, connection, side, bytes);
         checker.delivered(now, connection, side, bytes.len());
     }
 
-    /// One side ends a connection.
-    pub fn ended(&self, connection: u32, side: Side, how: CloseKind) {
+    /// Records that one side ends a connection.
+    pub fn record_close(&self, connection: u32, side: Side, how: CloseKind) {
         let now = self.now();
         let mut checker = self.checker.borrow_mut();
         checker.closed(now, connection, side, how);
         checker.close_delivered(now, connection, side);
     }
 
-    /// A cache server has received a request whole.
-    pub fn attempted(&self, id: u64) {
+    /// Records that a cache server has received a complete request.
+    pub fn record_attempt(&self, id: u64) {
         self.attempted.borrow_mut().insert(id);
     }
 
-    /// The router has ended a client's connection with requests unanswered: what it had read is lost.
-    pub fn router_ended(&self, connection: u32, end: RouterEnd, pending: &[PendingRequest]) {
+    /// Records that the router has ended a client's connection. Pending requests that it had read
+    /// are lost, which is a violation.
+    pub fn router_ended(&self, connection: u32, end: ConnectionEnd, pending: &[PendingRequest]) {
         let now = self.now();
-        let is_excused = self
-            .killed_until
+        let is_within_kill_grace = self
+            .kill_grace_until
             .get()
             .is_some_and(|until| Instant::now() < until);
-        for request in pending.iter().filter(|_| !is_excused) {
+        for request in pending.iter().filter(|_| !is_within_kill_grace) {
             let was_sent = self.attempted.borrow().contains(&request.id);
-            let was_read = end == RouterEnd::Closed && request.written_at.elapsed() > CROSSING_TIME;
+            let was_read =
+                end == ConnectionEnd::Closed && request.written_at.elapsed() > CLOSE_RACE_WINDOW;
             if was_sent || was_read {
-                let text =
-                    format!("lost: the router ended its connection ({end:?}), sent on: {was_sent}");
+                let text = format!(
+                    "lost: the router ended the client connection ({end:?}); forwarded to a cache server: {was_sent}"
+                );
                 let mut checker = self.checker.borrow_mut();
                 checker.record_violation(Rule::Answered, now, Some(request.id), text);
             }
         }
-        // The checker judges no end that a client makes, and lets its requests go.
+        // The checker does not require answers on a connection that the client has closed, so this
+        // avoids reporting the requests twice.
         let mut checker = self.checker.borrow_mut();
-        checker.closed(now, connection, Side::Dialer, CloseKind::Fin);
+        checker.closed(now, connection, Side::Initiator, CloseKind::Fin);
     }
 
-    /// A process of the router was killed: the connections that it held end with it.
-    pub fn process_killed(&self, excused_for: Duration) {
-        self.killed_until.set(Some(Instant::now() + excused_for));
+    /// Records that the soak killed a router process, which ends the connections of that process.
+    pub fn process_killed(&self, grace: Duration) {
+        self.kill_grace_until.set(Some(Instant::now() + grace));
     }
 
     pub fn router_started(&self, list: &str) {
@@ -159,7 +167,7 @@
         self.checker.borrow_mut().router_started(now, 0, list);
     }
 
-    pub fn announced(&self, server: usize, is_up: bool, born_ms: u64) {
+    pub fn record_announcement(&self, server: usize, is_up: bool, born_ms: u64) {
         let now = self.now();
         self.checker
             .borrow_mut()
@@ -171,8 +179,8 @@
         self.checker.borrow_mut().watch_silenced(now, connection);
     }
 
-    /// A limit that the router has passed.
-    pub fn limit_passed(&self, text: String) {
+    /// Records that the router has exceeded a resource limit.
+    pub fn record_exceeded_limit(&self, text: String) {
         let now = self.now();
         self.checker
             .borrow_mut()
@@ -184,18 +192,18 @@
     }
 }
 
-/// The name of a server on the list.
+/// Name of a server in the endpoint list.
 pub(crate) fn server_name(number: usize) -> String {
     format!("s-{number:02}")
 }
 
-/// Servers stand in two zones by turns.
-pub(crate) fn zone(number: usize) -> usize {
+/// Zone of a server: servers alternate between two zones.
+pub(crate) fn zone_of(number: usize) -> usize {
     number % 2
 }
 
 fn rule_parameters(plan: &SoakPlan) -> RuleParameters {
-    let window = plan.deduplication_ms * 1_000 + SOCKET_SLACK;
+    let window = plan.deduplication_window_ms * 1_000 + SOCKET_SLACK;
     let classes = [
         Idempotency::Idempotent,
         Idempotency::Keyed(DeduplicationScope::All, window),
@@ -204,14 +212,15 @@
     ];
     let names = CLASSES.map(str::to_string);
     RuleParameters {
-        lists_are_pushed: plan.is_push,
+        lists_are_pushed: plan.lists_are_pushed,
         classes: names.into_iter().zip(classes).collect::<BTreeMap<_, _>>(),
         answer_grace: ANSWER_GRACE,
         drain_grace: DRAIN_GRACE,
         max_attempts: crate::run::MAX_ATTEMPTS,
-        // Ends of connections to servers are seen late: two attempts may seem in flight at once.
+        // Closed connections to servers are recorded late, so that two attempts of a request may
+        // seem to be in flight at once.
         hedging: true,
-        // No server fails under load here.
+        // The fake servers do not fail under load, so the overload rule is disabled.
         overload_multiple: f64::MAX,
         overload_duration: 1,
         receive_window: usize::MAX,
