--- a/crates/router-simulation/src/invariant_checker.rs
+++ b/crates/router-simulation/src/invariant_checker.rs
@@ -166,7 +166,7 @@
     }
 
     /// Records that a router's process ends. Its clients retry the requests without an answer.
-    pub fn router_died(&mut self, now: Time, router: usize) {
+    pub fn router_process_ended(&mut self, now: Time, router: usize) {
         for id in self.requests.unanswered_of(router) {
             self.requests.abandon(id);
         }
@@ -176,7 +176,7 @@
                 _ => {}
             }
         }
-        self.advance(now, 0, StepKind::RouterDied, &[router as u8]);
+        self.advance(now, 0, StepKind::RouterEnded, &[router as u8]);
         self.trace
             .note(now, 0, None, || format!("router {router} process ends"));
     }
@@ -230,9 +230,9 @@
         self.check_overdue(time);
     }
 
-    fn new_connection(&self, dialer: Node, listener: Node) -> Connection {
+    fn new_connection(&self, initiator: Node, acceptor: Node) -> Connection {
         let role = |node: Node| self.roles[node.0 as usize];
-        match (role(dialer), role(listener)) {
+        match (role(initiator), role(acceptor)) {
             (Role::Client, Role::Router(router)) => {
                 Connection::Client(ClientConnection::new(router))
             }
@@ -259,23 +259,23 @@
 }
 
 impl Observer for InvariantChecker {
-    fn opened(&mut self, now: Time, id: u32, dialer: Node, listener: Node) {
-        let machines = [dialer.0 as u8, listener.0 as u8];
+    fn opened(&mut self, now: Time, id: u32, initiator: Node, acceptor: Node) {
+        let machines = [initiator.0 as u8, acceptor.0 as u8];
         self.advance(now, id, StepKind::Opened, &machines);
-        let connection = self.new_connection(dialer, listener);
+        let connection = self.new_connection(initiator, acceptor);
         if let Connection::Server(_) = connection {
             self.counts.connections += 1;
         }
         self.trace.note(now, id, None, || {
-            format!("opened, {dialer:?} to {listener:?}")
+            format!("opened, {initiator:?} to {acceptor:?}")
         });
         self.connections.insert(id, connection);
     }
 
     fn written(&mut self, now: Time, id: u32, side: Side, bytes: &[u8]) {
         let kind = match side {
-            Side::Initiator => StepKind::WrittenByDialer,
-            Side::Acceptor => StepKind::WrittenByListener,
+            Side::Initiator => StepKind::WrittenByInitiator,
+            Side::Acceptor => StepKind::WrittenByAcceptor,
         };
         self.advance(now, id, kind, bytes);
         self.with_connection(id, |checker, connection| match (connection, side) {
@@ -296,8 +296,8 @@
 
     fn delivered(&mut self, now: Time, id: u32, side: Side, count: usize) {
         let kind = match side {
-            Side::Initiator => StepKind::DeliveredFromDialer,
-            Side::Acceptor => StepKind::DeliveredFromListener,
+            Side::Initiator => StepKind::DeliveredFromInitiator,
+            Side::Acceptor => StepKind::DeliveredFromAcceptor,
         };
         self.advance(now, id, kind, &count.to_le_bytes());
         self.with_connection(id, |checker, connection| match (connection, side) {
@@ -322,8 +322,8 @@
 
     fn closed(&mut self, now: Time, id: u32, side: Side, how: CloseKind) {
         let kind = match side {
-            Side::Initiator => StepKind::ClosedByDialer,
-            Side::Acceptor => StepKind::ClosedByListener,
+            Side::Initiator => StepKind::ClosedByInitiator,
+            Side::Acceptor => StepKind::ClosedByAcceptor,
         };
         self.advance(now, id, kind, &[how as u8]);
         self.trace
@@ -342,8 +342,8 @@
 
     fn close_delivered(&mut self, now: Time, id: u32, side: Side) {
         let kind = match side {
-            Side::Initiator => StepKind::CloseOfDialerDelivered,
-            Side::Acceptor => StepKind::CloseOfListenerDelivered,
+            Side::Initiator => StepKind::CloseOfInitiatorDelivered,
+            Side::Acceptor => StepKind::CloseOfAcceptorDelivered,
         };
         self.advance(now, id, kind, &[]);
         self.with_connection(id, |checker, connection| match (connection, side) {
@@ -358,7 +358,7 @@
     }
 
     fn out_of_descriptors(&mut self, now: Time, node: Node) {
-        self.advance(now, 0, StepKind::OutOfDescriptors, &[node.0 as u8]);
+        self.advance(now, 0, StepKind::DescriptorLimitReached, &[node.0 as u8]);
         if let Role::Router(router) = self.roles[node.0 as usize] {
             let text = format!("router {router} has no file descriptors left");
             self.record_violation(Rule::ResourceLimits, now, None, text);
--- a/crates/router-simulation/src/invariant_checker/trace.rs
+++ b/crates/router-simulation/src/invariant_checker/trace.rs
@@ -12,19 +12,19 @@
 #[derive(Clone, Copy)]
 pub(super) enum StepKind {
     RouterStarted = 1,
-    RouterDied = 2,
+    RouterEnded = 2,
     ServerStarted = 3,
     EndpointAnnounced = 4,
     Opened = 10,
-    WrittenByDialer = 11,
-    WrittenByListener = 12,
-    DeliveredFromDialer = 13,
-    DeliveredFromListener = 14,
-    ClosedByDialer = 15,
-    ClosedByListener = 16,
-    CloseOfDialerDelivered = 17,
-    CloseOfListenerDelivered = 18,
-    OutOfDescriptors = 19,
+    WrittenByInitiator = 11,
+    WrittenByAcceptor = 12,
+    DeliveredFromInitiator = 13,
+    DeliveredFromAcceptor = 14,
+    ClosedByInitiator = 15,
+    ClosedByAcceptor = 16,
+    CloseOfInitiatorDelivered = 17,
+    CloseOfAcceptorDelivered = 18,
+    DescriptorLimitReached = 19,
 }
 
 /// One recorded step.
--- a/crates/router-simulation/src/run/routers.rs
+++ b/crates/router-simulation/src/run/routers.rs
@@ -174,7 +174,7 @@
         self.simulation
             .checker
             .borrow_mut()
-            .router_died(self.now(), router.number);
+            .router_process_ended(self.now(), router.number);
         let router = router.clone();
         let downtime = RESTART_DOWNTIME + RESTART_DOWNTIME_STEP * router.number as Time;
         self.after(downtime, move |run| run.start_router(&router));
@@ -190,7 +190,7 @@
         self.simulation
             .checker
             .borrow_mut()
-            .router_died(self.now(), router.number);
+            .router_process_ended(self.now(), router.number);
         self.simulation.network.kill(router.node, false);
         let router = router.clone();
         self.after(downtime, move |run| run.start_router(&router));
--- a/crates/router-simulation/tests/invariant_checker.rs
+++ b/crates/router-simulation/tests/invariant_checker.rs
@@ -162,7 +162,7 @@
         let client = trace.client(0);
         trace.client_requests(SECOND, client, 1, 0, 100 * MILLI);
         match event {
-            "router crash" => trace.checker.router_died(SECOND + 1, 0),
+            "router crash" => trace.checker.router_process_ended(SECOND + 1, 0),
             "client disconnect" => {
                 trace
                     .checker
