--- a/crates/load-balancer/src/placement.rs
+++ b/crates/load-balancer/src/placement.rs
@@ -57,7 +57,7 @@
     Unresponsive,
     /// Passed over: this router uses a replica further along the ring, for a hot key or for a
     /// retry.
-    HotKeyReplicaElsewhere,
+    ReplicaElsewhere,
     /// Passed over: the server's concurrency limit is used up.
     AtCapacity,
     /// Passed over: the request is likely to be an origin fetch, and fetches are limited.
@@ -76,7 +76,7 @@
         CandidateVerdict::OutsidePartialArc,
         CandidateVerdict::SlowStartLimited,
         CandidateVerdict::Unresponsive,
-        CandidateVerdict::HotKeyReplicaElsewhere,
+        CandidateVerdict::ReplicaElsewhere,
         CandidateVerdict::AtCapacity,
         CandidateVerdict::FetchLimited,
         CandidateVerdict::RetainedByOwner,
@@ -93,7 +93,7 @@
             CandidateVerdict::OutsidePartialArc => "InPart",
             CandidateVerdict::SlowStartLimited => "Cold",
             CandidateVerdict::Unresponsive => "Silent",
-            CandidateVerdict::HotKeyReplicaElsewhere => "Hot",
+            CandidateVerdict::ReplicaElsewhere => "Hot",
             CandidateVerdict::AtCapacity => "Full",
             CandidateVerdict::FetchLimited => "NoFetch",
             CandidateVerdict::RetainedByOwner => "Stays",
@@ -315,7 +315,7 @@
         if self.is_before_first_eligible && self.replica_weight_left_to_skip >= relative_weight {
             self.replica_weight_left_to_skip -= relative_weight;
             self.consider_fallback(index, is_cached);
-            return CandidateVerdict::HotKeyReplicaElsewhere;
+            return CandidateVerdict::ReplicaElsewhere;
         }
         if std::mem::take(&mut self.is_before_first_eligible) {
             self.may_migrate |= self.inputs.may_migrate_keys_from(server);
--- a/crates/load-balancer/src/retry.rs
+++ b/crates/load-balancer/src/retry.rs
@@ -93,7 +93,7 @@
 /// the attempt is free. After a failed origin fetch there is none: a fetch through another server
 /// would only add load to a failing origin. A miss or a stale connection caused no work at the
 /// server, so the next attempt is free.
-pub(crate) fn should_retry(
+pub(crate) fn admit_retry(
     end: &AttemptEnd,
     had_stale_connection: bool,
     budget: &mut RetryBudget,
@@ -106,11 +106,11 @@
     if is_free {
         return true;
     }
-    let is_paid = budget.has_token();
-    if is_paid {
+    let has_token = budget.has_token();
+    if has_token {
         budget.spend_token();
     }
-    is_paid
+    has_token
 }
 
 /// Whether a request may have one more attempt, regardless of the server.
@@ -118,8 +118,8 @@
     let is_open = !pending.is_answered && !pending.is_streaming;
     let is_in_time = now < pending.request.expires;
     let attempts_left = pending.attempts.len() < limits.max_attempts as usize;
-    let is_alone = !pending.has_attempt_in_flight() || limits.hedging;
-    is_open && is_in_time && attempts_left && is_alone
+    let may_overlap = !pending.has_attempt_in_flight() || limits.hedging;
+    is_open && is_in_time && attempts_left && may_overlap
 }
 
 /// The time left in which servers drop a duplicate of a keyed request that may have run; `None` if
--- a/crates/load-balancer/src/router/attempts.rs
+++ b/crates/load-balancer/src/router/attempts.rs
@@ -22,10 +22,10 @@
     /// send.
     pub(super) fn choose_server(&mut self, pending: &PendingRequest) -> Option<usize> {
         let limit_multiplier = self.priority_context().limit_multiplier(pending);
-        let chance = self.random.next_fraction();
+        let random_fraction = self.random.next_fraction();
         let is_through = self.settings.mode == CacheMode::Through;
         if !is_through && (pending.request.write || pending.has_missed) {
-            return choose_origin(&self.servers, limit_multiplier, chance);
+            return choose_origin(&self.servers, limit_multiplier, random_fraction);
         }
         let fetch = self.fetch_permission(pending, limit_multiplier);
         let placement = self.place(pending, limit_multiplier, fetch)?;
@@ -71,10 +71,11 @@
         let ready_servers = self.ring.server_count();
         let key_share = self.traffic.key_share(pending.ring_position);
         let replicas = hot_key_replica_count(key_share, ready_servers);
-        let to_pass = replica_weight_to_skip(pending, replicas, self.replica_offset, ready_servers);
+        let weight_to_skip =
+            replica_weight_to_skip(pending, replicas, self.replica_offset, ready_servers);
         let mut counts = std::mem::take(&mut self.verdict_counts);
         let inputs = self.placement_inputs(pending, limit_multiplier, fetch);
-        let placement = CandidateWalk::new(inputs, to_pass).run(&self.ring, &mut counts);
+        let placement = CandidateWalk::new(inputs, weight_to_skip).run(&self.ring, &mut counts);
         self.verdict_counts = counts;
         placement
     }
@@ -144,10 +145,10 @@
         let server = &self.servers[index];
         retry::may_send_attempt(pending, &self.settings.limits, self.now)
             && server.is_accepting()
-            && self.may_run_at(pending, index)
+            && self.idempotency_allows(pending, index)
     }
 
-    fn may_run_at(&self, pending: &PendingRequest, index: usize) -> bool {
+    fn idempotency_allows(&self, pending: &PendingRequest, index: usize) -> bool {
         let Some(first) = pending.first_possible_run() else {
             return true;
         };
@@ -237,7 +238,7 @@
         let has_time = retry::has_time_for_retry(pending, self.class(pending), self.now);
         let had_stale_connection = ended.attempt.had_stale_connection;
         let budget = &mut self.retry_budget;
-        if has_time && retry::should_retry(&ended.end, had_stale_connection, budget) {
+        if has_time && retry::admit_retry(&ended.end, had_stale_connection, budget) {
             self.place_or_answer(pending);
         } else {
             self.answer_unserved(pending);
--- a/crates/router-runtime/src/discovery.rs
+++ b/crates/router-runtime/src/discovery.rs
@@ -75,7 +75,7 @@
 impl CallSchedule {
     /// Schedules a call at once and resets what was learnt from another discovery server or from
     /// an outage of this one.
-    fn call_now(&mut self, now: Instant, call_retry: CallRetryPolicy) {
+    fn schedule_immediate_call(&mut self, now: Instant, call_retry: CallRetryPolicy) {
         self.backoff = Some(RetryBackoff::starting_at(now, call_retry));
         self.next_call_at = Some(now);
         self.longest_rejection_wait = None;
@@ -136,19 +136,19 @@
     pub async fn run(self: Rc<Self>) {
         let mut schedule = CallSchedule::default();
         if self.is_push {
-            self.call_now(&mut schedule);
+            self.schedule_immediate_call(&mut schedule);
         }
         loop {
             self.wait_for_call(&mut schedule).await;
             match self.watch_until_lost(&mut schedule).await {
-                None => self.call_now(&mut schedule),
-                Some(lost) => self.watch_lost(&lost, &mut schedule),
+                None => self.schedule_immediate_call(&mut schedule),
+                Some(lost) => self.on_watch_lost(&lost, &mut schedule),
             }
         }
     }
 
-    fn call_now(&self, schedule: &mut CallSchedule) {
-        schedule.call_now(self.environment.now(), self.silent_watch.call_retry);
+    fn schedule_immediate_call(&self, schedule: &mut CallSchedule) {
+        schedule.schedule_immediate_call(self.environment.now(), self.silent_watch.call_retry);
     }
 
     /// Returns when the next call is due.
@@ -157,7 +157,7 @@
             tokio::select! {
                 biased;
                 () = self.addr_changed.notified() => {
-                    self.call_now(schedule);
+                    self.schedule_immediate_call(schedule);
                     return;
                 }
                 () = self.dispatcher.subscription_wanted() => {
@@ -193,7 +193,7 @@
 
     /// Logs the loss of a watch, and either schedules the next call or reports the loss to the
     /// decision library.
-    fn watch_lost(&self, lost: &LostWatch, schedule: &mut CallSchedule) {
+    fn on_watch_lost(&self, lost: &LostWatch, schedule: &mut CallSchedule) {
         // A silent watch was logged when its silence began.
         if !matches!(lost.error, WatchError::Silent(_)) {
             self.log_loss(lost, schedule);
@@ -268,13 +268,13 @@
                         match &mut reconnect {
                             Some(reconnect)
                                 if reconnect.replaces_silent_watch()
-                                    || !watches.has_no_pending_call() =>
+                                    || !watches.are_all_calls_answered() =>
                             {
                                 if !reconnect.replaces_silent_watch() {
                                     self.log_loss(&lost, schedule);
                                 }
                                 let interval = self.hedged_call_interval(schedule);
-                                reconnect.watch_lost(now, &lost, interval);
+                                reconnect.on_loss(now, &lost, interval);
                             }
                             _ => return Some(lost),
                         }
@@ -291,7 +291,7 @@
                 .as_ref()
                 .filter(|reconnect| reconnect.next_call_at().is_none());
             if let Some(reconnect) = given_up
-                && watches.has_no_pending_call()
+                && watches.are_all_calls_answered()
             {
                 return Some(self.silent_watch_lost(reconnect.rejected_call_at()));
             }
--- a/crates/router-runtime/src/discovery/reconnect.rs
+++ b/crates/router-runtime/src/discovery/reconnect.rs
@@ -112,7 +112,7 @@
 
     /// Schedules the next call after one has failed or a watch has ended. `hedged_call_interval` is
     /// the new interval while others are pending; `None`: no further call is made.
-    pub fn watch_lost(
+    pub fn on_loss(
         &mut self,
         now: Instant,
         lost: &LostWatch,
--- a/crates/router-runtime/src/discovery/watch_set.rs
+++ b/crates/router-runtime/src/discovery/watch_set.rs
@@ -112,7 +112,7 @@
     }
 
     /// Whether all calls have been answered.
-    pub fn has_no_pending_call(&self) -> bool {
+    pub fn are_all_calls_answered(&self) -> bool {
         let mut answered = self.watches.iter().map(|watch| &watch.progress.is_answered);
         answered.all(Cell::get)
     }
