--- a/crates/load-balancer/src/diagnostics.rs
+++ b/crates/load-balancer/src/diagnostics.rs
@@ -40,7 +40,8 @@
     pub servers_with_spare_capacity: usize,
     /// Number of candidates by verdict since the start, in the order of [`CandidateVerdict::ALL`].
     pub verdicts: [u64; CandidateVerdict::ALL.len()],
-    /// Number of times that no server was found for a request, by verdict, in the same order.
+    /// Number of times that no server was found for a request, by verdict, in the same order;
+    /// [`CandidateVerdict::AlreadyAttempted`] also counts those without any candidate.
     pub unplaced: [u64; CandidateVerdict::ALL.len()],
 }
 
--- a/crates/load-balancer/src/placement.rs
+++ b/crates/load-balancer/src/placement.rs
@@ -37,6 +37,9 @@
 
 /// The result of considering one candidate for a request: it takes the request, or the reason why
 /// it does not.
+///
+/// An excluded candidate does not take the request whatever its concurrency limit. One that was
+/// passed over lacks capacity or permission for an origin fetch, or another one is preferred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CandidateVerdict {
     /// Takes the request as the ring owner of the key or as this router's replica of a hot key.
@@ -53,16 +56,21 @@
     OutsidePartialArc,
     /// Excluded: the server is warming up and has no slow-start allowance left for this request.
     SlowStartLimited,
-    /// Excluded: the server is unresponsive.
+    /// Excluded: the server is unresponsive, and its next health check is not due yet.
     Unresponsive,
     /// Passed over: this router uses a replica further along the ring, for a hot key or for a
-    /// retry.
+    /// retry. If no later candidate takes the request, the first eligible one with this verdict
+    /// does, and its verdict stays this one.
     ReplicaElsewhere,
-    /// Passed over: the server's concurrency limit is used up.
+    /// Passed over: the server's concurrency limit for requests of this priority is used up, or the
+    /// request would cause an extra origin fetch here and the server is too busy for that.
     AtCapacity,
-    /// Passed over: the request is likely to be an origin fetch, and fetches are limited.
+    /// Passed over: the request is likely to be an origin fetch, and the limit on fetches allows
+    /// none here, or there is no retry token to pay for a fetch away from the owner.
     FetchLimited,
-    /// Passed over: the key stays with its owner although the owner is at capacity.
+    /// Passed over: the key stays with its owner although the owner cannot take the request now.
+    /// The rest of the fleet is too busy for keys to migrate, or the owner's limit rests on too few
+    /// observations.
     RetainedByOwner,
 }
 
@@ -116,7 +124,8 @@
 pub(crate) struct VerdictCounts {
     /// Candidates considered, by verdict.
     pub verdicts: [u64; CandidateVerdict::ALL.len()],
-    /// Requests for which no server was found, by the verdict that explains it.
+    /// How often no server was found for a request, by the verdict that explains it;
+    /// [`CandidateVerdict::AlreadyAttempted`] also if there was no candidate at all.
     pub unplaced: [u64; CandidateVerdict::ALL.len()],
 }
 
--- a/crates/load-balancer/src/retry.rs
+++ b/crates/load-balancer/src/retry.rs
@@ -4,6 +4,10 @@
 //! deadline and the available retry tokens. They return whether an attempt may be sent, its
 //! timeout, and the time left in the deduplication window. All times are in microseconds.
 //!
+//! Three checks apply before a retry is sent. When an attempt ends, [`has_time_for_retry`] and
+//! [`admit_retry`] decide whether to look for another server. Before the next attempt is sent to
+//! the chosen server, [`may_send_attempt`] and [`idempotency_allows`] are checked.
+//!
 //! Retries help against single failures but multiply the load when many attempts fail, so each
 //! successful attempt earns a part of a retry token and each retry costs one. A request that may
 //! have run is only sent again where its idempotency allows it.
@@ -89,10 +93,12 @@
     pending.request.expires.since(now) >= class.minimum_retry_time()
 }
 
-/// Whether another attempt should follow one that ended in this way; spends a retry token unless
-/// the attempt is free. After a failed origin fetch there is none: a fetch through another server
-/// would only add load to a failing origin. A miss or a stale connection caused no work at the
-/// server, so the next attempt is free.
+/// Decides whether another attempt follows one that ended in this way, and spends a retry token if
+/// that attempt costs one.
+///
+/// After a failed origin fetch there is no retry: a fetch through another server would only add
+/// load to a failing origin. The attempt after a miss or a stale connection is free, because these
+/// caused no work at the server. Any other retry costs a token, and is not made without one.
 pub(crate) fn admit_retry(
     end: &AttemptEnd,
     had_stale_connection: bool,
@@ -113,7 +119,9 @@
     has_token
 }
 
-/// Whether a request may have one more attempt, regardless of the server.
+/// Whether a request may have one more attempt (the first or a retry), regardless of the server: it
+/// is neither answered nor streaming, its deadline has not passed, it has attempts left, and no
+/// attempt is in flight unless hedging is allowed.
 pub(crate) fn may_send_attempt(pending: &PendingRequest, limits: &Limits, now: Micros) -> bool {
     let is_open = !pending.is_answered && !pending.is_streaming;
     let is_in_time = now < pending.request.expires;
@@ -140,8 +148,9 @@
     Some(first.sent_at.plus(deduplication_window).since(now))
 }
 
-/// Whether a request may be sent to `candidate` after it may have run at `first`, where it was sent
-/// `since_first` ago.
+/// Whether a request that may have run at `first`, where it was sent `since_first` ago, may also be
+/// sent to `candidate`. A keyed request may be if `candidate` is in the same deduplication scope and
+/// the deduplication window has not passed.
 pub(crate) fn idempotency_allows(
     idempotency: Idempotency,
     first: &Endpoint,
@@ -212,6 +221,8 @@
             .then_some(timeout)
     }
 
+    /// Whether a retry could follow this attempt. A keyed request counts as repeatable, because its
+    /// next server is not known yet.
     fn may_retry(&self) -> bool {
         let attempts = self.pending.attempts.len() as u32;
         self.class.idempotency != Idempotency::NotIdempotent
--- a/crates/load-balancer/src/settings.rs
+++ b/crates/load-balancer/src/settings.rs
@@ -176,6 +176,10 @@
 }
 
 /// An invalid setting, with its path, such as `classes.0.aim`.
+///
+/// The paths differ from those that [`deployment::read`](crate::deployment::read) takes: for
+/// example, `classes.0.aim` is read from `request_classes.0.target`, and `rules.cold_share` from
+/// `invariants.cold_from`. Operators' tools match the paths, so they must not change.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
     /// A count is zero.
