--- a/crates/cache-router/src/configuration.rs
+++ b/crates/cache-router/src/configuration.rs
@@ -16,10 +16,10 @@
 #[derive(Debug, Error)]
 pub enum ConfigurationError {
     /// `GW_CONFIG` is not set, or is not UTF-8.
-    #[error("GW_CONFIG names no configuration file")]
+    #[error("GW_CONFIG is not set, or not UTF-8; set it to the path of the configuration file")]
     NoPath,
     /// The file cannot be read.
-    #[error("{path}: cannot read the configuration: {source}")]
+    #[error("{path}: cannot read the configuration file that GW_CONFIG names: {source}")]
     Io {
         /// Path of the file.
         path: String,
@@ -27,7 +27,7 @@
         source: std::io::Error,
     },
     /// The file is not JSON of the expected structure.
-    #[error("{path}: {source}")]
+    #[error("{path}: invalid configuration file: {source}")]
     Json {
         /// Path of the file.
         path: String,
@@ -43,13 +43,13 @@
         value: String,
     },
     /// The seed is not a 64-bit hexadecimal number.
-    #[error("seed: '{0}' is not a 64-bit hexadecimal number")]
+    #[error("seed: '{0}' is not a 64-bit hexadecimal number (1 to 16 digits, without 0x)")]
     Seed(String),
     /// A setting is missing or malformed.
-    #[error(transparent)]
+    #[error("settings in the configuration file: {0}")]
     Deployment(#[from] DeploymentError),
     /// A setting is out of range.
-    #[error(transparent)]
+    #[error("settings in the configuration file: {0}")]
     Settings(#[from] SettingsError),
 }
 
--- a/crates/cache-router/src/process.rs
+++ b/crates/cache-router/src/process.rs
@@ -69,7 +69,7 @@
         source: io::Error,
     },
     /// `GW_FD` is not a file descriptor number.
-    #[error("{LISTENER_VARIABLE}: '{0}' is not a descriptor")]
+    #[error("{LISTENER_VARIABLE}: '{0}' is not a file descriptor number")]
     NotADescriptor(String),
     /// The inherited descriptor cannot be used as the listener.
     #[error("{LISTENER_VARIABLE}: descriptor {descriptor}: {source}")]
--- a/crates/cache-router/tests/coalesced_reads.rs
+++ b/crates/cache-router/tests/coalesced_reads.rs
@@ -108,11 +108,11 @@
     let cases = [
         (
             "classes = [\"put\"]",
-            "joining.classes: 'put' can never be joined: its effect is keyed",
+            "joining.classes: 'put' cannot be coalesced: its effect is deduplicated, not idempotent",
         ),
         (
             "classes = [\"once\"]",
-            "joining.classes: 'once' can never be joined: its effect is unsafe",
+            "joining.classes: 'once' cannot be coalesced: its effect is at_most_once, not idempotent",
         ),
         (
             "classes = [\"read\", \"reed\"]",
@@ -124,7 +124,7 @@
         ),
         (
             "classes = [\"read\"]\nignore = [\"c\"]",
-            "joining.ignore: 'c' cannot be left out of account",
+            "joining.ignore: 'c' cannot be ignored; remove it (not allowed: c, t, k, empty)",
         ),
         ("clases = [\"read\"]", "line 2: unknown field `clases`"),
     ];
--- a/crates/cache-router/tests/process_replacement.rs
+++ b/crates/cache-router/tests/process_replacement.rs
@@ -30,7 +30,10 @@
 fn an_unusable_descriptor_prevents_the_start_with_a_one_line_error() {
     let (_server, _discovery, config) = start_fleet();
     for (before, expected) in [
-        ("export GW_FD=three;", "GW_FD: 'three' is not a descriptor"),
+        (
+            "export GW_FD=three;",
+            "GW_FD: 'three' is not a file descriptor number",
+        ),
         ("export GW_FD=-1;", "GW_FD: descriptor -1: "),
         ("export GW_FD=999;", "GW_FD: descriptor 999: "),
         (
--- a/crates/load-balancer/src/deployment.rs
+++ b/crates/load-balancer/src/deployment.rs
@@ -37,7 +37,7 @@
         value: String,
     },
     /// A value is none of `true`, `1`, `false` and `0`.
-    #[error("setting {path}: '{value}' is neither true nor false")]
+    #[error("setting {path}: '{value}' is not a flag, expected true, 1, false or 0")]
     NotAFlag {
         /// The path of the setting.
         path: String,
@@ -45,12 +45,14 @@
         value: String,
     },
     /// A value is not one of the known words.
-    #[error("setting {path}: unknown value '{value}'")]
+    #[error("setting {path}: unknown value '{value}', expected {expected}")]
     UnknownWord {
         /// The path of the setting.
         path: String,
         /// The given value.
         value: String,
+        /// The known words, as a phrase.
+        expected: &'static str,
     },
 }
 
@@ -159,10 +161,11 @@
     }
 }
 
-fn unknown_word(path: impl Into<String>, value: &str) -> DeploymentError {
+fn unknown_word(path: impl Into<String>, value: &str, expected: &'static str) -> DeploymentError {
     DeploymentError::UnknownWord {
         path: path.into(),
         value: value.into(),
+        expected,
     }
 }
 
@@ -296,7 +299,11 @@
             deduplication_window: params.time(&path("memory_span"))?,
         }),
         "at_most_once" => Ok(Idempotency::NotIdempotent),
-        other => Err(unknown_word(path("effect"), other)),
+        other => Err(unknown_word(
+            path("effect"),
+            other,
+            "idempotent, deduplicated or at_most_once",
+        )),
     }
 }
 
@@ -308,7 +315,7 @@
         "all" => Ok(DeduplicationScope::All),
         "zone" => Ok(DeduplicationScope::Zone),
         "cell" => Ok(DeduplicationScope::Cell),
-        other => Err(unknown_word(path, other)),
+        other => Err(unknown_word(path, other, "all, zone or cell")),
     }
 }
 
@@ -333,7 +340,7 @@
             let origin = MachineKindId(params.number("specifics.origin_kind")? as usize);
             Ok(CacheMode::Aside { origin })
         }
-        Some(other) => Err(unknown_word("specifics.mode", other)),
+        Some(other) => Err(unknown_word("specifics.mode", other, "through or aside")),
     }
 }
 
@@ -359,6 +366,6 @@
         Some("subscribe") => Ok(DiscoveryMode::Subscribe {
             poll_within: params.time("invariants.ask_within")?,
         }),
-        Some(other) => Err(unknown_word("discovery", other)),
+        Some(other) => Err(unknown_word("discovery", other, "automatic or subscribe")),
     }
 }
--- a/crates/request-coalescing/src/coalescer.rs
+++ b/crates/request-coalescing/src/coalescer.rs
@@ -196,8 +196,8 @@
         if flight.waiters.is_empty() {
             self.withdraw(now, waiter.flight, actions);
         } else if waiter.expires == flight.expires {
-            // Scans all waiters, but only in this case: a waiter that expires normally does not have
-            // the latest deadline.
+            // Scans all waiters, but only in this case: a waiter that expires normally does not
+            // have the latest deadline.
             if let Some(expires) = self.table.shorten_to_waiters(waiter.flight) {
                 actions.push(Action::Shorten {
                     flight: waiter.flight,
--- a/crates/request-coalescing/src/settings.rs
+++ b/crates/request-coalescing/src/settings.rs
@@ -121,13 +121,17 @@
         name: String,
     },
     /// The class is idempotent only with an idempotency key.
-    #[error("joining.classes: '{name}' can never be joined: its effect is keyed")]
+    #[error(
+        "joining.classes: '{name}' cannot be coalesced: its effect is deduplicated, not idempotent"
+    )]
     KeyedClass {
         /// The class.
         name: String,
     },
     /// The class is not idempotent.
-    #[error("joining.classes: '{name}' can never be joined: its effect is unsafe")]
+    #[error(
+        "joining.classes: '{name}' cannot be coalesced: its effect is at_most_once, not idempotent"
+    )]
     NotIdempotentClass {
         /// The class.
         name: String,
@@ -143,7 +147,7 @@
         minimum: usize,
     },
     /// The field always changes the answer, or the name is empty.
-    #[error("joining.ignore: '{name}' cannot be left out of account")]
+    #[error("joining.ignore: '{name}' cannot be ignored; remove it (not allowed: c, t, k, empty)")]
     RequiredField {
         /// The name in the file.
         name: String,
--- a/crates/request-coalescing/tests/operator_texts.rs
+++ b/crates/request-coalescing/tests/operator_texts.rs
@@ -38,11 +38,11 @@
         ),
         (
             SettingsError::KeyedClass { name: name() },
-            "joining.classes: 'read' can never be joined: its effect is keyed",
+            "joining.classes: 'read' cannot be coalesced: its effect is deduplicated, not idempotent",
         ),
         (
             SettingsError::NotIdempotentClass { name: name() },
-            "joining.classes: 'read' can never be joined: its effect is unsafe",
+            "joining.classes: 'read' cannot be coalesced: its effect is at_most_once, not idempotent",
         ),
         (
             SettingsError::BoundOutOfRange {
@@ -54,7 +54,7 @@
         ),
         (
             SettingsError::RequiredField { name: name() },
-            "joining.ignore: 'read' cannot be left out of account",
+            "joining.ignore: 'read' cannot be ignored; remove it (not allowed: c, t, k, empty)",
         ),
     ];
     for (error, text) in rows {
