--- a/crates/process-lifecycle/src/lib.rs
+++ b/crates/process-lifecycle/src/lib.rs
@@ -43,15 +43,21 @@
     SuccessorServes,
     /// The successor process has ended, or its channel has failed.
     SuccessorLost,
-    /// SIGTERM was received, and new clients are no longer accepted.
+    /// The process shuts down: SIGTERM was received, and the time in which late clients are still
+    /// accepted is over.
     Terminate,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
+    /// The process accepts clients, but knows no cache servers yet.
     Starting,
+    /// The process accepts clients and can serve.
     Serving,
+    /// A successor process accepts the clients and takes the connections that become idle.
     HandingOver,
+    /// The process ends once its connections have ended. With a successor, connections that become
+    /// idle are handed over instead of closed.
     ShuttingDown { has_successor: bool },
 }
 
--- a/crates/router-runtime/src/discovery.rs
+++ b/crates/router-runtime/src/discovery.rs
@@ -1,10 +1,15 @@
 //! Discovery client: watches the endpoint list and reconnects when the watch is lost.
 //!
-//! A call is an HTTP request that opens a watch; the first data of its response answer it. In
-//! subscription mode the decision library decides when to call and how long to wait between
-//! calls. In push mode, where a local agent holds the lists, calls are repeated with a short
-//! back-off until one is answered. All state belongs to one thread; no `RefCell` borrow is held
-//! across an await.
+//! A call is an HTTP request that opens a watch; the first data of its response answer it.
+//!
+//! - In subscription mode the decision library decides when to call and how long to wait after a
+//!   lost watch or a failed call.
+//! - In push mode, where a local agent holds the lists, calls are repeated with a short back-off
+//!   until one is answered.
+//! - In both modes a change of the address is followed by a call at once. While a watch is silent,
+//!   or a call is pending for long, further calls are made as `reconnect` schedules them.
+//!
+//! All state belongs to one thread; no `RefCell` borrow is held across an await.
 
 mod endpoint_table;
 mod error;
@@ -61,8 +66,9 @@
 /// State that decides when to call discovery, kept from one watch to the next.
 #[derive(Default)]
 struct CallSchedule {
+    /// Back-off between retries of failed calls; `None` while the decision library sets the delays.
     backoff: Option<RetryBackoff>,
-    /// Time of the next call that does not need a subscription.
+    /// Time of the next call made without a subscription; `None`: the decision library decides.
     next_call_at: Option<Instant>,
     /// Time of the most recent call.
     last_call_at: Option<Instant>,
@@ -287,6 +293,7 @@
                     self.open_watch(&mut watches);
                 }
             }
+            // The calls that were to replace the watch have ended, and no further one is due.
             let given_up = reconnect
                 .as_ref()
                 .filter(|reconnect| reconnect.next_call_at().is_none());
--- a/crates/router-runtime/src/discovery/watch_set.rs
+++ b/crates/router-runtime/src/discovery/watch_set.rs
@@ -38,13 +38,14 @@
     }
 }
 
-/// A watch that has ended.
+/// A watch that has ended, or a call that failed before it became one.
 pub(super) struct LostWatch {
     /// Why it ended.
     pub error: WatchError,
     /// When its call was made, if that failed; `None` if it was answered.
     pub failed_call_at: Option<Instant>,
-    /// When the call that discovery rejected was made, if there was one.
+    /// When the call that discovery rejected, with a status other than 200, was made, if there was
+    /// one.
     pub rejected_call_at: Option<Instant>,
 }
 
--- a/crates/router-runtime/src/runtime/shutdown.rs
+++ b/crates/router-runtime/src/runtime/shutdown.rs
@@ -1,4 +1,8 @@
 //! Runs a router: its background tasks, and its graceful shutdown after SIGTERM.
+//!
+//! After SIGTERM the router accepts clients for a while longer and then closes the listener.
+//! Requests in flight continue until shortly before SIGKILL; those still pending then are answered
+//! as failed. `process_lifecycle` decides what happens to each connection meanwhile.
 
 use super::RouterRuntime;
 use crate::environment::Environment;
@@ -12,7 +16,7 @@
 const ACCEPT_AFTER_SIGTERM: Duration = Duration::from_millis(550);
 /// SIGKILL follows SIGTERM no sooner than the longest deadline plus this margin.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
-/// A longer deadline counts as this one in the time between SIGTERM and SIGKILL.
+/// A longer deadline counts as this one when the time of SIGKILL is computed.
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
 /// Pending requests are answered as failed this long before SIGKILL, so that none ends without a
 /// response.
@@ -40,8 +44,8 @@
 }
 
 impl<E: Environment> RouterRuntime<E> {
-    /// Serves until `stop` returns, and then shuts down: returns when all connections have ended or
-    /// the process has to exit.
+    /// Serves until `stop` completes, which stands for SIGTERM, and then shuts down. Returns when
+    /// all connections have ended or the process has to exit.
     pub async fn run(
         &self,
         listener: E::Listener,
