--- a/tests/all.sh
+++ b/tests/all.sh
@@ -14,16 +14,17 @@
 cargo build --release --locked
 cargo run --release --locked --quiet -p load-balancer --example two_routers
 
-# Simulated days: a fixed set of seeds, and every mutation caught. The feature that holds the mutations is built apart.
+# Simulated runs: a fixed range of seeds, and a check that each mutation is detected. Mutations need a feature that is
+# built in a target directory of its own.
 target/release/router-simulation run --seeds 0..1050
 target/release/router-simulation run --joining --seeds 0..1000
 cargo run --release --locked --quiet -p router-simulation --features mutations --target-dir target/mutations -- mutants
 cargo test --release --locked --quiet -p router-simulation --features mutations --target-dir target/mutations --test drawn_runs --test rare_fault_scenarios \
     --test pushed_lists
 
-# Package names that were replaced do not come back. The changelog, the roadmap's landings and the journal keep them.
+# Replaced package names must not be used again. The changelog, the landings in the roadmap and the journal keep them.
 removed='onyxpick|asterport[-_](engine|joining|life|handover|admin|load|sim|testkit)\b'
 if git grep -nE "$removed" -- . ':!CHANGELOG.md' ':!docs/ROADMAP.md' ':!docs/GLOSSARY.md' ':!journal' ':!tests/all.sh'; then
-    echo "a removed package name came back" >&2
+    echo "a replaced package name is used again" >&2
     exit 1
 fi
--- a/tests/cargo_test.py
+++ b/tests/cargo_test.py
@@ -1,8 +1,8 @@
 #!/usr/bin/env python3
-"""Runs the workspace's tests and passes over the failures that KNOWN-RED.txt lists, and over nothing else.
+"""Runs the workspace's tests and tolerates only the failures that KNOWN-RED.txt lists.
 
-Every test runs. A failure that is not listed, a test binary that ends without a result line and a build that fails
-make this script fail. Listed failures are printed at the end.
+Every test runs. The script fails if a failure is not listed, if a test binary ends without a result line or if the
+build fails. Listed failures are printed at the end.
 """
 import re
 import subprocess
--- a/tests/compare_digests.sh
+++ b/tests/compare_digests.sh
@@ -1,9 +1,10 @@
 #!/usr/bin/env bash
-# Whether two builds of the simulation behave alike: their digests cover every byte on the wire and its microsecond.
+# Compares the digests of two builds of the simulation, which cover every byte on the wire and its time in
+# microseconds. Exits with 1 if they differ.
 #
 #   tests/compare_digests.sh OLD_BINARY NEW_BINARY
 #
-# Both have to run on one machine: floating-point libraries may differ between machines, and the digests with them.
+# Both have to run on the same machine, because floating-point libraries may differ between machines.
 set -euo pipefail
 [ $# -eq 2 ] || { echo "usage: compare_digests.sh OLD_BINARY NEW_BINARY" >&2; exit 2; }
 
@@ -15,7 +16,7 @@
 
 status=0
 for arguments in "--seeds 0..1050" "--joining --seeds 0..1000"; do
-    # Word splitting is wanted: each holds several arguments.
+    # Each element holds several arguments, so word splitting is intended.
     # shellcheck disable=SC2086
     old=$(digest "$1" $arguments)
     # shellcheck disable=SC2086
--- a/tests/soak.sh
+++ b/tests/soak.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# The soak of the router's real binary: tests/soak.sh FIRST..LAST plays these seeds, four side by side, some 14 s each.
-# A line a seed, the plan and the breaches of a seed that broke a rule, and a summary. Ends with 1 where a rule broke.
+# Runs the soak of the router's binary on real sockets: tests/soak.sh FIRST..LAST, both seeds included, four at a time,
+# about 14 s each. Prints one line per seed, the plan and the violations of each seed that broke a rule, and a summary.
+# Exits with 1 if a rule was broken.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 cargo build --release --locked --quiet -p cache-router -p router-soak -p failing-system-calls
